--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -41,7 +41,9 @@
     jobs = [(name, nodes, seed) for name in ALL for nodes in SIZES for seed in seeds]
     with ProcessPoolExecutor(args.jobs) as pool:
         done = dict(zip(jobs, pool.map(play, jobs), strict=True))
-    print(f"| trouble | nodes | in time | {' | '.join(KINDS.values())} | idle at most | list calls | in 1 s |")
+    print(
+        f"| trouble | nodes | in time | {' | '.join(KINDS.values())} | idle at most | list calls | in 1 s |"
+    )
     print("|---|---|---|---|---|---|---|---|---|---|---|")
     broken = 0
     for name in ALL:
@@ -50,11 +52,15 @@
             broken += sum(failures for _, _, failures in nights)
             all_ = [traffic for traffic, _, _ in nights]
             in_time = statistics.mean(part for _, part, _ in nights)
-            shares = " | ".join(f"{statistics.mean(t.share(getattr(t, kind)) for t in all_):.3f}" for kind in KINDS)
+            shares = " | ".join(
+                f"{statistics.mean(t.share(getattr(t, kind)) for t in all_):.3f}" for kind in KINDS
+            )
             idle = max(t.idle_most for t in all_)
             lists, at_once = max(t.lists for t in all_), max(t.lists_most for t in all_)
             print(f"| {name} | {nodes} | {in_time:.3f} | {shares} | {idle} | {lists} | {at_once} |")
-    print(f"\n{len(jobs)} nights before {BOXES} boxes, seeds {seeds[0]} to {seeds[-1]}; rules broken: {broken}")
+    print(
+        f"\n{len(jobs)} nights before {BOXES} boxes, seeds {seeds[0]} to {seeds[-1]}; rules broken: {broken}"
+    )
     return 1 if broken else 0
 
 
--- a/benchmarks/growth.py
+++ b/benchmarks/growth.py
@@ -89,8 +89,15 @@
     place.listen()
     listen = ports.take()
     path = folder / f"{listen}.json"
-    config: dict[str, Any] = {"listen": f"{HOST}:{listen}", "discovery": f"{HOST}:{place.address[1]}", "seed": "1"}
-    config |= {"settings": settings(CLASSES, 10_000.0), "limits": {"memory_mb": 128, "sockets": 1_024}}
+    config: dict[str, Any] = {
+        "listen": f"{HOST}:{listen}",
+        "discovery": f"{HOST}:{place.address[1]}",
+        "seed": "1",
+    }
+    config |= {
+        "settings": settings(CLASSES, 10_000.0),
+        "limits": {"memory_mb": 128, "sockets": 1_024},
+    }
     path.write_text(json.dumps(config))
     process = await asyncio.create_subprocess_exec(
         sys.executable, "-m", "corkshift", cwd=ROOT, env={**os.environ, "PROXY_CONFIG": str(path)},
@@ -112,7 +119,9 @@
             descriptors=len(list(Path(f"/proc/{process.pid}/fd").iterdir())),
             connections=sum(box.accepted for box in boxes) - made,
             list_kb=round(place.written / 1024.0, 1),
-            served=round((clients.figures.served - served) / max(1, clients.figures.asked - asked), 4),
+            served=round(
+                (clients.figures.served - served) / max(1, clients.figures.asked - asked), 4
+            ),
         )
     finally:
         changing.cancel()
@@ -131,7 +140,15 @@
         await asyncio.sleep(1.0)
         entry = servers.entries[rng.choice(names)]
         lifecycle = "in_service" if entry["lifecycle"] == "terminating" else "terminating"
-        servers.change([{**entry, "lifecycle": lifecycle, "startedAtMs": now_ms() if lifecycle == "in_service" else 0}])
+        servers.change(
+            [
+                {
+                    **entry,
+                    "lifecycle": lifecycle,
+                    "startedAtMs": now_ms() if lifecycle == "in_service" else 0,
+                }
+            ]
+        )
         await servers.announce()
 
 
--- a/benchmarks/list_events.py
+++ b/benchmarks/list_events.py
@@ -66,7 +66,11 @@
             with suppress(OSError):
                 connection = await dial((HOST, self._port), 5.0)
                 with suppress(Exception):
-                    headers = {"X-Txn": f"p{self._number}", "X-Lane": "menu-read", "X-Remaining-Ms": "2000"}
+                    headers = {
+                        "X-Txn": f"p{self._number}",
+                        "X-Lane": "menu-read",
+                        "X-Remaining-Ms": "2000",
+                    }
                     await connection.ask("GET", f"/api/k{self._number}", headers)
                     await connection.read()
                 connection.stream.abort()
@@ -95,15 +99,24 @@
 async def measure(root: Path, count: int, folder: Path, ports: Ports) -> Found:
     """What each event costs beside so many servers."""
     servers = ListOfServers()
-    entries: list[Entry] = [started_entry(f"s{n}", (f"127.40.{n >> 8}.{n & 255}", 9), cold=False) for n in range(count)]
+    entries: list[Entry] = [
+        started_entry(f"s{n}", (f"127.40.{n >> 8}.{n & 255}", 9), cold=False) for n in range(count)
+    ]
     written = Written()
     place = Place("n0", servers, written)
     place.listen()
     place.down = True
     listen = ports.take()
     path = folder / f"{listen}.json"
-    config: dict[str, Any] = {"listen": f"{HOST}:{listen}", "discovery": f"{HOST}:{place.address[1]}", "seed": "1"}
-    config |= {"settings": settings(CLASSES, 10_000.0), "limits": {"memory_mb": 128, "sockets": 512}}
+    config: dict[str, Any] = {
+        "listen": f"{HOST}:{listen}",
+        "discovery": f"{HOST}:{place.address[1]}",
+        "seed": "1",
+    }
+    config |= {
+        "settings": settings(CLASSES, 10_000.0),
+        "limits": {"memory_mb": 128, "sockets": 512},
+    }
     path.write_text(json.dumps(config))
     process = await asyncio.create_subprocess_exec(
         sys.executable, "-m", "corkshift", cwd=root, env={**os.environ, "PROXY_CONFIG": str(path)},
@@ -142,12 +155,17 @@
 
         await event("first list", entries)
         await asyncio.sleep(4.0)
-        versions: list[Any] = []  # discovery begins to count anew: a call for changes gets the whole list
+        versions: list[
+            Any
+        ] = []  # discovery begins to count anew: a call for changes gets the whole list
         await event("whole list again", [], whole=True)
         await asyncio.sleep(4.0)
         await event("one server drains", [{**entries[7], "lifecycle": "terminating"}])
         await asyncio.sleep(4.0)
-        await event("a tenth drains", [{**entry, "lifecycle": "terminating"} for entry in entries[20 : 20 + count // 10]])
+        await event(
+            "a tenth drains",
+            [{**entry, "lifecycle": "terminating"} for entry in entries[20 : 20 + count // 10]],
+        )
         return found
     finally:
         if probing is not None:
@@ -173,10 +191,14 @@
     least, most = min(results), max(results)
     found = results[most]
     longest = LONGEST_MS + found["at rest, 1 s"][1]
-    lines = [f"{name}: a request waited {wait} ms" for name, (_, wait) in found.items() if wait > longest]
+    lines = [
+        f"{name}: a request waited {wait} ms" for name, (_, wait) in found.items() if wait > longest
+    ]
     more = found["one server drains"][1] - results[least]["one server drains"][1]
     if more > ONE_MORE_MS + LONGEST_MS:
-        lines.append(f"one server drains: a request waited {more:.1f} ms longer than beside {least}")
+        lines.append(
+            f"one server drains: a request waited {more:.1f} ms longer than beside {least}"
+        )
     return lines
 
 
@@ -188,13 +210,19 @@
     parser.add_argument("--json", type=Path)
     options = parser.parse_args()
     sizes = [int(size) for size in options.sizes.split(",")]
-    with packages_of(options.against, "corkshift", "forkweir") if options.against else nullcontext() as other:
+    with (
+        packages_of(options.against, "corkshift", "forkweir")
+        if options.against
+        else nullcontext() as other
+    ):
         roots = {"this": ROOT} | ({options.against: other} if other is not None else {})
         results = asyncio.run(_all(roots, sizes))
     for name, by_size in results.items():
         print(name)
         for event in next(iter(by_size.values())):
-            cells = "".join(f"{by_size[size][event][0]:10.1f} ({by_size[size][event][1]:.1f})" for size in sizes)
+            cells = "".join(
+                f"{by_size[size][event][0]:10.1f} ({by_size[size][event][1]:.1f})" for size in sizes
+            )
             print(f"  {event:20}{cells}")
     lines = missed(results["this"])
     for line in lines:
--- a/benchmarks/list_freshness.py
+++ b/benchmarks/list_freshness.py
@@ -45,7 +45,9 @@
     can_keep: bool = True  # whether a node can that waits for the heartbeat and spreads its calls
 
 
-HEARTBEAT_KEEPS_S = 4.1  # what is left of the clock once a missing heartbeat of 2 s has been noticed
+HEARTBEAT_KEEPS_S = (
+    4.1  # what is left of the clock once a missing heartbeat of 2 s has been noticed
+)
 SPREAD_KEEPS_S = 4.9  # and after the wait of up to 1.3 s by which a fleet's calls are spread
 CASES = (
     *(
@@ -89,7 +91,12 @@
         place.listen()
     listen = ports.take()
     path = folder / f"{listen}.json"
-    config: dict[str, Any] = {"listen": f"{HOST}:{listen}", "seed": "1", "settings": settings(CLASSES, 10_000.0), "limits": {}}
+    config: dict[str, Any] = {
+        "listen": f"{HOST}:{listen}",
+        "seed": "1",
+        "settings": settings(CLASSES, 10_000.0),
+        "limits": {},
+    }
 
     def configure(place: Place) -> None:
         config["discovery"] = f"{HOST}:{place.address[1]}"
@@ -111,7 +118,9 @@
         await servers.announce()
         if case.reload_after_s:
             asyncio.get_running_loop().call_later(case.reload_after_s, configure, places[1])
-            asyncio.get_running_loop().call_later(case.reload_after_s + 0.01, process.send_signal, signal.SIGHUP)
+            asyncio.get_running_loop().call_later(
+                case.reload_after_s + 0.01, process.send_signal, signal.SIGHUP
+            )
         latest_ms, seen = moment_ms, len(boxes[0].heads)
         while now_ms() < moment_ms + 1000.0 * WATCHED_S:
             await _ask(listen)
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -82,7 +82,16 @@
 class _World:
     """Discovery, two name servers and nodes, without clients or boxes."""
 
-    def __init__(self, seed: int, nodes: int, boxes: int, with_list: bool, ttl: int, with_dns: bool, floor_s: float = 1.0) -> None:
+    def __init__(
+        self,
+        seed: int,
+        nodes: int,
+        boxes: int,
+        with_list: bool,
+        ttl: int,
+        with_dns: bool,
+        floor_s: float = 1.0,
+    ) -> None:
         self.loop = VirtualLoop(seed)
         asyncio.set_event_loop(self.loop)
         self.net = Network(self.loop, seed)
@@ -93,7 +102,9 @@
         self.zone.serve(self.boxes, ttl)
         self.servers = [NameServer((f"127.6.0.{n}", 53), self.zone) for n in (1, 2)]
         self.registry = Registry(("127.4.0.1", 8500), Witness())
-        self.registry.entries = {name: Registry.entry(name, address) for name, address in self.boxes.items()}
+        self.registry.entries = {
+            name: Registry.entry(name, address) for name, address in self.boxes.items()
+        }
         self.nodes = [_Node(self.loop) for _ in range(nodes)]
         self.sources: list[Sources] = []
         self.processes = [Process(f"n{n}", self.net, f"127.1.0.{n + 1}") for n in range(nodes)]
@@ -102,7 +113,9 @@
 
     async def begin(self) -> None:
         """Start everything; every node has its first list and records when this ends."""
-        for process, run in zip(self.others, (self.registry.run, *(server.run for server in self.servers)), strict=True):
+        for process, run in zip(
+            self.others, (self.registry.run, *(server.run for server in self.servers)), strict=True
+        ):
             process.start(run)
         await asyncio.sleep(0.01)
         for node, process in zip(self.nodes, self.processes, strict=True):
@@ -115,7 +128,9 @@
         if not self.with_dns:
             options = SourcesTable()
         else:
-            options = SourcesTable(dns=DnsTable(service=SERVICE, resolvers=resolvers, floor_s=self.floor_s))
+            options = SourcesTable(
+                dns=DnsTable(service=SERVICE, resolvers=resolvers, floor_s=self.floor_s)
+            )
         sources = Sources(node, pool, options, self.rng.getrandbits(32))  # type: ignore[arg-type]
         self.sources.append(sources)
         if self.with_list:
@@ -149,7 +164,9 @@
         at = world.loop.now_us / 1e6
         world.loop.call_later(DNS_S, world.zone.serve, world.boxes, ttl)
         world.loop.call_later(START_S, world.registry.change, Registry.entry("s99", born))
-        world.loop.call_later(DEATH_S, world.registry.change, world.registry.entries["s1"], "terminated")
+        world.loop.call_later(
+            DEATH_S, world.registry.change, world.registry.entries["s1"], "terminated"
+        )
         for _ in range(2_000):
             if dead in node.left and born in node.serving:
                 return node.left[dead] - at, node.serving[born] - at
@@ -168,7 +185,10 @@
 
     def counts() -> list[int]:
         each = [source.dns.resolver.counts for source in world.sources if source.dns is not None]
-        return [sum(getattr(one, name) for one in each) for name in ("queries", "sent_bytes", "received_bytes")]
+        return [
+            sum(getattr(one, name) for one in each)
+            for name in ("queries", "sent_bytes", "received_bytes")
+        ]
 
     async def play() -> dict[str, float]:
         await world.begin()
@@ -196,7 +216,10 @@
     begun = time.process_time()
     for n in range(rounds):
         answer = read(wire, query(SERVICE, "SRV", 1, 0), stream=True)
-        found = {target: Kept(Answer(life, addresses=addresses), 0.0, 1.0) for target, (life, addresses) in answer.extra.items()}
+        found = {
+            target: Kept(Answer(life, addresses=addresses), 0.0, 1.0)
+            for target, (life, addresses) in answer.extra.items()
+        }
         merged.tell("dns", claims_of(answer.services, dict(found)), float(n))
         assert len(merged.merge(float(n))) == BOXES
     return 1_000.0 * (time.process_time() - begun) / rounds
@@ -213,7 +236,12 @@
     rng, zone = random.Random(seed), Zone()
     zone.serve({f"s{n}": (f"10.0.0.{n}", 8001) for n in range(3)}, 30)
     cases = []
-    for how, name, kind in (("good", SERVICE, "SRV"), ("good", f"s1.{ZONE}", "A"), ("empty", SERVICE, "SRV"), ("loop", SERVICE, "SRV")):
+    for how, name, kind in (
+        ("good", SERVICE, "SRV"),
+        ("good", f"s1.{ZONE}", "A"),
+        ("empty", SERVICE, "SRV"),
+        ("loop", SERVICE, "SRV"),
+    ):
         asked = query(name, kind, 4711, 0b1011)
         cases.append((asked, NameServer(("127.0.0.1", 53), zone, how).answers(asked.wire, True)[0]))
     taken = {"answer": 0, "foreign": 0, "truncated": 0, "unusable": 0}
@@ -231,10 +259,18 @@
             taken["unusable"] += 1
         if n == count // 10:
             gc.collect()
-            blocks, peak = sys.getallocatedblocks(), resource.getrusage(resource.RUSAGE_SELF).ru_maxrss
+            blocks, peak = (
+                sys.getallocatedblocks(),
+                resource.getrusage(resource.RUSAGE_SELF).ru_maxrss,
+            )
     gc.collect()
-    more, grown = sys.getallocatedblocks() - blocks, resource.getrusage(resource.RUSAGE_SELF).ru_maxrss - peak
-    print(f"{count} mutated messages: {taken}; {more} blocks more than at a tenth, highest memory {grown} KiB more")
+    more, grown = (
+        sys.getallocatedblocks() - blocks,
+        resource.getrusage(resource.RUSAGE_SELF).ru_maxrss - peak,
+    )
+    print(
+        f"{count} mutated messages: {taken}; {more} blocks more than at a tenth, highest memory {grown} KiB more"
+    )
     return 1 if more > BLOCKS_MOST else 0
 
 
@@ -272,30 +308,48 @@
     missed: list[str] = []
     table: dict[str, Any] = {}
     with ProcessPoolExecutor(args.jobs) as pool:
-        jobs = {(s, ttl): [pool.submit(trial, n, s, ttl) for n in seeds] for s in ("list", "dns", "list+dns") for ttl in TTLS}
-        print(f"{'source':9} {'lifetime':>8}  {'death, s: 50%':>13} {'90%':>6} {'99%':>6}  {'start, s: 50%':>13} {'90%':>6} {'99%':>6}")
+        jobs = {
+            (s, ttl): [pool.submit(trial, n, s, ttl) for n in seeds]
+            for s in ("list", "dns", "list+dns")
+            for ttl in TTLS
+        }
+        print(
+            f"{'source':9} {'lifetime':>8}  {'death, s: 50%':>13} {'90%':>6} {'99%':>6}  {'start, s: 50%':>13} {'90%':>6} {'99%':>6}"
+        )
         for (source, ttl), futures in jobs.items():
             deaths, starts = map(list, zip(*(future.result() for future in futures), strict=True))
             row = [part(values, share) for values in (deaths, starts) for share in (0.5, 0.9, 0.99)]
             table[f"{source} {ttl}"] = row
-            print(f"{source:9} {ttl:8}  {row[0]:13.2f} {row[1]:6.2f} {row[2]:6.2f}  {row[3]:13.2f} {row[4]:6.2f} {row[5]:6.2f}")
+            print(
+                f"{source:9} {ttl:8}  {row[0]:13.2f} {row[1]:6.2f} {row[2]:6.2f}  {row[3]:13.2f} {row[4]:6.2f} {row[5]:6.2f}"
+            )
             most = {"list": START_S, "dns": DNS_S + ttl, "list+dns": START_S}[source] + SLACK_S
             if row[5] > most:
-                missed.append(f"{source}, lifetime {ttl} s: a start after {row[5]:.2f} s, at most {most:.2f}")
+                missed.append(
+                    f"{source}, lifetime {ttl} s: a start after {row[5]:.2f} s, at most {most:.2f}"
+                )
             gone = {"list": DEATH_S, "dns": DNS_S + ttl, "list+dns": DEATH_S}[source] + SLACK_S
             if row[2] > gone:
-                missed.append(f"{source}, lifetime {ttl} s: a death after {row[2]:.2f} s, at most {gone:.2f}")
-    print(f"\n{NODES} nodes, {BOXES} boxes, whole fleet: {'queries/s':>10} {'bytes/s':>10}   CPU of a node")
+                missed.append(
+                    f"{source}, lifetime {ttl} s: a death after {row[2]:.2f} s, at most {gone:.2f}"
+                )
+    print(
+        f"\n{NODES} nodes, {BOXES} boxes, whole fleet: {'queries/s':>10} {'bytes/s':>10}   CPU of a node"
+    )
     each = round_ms()
     for ttl in TTLS:
         got = cost(ttl)
         share = each * got["queries_per_s"] / NODES / 1_000.0
         table[f"cost {ttl}"] = {**got, "cpu": share}
-        print(f"lifetime {ttl:3} s {got['queries_per_s']:34.1f} {got['bytes_per_s']:10.0f} {share:10.2%} ({each:.1f} ms a round)")
+        print(
+            f"lifetime {ttl:3} s {got['queries_per_s']:34.1f} {got['bytes_per_s']:10.0f} {share:10.2%} ({each:.1f} ms a round)"
+        )
         if got["queries_per_s"] > NODES * 1.5 / (0.75 * max(ttl, Limits().floor_s)):
             missed.append(f"lifetime {ttl} s: {got['queries_per_s']:.1f} queries a second")
         if share > CPU_MOST:
-            missed.append(f"lifetime {ttl} s: {share:.2%} of a core for each node, at most {CPU_MOST:.0%}")
+            missed.append(
+                f"lifetime {ttl} s: {share:.2%} of a core for each node, at most {CPU_MOST:.0%}"
+            )
     if args.json:
         args.json.write_text(json.dumps(table, indent=1) + "\n")
     for line in missed:
--- a/benchmarks/memory.py
+++ b/benchmarks/memory.py
@@ -22,7 +22,14 @@
 PARTS = 8
 GROWTH_MOST = 1.1  # of a table over the last half of the day,
 SLACK = 64  # and so many entries
-SKIPPED = (types.ModuleType, type, types.FunctionType, types.BuiltinFunctionType, types.CodeType, types.FrameType)
+SKIPPED = (
+    types.ModuleType,
+    type,
+    types.FunctionType,
+    types.BuiltinFunctionType,
+    types.CodeType,
+    types.FrameType,
+)
 
 
 def tables(root: object) -> Iterator[tuple[str, int]]:
@@ -31,7 +38,9 @@
     queue: deque[tuple[str, object]] = deque([("", root)])
     while queue:
         path, value = queue.popleft()
-        if id(value) in seen or isinstance(value, (*SKIPPED, str, bytes, int, float, bool, type(None))):
+        if id(value) in seen or isinstance(
+            value, (*SKIPPED, str, bytes, int, float, bool, type(None))
+        ):
             continue
         seen.add(id(value))
         if isinstance(value, dict | list | set | deque | tuple | bytearray):
@@ -93,7 +102,9 @@
         result = simulation.run(1, script(args.seconds, args.rate, args.boxes))
     finally:
         simulation.World.__init__ = first  # type: ignore[method-assign]
-    print(f"{result.figures.asked} requests, {args.seconds / 4.0:.0f} servers replaced; {len(result.failures)} rules broken")
+    print(
+        f"{result.figures.asked} requests, {args.seconds / 4.0:.0f} servers replaced; {len(result.failures)} rules broken"
+    )
     print("time, s        " + " ".join(f"{at:8.0f}" for at, _, _ in rows))
     print("entries in all " + " ".join(f"{sum(found.values()):8}" for _, _, found in rows))
     half, end = rows[PARTS // 2 - 1][2], rows[-1][2]
--- a/benchmarks/module.py
+++ b/benchmarks/module.py
@@ -30,9 +30,18 @@
 
     classes = (
         ClassSpec("menu-read", aim_ms=750, deadline_ms=2500, worth=3),
-        ClassSpec("order-place", aim_ms=1200, deadline_ms=2500, repeat="keyed", repeat_window_ms=2500, worth=8),
+        ClassSpec(
+            "order-place",
+            aim_ms=1200,
+            deadline_ms=2500,
+            repeat="keyed",
+            repeat_window_ms=2500,
+            worth=8,
+        ),
+    )
+    balancer = Balancer(
+        Settings(classes=classes, max_attempts=3, may_cancel=True, backoff_max_ms=1200.0), 7
     )
-    balancer = Balancer(Settings(classes=classes, max_attempts=3, may_cancel=True, backoff_max_ms=1200.0), 7)
     rng = random.Random(7)
     balancer.on_list(0.0, "full", [Server(f"s{n}", kind=f"k{n % 2}") for n in range(servers)])
     keys = [f"k{min(5_000, int(rng.paretovariate(0.7)))}" for _ in range(requests)]
@@ -46,24 +55,32 @@
             balancer.on_outcome(due, number, 0, True, "success", server, took, note)
         write = draws[n][0] < 0.08
         lane = "order-place" if write else "menu-read"
-        for action in balancer.on_request(now, n, lane, keys[n], 2500.0, 110.0, "stalls", write, False):
+        for action in balancer.on_request(
+            now, n, lane, keys[n], 2500.0, 110.0, "stalls", write, False
+        ):
             if action[0] == "attempt":
                 took = 40.0 + min(600.0, draws[n][2])
-                out.append((now + took, n, action[2], took, 0 if write else 2 if draws[n][1] < 0.1 else 1))
+                out.append(
+                    (now + took, n, action[2], took, 0 if write else 2 if draws[n][1] < 0.1 else 1)
+                )
     return time.process_time() - began
 
 
 def _time(root: Path, servers: int, requests: int) -> float:
     code = f"import sys; sys.path.insert(0, {str(root)!r}); sys.path.append({str(ROOT)!r})\n"
     code += f"from benchmarks.module import day; print(day({servers}, {requests}))"
-    done = subprocess.run([sys.executable, "-I", "-c", code], capture_output=True, text=True, check=True)
+    done = subprocess.run(
+        [sys.executable, "-I", "-c", code], capture_output=True, text=True, check=True
+    )
     return float(done.stdout)
 
 
 def main() -> int:
     """Print the ratios; the exit code."""
     parser = argparse.ArgumentParser(description=(__doc__ or "").splitlines()[0])
-    parser.add_argument("--against", default="HEAD", metavar="REV", help="a revision of this repository")
+    parser.add_argument(
+        "--against", default="HEAD", metavar="REV", help="a revision of this repository"
+    )
     parser.add_argument("--quick", action="store_true", help="a third of the pairs")
     parser.add_argument("--json", type=Path, metavar="FILE")
     args = parser.parse_args()
@@ -77,9 +94,15 @@
                 ratios.append(here[-1] / _time(other, servers, REQUESTS))
             ratio = statistics.median(ratios)
             worst = max(worst, ratio)
-            figures[f"{servers} servers"] = {"ratio": round(ratio, 3), "least": round(min(ratios), 3), "most": round(max(ratios), 3)}
+            figures[f"{servers} servers"] = {
+                "ratio": round(ratio, 3),
+                "least": round(min(ratios), 3),
+                "most": round(max(ratios), 3),
+            }
             us = 1e6 * statistics.median(here) / REQUESTS
-            print(f"{servers} servers: {us:.1f} us a request, {ratio:.3f} of {args.against} ({min(ratios):.3f} to {max(ratios):.3f})")
+            print(
+                f"{servers} servers: {us:.1f} us a request, {ratio:.3f} of {args.against} ({min(ratios):.3f} to {max(ratios):.3f})"
+            )
     if args.json:
         args.json.write_text(json.dumps(figures, indent=1) + "\n")
     return 0 if worst <= MOST else 1
--- a/benchmarks/ordinary_path.py
+++ b/benchmarks/ordinary_path.py
@@ -31,10 +31,24 @@
 PUT_EVERY = 12
 ANSWER = whole(bytes(600), b"Content-Type: application/json\r\n")
 SETTINGS: dict[str, Any] = {
-    "services": [{"name": "menu-read", "promiseMs": 750, "deadlineMs": 2500, "idempotency": "safe", "worth": 1}],
+    "services": [
+        {
+            "name": "menu-read",
+            "promiseMs": 750,
+            "deadlineMs": 2500,
+            "idempotency": "safe",
+            "worth": 1,
+        }
+    ],
     "discovery": "subscribe",
     "contract": {"mustAskInMs": 1000, "stopSendingWithinMs": 250},
-    "allowed": {"mostTries": 3, "retryAfter": True, "maxRetryAfterMs": 1200, "mayCancel": True, "dialTimeoutMs": 5000},
+    "allowed": {
+        "mostTries": 3,
+        "retryAfter": True,
+        "maxRetryAfterMs": 1200,
+        "mayCancel": True,
+        "dialTimeoutMs": 5000,
+    },
 }
 
 
@@ -64,7 +78,12 @@
         self.path.write_text(json.dumps(config))
         environ = {**os.environ, "PROXY_CONFIG": str(self.path), "PYTHONPATH": str(self.tree)}
         self.process = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "corkshift", cwd=self.tree, env=environ, stderr=asyncio.subprocess.DEVNULL
+            sys.executable,
+            "-m",
+            "corkshift",
+            cwd=self.tree,
+            env=environ,
+            stderr=asyncio.subprocess.DEVNULL,
         )
         async with asyncio.timeout(READY_S):
             n = 0
@@ -129,9 +148,13 @@
         head = b"%b /api/%d HTTP/1.1\r\nHost: service.internal\r\nX-Txn: %b-%d\r\nX-Lane: menu-read\r\nX-Remaining-Ms: 2000\r\n" % (
             method, key, self.name.encode(), self.count,
         )  # fmt: skip
-        self.writer.write(head + (b"Content-Length: %d\r\n" % len(body) if put else b"") + b"\r\n" + body)
+        self.writer.write(
+            head + (b"Content-Length: %d\r\n" % len(body) if put else b"") + b"\r\n" + body
+        )
         answer = await self.reader.readuntil(b"\r\n\r\n")
-        await self.reader.readexactly(int(answer.lower().partition(b"content-length: ")[2].partition(b"\r\n")[0]))
+        await self.reader.readexactly(
+            int(answer.lower().partition(b"content-length: ")[2].partition(b"\r\n")[0])
+        )
         return int(answer.split(b" ", 2)[1])
 
     async def run(self, until: float, first_s: float) -> int:
@@ -153,9 +176,15 @@
 async def load(node: Node, part: str, fresh: bool, for_s: float) -> int:
     """All clients for a while; how many requests were served."""
     until = asyncio.get_running_loop().time() + for_s
-    clients = [await Client.connect(node.port, f"{part}-{n}", fresh and n % 2 == 0) for n in range(CLIENTS)]
+    clients = [
+        await Client.connect(node.port, f"{part}-{n}", fresh and n % 2 == 0) for n in range(CLIENTS)
+    ]
     try:
-        return sum(await asyncio.gather(*(client.run(until, n / CLIENTS / RATE) for n, client in enumerate(clients))))
+        return sum(
+            await asyncio.gather(
+                *(client.run(until, n / CLIENTS / RATE) for n, client in enumerate(clients))
+            )
+        )
     finally:
         for client in clients:
             client.close()
@@ -189,9 +218,17 @@
 def main() -> int:
     """Print the ratio; the exit code."""
     parser = argparse.ArgumentParser(description=(__doc__ or "").splitlines()[0])
-    parser.add_argument("--against", default="HEAD", metavar="REV", help="a revision of this repository")
-    parser.add_argument("--most", type=float, default=1.05, metavar="R", help="the median ratio may not be higher")
-    parser.add_argument("--fresh", action="store_true", help="half of the clients open a connection for each request")
+    parser.add_argument(
+        "--against", default="HEAD", metavar="REV", help="a revision of this repository"
+    )
+    parser.add_argument(
+        "--most", type=float, default=1.05, metavar="R", help="the median ratio may not be higher"
+    )
+    parser.add_argument(
+        "--fresh",
+        action="store_true",
+        help="half of the clients open a connection for each request",
+    )
     parser.add_argument("--quick", action="store_true", help="one pair in place of five")
     parser.add_argument("--json", type=Path, metavar="FILE")
     args = parser.parse_args()
@@ -212,7 +249,12 @@
         f"{ratio:.3f} of it ({min(ratios):.3f} to {max(ratios):.3f}, {len(ratios)} pairs)"
     )
     if args.json:
-        args.json.write_text(json.dumps({"against": args.against, "ratios": ratios, "us": here, "us_there": there}, indent=1) + "\n")
+        args.json.write_text(
+            json.dumps(
+                {"against": args.against, "ratios": ratios, "us": here, "us_there": there}, indent=1
+            )
+            + "\n"
+        )
     return 0 if ratio <= args.most else 1
 
 
--- a/benchmarks/overload.py
+++ b/benchmarks/overload.py
@@ -40,11 +40,23 @@
 """
 
 
-def night(module: Path, step: float, seed: int) -> tuple[Counter[str], dict[str, float], Counter[str], list[str]]:
+def night(
+    module: Path, step: float, seed: int
+) -> tuple[Counter[str], dict[str, float], Counter[str], list[str]]:
     """Worth in time and worth asked, by class, the bound, and rules broken, of one night with the module that stands at a place."""
     rate = step * BOXES * 1000.0 / WORK_MS
-    code = CODE.format(module=str(module), root=str(ROOT), seconds=SECONDS, nodes=NODES, boxes=BOXES, rate=rate, seed=seed)
-    done = subprocess.run([sys.executable, "-I", "-c", code], capture_output=True, text=True, check=True)
+    code = CODE.format(
+        module=str(module),
+        root=str(ROOT),
+        seconds=SECONDS,
+        nodes=NODES,
+        boxes=BOXES,
+        rate=rate,
+        seed=seed,
+    )
+    done = subprocess.run(
+        [sys.executable, "-I", "-c", code], capture_output=True, text=True, check=True
+    )
     good, rows, supply, failures = json.loads(done.stdout)
     demands = [Demand(*row) for row in rows]
     served, asked = Counter[str](), Counter[str]()
@@ -58,20 +70,27 @@
 def main() -> int:
     """Print the table; the exit code."""
     parser = argparse.ArgumentParser(description=(__doc__ or "").splitlines()[0])
-    parser.add_argument("--against", default="HEAD", metavar="REV", help="a revision of this repository")
+    parser.add_argument(
+        "--against", default="HEAD", metavar="REV", help="a revision of this repository"
+    )
     parser.add_argument("--quick", action="store_true", help="one seed in place of three")
     parser.add_argument("--json", type=Path, metavar="FILE")
     parser.add_argument("--jobs", type=int, default=os.cpu_count() or 1, metavar="J")
     args = parser.parse_args()
     seeds = (1,) if args.quick else (1, 2, 3)
     rows: list[dict[str, Any]] = []
-    with packages_of(args.against, "forkweir", "corkshift") as other, ThreadPoolExecutor(args.jobs) as pool:
+    with (
+        packages_of(args.against, "forkweir", "corkshift") as other,
+        ThreadPoolExecutor(args.jobs) as pool,
+    ):
         played = {
             (step, place): [pool.submit(night, place, step, seed) for seed in seeds]
             for step in reversed(STEPS)
             for place in (other, ROOT)
         }
-        print(f"{'load':>5} {'class':12} {'asked':>7} {'before':>7} {'now':>7} {'bound':>7} {'now/bound':>9}")
+        print(
+            f"{'load':>5} {'class':12} {'asked':>7} {'before':>7} {'now':>7} {'bound':>7} {'now/bound':>9}"
+        )
         for step in STEPS:
             before, now, asked = Counter[str](), Counter[str](), Counter[str]()
             bound: dict[str, float] = {}
@@ -86,11 +105,23 @@
                 asked.update(wanted)
                 broken += failures
             for lane in (*sorted(asked), "all"):
-                a, b, n = (c[lane] if lane != "all" else sum(c.values()) for c in (asked, before, now))
+                a, b, n = (
+                    c[lane] if lane != "all" else sum(c.values()) for c in (asked, before, now)
+                )
                 m = bound.get(lane, 0.0) if lane != "all" else sum(bound.values())
-                row = {"load": step, "class": lane, "asked": a, "before": b, "now": n, "bound": round(m, 1)}
+                row = {
+                    "load": step,
+                    "class": lane,
+                    "asked": a,
+                    "before": b,
+                    "now": n,
+                    "bound": round(m, 1),
+                }
                 rows.append(row)
-                print(f"{step:>5} {lane:12} {a:>7} {b:>7} {n:>7} {m:>7.0f} {n / max(1.0, m):>9.2f}", flush=True)
+                print(
+                    f"{step:>5} {lane:12} {a:>7} {b:>7} {n:>7} {m:>7.0f} {n / max(1.0, m):>9.2f}",
+                    flush=True,
+                )
             for failure in broken:
                 print(f"      BROKEN {failure}")
                 rows.append({"load": step, "broken": failure})
@@ -99,9 +130,13 @@
     kept = whole[STEPS[-1]]["now"] / peak
     near = min(row["now"] / max(1.0, row["bound"]) for row in whole.values())
     met = kept >= KEPT and near >= NEAR and not any("broken" in row for row in rows)
-    print(f"at {STEPS[-1]:g} times {kept:.2f} of the peak (aim {KEPT}), at the worst step {near:.2f} of the bound (aim {NEAR})")
+    print(
+        f"at {STEPS[-1]:g} times {kept:.2f} of the peak (aim {KEPT}), at the worst step {near:.2f} of the bound (aim {NEAR})"
+    )
     if args.json:
-        args.json.write_text(json.dumps({"kept": kept, "near": near, "rows": rows}, indent=1) + "\n")
+        args.json.write_text(
+            json.dumps({"kept": kept, "near": near, "rows": rows}, indent=1) + "\n"
+        )
     return 0 if met else 1
 
 
--- a/benchmarks/path_counts.py
+++ b/benchmarks/path_counts.py
@@ -37,10 +37,24 @@
 CALLS = ("send", "recv_into", "accept", "connect", "close", "setsockopt", "setblocking")
 NODE, REGISTRY = ("127.1.0.1", 8000), ("127.4.0.1", 8500)
 SETTINGS: dict[str, Any] = {
-    "services": [{"name": "menu-read", "promiseMs": 750, "deadlineMs": 2500, "idempotency": "safe", "worth": 1}],
+    "services": [
+        {
+            "name": "menu-read",
+            "promiseMs": 750,
+            "deadlineMs": 2500,
+            "idempotency": "safe",
+            "worth": 1,
+        }
+    ],
     "discovery": "subscribe",
     "contract": {"mustAskInMs": 1000, "stopSendingWithinMs": 250},
-    "allowed": {"mostTries": 3, "retryAfter": True, "maxRetryAfterMs": 1200, "mayCancel": True, "dialTimeoutMs": 5000},
+    "allowed": {
+        "mostTries": 3,
+        "retryAfter": True,
+        "maxRetryAfterMs": 1200,
+        "mayCancel": True,
+        "dialTimeoutMs": 5000,
+    },
 }
 Script = Callable[[bytes], Any]
 
@@ -49,7 +63,13 @@
     """One way in which requests come and are answered."""
 
     def __init__(
-        self, what: str, size: int = 600, method: str = "GET", fresh: bool = False, clients: int = 1, box: Optional[Script] = None
+        self,
+        what: str,
+        size: int = 600,
+        method: str = "GET",
+        fresh: bool = False,
+        clients: int = 1,
+        box: Optional[Script] = None,
     ) -> None:
         self.what, self.method, self.fresh, self.clients = what, method, fresh, clients
         answer = whole(bytes(size), b"Content-Type: application/json\r\n")
@@ -71,7 +91,11 @@
 
 
 def _chunked(head: bytes) -> bytes:
-    return b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n258\r\n" + bytes(600) + b"\r\n0\r\n\r\n"
+    return (
+        b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n258\r\n"
+        + bytes(600)
+        + b"\r\n0\r\n\r\n"
+    )
 
 
 CASES: dict[str, Callable[[], Case]] = {
@@ -83,7 +107,9 @@
     "put": lambda: Case("200 B up", method="PUT"),
     "get, chunked answer": lambda: Case("an answer that is not plain", box=_chunked),
     "get, turned away once": lambda: Case("repeated at another box", box=_away_once()),
-    "get, failed": lambda: Case("answered 500 by every box", box=lambda head: b"HTTP/1.1 500 -\r\nContent-Length: 0\r\n\r\n"),
+    "get, failed": lambda: Case(
+        "answered 500 by every box", box=lambda head: b"HTTP/1.1 500 -\r\nContent-Length: 0\r\n\r\n"
+    ),
 }
 
 
@@ -102,7 +128,9 @@
         self._count("callbacks", context)
         return super().call_soon(callback, *args, context=context)
 
-    def call_at(self, when: float, callback: Any, *args: Any, context: Optional[Context] = None) -> Any:  # type: ignore[override]
+    def call_at(
+        self, when: float, callback: Any, *args: Any, context: Optional[Context] = None
+    ) -> Any:  # type: ignore[override]
         periodic = isinstance(getattr(callback, "__self__", None), Presence)
         self._count("periodic timers" if periodic else "timers", context)
         return super().call_at(when, callback, *args, context=context)
@@ -170,7 +198,11 @@
 
 async def _play(case: Case, loop: CountingLoop, net: Network, node: Process) -> dict[str, float]:
     boxes = [ScriptedBox(case.box, (f"127.2.0.{n + 1}", 8001)) for n in range(4)]
-    registry = Registry(REGISTRY, Witness(), {f"s{n}": Registry.entry(f"s{n}", box.address) for n, box in enumerate(boxes)})
+    registry = Registry(
+        REGISTRY,
+        Witness(),
+        {f"s{n}": Registry.entry(f"s{n}", box.address) for n, box in enumerate(boxes)},
+    )
     for server in (*boxes, registry):
         Process(f"at {server.address[0]}", net, server.address[0]).start(server.run)
     config = {
@@ -195,7 +227,9 @@
             loop.counted = node
             await _batch(case, "counted")
             loop.counted = None
-            counts.update({key: round(value / BATCH, 3) for key, value in sorted(loop.counts.items())})
+            counts.update(
+                {key: round(value / BATCH, 3) for key, value in sorted(loop.counts.items())}
+            )
         finally:
             done.set()
 
@@ -218,7 +252,9 @@
             body = b"x" * 200 if case.method == "PUT" else b""
             length = b"Content-Length: 200\r\n" if body else b""
             head = b"%b /api/%d HTTP/1.1\r\nHost: service.internal\r\nX-Txn: %b-%d\r\nX-Lane: menu-read\r\nX-Remaining-Ms: 2000\r\n%b\r\n"
-            await stream.write(head % (case.method.encode(), n % 50, part.encode(), n, length) + body)
+            await stream.write(
+                head % (case.method.encode(), n % 50, part.encode(), n, length) + body
+            )
             data = b""
             while b"\r\n\r\n" not in data:
                 data += await stream.read()
--- a/benchmarks/recovery.py
+++ b/benchmarks/recovery.py
@@ -31,12 +31,25 @@
 
 def _night(boxes: int, seconds: float, faults: list[Fault], nodes: int = 3) -> Script:
     rate = LOAD * RATE * boxes
-    world = World(seconds=seconds, nodes=nodes, boxes=boxes, cores=1, requests_per_s=rate, keys=400, worths="site")
+    world = World(
+        seconds=seconds,
+        nodes=nodes,
+        boxes=boxes,
+        cores=1,
+        requests_per_s=rate,
+        keys=400,
+        worths="site",
+    )
     return Script(world=world, fault=sorted(faults, key=lambda fault: fault.at_ms))
 
 
-def _each(kind: Kind, targets: range, for_ms: float = 1.0, gap_ms: float = 10.0, value: float = 0.0) -> list[Fault]:
-    return [Fault(at_ms=FAULT_MS + gap_ms * n, kind=kind, target=n, for_ms=for_ms, value=value) for n in targets]
+def _each(
+    kind: Kind, targets: range, for_ms: float = 1.0, gap_ms: float = 10.0, value: float = 0.0
+) -> list[Fault]:
+    return [
+        Fault(at_ms=FAULT_MS + gap_ms * n, kind=kind, target=n, for_ms=for_ms, value=value)
+        for n in targets
+    ]
 
 
 def _cases() -> dict[str, Script]:
@@ -48,13 +61,23 @@
         "6 boxes cold": _night(6, 30.0, cold),
         "17 boxes cold": _night(17, 30.0, _each("box_quick_restart", range(17))),
         "1 box left of 6": _night(6, 30.0, _each("box_quick_restart", range(5))),
-        "6 cold, a node paused": _night(6, 30.0, [*cold, Fault(at_ms=4_000, kind="node_pause", target=0, for_ms=1_500)]),
-        "6 cold, reload in the ramp": _night(6, 30.0, [*cold, Fault(at_ms=5_000, kind="node_hup", target=0)]),
-        "cold and slow": _night(6, 30.0, [cold[0], Fault(at_ms=3_100, kind="box_slow", target=0, for_ms=4_000, value=5)]),
+        "6 cold, a node paused": _night(
+            6, 30.0, [*cold, Fault(at_ms=4_000, kind="node_pause", target=0, for_ms=1_500)]
+        ),
+        "6 cold, reload in the ramp": _night(
+            6, 30.0, [*cold, Fault(at_ms=5_000, kind="node_hup", target=0)]
+        ),
+        "cold and slow": _night(
+            6, 30.0, [cold[0], Fault(at_ms=3_100, kind="box_slow", target=0, for_ms=4_000, value=5)]
+        ),
         "lies about its start": _night(6, 30.0, _each("box_lie", range(1))),
-        "order book at a tenth, 20 s": _night(6, 30.0, [Fault(at_ms=FAULT_MS, kind="book_slow", for_ms=20_000, value=10)]),
+        "order book at a tenth, 20 s": _night(
+            6, 30.0, [Fault(at_ms=FAULT_MS, kind="book_slow", for_ms=20_000, value=10)]
+        ),
         "flush at the peak": _night(6, 12.0, [one]),
-        "load times 4 for 3 s": _night(6, 12.0, [Fault(at_ms=FAULT_MS, kind="load_step", for_ms=3_000, value=5)]),
+        "load times 4 for 3 s": _night(
+            6, 12.0, [Fault(at_ms=FAULT_MS, kind="load_step", for_ms=3_000, value=5)]
+        ),
         "3 nodes of 10 restart": _night(6, 12.0, _each("node_kill", range(3), 600.0), 10),
     }
 
@@ -134,18 +157,26 @@
     args = parser.parse_args()
     names = [args.case] if args.case else list(QUICK if args.quick else CASES)
     with ProcessPoolExecutor(args.jobs) as pool:
-        longest_first = sorted(names, key=lambda name: -CASES[name].world.requests_per_s * CASES[name].world.seconds)
+        longest_first = sorted(
+            names, key=lambda name: -CASES[name].world.requests_per_s * CASES[name].world.seconds
+        )
         futures = {name: pool.submit(measure, name, args.seed) for name in longest_first}
         rows = [futures[name].result() for name in names]
     print(f"{'case':30} {'calm':>5} {'after':>6} {'bound':>6} {'back, s':>8} {'bound, s':>8}")
     for row in rows:
-        times = ["never" if ms is None else f"{ms / 1_000.0:.1f}" for ms in (row.node_ms, row.oracle_ms)]
+        times = [
+            "never" if ms is None else f"{ms / 1_000.0:.1f}" for ms in (row.node_ms, row.oracle_ms)
+        ]
         verdict = "" if row.met else "  MISSED"
-        print(f"{row.case:30} {row.calm:5.2f} {row.after:6.2f} {row.best_after:6.2f} {times[0]:>8} {times[1]:>8}{verdict}")
+        print(
+            f"{row.case:30} {row.calm:5.2f} {row.after:6.2f} {row.best_after:6.2f} {times[0]:>8} {times[1]:>8}{verdict}"
+        )
         for failure in row.broken:
             print(f"    BROKEN {failure}")
     missed = sum(not row.met for row in rows)
-    print(f"{len(rows) - missed} of {len(rows)} cases are back within {WITHIN} times the bound's time")
+    print(
+        f"{len(rows) - missed} of {len(rows)} cases are back within {WITHIN} times the bound's time"
+    )
     if args.json:
         args.json.write_text(json.dumps([asdict(row) for row in rows], indent=1) + "\n")
     return 1 if missed else 0
--- a/benchmarks/revision.py
+++ b/benchmarks/revision.py
@@ -15,6 +15,8 @@
 def packages_of(revision: str, *names: str) -> Iterator[Path]:
     """A folder that holds these packages as they are at a revision; CalledProcessError where there is none of this name."""
     with tempfile.TemporaryDirectory() as folder:
-        tree = subprocess.run(["git", "archive", revision, *names], cwd=ROOT, capture_output=True, check=True)
+        tree = subprocess.run(
+            ["git", "archive", revision, *names], cwd=ROOT, capture_output=True, check=True
+        )
         subprocess.run(["tar", "-x", "-C", folder], input=tree.stdout, check=True)
         yield Path(folder)
--- a/benchmarks/simulation.py
+++ b/benchmarks/simulation.py
@@ -24,7 +24,10 @@
 
 SAME = 20  # seeds whose traces are compared
 MANY = 200  # seeds that are timed,
-OF_HARD_NIGHTS = {"forgets-the-allowance-of-a-repeat", "lets-out-what-a-pause-held"}  # defects that only those can show
+OF_HARD_NIGHTS = {
+    "forgets-the-allowance-of-a-repeat",
+    "lets-out-what-a-pause-held",
+}  # defects that only those can show
 MOST_S = 90.0  # and how long they may take on eight cores
 
 
@@ -32,7 +35,9 @@
     """Digests of the first seeds, from a process with this PYTHONHASHSEED."""
     code = f"from testbed.nights.simulation import run\nfor seed in range(1, {SAME + 1}): print(run(seed).digest)"
     environ = {**os.environ, "PYTHONHASHSEED": hash_seed}
-    done = subprocess.run([sys.executable, "-c", code], env=environ, capture_output=True, check=True, text=True)
+    done = subprocess.run(
+        [sys.executable, "-c", code], env=environ, capture_output=True, check=True, text=True
+    )
     return done.stdout.split()
 
 
@@ -41,8 +46,13 @@
     here = [run(seed).digest for seed in range(1, SAME + 1)]
     with ProcessPoolExecutor(2) as pool:
         others = list(pool.map(traces, ("0", "4711")))
-    busy = [summary.digest for summary in explore(range(1, SAME + 1), 2 * jobs)]  # more processes than cores
-    return all(other == here for other in (*others, busy, [run(seed).digest for seed in range(1, SAME + 1)]))
+    busy = [
+        summary.digest for summary in explore(range(1, SAME + 1), 2 * jobs)
+    ]  # more processes than cores
+    return all(
+        other == here
+        for other in (*others, busy, [run(seed).digest for seed in range(1, SAME + 1)])
+    )
 
 
 def find(name: str) -> tuple[str, int, str, int, int, int]:
@@ -52,7 +62,9 @@
         summary = play(seed, name)
         if summary.failures:
             wanted, script = kind_of(summary.failures[0]), draw(seed)
-            small, _ = shrink(seed, script, wanted, lambda s, candidate: play(s, name, candidate).failures)
+            small, _ = shrink(
+                seed, script, wanted, lambda s, candidate: play(s, name, candidate).failures
+            )
             return name, seed, wanted, summary.first_step, len(script.fault), len(small.fault)
     return name, 0, "", 0, 0, 0
 
@@ -66,7 +78,9 @@
     with ProcessPoolExecutor(jobs) as pool:
         for name, seed, rule, steps, before, after in pool.map(find, DEFECTS):
             missed += not seed
-            place = f"{seed} | {rule} | {steps:,} | {before} | {after}" if seed else "not found | | | |"
+            place = (
+                f"{seed} | {rule} | {steps:,} | {before} | {after}" if seed else "not found | | | |"
+            )
             print(f"| `{name}` | {DEFECTS[name][0]} | {place} |", flush=True)
     return missed
 
@@ -94,10 +108,16 @@
         "failed": failed,
         "seconds": round(took, 1),
         "virtual s in a second": round(sum(summary.virtual_s for summary in summaries) / took, 1),
-        "virtual s in a second of one core": round(sum(summary.virtual_s for summary in summaries) / core_s, 1),
+        "virtual s in a second of one core": round(
+            sum(summary.virtual_s for summary in summaries) / core_s, 1
+        ),
         "requests in a second": round(sum(summary.asked for summary in summaries) / took),
-        "requests in a second of one core": round(sum(summary.asked for summary in summaries) / core_s),
-        "steps in a second of one core": round(sum(summary.steps for summary in summaries) / core_s),
+        "requests in a second of one core": round(
+            sum(summary.asked for summary in summaries) / core_s
+        ),
+        "steps in a second of one core": round(
+            sum(summary.steps for summary in summaries) / core_s
+        ),
     }
     for name, value in figures.items():
         print(f"{name:36} {value}")
--- a/benchmarks/tier.py
+++ b/benchmarks/tier.py
@@ -46,7 +46,10 @@
     ("one caller, three calls, two units", Scope(span=2, calls=3, callers=(0,))),
     ("two callers, two calls, three units", Scope(span=3, calls=2)),
     ("two callers, four calls, a restart", Scope(span=0, calls=4, callers=(0, 2), restarts=1)),
-    ("one caller, a restart and a double", Scope(span=1, calls=2, callers=(0,), restarts=1, doubles=1)),
+    (
+        "one caller, a restart and a double",
+        Scope(span=1, calls=2, callers=(0,), restarts=1, doubles=1),
+    ),
     ("two callers, three calls, four units", Scope(span=4, calls=3, most_states=400_000)),
 ]
 FOUND: list[tuple[str, Scope]] = [
@@ -65,22 +68,42 @@
     whole = 16 if quick else 400
     with ProcessPoolExecutor(jobs) as pool:
         began = time.monotonic()
-        failed = [seed for seed, found in _over(pool, play_protocol, range(FIRST, FIRST + count)) if found]
+        failed = [
+            seed for seed, found in _over(pool, play_protocol, range(FIRST, FIRST + count)) if found
+        ]
         protocol_s = time.monotonic() - began
         began = time.monotonic()
-        broken = [summary.seed for _, summary in _over(pool, play_night, range(TIERED_FROM, TIERED_FROM + whole)) if summary.failures]
+        broken = [
+            summary.seed
+            for _, summary in _over(pool, play_night, range(TIERED_FROM, TIERED_FROM + whole))
+            if summary.failures
+        ]
         whole_s = time.monotonic() - began
-        names = [name for name in DEFECTS if not quick or name in ("never-given-back", "votes-for-two")]
+        names = [
+            name for name in DEFECTS if not quick or name in ("never-given-back", "votes-for-two")
+        ]
         found = dict(zip(names, pool.map(_first_seed, names), strict=True))
     print(f"nights of the protocol: {count} in {protocol_s:.0f} s, failed: {failed or 'none'}")
     print(f"nights of whole nodes: {whole} in {whole_s:.0f} s, failed: {broken or 'none'}")
     for name, seed in found.items():
-        print(f"  planted {name}: {'seed ' + str(seed) if seed else 'not by the first 1,000 seeds'}")
-    figures = {"protocol": count, "protocol_failed": failed, "whole": whole, "whole_failed": broken, "defects": found}
-    return figures, not failed and not broken and sum(seed > 0 for seed in found.values()) >= (2 if quick else 7)
-
-
-def _over(pool: ProcessPoolExecutor, play: Callable[[int], Any], seeds: Iterable[int]) -> Iterable[tuple[int, Any]]:
+        print(
+            f"  planted {name}: {'seed ' + str(seed) if seed else 'not by the first 1,000 seeds'}"
+        )
+    figures = {
+        "protocol": count,
+        "protocol_failed": failed,
+        "whole": whole,
+        "whole_failed": broken,
+        "defects": found,
+    }
+    return figures, not failed and not broken and sum(seed > 0 for seed in found.values()) >= (
+        2 if quick else 7
+    )
+
+
+def _over(
+    pool: ProcessPoolExecutor, play: Callable[[int], Any], seeds: Iterable[int]
+) -> Iterable[tuple[int, Any]]:
     seeds = list(seeds)
     return zip(seeds, pool.map(play, seeds, chunksize=4), strict=True)
 
@@ -96,11 +119,19 @@
     good = True
     with ProcessPoolExecutor(jobs) as pool:
         clean = SCOPES[1:2] if quick else SCOPES
-        for (name, _), outcome in zip(clean, pool.map(walk, [scope for _, scope in clean]), strict=True):
+        for (name, _), outcome in zip(
+            clean, pool.map(walk, [scope for _, scope in clean]), strict=True
+        ):
             ended = "to its end" if outcome.whole else "as far as this"
             kept = outcome.trail or "the whole is kept"
-            print(f"scope {name}: {outcome.states} states {ended}, in {outcome.granted} of them somebody holds parts; {kept}")
-            figures[name] = {"states": outcome.states, "ended": outcome.whole, "trail": outcome.trail}
+            print(
+                f"scope {name}: {outcome.states} states {ended}, in {outcome.granted} of them somebody holds parts; {kept}"
+            )
+            figures[name] = {
+                "states": outcome.states,
+                "ended": outcome.whole,
+                "trail": outcome.trail,
+            }
             good &= not outcome.trail
         some = FOUND[:3] if quick else FOUND
         for (name, _), outcome in zip(some, pool.map(_walk_planted, some), strict=True):
@@ -153,7 +184,12 @@
     with ProcessPoolExecutor(jobs) as pool:
         for count in sizes:
             rows = list(pool.map(_times, [(count, seed) for seed in range(seeds)], chunksize=2))
-            aims = {"death known": DETECT_S[count], "keeper again": KEEPER_S, "fair, half went": FAIR_S, "fair, half came": FAIR_S}
+            aims = {
+                "death known": DETECT_S[count],
+                "keeper again": KEEPER_S,
+                "fair, half went": FAIR_S,
+                "fair, half came": FAIR_S,
+            }
             for name, aim in aims.items():
                 values = sorted(row[name] for row in rows)
                 missed = values[-1] > aim
@@ -162,15 +198,24 @@
                     f"{count:4} nodes, {name:<16} s: {statistics.median(values):6.2f} median, {_at(values, 0.9):6.2f} at 90%, "
                     f"{values[-1]:6.2f} most (aim {aim:g}{', MISSED' if missed else ''})"
                 )
-                figures[f"{count}/{name}"] = {"median": statistics.median(values), "p90": _at(values, 0.9), "most": values[-1], "aim": aim}
+                figures[f"{count}/{name}"] = {
+                    "median": statistics.median(values),
+                    "p90": _at(values, 0.9),
+                    "most": values[-1],
+                    "aim": aim,
+                }
             mean = statistics.fmean(row["bytes"] for row in rows)
             cpu = _cost(count, 20.0)["cpu"]
             good &= mean <= BYTES_S
-            print(f"{count:4} nodes, each in the mean: {mean:.0f} bytes a second (aim {BYTES_S:g}), {1000.0 * cpu:.2f} ms of CPU a second")
+            print(
+                f"{count:4} nodes, each in the mean: {mean:.0f} bytes a second (aim {BYTES_S:g}), {1000.0 * cpu:.2f} ms of CPU a second"
+            )
             figures[f"{count}/cost"] = {"bytes_per_s": mean, "cpu_ms_per_s": 1000.0 * cpu}
     if not quick:
         row = _cost(1_000, 20.0)
-        print(f"1000 nodes, each in the mean: {row['bytes']:.0f} bytes a second, {1000.0 * row['cpu']:.2f} ms of CPU a second")
+        print(
+            f"1000 nodes, each in the mean: {row['bytes']:.0f} bytes a second, {1000.0 * row['cpu']:.2f} ms of CPU a second"
+        )
         figures["1000/cost"] = row
     return figures, good
 
@@ -185,17 +230,30 @@
         rows = dict(zip(which, pool.map(_calm, which), strict=True))
     for kind in kinds:
         some = [rows[kind, seed] for seed in seeds]
-        usual, fetches, in_time = (statistics.fmean(row[name] for row in some) for name in ("usual", "fetches", "in_time"))
-        print(f"tier {kind:<7} {usual:.4f} of reads at their key's usual box, {fetches:.0f} fetches, {in_time:.4f} in time")
+        usual, fetches, in_time = (
+            statistics.fmean(row[name] for row in some) for name in ("usual", "fetches", "in_time")
+        )
+        print(
+            f"tier {kind:<7} {usual:.4f} of reads at their key's usual box, {fetches:.0f} fetches, {in_time:.4f} in time"
+        )
         figures[kind] = {"usual": usual, "fetches": fetches, "in_time": in_time}
     away = {kind: 1.0 - figures[kind]["usual"] for kind in kinds}
     print(f"reads elsewhere: {away['on'] / away['off']:.2f} of those without (aim {AWAY:g})")
-    return figures, away["on"] <= AWAY * away["off"] and not any(row["failures"] for row in rows.values())
+    return figures, away["on"] <= AWAY * away["off"] and not any(
+        row["failures"] for row in rows.values()
+    )
 
 
 def _calm(which: tuple[str, int]) -> dict[str, Any]:
     kind, seed = which
-    world: dict[str, Any] = {"seconds": 40.0, "nodes": 12, "boxes": 12, "requests_per_s": 300.0, "keys": 4_000, "tier": kind}
+    world: dict[str, Any] = {
+        "seconds": 40.0,
+        "nodes": 12,
+        "boxes": 12,
+        "requests_per_s": 300.0,
+        "keys": 4_000,
+        "tier": kind,
+    }
     result = play_whole(seed, msgspec.convert({"world": world}, NightScript))
     figures = result.figures
     return {
@@ -217,7 +275,9 @@
 def _times(which: tuple[int, int]) -> dict[str, float]:
     """One seed at one size: a death of one that is no keeper, of the keeper, half away, half back."""
     count, seed = which
-    some = tuple(range(count - count // 2 + (count % 2 == 0 and count > 4), count))  # never more than half of the votes
+    some = tuple(
+        range(count - count // 2 + (count % 2 == 0 and count > 4), count)
+    )  # never more than half of the votes
     night = Night(Script(count, 60.0), seed).run(SETTLED_MS)
     keeper = next(node.tier.slot for node in night.nodes if node.tier.keeps(node.now))
     victim = (keeper + 1) % count or 1
@@ -252,8 +312,15 @@
     came = night.now
     _until(night, lambda: _fair(night), 60_000.0)
     assert not night.failures, night.failures
-    row = {"death known": known, "keeper again": again, "fair, half went": half_went, "fair, half came": night.now - came}
-    return {name: ms / 1000.0 for name, ms in row.items()} | {"bytes": night.sent_bytes / count / (night.now / 1000.0)}
+    row = {
+        "death known": known,
+        "keeper again": again,
+        "fair, half went": half_went,
+        "fair, half came": night.now - came,
+    }
+    return {name: ms / 1000.0 for name, ms in row.items()} | {
+        "bytes": night.sent_bytes / count / (night.now / 1000.0)
+    }
 
 
 def _until(night: Night, true: Callable[[], bool], most_ms: float) -> None:
@@ -275,11 +342,19 @@
     parser.add_argument("--quick", action="store_true")
     parser.add_argument("--json", type=Path, metavar="FILE")
     parser.add_argument("--jobs", type=int, default=8)
-    parser.add_argument("--part", action="append", choices=PARTS, help="this part alone (may be given again)")
+    parser.add_argument(
+        "--part", action="append", choices=PARTS, help="this part alone (may be given again)"
+    )
     args = parser.parse_args()
     figures: dict[str, Any] = {}
     good = True
-    parts = {"nights": nights, "scopes": scopes, "processes": processes, "times": times, "line": line}
+    parts = {
+        "nights": nights,
+        "scopes": scopes,
+        "processes": processes,
+        "times": times,
+        "line": line,
+    }
     for name in args.part or PARTS:
         figures[name], held = parts[name](args.quick, args.jobs)
         good &= held
--- a/corkshift/address_book.py
+++ b/corkshift/address_book.py
@@ -73,7 +73,9 @@
         self._hearsay = Hearsay()
         self._departures = Departures()
         self._starts = Starts()
-        self._overruled: dict[str, Overruled] = {}  # in service by a list that is older than their departure
+        self._overruled: dict[
+            str, Overruled
+        ] = {}  # in service by a list that is older than their departure
         self._lapsing: Optional[asyncio.TimerHandle] = None
         self._to_add: dict[str, Entry] = {}  # of a long list: servers that are still to be added
 
@@ -90,7 +92,9 @@
 
     # -- whole lines ---------------------------------------------------------------------
 
-    def take(self, generation: int, whole: bool, listed: list[Entry], all_missed: bool) -> Iterator[None]:
+    def take(
+        self, generation: int, whole: bool, listed: list[Entry], all_missed: bool
+    ) -> Iterator[None]:
         """Take a line that was read whole. Yields where the loop may run before more servers are added.
 
         all_missed: it tells all that was missed since the last line, so that nobody is held back any longer who is not in it.
@@ -107,10 +111,14 @@
             self._lapsing.cancel()
             self._lapsing = None
         if not large:
-            self._tell("full" if whole else "changes", [*self._back(free), *self._change(pairs, vanished)])
+            self._tell(
+                "full" if whole else "changes", [*self._back(free), *self._change(pairs, vanished)]
+            )
         else:
             now, later = self._split(pairs, shared)
-            self._tell("part" if later else "changes", [*self._back(free), *self._change(now, vanished)])
+            self._tell(
+                "part" if later else "changes", [*self._back(free), *self._change(now, vanished)]
+            )
             yield from self._add_in_slices(later)
         self.generation, self.read = generation, True
 
@@ -179,13 +187,22 @@
                 continue  # as it is known
             if name in self._to_add and state in ("draining", "gone"):
                 server, address = self._to_add[name]
-                self._to_add[name] = replace(server, state="draining"), address  # it is added as one that gets nothing
+                self._to_add[name] = (
+                    replace(server, state="draining"),
+                    address,
+                )  # it is added as one that gets nothing
             if name not in book and claim.address is not None and state in ("draining", "gone"):
                 strangers.append(claim.address)
                 # Who started there later ends whoever is known there: its end is among what is lost (see `_oust`; seed 20000704).
                 begun = claim.server.started_ms
-                at_place = [other for other in self._names_at.get(claim.address, ()) if other in self._known]
-                words += [Word(other, "draining", same_place=True) for other in at_place if self._known[other].started_ms < begun]
+                at_place = [
+                    other for other in self._names_at.get(claim.address, ()) if other in self._known
+                ]
+                words += [
+                    Word(other, "draining", same_place=True)
+                    for other in at_place
+                    if self._known[other].started_ms < begun
+                ]
             there, known = book.get(name), self._known.get(name)
             if there is not None and known is not None:
                 later = state == "in" and claim.server.started_ms > known.started_ms
@@ -196,7 +213,9 @@
             return
         held_before = set(self._hearsay.held)
         in_service = sum(server.leaving_ms is None for server in book.values())
-        words = [word for word in words if word.name in held_before or book[word.name].leaving_ms is None]
+        words = [
+            word for word in words if word.name in held_before or book[word.name].leaving_ms is None
+        ]
         back, cold = self._hearsay.heed(words, in_service, now_ms())
         held = set(self._hearsay.held)
         for claim in claims:
@@ -216,7 +235,9 @@
             log.info("held back until a whole list comes: %s", ", ".join(back))
             if self._lapsing is not None:
                 self._lapsing.cancel()
-            self._lapsing = asyncio.get_running_loop().call_later((SUSPECT_MS + 1.0) / 1000.0, self._lapse)
+            self._lapsing = asyncio.get_running_loop().call_later(
+                (SUSPECT_MS + 1.0) / 1000.0, self._lapse
+            )
         if entries:
             self._tell("hearsay", entries)
 
@@ -246,11 +267,21 @@
         taken: list[Entry] = []
         now = now_ms()
         for server, address in pairs:
-            if server.state == "in" and server.name not in self._departures and server.name not in self._overruled:
+            if (
+                server.state == "in"
+                and server.name not in self._departures
+                and server.name not in self._overruled
+            ):
                 taken.append((server, address))
                 continue
-            if server.state == "in" and self._departures.outranks(server.name, generation, server.started_ms, now):
-                log.info("%s stays out: generation %d is older than its departure", server.name, generation)
+            if server.state == "in" and self._departures.outranks(
+                server.name, generation, server.started_ms, now
+            ):
+                log.info(
+                    "%s stays out: generation %d is older than its departure",
+                    server.name,
+                    generation,
+                )
                 if not self._overruled:
                     asyncio.get_running_loop().call_later(REINSTATE_S, self._reinstate)
                 self._overruled[server.name] = Overruled(server, address, generation)
@@ -280,19 +311,29 @@
 
     # -- the book ------------------------------------------------------------------------
 
-    def _change(self, pairs: list[Entry], vanished: Optional[dict[str, Server]] = None) -> list[Server]:
+    def _change(
+        self, pairs: list[Entry], vanished: Optional[dict[str, Server]] = None
+    ) -> list[Server]:
         """Bring the book up to date, and give the entries in the terms of the decisions.
 
         vanished: who is no longer listed, where these are of a whole list; None where they are changes alone.
         """
         book = self._node.servers
-        strangers = [address for server, address in pairs if server.state == "gone" and server.name not in book]
+        strangers = [
+            address
+            for server, address in pairs
+            if server.state == "gone" and server.name not in book
+        ]
         if strangers:
             self._node.overheard(strangers, whole=True)
         ousted, kept = self._oust(pairs)
         if vanished is not None and len(kept) < len(pairs):
             names = {server.name for server, _ in kept}
-            vanished |= self._unlisted(server.name for server, _ in pairs if server.name in book and server.name not in names)
+            vanished |= self._unlisted(
+                server.name
+                for server, _ in pairs
+                if server.name in book and server.name not in names
+            )
         for server, address in kept:
             known = book.get(server.name)
             if server.state == "gone" or (known is not None and known.address != address):
@@ -323,13 +364,19 @@
         there = {server.name: address for server, address in pairs}
         latest: dict[Address, Server] = {}  # who leaves from an address, started last
         for server, address in pairs:
-            if server.state == "draining" and server.started_ms > getattr(latest.get(address), "started_ms", 0.0):
+            if server.state == "draining" and server.started_ms > getattr(
+                latest.get(address), "started_ms", 0.0
+            ):
                 latest[address] = server
 
         def outlived(server: Server, address: Address) -> bool:
             """Whether one that started there later already leaves (guards against its drain broken under the name of the one before it)."""
             after = latest.get(address)
-            return after is not None and after.name != server.name and after.started_ms > server.started_ms
+            return (
+                after is not None
+                and after.name != server.name
+                and after.started_ms > server.started_ms
+            )
 
         gone = []
         for address in dict.fromkeys([*taken, *latest]):
@@ -345,7 +392,11 @@
         return gone, [
             (server, address)
             for server, address in pairs
-            if server.name not in named and (server.state != "in" or (taken[address] == server.name and not outlived(server, address)))
+            if server.name not in named
+            and (
+                server.state != "in"
+                or (taken[address] == server.name and not outlived(server, address))
+            )
         ]
 
     def _leave(self, name: str, gone: bool) -> None:
--- a/corkshift/admin/protocol.py
+++ b/corkshift/admin/protocol.py
@@ -46,7 +46,10 @@
             self._parser.receive_data(data)
             while (event := self._parser.next_event()) is not h11.NEED_DATA:
                 if isinstance(event, h11.Request):
-                    self._call = AdminCall(event.method.decode("ascii"), event.target.partition(b"?")[0].decode("ascii"))
+                    self._call = AdminCall(
+                        event.method.decode("ascii"),
+                        event.target.partition(b"?")[0].decode("ascii"),
+                    )
                 elif isinstance(event, h11.Data):
                     self._body += len(event.data)
                     if self._body > MAX_BODY:
--- a/corkshift/admin/server.py
+++ b/corkshift/admin/server.py
@@ -15,7 +15,9 @@
 
 log = logging.getLogger(__name__)
 
-MOST = 16  # connections at once; beyond it the one that has waited longest for its caller makes way,
+MOST = (
+    16  # connections at once; beyond it the one that has waited longest for its caller makes way,
+)
 SPARED_MS = 100.0  # but none as young as this
 CALL_S = 5.0  # a connection whose call is not whole and answered by then ends
 
@@ -99,7 +101,11 @@
     def _reply(self, call: AdminCall, head_only: bool) -> bytes:
         known = self._calls.get(call.path)
         if known is None:
-            return answer(404, f"no call {call.path}; there are: {' '.join(self._calls)}\n", head_only=head_only)
+            return answer(
+                404,
+                f"no call {call.path}; there are: {' '.join(self._calls)}\n",
+                head_only=head_only,
+            )
         method, act = known
         if call.method != method and not (head_only and method == "GET"):
             return answer(405, f"{call.path} takes {method}\n", allow=method, head_only=head_only)
--- a/corkshift/admin/status.py
+++ b/corkshift/admin/status.py
@@ -42,7 +42,9 @@
             for lane, counts in self.figures.answers.items()
             for kind, count in zip(KINDS, counts, strict=True)
         ]
-        rows += [f"{PREFIX}.refused.{cause}={count}" for cause, count in self.figures.refused.items()]
+        rows += [
+            f"{PREFIX}.refused.{cause}={count}" for cause, count in self.figures.refused.items()
+        ]
         rows += [
             f"{PREFIX}.tries={self.figures.tries}",
             f"{PREFIX}.active={self.node.open}",
@@ -50,14 +52,30 @@
             f"{PREFIX}.pool_ejected={self.node.avoided()}",
         ]
         figures, guard = self.figures, self.node.guard
-        rows += [f"{PREFIX}.attempts.{status}={count}" for status, count in sorted(figures.attempts.items())]
-        rows += [f"{PREFIX}.local_errors.{cause}={count}" for cause, count in sorted(figures.local.items())]
-        rows += [f"{PREFIX}.closed.{cause}={count}" for cause, count in sorted(figures.closed.items())]
+        rows += [
+            f"{PREFIX}.attempts.{status}={count}"
+            for status, count in sorted(figures.attempts.items())
+        ]
+        rows += [
+            f"{PREFIX}.local_errors.{cause}={count}"
+            for cause, count in sorted(figures.local.items())
+        ]
+        rows += [
+            f"{PREFIX}.closed.{cause}={count}" for cause, count in sorted(figures.closed.items())
+        ]
         rows += [f"{PREFIX}.denied.{cause}={count}" for cause, count in guard.denied.items()]
-        rows += [f"{PREFIX}.violations.{cause}={count}" for cause, count in guard.violations.items()]
+        rows += [
+            f"{PREFIX}.violations.{cause}={count}" for cause, count in guard.violations.items()
+        ]
         rows += [f"{PREFIX}.pool.{state}={count}" for state, count in self.node.health().items()]
         presence = self.frontend.presence
         bounds = [f"{most:g}" for most in HOLDS_MS] + ["more"]
-        rows += [f"{PREFIX}.loop.late_ms.{bound}={count}" for bound, count in zip(bounds, presence.holds, strict=True)]
-        rows += [f"{PREFIX}.loop.longest_ms={presence.longest_ms:.0f}", f"{PREFIX}.loop.turn_ms={presence.turn_ms:.0f}"]
+        rows += [
+            f"{PREFIX}.loop.late_ms.{bound}={count}"
+            for bound, count in zip(bounds, presence.holds, strict=True)
+        ]
+        rows += [
+            f"{PREFIX}.loop.longest_ms={presence.longest_ms:.0f}",
+            f"{PREFIX}.loop.turn_ms={presence.turn_ms:.0f}",
+        ]
         return "\n".join(rows) + "\n"
--- a/corkshift/cli/commands.py
+++ b/corkshift/cli/commands.py
@@ -13,8 +13,14 @@
 from testbed.cli import sim
 
 
-@click.group(name="gradeshift", invoke_without_command=True, context_settings={"help_option_names": ["-h", "--help"]})
-@click.option("--operator", metavar="FILE", help="The operator's file (or the variable GRADESHIFT_OPERATOR).")
+@click.group(
+    name="gradeshift",
+    invoke_without_command=True,
+    context_settings={"help_option_names": ["-h", "--help"]},
+)
+@click.option(
+    "--operator", metavar="FILE", help="The operator's file (or the variable GRADESHIFT_OPERATOR)."
+)
 @click.pass_context
 def _root(context: click.Context, operator: Optional[str]) -> int:
     """A node between clients and cache servers. With no command it serves as PROXY_CONFIG tells."""
@@ -55,7 +61,12 @@
 
 
 @_root.command()
-@click.option("--socket", "path", metavar="PATH", help="The node's socket, instead of members_socket of the operator's file.")
+@click.option(
+    "--socket",
+    "path",
+    metavar="PATH",
+    help="The node's socket, instead of members_socket of the operator's file.",
+)
 @click.option("--json", "as_json", is_flag=True, help="For programs.")
 @click.pass_obj
 def members(operator: Optional[str], path: Optional[str], as_json: bool) -> int:
--- a/corkshift/cli/demo.py
+++ b/corkshift/cli/demo.py
@@ -56,7 +56,9 @@
         }
         self.service = Service(replace(config_of(config, {}), listen=(HOST, 0)))
         rate, keys = size.requests_per_s, size.keys
-        self.clients = Clients({"demo": self.service.frontend.address}, Observer(), 1, keys, rate, size.write_share)
+        self.clients = Clients(
+            {"demo": self.service.frontend.address}, Observer(), 1, keys, rate, size.write_share
+        )
         self.clients.most = size.clients
 
     def addresses(self) -> str:
@@ -139,7 +141,10 @@
     installation.start()
     print(f"A node, {size.boxes} cache boxes, their order book and clients, all on loopback:")
     print(installation.addresses())
-    print("Ctrl-C ends it." if seconds is None else f"It ends by itself after {seconds:g} s.", flush=True)
+    print(
+        "Ctrl-C ends it." if seconds is None else f"It ends by itself after {seconds:g} s.",
+        flush=True,
+    )
     await installation.run(seconds)
     print(installation.summary())
 
@@ -153,7 +158,10 @@
         print(f"gradeshift demo: {error}", file=sys.stderr)
         return 2
     if seconds is not None and not 0.0 < seconds <= 86_400.0:
-        print(f"gradeshift demo: --seconds: more than 0 and at most 86400, got {seconds:g}", file=sys.stderr)
+        print(
+            f"gradeshift demo: --seconds: more than 0 and at most 86400, got {seconds:g}",
+            file=sys.stderr,
+        )
         return 2
     process.prepare()
     logging.getLogger().setLevel(logging.WARNING)
--- a/corkshift/cli/members.py
+++ b/corkshift/cli/members.py
@@ -48,12 +48,19 @@
         print(f"gradeshift members: {error}", file=sys.stderr)
         return 2
     if not path:
-        print("gradeshift members: members_socket is not set in [sources], and no --socket is given", file=sys.stderr)
+        print(
+            "gradeshift members: members_socket is not set in [sources], and no --socket is given",
+            file=sys.stderr,
+        )
         return 2
     try:
         view = orjson.loads(_ask(path))
     except (OSError, orjson.JSONDecodeError) as error:
-        why = error.strerror if isinstance(error, OSError) and error.strerror else str(error) or "no answer"
+        why = (
+            error.strerror
+            if isinstance(error, OSError) and error.strerror
+            else str(error) or "no answer"
+        )
         print(f"gradeshift members: {path}: {why}", file=sys.stderr)
         return 1
     print(orjson.dumps(view).decode() if as_json else table(view))
@@ -75,21 +82,37 @@
     rows = [["source", "state", "heard s ago", "boxes", "held"]]
     for source in view["sources"]:
         age = "-" if source["age_ms"] < 0 else f"{source['age_ms'] / 1000.0:.1f}"
-        rows.append([source["name"], source["state"], age, str(source["boxes"]), str(source["held"])])
+        rows.append(
+            [source["name"], source["state"], age, str(source["boxes"]), str(source["held"])]
+        )
     text = [_columns(rows), ""]
     rows = [["box", "address", "state", "priority", "weight", "known for s", "rule", "said by"]]
     for box in view["boxes"]:
         state = box["state"] if box["in_use"] or box["state"] != "in" else "in, not in use"
         said = ", ".join(f"{name} ({how})" for name, how in box["said"].items())
         age = f"{box['known_for_ms'] / 1000.0:.1f}"
-        rows.append([box["name"], box["address"], state, str(box["priority"]), f"{box['weight']:g}", age, box["rule"], said])
+        rows.append(
+            [
+                box["name"],
+                box["address"],
+                state,
+                str(box["priority"]),
+                f"{box['weight']:g}",
+                age,
+                box["rule"],
+                said,
+            ]
+        )
     text.append(_columns(rows))
     return "\n".join(text)
 
 
 def _columns(rows: list[list[str]]) -> str:
     widths = [max(map(len, column)) for column in zip(*rows, strict=True)]
-    return "\n".join("  ".join(cell.ljust(width) for cell, width in zip(row, widths, strict=True)).rstrip() for row in rows)
+    return "\n".join(
+        "  ".join(cell.ljust(width) for cell, width in zip(row, widths, strict=True)).rstrip()
+        for row in rows
+    )
 
 
 class _Collected:
@@ -151,7 +174,15 @@
         if answer.status != 200:
             raise BadList(f"answered {answer.status}")
         _, _, pairs = read_list(orjson.loads(text))
-    except (BadConfig, BadList, OSError, http.client.HTTPException, orjson.JSONDecodeError) as error:
+    except (
+        BadConfig,
+        BadList,
+        OSError,
+        http.client.HTTPException,
+        orjson.JSONDecodeError,
+    ) as error:
         sink.failed("list", str(error) or type(error).__name__)
         return
-    sink.tell("list", [claim_of(server, address) for server, address in pairs if server.state != "gone"])
+    sink.tell(
+        "list", [claim_of(server, address) for server, address in pairs if server.state != "gone"]
+    )
--- a/corkshift/cli/nodefile.py
+++ b/corkshift/cli/nodefile.py
@@ -33,9 +33,15 @@
 
     def contradictions(self) -> Iterator[Fault]:
         if self.deadline_ms and self.promise_ms > self.deadline_ms:
-            yield Fault("promiseMs", f"must not exceed deadlineMs ({self.deadline_ms:g}), got {self.promise_ms:g}")
+            yield Fault(
+                "promiseMs",
+                f"must not exceed deadlineMs ({self.deadline_ms:g}), got {self.promise_ms:g}",
+            )
         if self.idempotency == "keyed" and not (self.group and self.window_ms):
-            yield Fault("idempotency", "a keyed class needs group and windowMs, or repeats are never dropped")
+            yield Fault(
+                "idempotency",
+                "a keyed class needs group and windowMs, or repeats are never dropped",
+            )
 
 
 class Allowed(Table, frozen=True, kw_only=True, rename="camel"):
@@ -101,22 +107,34 @@
     peers_all: Optional[str] = None
 
     def _neighbours(self) -> Iterator[Fault]:
-        for key, text in (("peer_listen", self.peer_listen), *((f"peers[{n}]", text) for n, text in enumerate(self.peers))):
+        for key, text in (
+            ("peer_listen", self.peer_listen),
+            *((f"peers[{n}]", text) for n, text in enumerate(self.peers)),
+        ):
             if text is not None:
                 try:
                     ipv4_of(text)
                 except ValueError:
-                    yield Fault(key, f"an IPv4 address and a port (10.0.0.4:7946), got {text!r:.60}")
+                    yield Fault(
+                        key, f"an IPv4 address and a port (10.0.0.4:7946), got {text!r:.60}"
+                    )
         for n, text in enumerate(self.peers):
             if text in self.peers[:n]:
                 yield Fault(f"peers[{n}]", f"stands there twice: {text}")
         if self.peers and self.settings.slot_no >= len(self.peers):
-            yield Fault("settings.slotNo", f"must be one of the {len(self.peers)} peers, from 0, got {self.settings.slot_no}")
+            yield Fault(
+                "settings.slotNo",
+                f"must be one of the {len(self.peers)} peers, from 0, got {self.settings.slot_no}",
+            )
 
     def contradictions(self) -> Iterator[Fault]:
         if self.settings.allowed is not None and self.settings.allowed.peers:
             yield from self._neighbours()
-        for key, text in (("listen", self.listen), ("admin_addr", self.admin_addr), ("discovery", self.discovery)):
+        for key, text in (
+            ("listen", self.listen),
+            ("admin_addr", self.admin_addr),
+            ("discovery", self.discovery),
+        ):
             if text is not None:
                 try:
                     address_of(text)
--- a/corkshift/cli/operator.py
+++ b/corkshift/cli/operator.py
@@ -41,7 +41,9 @@
 
     def contradictions(self) -> Iterator[Fault]:
         if self.cold_boxes >= self.boxes:
-            yield Fault("cold_boxes", f"must be fewer than boxes ({self.boxes}), got {self.cold_boxes}")
+            yield Fault(
+                "cold_boxes", f"must be fewer than boxes ({self.boxes}), got {self.cold_boxes}"
+            )
 
 
 class Operator(Table, frozen=True, kw_only=True):
--- a/corkshift/cli/schema.py
+++ b/corkshift/cli/schema.py
@@ -49,7 +49,12 @@
     faults: list[Fault] = []
     if closed:
         for key in data.keys() - fields.keys():
-            faults.append(Fault(_join(path, str(key)), f"unknown key; allowed here: {', '.join(fields) or 'none'}"))
+            faults.append(
+                Fault(
+                    _join(path, str(key)),
+                    f"unknown key; allowed here: {', '.join(fields) or 'none'}",
+                )
+            )
         faults.sort(key=lambda fault: fault.path)
     for key, field in fields.items():
         if key in data:
@@ -64,13 +69,19 @@
 
 def _value(wanted: Any, data: object, path: str, closed: bool) -> Iterator[Fault]:
     plain = typing.get_args(wanted)[0] if typing.get_origin(wanted) is typing.Annotated else wanted
-    choices = typing.get_args(plain) if typing.get_origin(plain) in (Union, types.UnionType) else (plain,)
+    choices = (
+        typing.get_args(plain) if typing.get_origin(plain) in (Union, types.UnionType) else (plain,)
+    )
     table = next((c for c in choices if isinstance(c, type) and issubclass(c, Table)), None)
     if table is not None and not (data is None and type(None) in choices):
         yield from _table(table, data, path, closed)
         return
     inner = typing.get_args(plain)
-    if typing.get_origin(plain) in (list, dict) and isinstance(inner[-1], type) and issubclass(inner[-1], Table):
+    if (
+        typing.get_origin(plain) in (list, dict)
+        and isinstance(inner[-1], type)
+        and issubclass(inner[-1], Table)
+    ):
         if typing.get_origin(plain) is list and isinstance(data, list):
             for n, item in enumerate(data):
                 yield from _table(inner[-1], item, f"{path}[{n}]", closed)
@@ -91,6 +102,10 @@
 
 
 def _kind(data: object) -> str:
-    return {list: "a list", str: "text", int: "a number", float: "a number", bool: "true or false"}.get(
-        type(data), "nothing"
-    )
+    return {
+        list: "a list",
+        str: "text",
+        int: "a number",
+        float: "a number",
+        bool: "true or false",
+    }.get(type(data), "nothing")
--- a/corkshift/cli/tier.py
+++ b/corkshift/cli/tier.py
@@ -30,7 +30,9 @@
     finally:
         connection.close()
     if answer.status == 404:
-        raise ValueError("takes no part in a tier (settings.allowed.peers, peers and peer_listen, [tier] of the operator's file)")
+        raise ValueError(
+            "takes no part in a tier (settings.allowed.peers, peers and peer_listen, [tier] of the operator's file)"
+        )
     if answer.status != 200:
         raise ValueError(f"answers {answer.status}")
     view = orjson.loads(body)
@@ -53,14 +55,24 @@
     for view in views.values():
         for lease in view["leases"]:
             sums[_name(lease["bound"], view)] += lease["parts"]
-    over = {bound: parts for bound, parts in sums.items() if parts > max(view["whole"] for view in views.values())}
+    over = {
+        bound: parts
+        for bound, parts in sums.items()
+        if parts > max(view["whole"] for view in views.values())
+    }
     if as_json:
-        print(orjson.dumps({"nodes": views, "sums": sums, "over": over}, option=orjson.OPT_INDENT_2).decode())
+        print(
+            orjson.dumps(
+                {"nodes": views, "sums": sums, "over": over}, option=orjson.OPT_INDENT_2
+            ).decode()
+        )
         return 1 if over else code
     for address, view in views.items():
         _print(address, view)
     if len(views) > 1 and sums:
-        print("parts held by all of these (read one after the other, so a part that moved meanwhile may count twice):")
+        print(
+            "parts held by all of these (read one after the other, so a part that moved meanwhile may count twice):"
+        )
         for bound, parts in sorted(sums.items()):
             print(f"  {bound:<24} {100.0 * parts / next(iter(views.values()))['whole']:5.1f}%")
     return 1 if over else code
@@ -71,19 +83,32 @@
 
 
 def _print(address: str, view: dict[str, Any]) -> None:
-    role = "keeper" if view["keeps"] else f"follows n{view['follows']}" if view["follows"] >= 0 else "no keeper known"
+    role = (
+        "keeper"
+        if view["keeps"]
+        else f"follows n{view['follows']}"
+        if view["follows"] >= 0
+        else "no keeper known"
+    )
     by_state: dict[str, list[str]] = defaultdict(list)
     for member in view["members"]:
         by_state[member["state"]].append(f"n{member['slot']}")
-    print(f"{address}: n{view['slot']} of {view['count']}, {role}{', others disagree on the tier' if view['disagrees'] else ''}")
+    print(
+        f"{address}: n{view['slot']} of {view['count']}, {role}{', others disagree on the tier' if view['disagrees'] else ''}"
+    )
     for state in ("alive", "suspect", "dead", "left", "unknown"):
         if by_state[state]:
             print(f"  {state:<8} {' '.join(by_state[state])}")
     for lease in view["leases"]:
         share = 100.0 * lease["parts"] / view["whole"]
-        print(f"  {_name(lease['bound'], view):<24} {share:5.1f}% of {lease['size']:.4g}, for {max(0.0, lease['ends_in_ms']):.0f} ms more")
+        print(
+            f"  {_name(lease['bound'], view):<24} {share:5.1f}% of {lease['size']:.4g}, for {max(0.0, lease['ends_in_ms']):.0f} ms more"
+        )
     line = view["line"]
-    print("  line: " + (f"common, {line['digest']}, {line['told']} heavy buckets" if line else "its own window"))
+    print(
+        "  line: "
+        + (f"common, {line['digest']}, {line['told']} heavy buckets" if line else "its own window")
+    )
     counts = view["counts"]
     print("  datagrams: " + ", ".join(f"{name} {counts[name]}" for name in counts))
 
@@ -123,13 +148,19 @@
     print(", ".join(f"{name.replace('_', ' ')} {count}" for name, count in requests.items()))
     for at, what in report["notes"]:
         print(f"  {at:8.3f} s  {what}")
-    print(f"  reads at their key's usual box: {100.0 * report['usual']:.1f}%, fetches of the order book: {report['fetches']}")
+    print(
+        f"  reads at their key's usual box: {100.0 * report['usual']:.1f}%, fetches of the order book: {report['fetches']}"
+    )
     whole = report["whole"]
     for bound, parts in report["most_held"].items():
         print(f"  most parts of {bound or 'fetches'} held at once: {100.0 * parts / whole:.1f}%")
     for name, cold in report["cold"].items():
-        print(f"  {name} began cold and got at most {100.0 * cold['worst']:.0f}% of its budget: {cold['work_ms']}")
+        print(
+            f"  {name} began cold and got at most {100.0 * cold['worst']:.0f}% of its budget: {cold['work_ms']}"
+        )
     for name, members in report["members"].items():
-        print(f"  {name} sees {len(members)}{' and is keeper' if name in report['keepers'] else ''}")
+        print(
+            f"  {name} sees {len(members)}{' and is keeper' if name in report['keepers'] else ''}"
+        )
     for failure in report["failures"]:
         print(f"BROKEN {failure}")
--- a/corkshift/config.py
+++ b/corkshift/config.py
@@ -16,7 +16,9 @@
 from forkweir.adapter import given, settings_of
 
 _OCTET = r"(?:25[0-5]|2[0-4][0-9]|1[0-9][0-9]|[1-9]?[0-9])"
-_IPV4 = re.compile(rf"{_OCTET}(?:\.{_OCTET}){{3}}")  # in the one form that IPv4Address takes, ten times as fast
+_IPV4 = re.compile(
+    rf"{_OCTET}(?:\.{_OCTET}){{3}}"
+)  # in the one form that IPv4Address takes, ten times as fast
 
 
 class BadConfig(Exception):
@@ -28,7 +30,9 @@
     """The other nodes of the tier, where the settings let nodes send one another datagrams."""
 
     listen: Address  # where datagrams arrive
-    peers: tuple[Address, ...]  # of each node of the tier, this one among them, as this node has to address them
+    peers: tuple[
+        Address, ...
+    ]  # of each node of the tier, this one among them, as this node has to address them
     slot: int  # which of them is this one
     tier: int = 0
 
@@ -107,12 +111,16 @@
         known=known,
         settings=settings_of(options),
         max_open=int(allowed.get("maxOpen") or 10_000),
-        dial_timeout_ms=float(allowed.get("dialTimeoutMs") or 250.0),  # a dial that may take no time can't be meant
+        dial_timeout_ms=float(
+            allowed.get("dialTimeoutMs") or 250.0
+        ),  # a dial that may take no time can't be meant
         conn_idle_ms=float(given(allowed, "connIdleMs", 15_000.0)),  # but no rest, or no grace, can
         drain_grace_ms=float(given(contract, "stopSendingWithinMs", 250.0)),
         admin=address_of(admin) if admin else None,
         socket_fd=_descriptor(descriptor) if descriptor else None,
-        neighbours=_neighbours(data, options) if allowed.get("peers") and data.get("peer_listen") and data.get("peers") else None,
+        neighbours=_neighbours(data, options)
+        if allowed.get("peers") and data.get("peer_listen") and data.get("peers")
+        else None,
     )
 
 
--- a/corkshift/discovery.py
+++ b/corkshift/discovery.py
@@ -27,7 +27,9 @@
 MOST_CALLS = 4  # open at once without an answer; the oldest is given up for a further one
 CALL_S = BESIDE_S * MOST_CALLS  # a call that is not answered by then has failed
 AGENT_S = 0.1  # a call to an agent on the node's own machine, which answers at once while discovery is there
-PAUSE_S = 0.1  # a line that has stopped for so long is taken for a broken one, as far as it takes away
+PAUSE_S = (
+    0.1  # a line that has stopped for so long is taken for a broken one, as far as it takes away
+)
 MOST_WAITING = 1_024  # lines behind one that is being taken in slices
 FADING_MOST = 2  # broken watches that are read until another one tells a whole line,
 FADING_S = 10.0  # and for how long
@@ -42,7 +44,12 @@
     """
 
     def __init__(
-        self, node: Listener, pool: Pool, address: Address, agent: bool = False, presence: Optional[Presence] = None
+        self,
+        node: Listener,
+        pool: Pool,
+        address: Address,
+        agent: bool = False,
+        presence: Optional[Presence] = None,
     ) -> None:
         """agent: lists are pushed to one on this machine, and what it has counts as told from the first moment on."""
         self.book = AddressBook(node, pool)
@@ -52,7 +59,9 @@
         self._answered = asyncio.Event()  # a whole line has come
         self._address = address
         self._cache = EntryCache()
-        self._calls: dict[Watch, asyncio.Task[None]] = {}  # any of which may become the node's watch, or is it; oldest first
+        self._calls: dict[
+            Watch, asyncio.Task[None]
+        ] = {}  # any of which may become the node's watch, or is it; oldest first
         self._fading: dict[asyncio.Task[None], Watch] = {}  # that lost something, oldest first
         self._owed = False  # some of what discovery told is lost, and no whole line has come since
         self._looked_ms = 0.0  # when all watches were last found to have nothing unread
@@ -189,7 +198,12 @@
                     continue
                 if self._agent and not watch.lines.unfinished:
                     raise
-                self._lose(watch, "a line that goes no further" if watch.lines.unfinished else f"silent for {SILENT_S:g} s")
+                self._lose(
+                    watch,
+                    "a line that goes no further"
+                    if watch.lines.unfinished
+                    else f"silent for {SILENT_S:g} s",
+                )
             except h11.RemoteProtocolError as error:
                 # With the framing is lost where lines end; entries can still be told by their braces.
                 self._heed_text(watch.lines.rest())
--- a/corkshift/figures.py
+++ b/corkshift/figures.py
@@ -35,7 +35,9 @@
         self.attempts: Counter[str] = Counter()  # by how they ended
         self.local: Counter[str] = Counter()  # dials that this machine could not begin, by errno
         self.closed: Counter[str] = Counter()  # client connections that this node closed, by cause
-        self.causes: Counter[tuple[str, str, str]] = Counter()  # of attempts that failed since the log last told of them
+        self.causes: Counter[tuple[str, str, str]] = (
+            Counter()
+        )  # of attempts that failed since the log last told of them
 
     def count_attempt(self, status: str, server: str, cause: str) -> None:
         """An attempt ended. cause: in short, why it failed; empty where it did not."""
@@ -51,7 +53,9 @@
         """The most frequent causes of failed attempts since this was last asked, for the log; empty where there were none."""
         most = self.causes.most_common(CAUSES_TOLD)
         self.causes.clear()
-        return ", ".join(f"{count} {status} at {server} ({cause})" for (status, server, cause), count in most)
+        return ", ".join(
+            f"{count} {status} at {server} ({cause})" for (status, server, cause), count in most
+        )
 
     def answered(self, lane: str, status: int) -> None:
         """A final answer was given to a request of a class that the settings have."""
--- a/corkshift/frontend.py
+++ b/corkshift/frontend.py
@@ -33,13 +33,26 @@
 PART_MS = 2_400.0  # one whose head is not whole by then is answered 408 (the first one's time runs from connecting),
 PROGRESS = 16_384  # or whose body does not bring so many bytes in this time,
 IDLE_MS = 10_000.0  # and one on which nothing more is asked for this long is closed
-REST_SHARE = 1 / 3  # of the places for clients may be held by connections on which nothing more is asked
+REST_SHARE = (
+    1 / 3
+)  # of the places for clients may be held by connections on which nothing more is asked
 SWEEP_S = 0.2  # between two looks at who has had its time
-SHY_MS = 100.0  # where room is short, a new connection that has sent nothing for this long makes way
+SHY_MS = (
+    100.0  # where room is short, a new connection that has sent nothing for this long makes way
+)
 SAY_S = 0.02  # what the last connections to be taken have to say shows by then
 
 ID_FORM = re.compile(rb"[!-~]{1,128}")
-SINGLE = {b"x-txn", b"x-lane", b"x-org", b"x-remaining-ms", b"x-estimate", b"x-resent", b"idempotency-key", b"host"}
+SINGLE = {
+    b"x-txn",
+    b"x-lane",
+    b"x-org",
+    b"x-remaining-ms",
+    b"x-estimate",
+    b"x-resent",
+    b"idempotency-key",
+    b"host",
+}
 KEPT = {200, 500, 502, 503, 504}  # answers to whole requests after which the connection goes on
 REASONS = {status.value: status.phrase.encode() for status in HTTPStatus}
 OTHER_METHODS = {b"HEAD", b"POST", b"DELETE", b"OPTIONS", b"PATCH", b"TRACE", b"CONNECT"}
@@ -63,15 +76,21 @@
         """queued_ms: the longest that the connection can have waited to be accepted."""
         self._frontend = frontend
         self._queued_ms = queued_ms
-        self.since_ms = now_ms()  # of its rest, or of the start of the request that is not whole yet
+        self.since_ms = (
+            now_ms()
+        )  # of its rest, or of the start of the request that is not whole yet
         self.partial = False  # a part of a request has come
         self.served = False  # an answer has been given
         self.over = False  # the last answer has been given; the client's end is awaited, briefly
-        self._queue: asyncio.Queue[Optional[tuple[Parser, asyncio.Future[Answer]]]] = asyncio.Queue(PIPELINE)
+        self._queue: asyncio.Queue[Optional[tuple[Parser, asyncio.Future[Answer]]]] = asyncio.Queue(
+            PIPELINE
+        )
         self._calls: dict[asyncio.Future[Answer], Call] = {}
         self._pending = 0
         self._reads = 0  # of bodies
-        self._pumping: Optional[h11.Connection] = None  # a request whose body is still being handed on, or read past
+        self._pumping: Optional[h11.Connection] = (
+            None  # a request whose body is still being handed on, or read past
+        )
         self._stream = Stream(sock)
         self._stream.notice = self._noticed
         self._reader: Optional[asyncio.Task[None]] = None
@@ -182,7 +201,9 @@
             status = 500
         if status:
             answer = self._frontend.node.busy if status == 503 else Answer(status)
-            await self._enqueue(h11.Connection(h11.SERVER), _done(answer))  # not whole, so that the connection ends
+            await self._enqueue(
+                h11.Connection(h11.SERVER), _done(answer)
+            )  # not whole, so that the connection ends
         await self._queue.put(None)
 
     async def _enqueue(self, parser: Parser, future: asyncio.Future[Answer]) -> None:
@@ -245,7 +266,9 @@
     async def _read_body(self, parser: h11.Connection, request: h11.Request) -> bool:
         call = None
         if _origin_form(request.target) != b"/up":
-            call = _call_of(request.method, request.target, dict(request.headers), self._frontend.node.knows)
+            call = _call_of(
+                request.method, request.target, dict(request.headers), self._frontend.node.knows
+            )
         if call is None and request.method != b"GET":
             raise Rejected(405)
         self.since_ms = now_ms()  # the body has a time of its own
@@ -253,7 +276,9 @@
         try:
             pieces, marked, rest = PieceCount(), 0, b""
             while not isinstance(event := await self._event(parser), h11.EndOfMessage):
-                if not isinstance(event, h11.Data) or pieces.too_small(len(event.data), self._reads):
+                if not isinstance(event, h11.Data) or pieces.too_small(
+                    len(event.data), self._reads
+                ):
                     raise Rejected(400)
                 more = len(event.data)
                 if held + more > LONGEST:
@@ -272,7 +297,14 @@
             raise
         if call is None:
             budget.give(held)
-            await self._enqueue(parser, _done(Answer(200, b"ok\n") if self._frontend.duty.welcome else Answer(503, b"draining\n")))
+            await self._enqueue(
+                parser,
+                _done(
+                    Answer(200, b"ok\n")
+                    if self._frontend.duty.welcome
+                    else Answer(503, b"draining\n")
+                ),
+            )
         elif rest:
             return await self._pump(parser, call, held, rest)
         else:
@@ -310,7 +342,10 @@
         Guards against a whole deadline given to a request of which a part is over: its client's time runs. Harm: none; both figures are
         bounds from above, and the smaller one counts.
         """
-        queued_ms, self._queued_ms = self._queued_ms, 0.0  # only the first request of a connection can have waited to be accepted
+        queued_ms, self._queued_ms = (
+            self._queued_ms,
+            0.0,
+        )  # only the first request of a connection can have waited to be accepted
         bound_ms = max(queued_ms, self._frontend.presence.unread_ms())
         if not bound_ms:
             return 0.0
@@ -336,7 +371,9 @@
             await feed.put(piece)
             async with asyncio.timeout_at(due) as limit:
                 while not isinstance(event := await self._event(parser), h11.EndOfMessage):
-                    if not isinstance(event, h11.Data) or pieces.too_small(len(event.data), self._reads):
+                    if not isinstance(event, h11.Data) or pieces.too_small(
+                        len(event.data), self._reads
+                    ):
                         raise Rejected(400)
                     size += len(event.data)
                     if size > BULK:
@@ -361,7 +398,11 @@
 
     async def _event(self, parser: h11.Connection) -> object:
         if parser.they_are_waiting_for_100_continue and not self._pending:
-            await self._stream.write(parser.send(h11.InformationalResponse(status_code=100, headers=[], reason=b"Continue")))
+            await self._stream.write(
+                parser.send(
+                    h11.InformationalResponse(status_code=100, headers=[], reason=b"Continue")
+                )
+            )
         while (event := parser.next_event()) is h11.NEED_DATA:
             parser.receive_data(await self._stream.read())
             self._reads += 1
@@ -371,7 +412,12 @@
 
     async def _send(self, parser: Parser, answer: Answer) -> bool:
         """Write one answer; whether the connection goes on after it."""
-        last = not self._frontend.duty.lasting and self._pending == 1 and not self.partial and not self._stream.has_input
+        last = (
+            not self._frontend.duty.lasting
+            and self._pending == 1
+            and not self.partial
+            and not self._stream.has_input
+        )
         whole = parser.their_state is h11.DONE or parser is self._pumping
         keep = whole and answer.status in KEPT and not last
         if not keep and self._reader is not None:
@@ -542,7 +588,10 @@
         its request takes longer than this is answered 408.
         """
         now = now_ms()
-        for waiting, limit, cause in ((self._silent, SILENT_MS, "silent"), (self._resting, IDLE_MS, "idle")):
+        for waiting, limit, cause in (
+            (self._silent, SILENT_MS, "silent"),
+            (self._resting, IDLE_MS, "idle"),
+        ):
             for connection in list(waiting):
                 if now - connection.since_ms <= limit:
                     break
@@ -586,7 +635,13 @@
         length = b"Content-Length: %d\r\n" % answer.length
     else:
         length = b"Transfer-Encoding: chunked\r\n" if chunked else b""
-    return b"HTTP/1.1 %d %s\r\n%s%s%s\r\n" % (answer.status, REASONS[answer.status], length, retry, close)
+    return b"HTTP/1.1 %d %s\r\n%s%s%s\r\n" % (
+        answer.status,
+        REASONS[answer.status],
+        length,
+        retry,
+        close,
+    )
 
 
 def _status_of(error: Exception) -> int:
@@ -625,7 +680,9 @@
     header given twice of which two readers believe different ones. Harm: a client that repeats a header by mistake is told so.
     """
     headers = dict(request.headers)
-    if b"transfer-encoding" in headers and (b"content-length" in headers or request.http_version != b"1.1"):
+    if b"transfer-encoding" in headers and (
+        b"content-length" in headers or request.http_version != b"1.1"
+    ):
         raise Rejected(400)
     if len(headers) < len(request.headers):
         names = [name for name, _ in request.headers]
@@ -643,7 +700,9 @@
     return slash + path if slash else b"/"
 
 
-def _call_of(method: bytes, target: bytes, headers: dict[bytes, bytes], knows: Callable[[str], bool]) -> Call:
+def _call_of(
+    method: bytes, target: bytes, headers: dict[bytes, bytes], knows: Callable[[str], bool]
+) -> Call:
     """The request that a head describes, of a class that the node knows."""
     if method not in (b"GET", b"PUT"):
         raise Rejected(405 if method in OTHER_METHODS else 501)
--- a/corkshift/listener.py
+++ b/corkshift/listener.py
@@ -25,7 +25,9 @@
         self._room = room
         self._take = take
         self._accepting = False
-        self._blocked_ms: Optional[float] = None  # since when connections have had to wait in the queue
+        self._blocked_ms: Optional[float] = (
+            None  # since when connections have had to wait in the queue
+        )
 
     @property
     def queued_ms(self) -> float:
--- a/corkshift/listing.py
+++ b/corkshift/listing.py
@@ -179,7 +179,9 @@
     if not _WHOLE_LIST.search(rest):
         known = {claim.server.name for claim in found}
         names = dict.fromkeys(match[1].decode() for match in _NAMED.finditer(rest))
-        found += [Claim(Server(name, state="unreadable"), None) for name in names if name not in known]
+        found += [
+            Claim(Server(name, state="unreadable"), None) for name in names if name not in known
+        ]
     return found[:MOST_CLAIMS]
 
 
@@ -268,6 +270,8 @@
         kind=str(entry.get("machineType") or ""),
         cell=int(entry.get("cell") or 0),
         state=STATES[entry["lifecycle"]],
-        weight=min(MOST_WEIGHT, max(0.0, float(1.0 if entry.get("weight") is None else entry["weight"]))),
+        weight=min(
+            MOST_WEIGHT, max(0.0, float(1.0 if entry.get("weight") is None else entry["weight"]))
+        ),
         started_ms=_unix_ms(entry.get("startedAtMs")),
     )
--- a/corkshift/messages.py
+++ b/corkshift/messages.py
@@ -17,7 +17,9 @@
     status: int
     body: bytes = b""
     retry_after_s: float = 0.0
-    rest: Optional[Relay] = None  # of the body, where it is too large to hold: `body` is its beginning,
+    rest: Optional[Relay] = (
+        None  # of the body, where it is too large to hold: `body` is its beginning,
+    )
     length: Optional[int] = None  # and this its whole length, if that is known
 
 
@@ -39,14 +41,20 @@
     feed: Optional[Relay] = None  # the rest of a body too large to hold: `body` is its beginning,
     length: Optional[int] = None  # and this its whole length, if that is known
     spent: bool = False  # the rest has begun to flow: the request can't be sent again
-    answer: asyncio.Future[Answer] = field(default_factory=lambda: asyncio.get_running_loop().create_future())
+    answer: asyncio.Future[Answer] = field(
+        default_factory=lambda: asyncio.get_running_loop().create_future()
+    )
     id: int = 0
     since_ms: float = 0.0  # from when its time counts
     deadline_ms: float = 0.0
     sent: bool = False  # of one too large to hold: its last byte has gone out
-    ran_ms: Optional[float] = None  # when the last byte of its first attempt began to go out: from then on it may have run
+    ran_ms: Optional[float] = (
+        None  # when the last byte of its first attempt began to go out: from then on it may have run
+    )
     backstop: Optional[asyncio.TimerHandle] = None
-    look: Callable[[], None] = lambda: None  # asks the system whether the client is still there; one that has left is departed at once
+    look: Callable[[], None] = lambda: (
+        None
+    )  # asks the system whether the client is still there; one that has left is departed at once
 
     @property
     def open(self) -> bool:
--- a/corkshift/node.py
+++ b/corkshift/node.py
@@ -44,15 +44,23 @@
         self._balancer = Balancer(config.settings, config.seed)
         self.guard = SendGuard(config.drain_grace_ms)
         self._deadlines = {spec.name: spec.deadline_ms for spec in config.settings.classes}
-        self._windows = {spec.name: spec.repeat_window_ms for spec in config.settings.classes if spec.repeat == "keyed"}
-        self._id_memory_ms = max(ID_MEMORY_MS, max(self._deadlines.values(), default=0.0) + ID_MORE_MS)
+        self._windows = {
+            spec.name: spec.repeat_window_ms
+            for spec in config.settings.classes
+            if spec.repeat == "keyed"
+        }
+        self._id_memory_ms = max(
+            ID_MEMORY_MS, max(self._deadlines.values(), default=0.0) + ID_MORE_MS
+        )
         self._calls: dict[int, Call] = {}
         self._ids: dict[bytes, float] = {}  # of late requests: when each came, oldest first
         self.busy = Answer(503, retry_after_s=config.settings.backoff_max_ms / 1000.0)
         self._attempts: dict[tuple[int, int], asyncio.Task[Outcome]] = {}
         self._running: dict[tuple[int, int], Attempt] = {}
         self._tries: dict[int, int] = {}
-        self._streams: dict[int, Call] = {}  # whose answers have begun and not ended: nothing is left to decide about them
+        self._streams: dict[
+            int, Call
+        ] = {}  # whose answers have begun and not ended: nothing is left to decide about them
         self._open_ids: set[bytes] = set()  # of open requests, whatever is remembered of late ones
         self._last_id = 0
         self._told: dict[str, int] = {}  # refusals by cause as the log last had them,
@@ -137,7 +145,15 @@
         self._decide(
             call,
             lambda: self._balancer.on_request(
-                now, call.id, call.lane, call.key, budget, call.work_ms, call.org, call.method == b"PUT", call.repeated
+                now,
+                call.id,
+                call.lane,
+                call.key,
+                budget,
+                call.work_ms,
+                call.org,
+                call.method == b"PUT",
+                call.repeated,
             ),
         )
 
@@ -166,7 +182,9 @@
 
     def _guard(self, call: Call, budget_ms: float) -> None:
         """Guards against a request left without its answer, whatever goes wrong."""
-        call.backstop = asyncio.get_running_loop().call_later((budget_ms + BACKSTOP_MS) / 1000.0, self._overdue, call)
+        call.backstop = asyncio.get_running_loop().call_later(
+            (budget_ms + BACKSTOP_MS) / 1000.0, self._overdue, call
+        )
 
     def on_list(self, form: str, entries: Iterable[Server]) -> None:
         """Discovery told of the cache servers, or failed to."""
@@ -202,7 +220,11 @@
                 self._act(action)
             except Exception:
                 log.exception("an action failed: %s", action[0])
-                self._fault(self._calls.get(action[1]) if action[0] in ("attempt", "refuse", "fail") else None)
+                self._fault(
+                    self._calls.get(action[1])
+                    if action[0] in ("attempt", "refuse", "fail")
+                    else None
+                )
 
     def _fault(self, call: Optional[Call]) -> None:
         """A request about which something here failed is failed."""
@@ -283,10 +305,16 @@
         n = self._tries[call_id]
         self._tries[call_id] = n + 1
         server = self.servers.get(name)
-        left_ms = call.deadline_ms - now_ms() if call.feed is None or call.sent else call.deadline_ms - call.since_ms
+        left_ms = (
+            call.deadline_ms - now_ms()
+            if call.feed is None or call.sent
+            else call.deadline_ms - call.since_ms
+        )
         within_ms = min(within_ms, left_ms) if within_ms else left_ms
         # Two attempts can't read one body that is not kept, nor can a second one once it flows.
-        twice = call.feed is not None and (call.spent or any((call_id, earlier) in self._running for earlier in range(n)))
+        twice = call.feed is not None and (
+            call.spent or any((call_id, earlier) in self._running for earlier in range(n))
+        )
         if server is None or n >= self._config.settings.max_attempts or within_ms <= 0.0 or twice:
             asyncio.get_running_loop().call_soon(self._ended, call, n, name, 0.0, Outcome("void"))
             return
@@ -309,7 +337,13 @@
         """See Owner. Count and log what went out although its bound was over: each is a defect of this node."""
         violation = self.guard.violated(self._send_state(call, server, told_ms), now_ms())
         if violation is not None:
-            log.error("request %s of class %s went to %s too late: %s", call.txn.decode(), call.lane, server.name, violation)
+            log.error(
+                "request %s of class %s went to %s too late: %s",
+                call.txn.decode(),
+                call.lane,
+                server.name,
+                violation,
+            )
 
     def _send_state(self, call: Call, server: CacheServer, told_ms: int) -> SendState:
         flowing = call.feed is not None and not call.sent  # its time runs from its last byte
@@ -373,7 +407,10 @@
         call.answer.set_result(answer)
         elapsed_ms = attempt.elapsed_ms
         self._decide(
-            None, lambda: self._balancer.on_outcome(now_ms(), call.id, winner, True, "success", attempt.server.name, elapsed_ms, note)
+            None,
+            lambda: self._balancer.on_outcome(
+                now_ms(), call.id, winner, True, "success", attempt.server.name, elapsed_ms, note
+            ),
         )
         return True
 
@@ -383,5 +420,7 @@
         finished = call.id not in self._calls
         self._decide(
             None if finished else call,
-            lambda: self._balancer.on_outcome(now_ms(), call.id, n, finished, outcome.status, name, elapsed_ms, outcome.note),
+            lambda: self._balancer.on_outcome(
+                now_ms(), call.id, n, finished, outcome.status, name, elapsed_ms, outcome.note
+            ),
         )
--- a/corkshift/plain.py
+++ b/corkshift/plain.py
@@ -20,7 +20,17 @@
 _REQUEST = re.compile(rb"(GET|PUT) (/[!-~]*+) HTTP/1\.1\r\n" + _FIELDS)
 _RESPONSE = re.compile(rb"HTTP/1\.1 (200|500|503|504) [ -~]*+\r\n" + _FIELDS)
 _LENGTH = re.compile(rb"[0-9]{1,7}")
-_APART = frozenset({b"transfer-encoding", b"expect", b"upgrade", b"te", b"trailer", b"proxy-connection", b"keep-alive"})
+_APART = frozenset(
+    {
+        b"transfer-encoding",
+        b"expect",
+        b"upgrade",
+        b"te",
+        b"trailer",
+        b"proxy-connection",
+        b"keep-alive",
+    }
+)
 
 Fields = dict[bytes, bytes]
 
--- a/corkshift/presence.py
+++ b/corkshift/presence.py
@@ -26,11 +26,20 @@
 
 PERIOD_MS = 50.0
 TURN_STEP = 0.3  # weight of one tick in how late timers come lately
-LATE_MS = 20.0  # a timer that comes this late has been held up; less is the ordinary scatter of a loop
-UNREAD_MS = 2.0 * PERIOD_MS + LATE_MS  # shorter holds can't be told from none by a timer of this period
+LATE_MS = (
+    20.0  # a timer that comes this late has been held up; less is the ordinary scatter of a loop
+)
+UNREAD_MS = (
+    2.0 * PERIOD_MS + LATE_MS
+)  # shorter holds can't be told from none by a timer of this period
 LEAST_LEFT_MS = 1.0  # a timer that comes so much early has come in time
 LOG_MS = 5_000.0
-HOLDS_MS = (50.0, 150.0, 500.0, 1_000.0)  # upper bounds of the histogram's buckets; the last bucket has none
+HOLDS_MS = (
+    50.0,
+    150.0,
+    500.0,
+    1_000.0,
+)  # upper bounds of the histogram's buckets; the last bucket has none
 
 
 class Presence:
@@ -44,7 +53,9 @@
         self.holds = [0] * (len(HOLDS_MS) + 1)  # how often the loop was late, by by how much
         self.longest_ms = 0.0
         self.held_until_ms = 0.0  # when the last hold was noticed
-        self.turn_ms = 0.0  # how late timers come lately, which is about as long as a turn of the loop takes
+        self.turn_ms = (
+            0.0  # how late timers come lately, which is about as long as a turn of the loop takes
+        )
         self._present_ms = 0.0  # up to the last tick
         self._last_ms: Optional[float] = None  # when that was
         self._read_until_ms = 0.0  # what came before this has been read
@@ -80,11 +91,15 @@
 
     def _note_hold(self, late_ms: float, now: float) -> None:
         self.held_until_ms = now
-        self.holds[next((n for n, most in enumerate(HOLDS_MS) if late_ms <= most), len(HOLDS_MS))] += 1
+        self.holds[
+            next((n for n, most in enumerate(HOLDS_MS) if late_ms <= most), len(HOLDS_MS))
+        ] += 1
         self.longest_ms = max(self.longest_ms, late_ms)
         self._worst_ms = max(self._worst_ms, late_ms)
         if self._worst_ms > UNREAD_MS and now - self._logged_ms >= LOG_MS:
-            log.info("the loop was held up for up to %.0f ms since this was last told", self._worst_ms)
+            log.info(
+                "the loop was held up for up to %.0f ms since this was last told", self._worst_ms
+            )
             self._logged_ms, self._worst_ms = now, 0.0
 
     # -- readings ------------------------------------------------------------------------
@@ -163,7 +178,10 @@
             self._timer = self._presence.call_later(self._seconds, self._expire)
 
     async def __aexit__(
-        self, kind: Optional[type[BaseException]], error: Optional[BaseException], traceback: Optional[TracebackType]
+        self,
+        kind: Optional[type[BaseException]],
+        error: Optional[BaseException],
+        traceback: Optional[TracebackType],
     ) -> None:
         if self._timer is not None:
             self._timer.cancel()
--- a/corkshift/seam/__init__.py
+++ b/corkshift/seam/__init__.py
@@ -24,10 +24,17 @@
 from typing import Any, Optional, Protocol, cast
 
 Address = tuple[str, int]
-_LAST_DATA_RECEIVED = struct.Struct("52xI")  # tcpi_last_data_recv of struct tcp_info (linux/tcp.h), in ms
-_READABLE_STATES = {1, 8}  # tcpi_state: TCP_ESTABLISHED and TCP_CLOSE_WAIT (include/net/tcp_states.h)
+_LAST_DATA_RECEIVED = struct.Struct(
+    "52xI"
+)  # tcpi_last_data_recv of struct tcp_info (linux/tcp.h), in ms
+_READABLE_STATES = {
+    1,
+    8,
+}  # tcpi_state: TCP_ESTABLISHED and TCP_CLOSE_WAIT (include/net/tcp_states.h)
 _TCP_INFO_SIZE = _LAST_DATA_RECEIVED.size
-_ENDED = getattr(select, "POLLRDHUP", 0) | select.POLLHUP | select.POLLERR  # the peer's end counts before what it sent is read
+_ENDED = (
+    getattr(select, "POLLRDHUP", 0) | select.POLLHUP | select.POLLERR
+)  # the peer's end counts before what it sent is read
 
 
 class Socket(Protocol):
@@ -111,7 +118,9 @@
 
     def inherited(self, descriptor: int) -> Socket:
         sock = socket.socket(fileno=descriptor)
-        if sock.type != socket.SOCK_STREAM or not sock.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN):
+        if sock.type != socket.SOCK_STREAM or not sock.getsockopt(
+            socket.SOL_SOCKET, socket.SO_ACCEPTCONN
+        ):
             sock.detach()
             raise OSError(errno.EINVAL, f"descriptor {descriptor} is no listening TCP socket")
         sock.setblocking(False)
--- a/corkshift/seam/process.py
+++ b/corkshift/seam/process.py
@@ -39,7 +39,9 @@
     handler = logging.StreamHandler()
     handler.addFilter(Bounded())
     logging.basicConfig(
-        level=logging.INFO, format="%(asctime)s %(levelname)s %(name)s: %(message)s", handlers=[handler]
+        level=logging.INFO,
+        format="%(asctime)s %(levelname)s %(name)s: %(message)s",
+        handlers=[handler],
     )
 
 
--- a/corkshift/service.py
+++ b/corkshift/service.py
@@ -51,7 +51,9 @@
         self.config = config
         self.figures = Figures(spec.name for spec in config.settings.classes)
         self.presence = Presence()
-        self.pool = Pool(upstream, config.dial_timeout_ms, config.conn_idle_ms, self.figures, self.presence)
+        self.pool = Pool(
+            upstream, config.dial_timeout_ms, config.conn_idle_ms, self.figures, self.presence
+        )
         self.node = Node(config, self.pool, min(config.max_open, upstream))
         longest_ms = max((spec.deadline_ms for spec in config.settings.classes), default=0.0)
         self.frontend = Frontend(
@@ -66,7 +68,13 @@
 
             self.sources = Sources(self.node, self.pool, sources, config.seed)
         book = self.sources.box_list if self.sources else self.node
-        self.discovery = Discovery(book, self.pool, config.discovery, agent=not config.settings.asked, presence=self.presence)
+        self.discovery = Discovery(
+            book,
+            self.pool,
+            config.discovery,
+            agent=not config.settings.asked,
+            presence=self.presence,
+        )
         self.node.follow = self.discovery.follow
         self.node.list_unread = self.discovery.unread
         self.tier: Optional[Carrier] = None
@@ -81,7 +89,9 @@
             # Only where there is an address: what is off costs nothing.
             from corkshift.admin import Admin, Status
 
-            self.admin = Admin(Status(self.node, self.frontend, self.discovery, self.figures), config.admin)
+            self.admin = Admin(
+                Status(self.node, self.frontend, self.discovery, self.figures), config.admin
+            )
             if self.tier is not None:
                 self.admin.offer("/admin/tier", self.tier.view)
         self._stop = asyncio.Event()
@@ -161,7 +171,10 @@
             log.error("reload: %s; the old configuration stays in force", error)
             return
         log.info("reload: discovery is at %s:%d", *fresh.discovery)
-        if any(getattr(fresh, name) != getattr(config, name) for name in ("known", "settings", "listen", "admin", "neighbours")):
+        if any(
+            getattr(fresh, name) != getattr(config, name)
+            for name in ("known", "settings", "listen", "admin", "neighbours")
+        ):
             log.info("reload: what else has changed waits for the next start")
         self.discovery.move(fresh.discovery)
         if self.sources is not None:
--- a/corkshift/sources/boxlist.py
+++ b/corkshift/sources/boxlist.py
@@ -17,13 +17,24 @@
 def claim_of(server: Server, address: Address) -> Claim:
     """What the list says of a server that is in service or drains."""
     state: Said = "draining" if server.state == "draining" else "in"
-    return Claim(address, state, server.name, server.zone, server.kind, server.cell, server.weight, started_ms=server.started_ms)
+    return Claim(
+        address,
+        state,
+        server.name,
+        server.zone,
+        server.kind,
+        server.cell,
+        server.weight,
+        started_ms=server.started_ms,
+    )
 
 
 class BoxList:
     """The address book that discovery writes, turned into claims."""
 
-    def __init__(self, sink: Sink, ask: Callable[[str], None], spare: Callable[[Address], bool]) -> None:
+    def __init__(
+        self, sink: Sink, ask: Callable[[str], None], spare: Callable[[Address], bool]
+    ) -> None:
         """ask: told "failed" or "lost", upon which the module says when discovery is called again. spare: whether others than the box
         at a place are in service."""
         self.servers: dict[str, CacheServer] = {}
@@ -41,7 +52,11 @@
             self._gone += [Claim(place, "gone") for place in places[:MOST_OVERHEARD]]
             return
         for place in places:
-            if len(self._draining) < MOST_OVERHEARD and place not in self._draining and self._spare(place):
+            if (
+                len(self._draining) < MOST_OVERHEARD
+                and place not in self._draining
+                and self._spare(place)
+            ):
                 self._draining[place] = None
                 self._sink.tell("list", [Claim(place, "draining")], full=False)
 
@@ -65,11 +80,19 @@
         for name, known in self.servers.items():
             told = self._told[name]
             self._places[name] = known.address
-            claims.append(claim_of(replace(told, state="draining") if known.leaving_ms is not None else told, known.address))
+            claims.append(
+                claim_of(
+                    replace(told, state="draining") if known.leaving_ms is not None else told,
+                    known.address,
+                )
+            )
         there = {claim.address for claim in claims}
         claims += [Claim(place, "draining") for place in self._draining if place not in there]
         for name in self._told.keys() - self.servers.keys():
             del self._told[name]
         for name in self._places.keys() - self.servers.keys():
             del self._places[name]
-        self._sink.tell("known" if form == "saved" else "list", [*(claim for claim in gone if claim.address not in there), *claims])
+        self._sink.tell(
+            "known" if form == "saved" else "list",
+            [*(claim for claim in gone if claim.address not in there), *claims],
+        )
--- a/corkshift/sources/dns.py
+++ b/corkshift/sources/dns.py
@@ -41,7 +41,9 @@
 
     @staticmethod
     def _resolvers(options: DnsTable) -> list[tuple[str, int]]:
-        return options.addresses() or servers_of(seam.read_file(options.resolv_conf).decode(errors="replace"))
+        return options.addresses() or servers_of(
+            seam.read_file(options.resolv_conf).decode(errors="replace")
+        )
 
     def start(self) -> None:
         self._task = asyncio.create_task(self._run())
@@ -71,7 +73,9 @@
             except LookupFailed as error:
                 if self._good_ms and now_ms() - self._good_ms > 1_000.0 * self._options.old_s:
                     self._good_ms = 0.0
-                    self._sink.tell("dns", [])  # too old by what the operator says; the merge sees that this empties nothing
+                    self._sink.tell(
+                        "dns", []
+                    )  # too old by what the operator says; the merge sees that this empties nothing
                 self._sink.failed("dns", str(error))
                 wait_s = self._back_off()
             except Exception:
@@ -82,7 +86,9 @@
 
     def _back_off(self) -> float:
         self._failures = min(10, self._failures + 1)
-        return min(AGAIN_MOST_S, AGAIN_S * 2.0 ** (self._failures - 1)) * (0.5 + self._random.random())
+        return min(AGAIN_MOST_S, AGAIN_S * 2.0 ** (self._failures - 1)) * (
+            0.5 + self._random.random()
+        )
 
     async def once(self) -> float:
         """One round: look up, tell, and how long until the next, in s. LookupFailed where there is nothing new to tell."""
@@ -91,9 +97,13 @@
             raise LookupFailed("no resolver answers; old records are served")
         records = service.answer.services[:MOST_TARGETS]
         if len(service.answer.services) > MOST_TARGETS:
-            log.warning("dns: %d records, %d are heeded", len(service.answer.services), MOST_TARGETS)
+            log.warning(
+                "dns: %d records, %d are heeded", len(service.answer.services), MOST_TARGETS
+            )
         if any(record.target == "." for record in records):
-            log.info("dns: the service is not offered (its target is the root)")  # RFC 2782: "decidedly not available at this domain"
+            log.info(
+                "dns: the service is not offered (its target is the root)"
+            )  # RFC 2782: "decidedly not available at this domain"
             records = ()
         targets = sorted({record.target for record in records})
         room = asyncio.Semaphore(AT_ONCE)
@@ -115,11 +125,15 @@
         old = [one for one in kept if one.old]
         self._good_ms = self._good_ms if service.old else now_ms()
         if lost or old:
-            self._sink.failed("dns", lost[0] if lost else "no resolver answers; old records are served")
+            self._sink.failed(
+                "dns", lost[0] if lost else "no resolver answers; old records are served"
+            )
             return self._back_off()
         due = min(one.ends_ms - AHEAD * one.held_s * 1000.0 for one in kept)
         shortest = min(one.held_s for one in kept)
-        return max(0.0, (due - now_ms()) / 1000.0) + 0.01 + JITTER * shortest * self._random.random()
+        return (
+            max(0.0, (due - now_ms()) / 1000.0) + 0.01 + JITTER * shortest * self._random.random()
+        )
 
 
 def claims_of(records: tuple[Service, ...], found: dict[str, Kept | LookupFailed]) -> list[Claim]:
@@ -135,5 +149,9 @@
         one = found[record.target]
         addresses = one.answer.addresses if isinstance(one, Kept) else ()
         for address in addresses:
-            claims.append(Claim((address, record.port), weight=weight / len(addresses), priority=record.priority))
+            claims.append(
+                Claim(
+                    (address, record.port), weight=weight / len(addresses), priority=record.priority
+                )
+            )
     return [claim for claim in claims if 0 < claim.address[1] < 65_536]
--- a/corkshift/sources/hub.py
+++ b/corkshift/sources/hub.py
@@ -66,12 +66,22 @@
         """The operator's file was read again. Resolvers, bounds, service and the file's path change; the rest waits for the next start."""
         same = options.rights() == self._options.rights() and options.guard == self._options.guard
         if not same or options.members_socket != self._options.members_socket:
-            log.info("reload: ranks, rights, guards and new or absent sources wait for the next start")
+            log.info(
+                "reload: ranks, rights, guards and new or absent sources wait for the next start"
+            )
         try:
-            if self.dns is not None and options.dns is not None and options.dns != self._options.dns:
+            if (
+                self.dns is not None
+                and options.dns is not None
+                and options.dns != self._options.dns
+            ):
                 self.dns.reload(options.dns)
         except OSError as error:
-            log.error("reload: %s: %s; the resolvers stay as they are", options.dns and options.dns.resolv_conf, error.strerror)
+            log.error(
+                "reload: %s: %s; the resolvers stay as they are",
+                options.dns and options.dns.resolv_conf,
+                error.strerror,
+            )
             return
         if self.file is not None and options.file is not None:
             self.file.reload(options.file)
@@ -93,7 +103,10 @@
         self._node.on_list(form, [])
 
     def _others(self, place: Address) -> bool:
-        return any(server.leaving_ms is None and server.address != place for server in self._node.servers.values())
+        return any(
+            server.leaving_ms is None and server.address != place
+            for server in self._node.servers.values()
+        )
 
     # -- what follows --------------------------------------------------------------------
 
@@ -104,11 +117,15 @@
         for line in self._merged.reports():
             log.info("sources: %s", line)
         serving = [box for box in self._boxes if box.server.state == "in"]
-        level = self._groups.level(((box.priority, self._node.usable(box.server.name)) for box in serving), now)
+        level = self._groups.level(
+            ((box.priority, self._node.usable(box.server.name)) for box in serving), now
+        )
         if level != self._level:
             log.info("sources: boxes up to priority %d are in use (%d before)", level, self._level)
             self._level = level
-        entries = self._entries({box.server.name: (self._in_use(box), box.address) for box in self._boxes}, now)
+        entries = self._entries(
+            {box.server.name: (self._in_use(box), box.address) for box in self._boxes}, now
+        )
         if entries or form != "hearsay":
             self._node.on_list(form, entries)
         self._look_again(now, len({box.priority for box in serving}) > 1)
@@ -163,7 +180,11 @@
     def dump(self) -> bytes:
         """The merged view as JSON, for `members`."""
         now = now_ms()
-        view = {"at_ms": round(now), "level": self._level, **view_of(self._merged, self._boxes, self._level, now)}
+        view = {
+            "at_ms": round(now),
+            "level": self._level,
+            **view_of(self._merged, self._boxes, self._level, now),
+        }
         if self.dns is not None:
             counts = self.dns.resolver.counts
             view["resolver"] = {name: getattr(counts, name) for name in counts.__slots__}
--- a/corkshift/sources/message.py
+++ b/corkshift/sources/message.py
@@ -130,7 +130,11 @@
             raise Truncated from None
         raise Unusable(f"not readable: {type(error).__name__}") from None
     question = message.question[0]
-    if question.name.labels != asked.name.labels or dns.rdatatype.to_text(question.rdtype) != asked.kind or question.rdclass != 1:
+    if (
+        question.name.labels != asked.name.labels
+        or dns.rdatatype.to_text(question.rdtype) != asked.kind
+        or question.rdclass != 1
+    ):
         raise Foreign("another question")
     if flags & dns.flags.TC:
         if stream:
@@ -177,10 +181,18 @@
 
 def _answer(message: dns.message.Message, asked: Query, missing: bool) -> Answer:
     name, ttl, chain = asked.name.canonicalize(), -1, 0
-    sets = {(rrset.name.canonicalize(), rrset.rdtype): rrset for rrset in message.answer if rrset.rdclass == dns.rdataclass.IN}
+    sets = {
+        (rrset.name.canonicalize(), rrset.rdtype): rrset
+        for rrset in message.answer
+        if rrset.rdclass == dns.rdataclass.IN
+    }
     seen = {name}
     wanted = dns.rdatatype.from_text(asked.kind)
-    while (name, wanted) not in sets and (alias := sets.get((name, dns.rdatatype.CNAME))) is not None and alias:
+    while (
+        (name, wanted) not in sets
+        and (alias := sets.get((name, dns.rdatatype.CNAME))) is not None
+        and alias
+    ):
         record = alias[0]
         assert isinstance(record, dns.rdtypes.ANY.CNAME.CNAME)
         name, chain = record.target.canonicalize(), chain + 1
@@ -195,18 +207,28 @@
         return Answer(_soa(message), exists=not missing)
     ttl = found.ttl if ttl < 0 else min(ttl, found.ttl)
     if wanted == dns.rdatatype.A:
-        return Answer(ttl, addresses=tuple(sorted(r.address for r in found if isinstance(r, dns.rdtypes.IN.A.A))))
+        return Answer(
+            ttl,
+            addresses=tuple(sorted(r.address for r in found if isinstance(r, dns.rdtypes.IN.A.A))),
+        )
     services = tuple(
-        Service(r.priority, r.weight, r.port, r.target.canonicalize().to_text()) for r in found if isinstance(r, dns.rdtypes.IN.SRV.SRV)
+        Service(r.priority, r.weight, r.port, r.target.canonicalize().to_text())
+        for r in found
+        if isinstance(r, dns.rdtypes.IN.SRV.SRV)
     )
     targets = {service.target for service in services}
     extra: dict[str, tuple[int, tuple[str, ...]]] = {}
     foreign = 0
     for rrset in message.additional:
         target = rrset.name.canonicalize().to_text()
-        if target in targets and rrset.rdclass == dns.rdataclass.IN:  # only what the records name: anybody's address could stand here
+        if (
+            target in targets and rrset.rdclass == dns.rdataclass.IN
+        ):  # only what the records name: anybody's address could stand here
             if rrset.rdtype == dns.rdatatype.A:
-                extra[target] = rrset.ttl, tuple(sorted(r.address for r in rrset if isinstance(r, dns.rdtypes.IN.A.A)))
+                extra[target] = (
+                    rrset.ttl,
+                    tuple(sorted(r.address for r in rrset if isinstance(r, dns.rdtypes.IN.A.A))),
+                )
             elif rrset.rdtype == dns.rdatatype.AAAA:
                 foreign += len(rrset)
     return Answer(ttl, services=services, extra=extra, foreign_family=foreign)
--- a/corkshift/sources/options.py
+++ b/corkshift/sources/options.py
@@ -38,7 +38,9 @@
         """Its rights, in the terms of the merge."""
         stale_ms = float("inf") if self.stale_s is None else self.stale_s * 1000.0
         may = {right: right in self.may for right in ALL}
-        return Rights(self.rank, may["add"], may["drain"], may["remove"], may["weigh"], fallback, stale_ms)
+        return Rights(
+            self.rank, may["add"], may["drain"], may["remove"], may["weigh"], fallback, stale_ms
+        )
 
 
 class ListTable(_Ranked, frozen=True, kw_only=True):
@@ -48,14 +50,18 @@
 class DnsTable(_Ranked, frozen=True, kw_only=True):
     """`[sources.dns]`: SRV records."""
 
-    service: Annotated[str, msgspec.Meta(min_length=1, max_length=253)]  # _menu._tcp.cache.example.org
+    service: Annotated[
+        str, msgspec.Meta(min_length=1, max_length=253)
+    ]  # _menu._tcp.cache.example.org
     resolvers: list[str] = []  # host:port; none: those of resolv_conf
     resolv_conf: str = "/etc/resolv.conf"
     rank: Rank = 10
     may: list[Right] = msgspec.field(default_factory=lambda: list[Right](["add", "weigh"]))
     floor_s: Span = 5.0  # of lifetimes: an answer that names 67 boxes takes some 10 ms to read
     ceiling_s: Span = 300.0
-    old_s: Annotated[float, msgspec.Meta(ge=0.0, le=604_800.0)] = 86_400.0  # how long old answers are served (RFC 8767)
+    old_s: Annotated[float, msgspec.Meta(ge=0.0, le=604_800.0)] = (
+        86_400.0  # how long old answers are served (RFC 8767)
+    )
     queries_per_s: Annotated[float, msgspec.Meta(ge=0.1, le=1_000.0)] = 20.0
 
     def contradictions(self) -> Iterator[Fault]:
@@ -63,10 +69,17 @@
             try:
                 ipv4_of(text)
             except ValueError:
-                yield Fault(f"resolvers[{n}]", f"an IPv4 address and a port (10.0.0.2:53), got {text!r:.60}")
+                yield Fault(
+                    f"resolvers[{n}]", f"an IPv4 address and a port (10.0.0.2:53), got {text!r:.60}"
+                )
         if self.floor_s > self.ceiling_s:
-            yield Fault("floor_s", f"must not be over ceiling_s ({self.ceiling_s:g}), got {self.floor_s:g}")
-        if not all(0 < len(label) <= 63 and label.isascii() for label in self.service.rstrip(".").split(".")):
+            yield Fault(
+                "floor_s", f"must not be over ceiling_s ({self.ceiling_s:g}), got {self.floor_s:g}"
+            )
+        if not all(
+            0 < len(label) <= 63 and label.isascii()
+            for label in self.service.rstrip(".").split(".")
+        ):
             yield Fault("service", f"labels of 1 to 63 ASCII characters, got {self.service!r:.80}")
 
     def limits(self) -> Limits:
@@ -110,7 +123,10 @@
 
     def rights(self) -> dict[str, Rights]:
         """Of each source, and of the list that the node was started with (`known`), which counts only while nothing else does."""
-        rights = {"list": self.list.rights(), "known": Rights(99, True, False, False, False, fallback=True)}
+        rights = {
+            "list": self.list.rights(),
+            "known": Rights(99, True, False, False, False, fallback=True),
+        }
         if self.dns is not None:
             rights["dns"] = self.dns.rights()
         if self.file is not None:
--- a/corkshift/sources/resolver.py
+++ b/corkshift/sources/resolver.py
@@ -20,7 +20,17 @@
 
 from corkshift import seam
 from corkshift.seam import Address, now_ms
-from corkshift.sources.message import LONGEST, MOST_CHAIN, Answer, Foreign, Query, Truncated, Unusable, query, read
+from corkshift.sources.message import (
+    LONGEST,
+    MOST_CHAIN,
+    Answer,
+    Foreign,
+    Query,
+    Truncated,
+    Unusable,
+    query,
+    read,
+)
 from corkshift.sources.options import Limits
 from corkshift.stream import Stream
 
@@ -29,7 +39,9 @@
 TRIES = 2  # rounds of all servers for one query
 FIRST_S = 0.4  # for an answer by datagram; doubled in the second round
 STREAM_S = 2.0  # for one by TCP, from the dial on
-BACK_OFF_MS = 1_000.0  # a server that failed comes last for so long, doubled with each failure in a row,
+BACK_OFF_MS = (
+    1_000.0  # a server that failed comes last for so long, doubled with each failure in a row,
+)
 BACK_OFF_MOST_MS = 60_000.0  # up to this
 MOST_FOREIGN = 64  # datagrams that are no answer; then TCP, where nobody can guess (guards against forged answers in number)
 MOST_KEPT = 4_096  # names
@@ -101,7 +113,9 @@
 class Resolver:
     """Looks names up. One instance for each source."""
 
-    def __init__(self, servers: list[Address], limits: Limits, entropy: Callable[[int], bytes]) -> None:
+    def __init__(
+        self, servers: list[Address], limits: Limits, entropy: Callable[[int], bytes]
+    ) -> None:
         self.counts = Counts()
         self._servers = Servers(servers)
         self._limits = limits
@@ -167,13 +181,22 @@
             for server in self._servers.order(now_ms()):
                 if not self._take_token():
                     self.counts.failed("too many queries")
-                    raise LookupFailed(f"{name} {kind}: more than {self._limits.queries_per_s:g} queries a second")
-                ident, case = int.from_bytes(self._entropy(2), "big"), int.from_bytes(self._entropy(32), "big")
+                    raise LookupFailed(
+                        f"{name} {kind}: more than {self._limits.queries_per_s:g} queries a second"
+                    )
+                ident, case = (
+                    int.from_bytes(self._entropy(2), "big"),
+                    int.from_bytes(self._entropy(32), "big"),
+                )
                 asked = query(name, kind, ident, case)
                 try:
                     answer = await self._exchange(server, asked, FIRST_S * 2.0**turn)
                 except (OSError, Unusable) as error:
-                    cause = "time-out" if isinstance(error, TimeoutError) else str(error) or type(error).__name__
+                    cause = (
+                        "time-out"
+                        if isinstance(error, TimeoutError)
+                        else str(error) or type(error).__name__
+                    )
                     why = f"{server[0]}:{server[1]}: {cause}"
                     self.counts.failed(cause)
                     self._servers.failed(server, now_ms())
@@ -249,7 +272,9 @@
                 data += more
                 self.counts.received_bytes += len(more)
             try:
-                return read(bytes(data[2 : 2 + int.from_bytes(data[:2], "big")]), asked, stream=True)
+                return read(
+                    bytes(data[2 : 2 + int.from_bytes(data[:2], "big")]), asked, stream=True
+                )
             except Foreign as error:
                 raise Unusable(f"over TCP, {error}") from None
         finally:
--- a/corkshift/sources/window.py
+++ b/corkshift/sources/window.py
@@ -25,7 +25,9 @@
     def __init__(self, path: str, show: Callable[[], bytes]) -> None:
         self._show = show
         self._tasks: set[asyncio.Task[None]] = set()
-        self._listener = Listener(seam.unix_listener(path), lambda: len(self._tasks) < MOST, self._take)
+        self._listener = Listener(
+            seam.unix_listener(path), lambda: len(self._tasks) < MOST, self._take
+        )
 
     def start(self) -> None:
         """Listen."""
--- a/corkshift/stream.py
+++ b/corkshift/stream.py
@@ -15,13 +15,17 @@
 from corkshift.seam.errors import NO_BUFFERS
 
 CHUNK = 65_536  # bytes of one read, and of input held before reading pauses
-KERNEL_BUFFER = 65_536  # asked of the kernel for each direction; it doubles this for its own overhead
+KERNEL_BUFFER = (
+    65_536  # asked of the kernel for each direction; it doubles this for its own overhead
+)
 NO_BUFFERS_S = 0.01  # until a read or write for which the kernel had no memory is tried again
 LINGER_S = 1.0  # how long a closing connection waits for its peer's end,
 LINGER_BYTES = 262_144  # and how much it throws away meanwhile
 
 _RESET = struct.pack("ii", 1, 0)
-_SCRATCH = memoryview(bytearray(CHUNK))  # all reads land here first (guards against a large block allocated for each small read)
+_SCRATCH = memoryview(
+    bytearray(CHUNK)
+)  # all reads land here first (guards against a large block allocated for each small read)
 
 
 class Stream:
@@ -146,7 +150,9 @@
                 continue
             except OSError as error:
                 if error.errno in NO_BUFFERS:
-                    await asyncio.sleep(NO_BUFFERS_S)  # the socket may well count as writable meanwhile
+                    await asyncio.sleep(
+                        NO_BUFFERS_S
+                    )  # the socket may well count as writable meanwhile
                     continue
                 self._end(error)
                 raise
--- a/corkshift/tier/carrier.py
+++ b/corkshift/tier/carrier.py
@@ -40,12 +40,24 @@
     def __init__(self, node: Node, neighbours: Neighbours, options: TierTable) -> None:
         """OSError where the address can't be had."""
         now = now_ms()
-        seed = int.from_bytes(seam.entropy(8), "big")  # of this process alone: a configuration may be read by two
-        self.tier = Tier(neighbours.slot, len(neighbours.peers), seed, int(now / 1000.0), now, options.options(), neighbours.tier)
+        seed = int.from_bytes(
+            seam.entropy(8), "big"
+        )  # of this process alone: a configuration may be read by two
+        self.tier = Tier(
+            neighbours.slot,
+            len(neighbours.peers),
+            seed,
+            int(now / 1000.0),
+            now,
+            options.options(),
+            neighbours.tier,
+        )
         self.lost = 0  # datagrams that did not go out
         self._slots = {address: slot for slot, address in enumerate(neighbours.peers)}
         self._peers = neighbours.peers
-        self._taken: deque[tuple[int, int, float, float]] = deque(maxlen=LEASES_TOLD)  # bound, parts, from when, until when
+        self._taken: deque[tuple[int, int, float, float]] = deque(
+            maxlen=LEASES_TOLD
+        )  # bound, parts, from when, until when
         self._timer: Optional[asyncio.TimerHandle] = None
         self._told: list[str] = []
         self._told_ms = 0.0
@@ -58,7 +70,9 @@
             self._sock.bind(neighbours.listen)
         except OSError as error:
             self._sock.close()
-            raise OSError(error.errno, f"{neighbours.listen[0]}:{neighbours.listen[1]}: {error.strerror}") from None
+            raise OSError(
+                error.errno, f"{neighbours.listen[0]}:{neighbours.listen[1]}: {error.strerror}"
+            ) from None
         node.join(self.tier)
 
     @property
@@ -83,7 +97,9 @@
     # -- datagrams -----------------------------------------------------------------------
 
     def _tick(self) -> None:
-        self._timer = asyncio.get_running_loop().call_later(self.tier.options.period_ms / TICKS / 1000.0, self._tick)
+        self._timer = asyncio.get_running_loop().call_later(
+            self.tier.options.period_ms / TICKS / 1000.0, self._tick
+        )
         now = now_ms()
         self._send(self.tier.tick(now))
         if self._told and now - self._told_ms >= LOG_MS:
@@ -92,7 +108,9 @@
         if self.tier.disagrees(now) != self._disagreed:
             self._disagreed = not self._disagreed
             if self._disagreed:
-                log.warning("tier: others count the tier otherwise, or have other constants of it: every node keeps to its floor")
+                log.warning(
+                    "tier: others count the tier otherwise, or have other constants of it: every node keeps to its floor"
+                )
             else:
                 log.info("tier: nobody disagrees any more")
 
@@ -130,11 +148,22 @@
         """What this node knows and holds, as JSON, for `tier show`."""
         now, tier = now_ms(), self.tier
         members = [
-            {"slot": slot, "state": entry.state, "incarnation": entry.incarnation, "heard_ms_ago": _since(entry.heard_ms, now)}
+            {
+                "slot": slot,
+                "state": entry.state,
+                "incarnation": entry.incarnation,
+                "heard_ms_ago": _since(entry.heard_ms, now),
+            }
             for slot, entry in enumerate(tier.members.entries)
         ]
         leases = [
-            {"bound": bound, "parts": lease.parts, "size": lease.size, "keeper": lease.keeper[0], "ends_in_ms": lease.until_ms - now}
+            {
+                "bound": bound,
+                "parts": lease.parts,
+                "size": lease.size,
+                "keeper": lease.keeper[0],
+                "ends_in_ms": lease.until_ms - now,
+            }
             for bound, lease in sorted(tier.dealer.holdings.leases.items())
             if lease.until_ms > now
         ]
@@ -169,7 +198,12 @@
         return None
     name, shares = table
     heaviest = [[bucket / BUCKETS, share] for bucket, share in shares[:8]]
-    return {"table": list(name), "digest": f"{crc32(packed(shares)):08x}", "told": len(shares), "heavy": heaviest}
+    return {
+        "table": list(name),
+        "digest": f"{crc32(packed(shares)):08x}",
+        "told": len(shares),
+        "heavy": heaviest,
+    }
 
 
 def _since(at_ms: float, now: float) -> Optional[int]:
--- a/corkshift/upstream.py
+++ b/corkshift/upstream.py
@@ -29,7 +29,9 @@
 IDLE_SHARE = 0.7  # of the stated idle time; a connection that rested longer is not used again
 REST_MS = 2.0  # before a connection is used again: what comes behind an answer, and is not the next one's, shows by then
 SWEEP_S = 0.5
-LOCAL_RETRY_S = 0.01  # before a dial that this machine could not begin is tried again, doubled each time,
+LOCAL_RETRY_S = (
+    0.01  # before a dial that this machine could not begin is tried again, doubled each time,
+)
 LOCAL_RETRY_MOST_S = 0.08  # up to this
 MOST_TURNS = 8  # of the loop, in which an attempt lets discovery's bytes go first: a chunk of them is read in each
 LOCAL_SHARE = 0.7  # of an attempt's time may pass so; then another attempt may have better luck
@@ -67,7 +69,12 @@
     """Connections to all cache servers within one budget of sockets."""
 
     def __init__(
-        self, limit: int, dial_timeout_ms: float, conn_idle_ms: float, figures: Figures, presence: Optional[Presence] = None
+        self,
+        limit: int,
+        dial_timeout_ms: float,
+        conn_idle_ms: float,
+        figures: Figures,
+        presence: Optional[Presence] = None,
     ) -> None:
         self._limit = limit
         self.figures = figures
@@ -205,9 +212,13 @@
 class Attempt:
     """One exchange with a cache server. It ends in exactly one outcome, and nothing is ever sent again."""
 
-    def __init__(self, pool: Pool, server: CacheServer, call: Call, within_ms: float, owner: Owner) -> None:
+    def __init__(
+        self, pool: Pool, server: CacheServer, call: Call, within_ms: float, owner: Owner
+    ) -> None:
         self.server = server
-        self._started_ms = pool.presence.present_ms()  # or, of a request too large to hold, when its last byte went out
+        self._started_ms = (
+            pool.presence.present_ms()
+        )  # or, of a request too large to hold, when its last byte went out
         self._pool = pool
         self.call = call
         self._within_ms = within_ms
@@ -215,7 +226,9 @@
         self._limit = asyncio.timeout(within_ms / 1000.0)
         self._relay: Optional[Relay] = None  # what carries an answer too large to hold
         self._stream: Optional[Stream] = None
-        self._parser: Optional[h11.Connection] = None  # made where an exchange leaves the plain form
+        self._parser: Optional[h11.Connection] = (
+            None  # made where an exchange leaves the plain form
+        )
         self._until_close = False  # the answer has neither a length nor chunks: the end of its connection completes it
         self._reads = 0  # of an answer that is not plain
         self._told_ms = 0  # how long the server was told that this node waits
@@ -245,10 +258,16 @@
             async with self._limit:
                 outcome, cause = await self._exchange(), ""
         except (NotSent, Broken) as error:
-            outcome, cause = Outcome("void"), str(error)  # Broken: the client gave up before its last byte, so it never ran
+            outcome, cause = (
+                Outcome("void"),
+                str(error),
+            )  # Broken: the client gave up before its last byte, so it never ran
         except TimeoutError as error:
             # Until its last byte has left our buffer a request cannot have run.
-            outcome, cause = Outcome("timed_out" if self._written else "unreachable"), str(error) or "time-out"
+            outcome, cause = (
+                Outcome("timed_out" if self._written else "unreachable"),
+                str(error) or "time-out",
+            )
         except (h11.RemoteProtocolError, Spoilt) as error:
             # The server is there and speaks: the module tells this from a connection that broke.
             outcome, cause = Outcome("spoilt" if self._written else "unreachable"), str(error)
@@ -266,7 +285,9 @@
 
     async def _exchange(self) -> Outcome:
         now_s = asyncio.get_running_loop().time()
-        self._stream = await self._pool.connect(self.server, now_s + LOCAL_SHARE * self._within_ms / 1000.0)
+        self._stream = await self._pool.connect(
+            self.server, now_s + LOCAL_SHARE * self._within_ms / 1000.0
+        )
         send = self._send if self.call.feed is None else self._send_bulk
         early = not await send(self._stream)
         return await self._receive(early)
@@ -292,7 +313,9 @@
     def _left_ms(self) -> float:
         """How long this attempt will still wait."""
         when = self._limit.when()
-        return self._within_ms if when is None else 1000.0 * (when - asyncio.get_running_loop().time())
+        return (
+            self._within_ms if when is None else 1000.0 * (when - asyncio.get_running_loop().time())
+        )
 
     def _client_left_ms(self) -> float:
         """How long the client will still wait; of a body too large to hold that time runs from its last byte."""
@@ -303,7 +326,14 @@
 
     def _head(self, parser: h11.Connection, size: Optional[int]) -> bytes:
         """The request's head by the parser."""
-        return parser.send(h11.Request(method=self.call.method, target=self.call.target, headers=self._headers(size))) or b""
+        return (
+            parser.send(
+                h11.Request(
+                    method=self.call.method, target=self.call.target, headers=self._headers(size)
+                )
+            )
+            or b""
+        )
 
     def _make_parser(self) -> h11.Connection:
         """The parser, for a request that has been sent already."""
@@ -428,7 +458,11 @@
             body += event.data
             if pieces.too_small(len(event.data), self._reads):
                 raise Spoilt("in too small pieces")
-            if len(body) > LONGEST or (length is not None and length > LONGEST) or (length is None and now_ms() > half_ms):
+            if (
+                len(body) > LONGEST
+                or (length is not None and length > LONGEST)
+                or (length is None and now_ms() > half_ms)
+            ):
                 return await self._pass_on(bytes(body), length, note)
         return Outcome("success", note, bytes(body))
 
@@ -510,12 +544,17 @@
         if parser is None:
             clean = self._clean
         else:
-            clean = parser.our_state is h11.DONE and parser.their_state is h11.DONE and not parser.trailing_data[0]
+            clean = (
+                parser.our_state is h11.DONE
+                and parser.their_state is h11.DONE
+                and not parser.trailing_data[0]
+            )
         if not self._touched or (self._written and clean):
             self._pool.keep(self.server, stream)
         else:
             self._pool.drop(stream)
 
+
 def _declined(status: int, headers: dict[bytes, bytes]) -> Outcome:
     """What an answer other than 200 means."""
     away = status in (503, 504) and headers.get(b"x-turned-away", b"").strip() == b"1"
--- a/corkshift/watch.py
+++ b/corkshift/watch.py
@@ -18,7 +18,9 @@
 from corkshift.seam import Address
 from corkshift.stream import Stream
 
-SILENT_S = 2.15  # the heartbeat (2 s) and as long as a node may be held up: the watch has fallen silent,
+SILENT_S = (
+    2.15  # the heartbeat (2 s) and as long as a node may be held up: the watch has fallen silent,
+)
 STUCK_S = 1.0  # or has stopped in the middle of a line
 CHUNK_HEAD = 64  # bytes; a size of 16 digits and a short extension (RFC 9112, 7.1)
 
@@ -27,7 +29,12 @@
     """One call to discovery, from its dial to its end."""
 
     def __init__(
-        self, address: Address, generation: Optional[int], patience_s: float, presence: Presence, cache: Optional[EntryCache] = None
+        self,
+        address: Address,
+        generation: Optional[int],
+        patience_s: float,
+        presence: Presence,
+        cache: Optional[EntryCache] = None,
     ) -> None:
         """generation: of the list that the node has, None for a whole one; patience_s: how long the answer may take, in present time."""
         self.address = address
@@ -36,9 +43,13 @@
         self.begun = False  # discovery has answered
         self.carried = False  # a whole line has come
         self.fading = False  # something of it is lost, and another is to take its place: only what takes away is heeded
-        self.reminder: Optional[PresentTimer] = None  # of a call that may need another one beside it
+        self.reminder: Optional[PresentTimer] = (
+            None  # of a call that may need another one beside it
+        )
         self.lines = Lines(cache)
-        self.taking: Optional[asyncio.Task[None]] = None  # of a long line that is being taken in slices,
+        self.taking: Optional[asyncio.Task[None]] = (
+            None  # of a long line that is being taken in slices,
+        )
         self.waiting: deque[bytes] = deque()  # and whole lines behind it
         self._presence = presence
         self.stream: Optional[Stream] = None
@@ -60,7 +71,9 @@
                 target = f"/discovery/hosts?watch=1{after}"
                 host = f"{self.address[0]}:{self.address[1]}"
                 request = h11.Request(method="GET", target=target, headers=[("Host", host)])
-                await self.stream.write(self._parser.send(request) + self._parser.send(h11.EndOfMessage()))
+                await self.stream.write(
+                    self._parser.send(request) + self._parser.send(h11.EndOfMessage())
+                )
                 while isinstance(event := await self._event(), h11.InformationalResponse):
                     pass
         except BaseException:
@@ -90,7 +103,9 @@
         TimeoutError where the watch has fallen silent, h11.RemoteProtocolError once, where the framing is lost.
         """
         # One that is replaced is read on for as long as Discovery has use for it, however silent it is.
-        async with self._presence.timeout(None if self.fading else STUCK_S if self.lines.unfinished else SILENT_S):
+        async with self._presence.timeout(
+            None if self.fading else STUCK_S if self.lines.unfinished else SILENT_S
+        ):
             if self._framed:
                 try:
                     event = await self._event()
@@ -109,7 +124,13 @@
     def unread(self) -> bool:
         """Whether bytes stand in the kernel or here that nobody has looked at; asks the kernel."""
         stream = self.stream
-        return self.begun and stream is not None and not stream.closed and not stream.quiet and stream.has_input
+        return (
+            self.begun
+            and stream is not None
+            and not stream.closed
+            and not stream.quiet
+            and stream.has_input
+        )
 
     def remind_no_more(self) -> None:
         """No further call is needed beside this one."""
--- a/forkweir/adapter.py
+++ b/forkweir/adapter.py
@@ -69,7 +69,9 @@
         may_cancel=bool(allowed.get("mayCancel")),
         second_copies=bool(allowed.get("parallelTries", True)),
         may_probe=bool(allowed.get("probes")),
-        backoff_max_ms=(allowed.get("maxRetryAfterMs") or 0.0) if allowed.get("retryAfter") else 0.0,
+        backoff_max_ms=(allowed.get("maxRetryAfterMs") or 0.0)
+        if allowed.get("retryAfter")
+        else 0.0,
         cold_from=given(contract, "coldFrom", 0.1),
         cold_ms=given(contract, "coldMs", 30_000.0),
         fall_multiple=contract.get("fallMultiple") or 4.0,
@@ -86,7 +88,15 @@
     """One entry of a list."""
     row = row + [None] * (7 - len(row))
     name, zone, kind, cell, state, weight, started = row[:7]
-    return Server(name, zone or "", kind or "", cell or 0, STATES[state], 1.0 if weight is None else weight, started or 0.0)
+    return Server(
+        name,
+        zone or "",
+        kind or "",
+        cell or 0,
+        STATES[state],
+        1.0 if weight is None else weight,
+        started or 0.0,
+    )
 
 
 def said(sends: list[Send]) -> list[Action]:
@@ -121,22 +131,40 @@
             raise Malformed(f"event {name} for unknown instance {i}")
         if name == "REQUEST":
             m = message + [None] * (11 - len(message))
-            return i, balancer.on_request(now, m[2], m[8] or "", m[10], m[5] or 0.0, m[6] or 0.0, m[4] or "", bool(m[9]), bool(m[3]))
+            return i, balancer.on_request(
+                now,
+                m[2],
+                m[8] or "",
+                m[10],
+                m[5] or 0.0,
+                m[6] or 0.0,
+                m[4] or "",
+                bool(m[9]),
+                bool(m[3]),
+            )
         if name == "ANSWER":
             m = message + [None] * (10 - len(message))
-            return i, balancer.on_outcome(now, m[2], m[3], bool(m[4]), m[6], m[7], m[5] or 0.0, m[8] or 0, m[9])
+            return i, balancer.on_outcome(
+                now, m[2], m[3], bool(m[4]), m[6], m[7], m[5] or 0.0, m[8] or 0, m[9]
+            )
         if name == "MEMBERSHIP":
             form = FORMS[message[4]]
-            return i, balancer.on_list(now, form, [] if form == "failed" else self.lists[message[3]])
+            return i, balancer.on_list(
+                now, form, [] if form == "failed" else self.lists[message[3]]
+            )
         if name == "TICK_DUE":
-            return i, self._tick(now, i) if message[2] == TIER_TIMER else balancer.on_timer(now, message[2])
+            return i, self._tick(now, i) if message[2] == TIER_TIMER else balancer.on_timer(
+                now, message[2]
+            )
         if name == "CLIENT_GONE":
             return i, balancer.on_departure(now, message[2])
         if name == "UNDER_WAY":
             return i, balancer.on_started(now, message[2], message[5], message[4])
         if name == "PEER":
             tier = self.tiers.get(i)
-            return i, [] if tier is None else said(tier.receive(message[2], bytes.fromhex(message[3]), now))
+            return i, [] if tier is None else said(
+                tier.receive(message[2], bytes.fromhex(message[3]), now)
+            )
         if name == "PONG":
             m = message + [None] * (6 - len(message))
             return i, balancer.on_probe(now, m[3], m[2], m[4] or 0.0, m[5])
@@ -151,7 +179,14 @@
         from forkweir.tier.seat import Seat
         from forkweir.tier.tier import Tier
 
-        tier = Tier(options["slotNo"], options["balancers"], seed, int(now / 1000.0), now, tier=options.get("tier") or 0)
+        tier = Tier(
+            options["slotNo"],
+            options["balancers"],
+            seed,
+            int(now / 1000.0),
+            now,
+            tier=options.get("tier") or 0,
+        )
         self.tiers[i] = Seat(self.instances[i], tier).tier
         return self._tick(now, i)
 
@@ -196,7 +231,9 @@
                 replies.append(orjson.dumps(["GIVE_IN", i, f"{type(error).__name__}: {error}"]))
                 continue
             for action in actions:
-                words = action[:3] if action[0] == "refuse" else action  # this wire has no place for a cause
+                words = (
+                    action[:3] if action[0] == "refuse" else action
+                )  # this wire has no place for a cause
                 replies.append(orjson.dumps([WORDS[str(action[0])], i, *words[1:]]))
 
 
--- a/forkweir/choice.py
+++ b/forkweir/choice.py
@@ -45,7 +45,9 @@
 WRITE_TRIAL = 0.05  # part of the writes that go on to try it
 HOPELESS = 0.1  # with less than this part of the aim left a request will be late
 QUICKER = 1.1  # a server this much quicker than its range's home takes its writes
-HEDGE_PART = 0.95  # a request that is out for longer than this part of all takes is asked for once more,
+HEDGE_PART = (
+    0.95  # a request that is out for longer than this part of all takes is asked for once more,
+)
 HEDGE_LEAST = 0.5  # but not before this part of its aim,
 HEDGE_MOST = 0.7  # and not at all where that is later than this part
 HEDGE_LEARN = 0.02  # weight of one outcome in the judgement of how long that is
@@ -101,19 +103,29 @@
         self.patience = Patience()
         self.probes = 0
         self.gate = Gate(self.fleet)
-        self.least_worth = min((spec.worth for spec in settings.classes if spec.worth > 0.0), default=1.0)
+        self.least_worth = min(
+            (spec.worth for spec in settings.classes if spec.worth > 0.0), default=1.0
+        )
         self.costs = Costs()
         worths = [spec.worth for spec in settings.classes]
         self.allowances = Allowances(settings.fall_multiple, max(worths, default=1.0), seed)
         self.fetches = Fetches(max(worths, default=1.0))
         self.advice = Advice(settings.backoff_max_ms, seed)
-        self.parts: Optional[Parts] = None  # of bounds that many nodes share, where they may talk to one another
+        self.parts: Optional[Parts] = (
+            None  # of bounds that many nodes share, where they may talk to one another
+        )
         self.asking = Asking(settings.ask_within_ms, self.random, not settings.asked)
-        self.usual = HEDGE_MOST  # the part of their aims in which HEDGE_PART of the attempts are answered
-        self.waits: list[tuple[float, int]] = []  # a heap: when each request sent lately will have been out for long
+        self.usual = (
+            HEDGE_MOST  # the part of their aims in which HEDGE_PART of the attempts are answered
+        )
+        self.waits: list[
+            tuple[float, int]
+        ] = []  # a heap: when each request sent lately will have been out for long
         self.looks = False  # whether a look at them is due
         self._rebuild_planned = False  # a timer for the next slice of a placement is set
-        self._rebuilding: Optional[Iterator[None]] = None  # a placement that is being made in slices
+        self._rebuilding: Optional[Iterator[None]] = (
+            None  # a placement that is being made in slices
+        )
 
     # -- the server list ---------------------------------------------------------------
 
@@ -149,7 +161,12 @@
     def _prepare(self, now: float) -> bool:
         """Whether any range has a home. A small fleet's placement is brought up to date first, if that is due."""
         fleet = self.fleet
-        if fleet.stale and self._rebuilding is None and not fleet.large and fleet.rebuild_at(now) <= now:
+        if (
+            fleet.stale
+            and self._rebuilding is None
+            and not fleet.large
+            and fleet.rebuild_at(now) <= now
+        ):
             for _ in self._rebuild(now):
                 pass
         return fleet.ready
@@ -230,9 +247,15 @@
         deadline = now + budget_ms
         # A client that repeats has waited since its first try (guards against full servers working on what is late already).
         waited = self.patience.waited(spec.name, budget_ms, repeated, spec.deadline_ms)
-        aim_at = now - waited + spec.aim_ms + spec.aim_stretch * work_ms - 2.0 * self.settings.tick_ms
-        worth = spec.worth if aim_at > now + HOPELESS * spec.aim_ms else spec.worth * spec.late_worth
-        request = Request(request_id, spec, key, position, min(aim_at, deadline), deadline, work_ms, write)
+        aim_at = (
+            now - waited + spec.aim_ms + spec.aim_stretch * work_ms - 2.0 * self.settings.tick_ms
+        )
+        worth = (
+            spec.worth if aim_at > now + HOPELESS * spec.aim_ms else spec.worth * spec.late_worth
+        )
+        request = Request(
+            request_id, spec, key, position, min(aim_at, deadline), deadline, work_ms, write
+        )
         request.cost = self.costs.of(spec, work_ms)
         self.allowances.asked(now, request.cost, self.fleet.warm(now))
         self.repeats.earn()
@@ -262,7 +285,9 @@
                 self.parts.wants_fetches(expected, fetches.flight_ms, now)
                 fetches.dealt = self.parts.fetches(fetches.would_be, now)
             if not fetches.has(expected, spec.worth):
-                return [self._refuse(request, "origin", fetches.opens_in(expected, spec.worth), now)]
+                return [
+                    self._refuse(request, "origin", fetches.opens_in(expected, spec.worth), now)
+                ]
         # A write that the origin carries out late is lost and still voids the kept object (guards
         # against an origin in trouble taking the hits away as well).
         if write and self.gate.origin_slow > ORIGIN_DOWN and self.random.random() >= WRITE_TRIAL:
@@ -270,15 +295,23 @@
         self.held[request_id] = request
         return [self._send(request, target, now), *self._watch(request, now)]
 
-    def _refuse(self, request: Request, cause: Cause, opens_ms: Optional[float], now: float) -> Action:
+    def _refuse(
+        self, request: Request, cause: Cause, opens_ms: Optional[float], now: float
+    ) -> Action:
         return ("refuse", request.id, self.advice.wait(opens_ms, request.aim_at - now), cause)
 
     def _unserved(self, request: Request, now: float) -> tuple[Cause, Optional[float]]:
         """Why no server can take a request, and when one may."""
         fleet, soonest = self.fleet, None
         for member in fleet.placed:
-            if member.account is not None and fleet.is_cold(member, now) and fleet.usable(member, now):
-                opens = self.allowances.opens_in(member.account, self._cold_rate(member, now), request.cost, now)
+            if (
+                member.account is not None
+                and fleet.is_cold(member, now)
+                and fleet.usable(member, now)
+            ):
+                opens = self.allowances.opens_in(
+                    member.account, self._cold_rate(member, now), request.cost, now
+                )
                 soonest = opens if soonest is None else min(soonest, opens)
         return ("no-server", None) if soonest is None else ("cold", soonest)
 
@@ -287,7 +320,11 @@
         if request.spec.repeat == "unsafe":
             return []
         trial = request.servers[-1].trial == request.id
-        due = now + (TRIAL_PART if trial else min(max(HEDGE_LEAST, self.usual), HEDGE_MOST)) * request.spec.aim_ms
+        due = (
+            now
+            + (TRIAL_PART if trial else min(max(HEDGE_LEAST, self.usual), HEDGE_MOST))
+            * request.spec.aim_ms
+        )
         if due >= request.aim_at:
             return []
         heappush(self.waits, (due, request.id))
@@ -324,13 +361,23 @@
         calm = self.gate.origin_slow <= ORIGIN_SLOW
         tried = member.trial == request.id
         trial = tried and not member.strikes  # of a server that is in doubt; the others were struck
-        if not trial and (tried or calm and self.fleet.silent_for(member, request.sent[last], request.spec.aim_ms, now)):
+        if not trial and (
+            tried
+            or calm
+            and self.fleet.silent_for(member, request.sent[last], request.spec.aim_ms, now)
+        ):
             member.strike(now)
         unfit = not self.repeats.enough or self.usual > HEDGE_MOST or not calm
-        if (unfit and not trial) or request.tries >= self.settings.max_attempts or not self.settings.second_copies:
+        if (
+            (unfit and not trial)
+            or request.tries >= self.settings.max_attempts
+            or not self.settings.second_copies
+        ):
             return []
         alive = member.heard_ms > request.sent[last] and self.fleet.usable(member, now)
-        target = member if alive and self._has_room(member, request, now) else self._pick(request, now)
+        target = (
+            member if alive and self._has_room(member, request, now) else self._pick(request, now)
+        )
         if target is None or (target is not member and target in request.servers):
             return []
         if request.ran is None:  # what is out may have run by now
@@ -352,7 +399,9 @@
         start = 0
         depth = request.position * 65536.0 % 1.0
         if request.key is not None:
-            copies = self.line.copies(request.key, min(len(near), fleet.live or 1), request.position)
+            copies = self.line.copies(
+                request.key, min(len(near), fleet.live or 1), request.position
+            )
             if copies > 1:
                 self.turn += 1
                 start = self.turn % copies
@@ -363,7 +412,11 @@
             least = QUICKER * fleet.speeds.quickness(near[0].info.kind)
             for step in range(1, len(near) if least else 0):
                 member = near[step]
-                if fleet.speeds.quickness(member.info.kind) >= least and not member.strain and not fleet.is_cold(member, now):
+                if (
+                    fleet.speeds.quickness(member.info.kind) >= least
+                    and not member.strain
+                    and not fleet.is_cold(member, now)
+                ):
                     start = step
                     break
         for step in range(len(near)):
@@ -371,7 +424,9 @@
             if fleet.usable(member, now) and member not in tried:
                 # Cold servers take no keys of others (guards against pushing one over).
                 warm = not fleet.is_cold(member, now)
-                if depth < fleet.kept(member, now) and (warm or (not step and self._has_room(member, request, now))):
+                if depth < fleet.kept(member, now) and (
+                    warm or (not step and self._has_room(member, request, now))
+                ):
                     return member
             depth = (depth + 0.618034) % 1.0
         full: Optional[Member] = None
@@ -396,13 +451,21 @@
                     spare = member
         # No warm server is left: the nearest cold ones with room, home first (guards against a fleet that is cold as a whole
         # turned away as a whole, or sent to one server).
-        return (self._cold_with_room((*near, *cold[:COLD_LOOKS]), request, now) if cold else None) or spare
+        return (
+            self._cold_with_room((*near, *cold[:COLD_LOOKS]), request, now) if cold else None
+        ) or spare
 
-    def _cold_with_room(self, members: Iterable[Member], request: Request, now: float) -> Optional[Member]:
+    def _cold_with_room(
+        self, members: Iterable[Member], request: Request, now: float
+    ) -> Optional[Member]:
         """The first cold server of these that the request has not tried and that has room for it."""
         fleet = self.fleet
         for member in members:
-            if fleet.is_cold(member, now) and fleet.usable(member, now) and member not in request.servers:
+            if (
+                fleet.is_cold(member, now)
+                and fleet.usable(member, now)
+                and member not in request.servers
+            ):
                 if self._has_room(member, request, now):
                     return member
         return None
@@ -413,7 +476,11 @@
         if not fleet.is_cold(member, now):
             return True
         if self.parts is not None:
-            self.parts.wants_work(member.info.name, request.cost / (fleet.weight_of(member) * fleet.ramp(member, now)), now)
+            self.parts.wants_work(
+                member.info.name,
+                request.cost / (fleet.weight_of(member) * fleet.ramp(member, now)),
+                now,
+            )
         rate = self._cold_rate(member, now)
         if member.account is None:
             member.account = self.allowances.open(now, request.cost, rate, member.known_ms)
@@ -447,7 +514,11 @@
         if member.account is not None and self.fleet.is_cold(member, now):
             self.allowances.pay(member.account, request.cost, request.spec.worth, now)
         self.fleet.zones.sent(member.info.zone, request.spec.aim_ms, now)
-        until = request.aim_at if request.spec.late_worth <= 0.0 and request.aim_at > now else request.deadline
+        until = (
+            request.aim_at
+            if request.spec.late_worth <= 0.0 and request.aim_at > now
+            else request.deadline
+        )
         return ("attempt", request.id, member.info.name, max(self.settings.tick_ms, until - now))
 
     def on_outcome(
@@ -491,16 +562,26 @@
             return []
         if request.once:
             return [self._end(request, now)]
-        if status == "absent" and self.fleet.origin is not None and request.tries < self.settings.max_attempts:
+        if (
+            status == "absent"
+            and self.fleet.origin is not None
+            and request.tries < self.settings.max_attempts
+        ):
             return [self._send(request, self.fleet.origin, now)]
         left = request.aim_at - now
         # A server whose answer was lost on the way has done the work and keeps what it fetched: it is asked again, once.
-        again = member if seen.fault and member is not None and self.fleet.usable(member, now) else None
+        again = (
+            member if seen.fault and member is not None and self.fleet.usable(member, now) else None
+        )
         if again is not None and not self._has_room(again, request, now):
             again = None
         if again is not None and (again.faults > 1 or request.servers.count(again) > 1):
             again = None
-        if seen.full and left > 0.25 * request.spec.aim_ms and request.tries < self.settings.max_attempts:
+        if (
+            seen.full
+            and left > 0.25 * request.spec.aim_ms
+            and request.tries < self.settings.max_attempts
+        ):
             calm = self._calm(request, now)
             if calm is not None and self._may_repeat(request, calm, now):
                 return [self._send(request, calm, now)]
@@ -509,9 +590,18 @@
         # While little else goes wrong, faults do not come of load and need no savings (guards against a bank emptied by resets).
         free = seen.fault and self.gate.bad < USUAL_BAD
         savings = self.errors if seen.quick_error(request.spec.aim_ms) else self.repeats
-        if hopeful and left > 0.25 * request.spec.aim_ms and request.tries < self.settings.max_attempts and (free or savings.enough):
+        if (
+            hopeful
+            and left > 0.25 * request.spec.aim_ms
+            and request.tries < self.settings.max_attempts
+            and (free or savings.enough)
+        ):
             target = again or self._pick(request, now)
-            if target is not None and (again or target not in request.servers) and self._may_repeat(request, target, now):
+            if (
+                target is not None
+                and (again or target not in request.servers)
+                and self._may_repeat(request, target, now)
+            ):
                 if not free:
                     savings.spend()
                 return [self._send(request, target, now)]
@@ -528,7 +618,18 @@
             return word(note, elapsed_ms, None, trial=trial)
         expected, known = request.fetches.get(attempt, NO_FETCH)
         cold = member is not None and self.fleet.is_cold(member, now)
-        return word(note, elapsed_ms, request.spec, request.work, request.write, known, expected, cold, trial, request.tries)
+        return word(
+            note,
+            elapsed_ms,
+            request.spec,
+            request.work,
+            request.write,
+            known,
+            expected,
+            cold,
+            trial,
+            request.tries,
+        )
 
     def _load(self, request: Request, member: Member, seen: Seen, now: float) -> None:
         """What an outcome tells of what servers bear."""
@@ -553,7 +654,9 @@
         fetches = self.fetches
         del request.fetches[attempt]
         fetches.back(seen.likely_miss, now if seen.fetch_over else None)
-        jammed = self.gate.slow > USUAL_SLOW  # servers are slow by themselves: a time-out tells nothing of the origin
+        jammed = (
+            self.gate.slow > USUAL_SLOW
+        )  # servers are slow by themselves: a time-out tells nothing of the origin
         missed = seen.missed(jammed)
         if missed is not None:
             fetches.learn(seen.known, missed)
@@ -581,9 +684,15 @@
             member = request.servers[n]
             if n < winner:
                 self._learn(True)
-                out = self._seen(request, n, member, "withdrawn", 0, now - request.sent[n], request.id, now)
+                out = self._seen(
+                    request, n, member, "withdrawn", 0, now - request.sent[n], request.id, now
+                )
                 self.fleet.doubted(member, out, now)
-            if n < winner and self.gate.origin_slow < ORIGIN_SLOW and member is not request.servers[winner]:
+            if (
+                n < winner
+                and self.gate.origin_slow < ORIGIN_SLOW
+                and member is not request.servers[winner]
+            ):
                 self.fleet.strained(member, now, self.gate.blame(), True)
 
     def _may_repeat(self, request: Request, target: Member, now: float) -> bool:
@@ -591,7 +700,10 @@
         ran, spec = request.ran, request.spec
         if ran is None or spec.repeat == "safe":
             return True
-        if spec.repeat != "keyed" or now - request.first_ran > spec.repeat_window_ms - 2.0 * self.settings.tick_ms:
+        if (
+            spec.repeat != "keyed"
+            or now - request.first_ran > spec.repeat_window_ms - 2.0 * self.settings.tick_ms
+        ):
             return False
         if spec.group == "zone":
             return target.info.zone == ran.info.zone
@@ -603,7 +715,11 @@
         del self.held[request.id]
         self._settle(request)
         spec = request.spec
-        if request.ran is None or spec.repeat == "safe" or (spec.repeat == "keyed" and spec.group == "all"):
+        if (
+            request.ran is None
+            or spec.repeat == "safe"
+            or (spec.repeat == "keyed" and spec.group == "all")
+        ):
             return self._refuse(request, "tries", None, now)
         return ("fail", request.id)
 
@@ -630,7 +746,9 @@
             return []
         return [("cancel", request_id, n) for n in sorted(request.out)]
 
-    def on_probe(self, now: float, server: str, status: str, elapsed_ms: float, load: Optional[list[float]]) -> list[Action]:
+    def on_probe(
+        self, now: float, server: str, status: str, elapsed_ms: float, load: Optional[list[float]]
+    ) -> list[Action]:
         """A probe came back."""
         member = self.fleet.members.get(server)
         if member is not None and load:
--- a/forkweir/fleet.py
+++ b/forkweir/fleet.py
@@ -29,8 +29,12 @@
 HOLD_MS = 30_000.0  # a server that vanished undrained keeps its ranges this long
 WASH = 0.05  # of its good answers a server loses by each further strain in a row, for each unit of strain
 EASE = 0.6  # how much one good answer lightens the strain of bad ones
-WARM_MS = 1_000.0  # between two counts of the warm servers, longer in proportion beyond REBUILD_SERVERS,
-RECOUNT_PART = 0.1  # or at once where the list has changed: of a large fleet, by this part of its servers
+WARM_MS = (
+    1_000.0  # between two counts of the warm servers, longer in proportion beyond REBUILD_SERVERS,
+)
+RECOUNT_PART = (
+    0.1  # or at once where the list has changed: of a large fleet, by this part of its servers
+)
 FEW = 8  # servers that are put in order one by one; beyond, sorting is cheaper
 STRAIN_MS = 5_000.0  # strain fades by e in this time (docs/cold-and-full.md has what longer costs)
 
@@ -38,7 +42,19 @@
 class Member(Health):
     """A server as this node sees it."""
 
-    __slots__ = ("info", "gone_ms", "warm_ms", "told_ms", "known_ms", "pace", "strain", "strain_ms", "slow_row", "good", "account")
+    __slots__ = (
+        "info",
+        "gone_ms",
+        "warm_ms",
+        "told_ms",
+        "known_ms",
+        "pace",
+        "strain",
+        "strain_ms",
+        "slow_row",
+        "good",
+        "account",
+    )
 
     def __init__(self, info: Server) -> None:
         super().__init__(info.state == "in", info.state == "draining")
@@ -88,16 +104,24 @@
         self.members: dict[str, Member] = {}
         self.zones = Zones(settings.zone)
         self.speeds = Speeds(settings)
-        self.placed: list[Member] = []  # who may be home to ranges, in the order of their names; never changed in place
-        self.placement: Optional[Placement[Member]] = None  # homes of ranges, for those who were in `placed` when it was begun
+        self.placed: list[
+            Member
+        ] = []  # who may be home to ranges, in the order of their names; never changed in place
+        self.placement: Optional[Placement[Member]] = (
+            None  # homes of ranges, for those who were in `placed` when it was begun
+        )
         self.stale = False  # the list has changed since
         self.rebuilt_ms = 0.0  # when that was
         self.origin: Optional[Member] = None
         self.weight = 0.0  # of all that are present,
-        self.warm_weight = 0.0  # and of those that are warm and in use, counted at most every WARM_MS
+        self.warm_weight = (
+            0.0  # and of those that are warm and in use, counted at most every WARM_MS
+        )
         self.warm_due = 0.0
         self._present: set[Member] = set()  # of `placed`
-        self._departed: dict[str, Member] = {}  # vanished undrained, longest ago first: they keep their ranges for HOLD_MS
+        self._departed: dict[
+            str, Member
+        ] = {}  # vanished undrained, longest ago first: they keep their ranges for HOLD_MS
         self._most_departed = 0
 
     @property
@@ -135,7 +159,12 @@
             # It has started by the time word of it comes (guards against a node whose clock is behind keeping a server cold
             # for as long as that). Harm: none, its ramp is held to begin later than it did.
             again = member is not None and member.told_ms == told
-            info = replace(info, started_ms=member.info.started_ms if member is not None and again else max(now, 1.0))  # 0 is long ago
+            info = replace(
+                info,
+                started_ms=member.info.started_ms
+                if member is not None and again
+                else max(now, 1.0),
+            )  # 0 is long ago
         if member is None:
             if info.state in ("gone", "unlisted"):
                 return None
@@ -190,7 +219,11 @@
 
     def _move_origin(self) -> None:
         """The origin that is present, if there is one; of several the one with the last name."""
-        origins = [name for name, member in self.members.items() if member.present and self._is_origin(member)]
+        origins = [
+            name
+            for name, member in self.members.items()
+            if member.present and self._is_origin(member)
+        ]
         self.origin = self.members[max(origins)] if origins else None
 
     def _is_placed(self, member: Member) -> bool:
@@ -202,7 +235,11 @@
         leaving = {member for member in leaving if self._is_placed(member)}
         if not (entering or leaving):
             return
-        placed = [member for member in self.placed if member not in leaving] if leaving else self.placed.copy()
+        placed = (
+            [member for member in self.placed if member not in leaving]
+            if leaving
+            else self.placed.copy()
+        )
         if len(entering) <= FEW:
             for member in entering:
                 insort(placed, member, key=_name_of)
@@ -214,11 +251,15 @@
     def _forget_departed(self, now: float, in_service_before: int) -> None:
         """Drop who went drained, or HOLD_MS ago, or before as many others as were in service (guards against servers that are replaced
         over and over, each of which would count towards the number of ranges)."""
-        self._most_departed = max(self._most_departed if len(self._departed) > 1 else 0, in_service_before, self.live)
+        self._most_departed = max(
+            self._most_departed if len(self._departed) > 1 else 0, in_service_before, self.live
+        )
         over = [name for name, member in self._departed.items() if now - member.gone_ms >= HOLD_MS]
         spared = len(self._departed) - len(over)
         if spared > self._most_departed:
-            held = [name for name, member in self._departed.items() if now - member.gone_ms < HOLD_MS]
+            held = [
+                name for name, member in self._departed.items() if now - member.gone_ms < HOLD_MS
+            ]
             over += held[: spared - self._most_departed]
         gone = {self.members.pop(name) for name in over}
         for name in over:
@@ -242,7 +283,10 @@
     @property
     def large(self) -> bool:
         """Whether a placement is to be made in slices."""
-        return max(len(self.placed), len(self.placement.members) if self.placement is not None else 0) > AT_ONCE_SERVERS
+        return (
+            max(len(self.placed), len(self.placement.members) if self.placement is not None else 0)
+            > AT_ONCE_SERVERS
+        )
 
     def rebuild_at(self, now: float) -> float:
         """When the next placement is due, if the list has changed: at once where there is none, else not too often.
@@ -337,7 +381,9 @@
 
     def avoided(self, now: float) -> int:
         """How many servers of the list get nothing now because of how they did."""
-        return sum(member.present and not self.usable(member, now) for member in self.members.values())
+        return sum(
+            member.present and not self.usable(member, now) for member in self.members.values()
+        )
 
     def strained(self, member: Member, now: float, more: float, slow: bool = False) -> None:
         """Note a slow answer or none (or, with 0, a good one): fewer of its keys for a while (guards against a jam fed for ever)."""
@@ -362,7 +408,12 @@
         if not (self.ready and self.placed):
             return None
         for member in chain(self.neighbours(r), self.from_turn(r)):
-            if member.calm and self.usable(member, now) and member not in tried and not self.is_cold(member, now):
+            if (
+                member.calm
+                and self.usable(member, now)
+                and member not in tried
+                and not self.is_cold(member, now)
+            ):
                 return member
         return None
 
--- a/forkweir/gate.py
+++ b/forkweir/gate.py
@@ -22,7 +22,9 @@
 USUAL_SLOW = 0.1  # a part of hits that is slow without a jam
 JAM = 0.3  # and with most of the fleet jammed
 BAD_STEP = 0.02  # weight of one outcome in the part that goes wrong
-GATE_STEP_MS = 200.0  # between two shuts (guards against one burst of time-outs, as when links are cut)
+GATE_STEP_MS = (
+    200.0  # between two shuts (guards against one burst of time-outs, as when links are cut)
+)
 
 
 class Gate:
@@ -49,7 +51,11 @@
         if seen.served:
             # While much goes wrong it opens by time and not by answers (guards against nodes with
             # many requests admitting keys faster than the origin can fetch them).
-            more = GATE_OPEN if self.bad < USUAL_BAD else min(GATE_OPEN, GATE_OPEN_BAD * (now - self.good_ms))
+            more = (
+                GATE_OPEN
+                if self.bad < USUAL_BAD
+                else min(GATE_OPEN, GATE_OPEN_BAD * (now - self.good_ms))
+            )
             # A late answer is no sign of room (guards against an overload that late answers keep up).
             if elapsed_ms <= aim or not aim:
                 self.part = min(1.0, self.part + more)
@@ -66,7 +72,10 @@
                 or (
                     seen.timed_out
                     and bad <= 0.5
-                    and (self.slow > JAM or member.strain * exp((member.strain_ms - now) / STRAIN_MS) < 1.0)
+                    and (
+                        self.slow > JAM
+                        or member.strain * exp((member.strain_ms - now) / STRAIN_MS) < 1.0
+                    )
                     and not self.fleet.zones.quiet(member.info.zone)
                 )
             )
@@ -107,7 +116,9 @@
                 # for an answer that no server could have given; away from home, reads missed twice as often), but only as far as
                 # misses that are answered take long (guards against servers that are throttled and spared for a quick origin).
                 slow_origin = min(1.0, self.origin_slow / ORIGIN_SLOW) ** 2
-                blame = self.blame() * ((1.0 - seen.likely_miss * slow_origin) ** 2 if seen.timed_out else 1.0)
+                blame = self.blame() * (
+                    (1.0 - seen.likely_miss * slow_origin) ** 2 if seen.timed_out else 1.0
+                )
                 if blame > 0.0:  # 0 would count as a good answer
                     self.fleet.strained(member, now, blame, seen.timed_out)
         elif hit and aim:
--- a/forkweir/known/asking.py
+++ b/forkweir/known/asking.py
@@ -32,7 +32,9 @@
 URGENT_MS = 4_000.0
 URGENT_MOST = 2.0
 SPREAD_MS = 5.0  # over which urgent calls are spread
-AGAIN_MS = 40.0  # after an urgent call that failed; two fit into the time in which a drain is to be heeded
+AGAIN_MS = (
+    40.0  # after an urgent call that failed; two fit into the time in which a drain is to be heeded
+)
 AGENT_MS = 40.0  # between two calls to an agent that did not answer
 SOON_MS = 1_000.0
 LEAST_MS = 20.0
--- a/forkweir/known/departures.py
+++ b/forkweir/known/departures.py
@@ -41,7 +41,11 @@
         known = self._latest.pop(name, None)
         if known is not None and known.generation >= generation:
             generation = known.generation
-        self._latest[name] = Departure(generation, started_ms, now if known is None or generation > known.generation else known.at_ms)
+        self._latest[name] = Departure(
+            generation,
+            started_ms,
+            now if known is None or generation > known.generation else known.at_ms,
+        )
         while len(self._latest) > MOST:
             del self._latest[next(iter(self._latest))]
 
--- a/forkweir/known/doubt.py
+++ b/forkweir/known/doubt.py
@@ -85,17 +85,23 @@
         """
         return share > MOST_OUT and (share > MOST_ALONE or self.usual(sort) > COMMON)
 
-    def judge(self, record: Record, sort: str, wrong: bool, now: float, common: bool = False) -> float:
+    def judge(
+        self, record: Record, sort: str, wrong: bool, now: float, common: bool = False
+    ) -> float:
         """An attempt of a sort ended well, or not; how likely its server is bad, after it.
 
         common: as many servers seem bad as can't all be: then it is no server's doing, and counts in full as what is usual (guards
         against a trouble of all that passes for many bad servers, from which nothing would be learned).
         """
         usual = self.usual(sort)
-        record.odds = PRIOR_ODDS + (record.odds - PRIOR_ODDS) * exp(-max(0.0, now - record.at) / FORGET_MS)
+        record.odds = PRIOR_ODDS + (record.odds - PRIOR_ODDS) * exp(
+            -max(0.0, now - record.at) / FORGET_MS
+        )
         record.at = now
         more = log(BAD / usual) if wrong else log((1.0 - BAD) / (1.0 - usual))
-        record.odds = min(HIGH, max(LOW, record.odds + more))  # MOST_USUAL is less than BAD: wrong adds, right takes away
+        record.odds = min(
+            HIGH, max(LOW, record.odds + more)
+        )  # MOST_USUAL is less than BAD: wrong adds, right takes away
         bad = 0.0 if common else 1.0 / (1.0 + exp(-record.odds))
         if not wrong and record.odds <= 0.0:
             record.row = 0
--- a/forkweir/known/groups.py
+++ b/forkweir/known/groups.py
@@ -21,7 +21,9 @@
 
     def __init__(self) -> None:
         self._level: Optional[int] = None
-        self._since: dict[int, float] = {}  # of higher groups: since when one of their boxes could serve
+        self._since: dict[
+            int, float
+        ] = {}  # of higher groups: since when one of their boxes could serve
 
     def level(self, boxes: Iterable[tuple[int, bool]], now: float) -> int:
         """boxes: of each box in service its priority, and whether it can serve. The level; 0 where there is no box."""
