--- a/forkweir/known/health.py
+++ b/forkweir/known/health.py
@@ -32,7 +32,11 @@
 
 EJECT_MS = 1_000.0  # first ejection; doubles up to the longest
 EJECT_MAX_MS = 8_000.0
-FAULTS_ROW = {"unreachable": 2, "broken": 3, "spoilt": 4}  # so many faults in a row, with no answer between: the server is out
+FAULTS_ROW = {
+    "unreachable": 2,
+    "broken": 3,
+    "spoilt": 4,
+}  # so many faults in a row, with no answer between: the server is out
 TURNED_STEP = 0.1  # weight of one outcome in the part of attempts that a server turns away
 CALM = 0.15  # a server that turns away less than this lately has room
 SILENT_ROW = 4  # so many requests out for that long in a row, with no answer between, over a whole aim: the server is silent
@@ -41,7 +45,16 @@
 AWAY_MS = 2_000.0  # out for longer than this it may have started anew without word from the list
 
 State = Literal["in_service", "cold", "silent", "doubted", "due", "on_trial", "draining", "gone"]
-STATES: tuple[State, ...] = ("in_service", "cold", "silent", "doubted", "due", "on_trial", "draining", "gone")
+STATES: tuple[State, ...] = (
+    "in_service",
+    "cold",
+    "silent",
+    "doubted",
+    "due",
+    "on_trial",
+    "draining",
+    "gone",
+)
 
 
 class Health:
@@ -159,7 +172,15 @@
             server.turned += TURNED_STEP * (seen.away - server.turned)
         return back
 
-    def silent_for(self, server: Health, sent_ms: float, aim_ms: float, servers: Sequence[Health], live: int, now: float) -> bool:
+    def silent_for(
+        self,
+        server: Health,
+        sent_ms: float,
+        aim_ms: float,
+        servers: Sequence[Health],
+        live: int,
+        now: float,
+    ) -> bool:
         """Note a request out for long; whether the server is to be put out for saying nothing.
 
         Guards against a server that has vanished or hangs while the list still names it: its connections stay open, so nothing
@@ -172,14 +193,21 @@
         server.waited += 1
         if server.strikes or server.waited < SILENT_ROW or now - server.waited_ms <= aim_ms:
             return False
-        return sum(1 for other in servers if other.present and other.out_until > now) < SILENT_MOST * live
-
-    def doubted(self, server: Health, seen: Seen, servers: Sequence[Health], live: int, now: float) -> float:
+        return (
+            sum(1 for other in servers if other.present and other.out_until > now)
+            < SILENT_MOST * live
+        )
+
+    def doubted(
+        self, server: Health, seen: Seen, servers: Sequence[Health], live: int, now: float
+    ) -> float:
         """Note how an attempt went; how likely its server is bad. One that is is kept out, but for trials, where most are not."""
         sort, wrong = seen.sort, seen.wrong
         if wrong is None:
             return 0.0
-        common = wrong and self.doubts.common(sort, sum(other.present and other.record.bad for other in servers) / max(1, live))
+        common = wrong and self.doubts.common(
+            sort, sum(other.present and other.record.bad for other in servers) / max(1, live)
+        )
         bad = self.doubts.judge(server.record, sort, wrong, now, common)
         if common:
             for other in servers:
@@ -191,7 +219,15 @@
             server.out_until = 0.0
         return bad
 
-    def heard(self, server: Health, odds: float, back: bool, servers: Sequence[Health], live: int, now: float) -> None:
+    def heard(
+        self,
+        server: Health,
+        odds: float,
+        back: bool,
+        servers: Sequence[Health],
+        live: int,
+        now: float,
+    ) -> None:
         """Other nodes say this of a server (`forkweir/tier/signals`). odds: to be added to those of our own test; back: it answers again.
 
         One that is more likely bad than good by both is kept out and tried, as by an attempt of our own; not where so many seem bad that
@@ -202,7 +238,9 @@
         if not server.present or server.strikes:
             return
         if server.record.bad and odds and not server.record.row:
-            if sum(other.present and other.record.bad for other in servers) <= MOST_HEARD * max(1, live):
+            if sum(other.present and other.record.bad for other in servers) <= MOST_HEARD * max(
+                1, live
+            ):
                 server.out_until = max(server.out_until, now + self.doubts.wait(server.record))
         elif back and server.record.row and server.trial < 0:
             server.out_until = min(server.out_until, now)
--- a/forkweir/known/hearsay.py
+++ b/forkweir/known/hearsay.py
@@ -21,7 +21,9 @@
 from dataclasses import dataclass
 
 MOST_SUSPECT = 0.25  # of the servers in service
-SUSPECT_MS = 10_000.0  # by when what was to be told counts as told anyway, and has been asked for many times
+SUSPECT_MS = (
+    10_000.0  # by when what was to be told counts as told anyway, and has been asked for many times
+)
 
 
 @dataclass(frozen=True, slots=True)
@@ -47,7 +49,9 @@
         """The servers that get nothing new because of it, in the order in which they were named."""
         return tuple(self._held)
 
-    def heed(self, words: Iterable[Word], in_service: int, now: float) -> tuple[list[str], list[str]]:
+    def heed(
+        self, words: Iterable[Word], in_service: int, now: float
+    ) -> tuple[list[str], list[str]]:
         """Who is to be held back, and who is cold, by these words. in_service: servers listed in service and not held back."""
         back, cold = [], []
         whole = in_service + len(self._held)
@@ -63,7 +67,9 @@
                 if not suspect:
                     self._held[word.name] = float("inf")
                 continue
-            if in_service <= 1 or (suspect and len(self._held) + 1 > max(1.0, MOST_SUSPECT * whole)):
+            if in_service <= 1 or (
+                suspect and len(self._held) + 1 > max(1.0, MOST_SUSPECT * whole)
+            ):
                 continue
             in_service -= 1
             self._held[word.name] = now + SUSPECT_MS if suspect else float("inf")
--- a/forkweir/known/membership.py
+++ b/forkweir/known/membership.py
@@ -107,9 +107,13 @@
     claims: dict[Address, Claim] = field(default_factory=dict)
     since: dict[Address, float] = field(default_factory=dict)  # named from then on without a break
     held: dict[Address, _Held] = field(default_factory=dict)
-    tombs: dict[Address, float] = field(default_factory=dict)  # when it removed what it had named, oldest first
+    tombs: dict[Address, float] = field(
+        default_factory=dict
+    )  # when it removed what it had named, oldest first
     by_name: set[Address] = field(default_factory=set)  # of these, what it said to be gone by name
-    penalties: dict[Address, tuple[float, float]] = field(default_factory=dict)  # how much, as of when
+    penalties: dict[Address, tuple[float, float]] = field(
+        default_factory=dict
+    )  # how much, as of when
     fallen: list[float] = field(default_factory=list)  # when boxes lately fell out
     heard_ms: float = float("-inf")
     failed: str = ""  # why, while it fails
@@ -127,7 +131,10 @@
 
     def __init__(self, sources: Mapping[str, Rights], guard: Optional[Guard] = None) -> None:
         self._guard = guard or Guard()
-        self._views = {name: _View(rights) for name, rights in sorted(sources.items(), key=lambda pair: (pair[1].rank, pair[0]))}
+        self._views = {
+            name: _View(rights)
+            for name, rights in sorted(sources.items(), key=lambda pair: (pair[1].rank, pair[0]))
+        }
         self._reports: list[str] = []
 
     # -- what sources say ----------------------------------------------------------------
@@ -141,17 +148,25 @@
         named: dict[Address, Claim] = {}
         for claim in claims:
             if claim.address not in named and len(named) >= MOST_BOXES:
-                self._reports.append(f"{source}: more than {MOST_BOXES} boxes; the rest is left out")
+                self._reports.append(
+                    f"{source}: more than {MOST_BOXES} boxes; the rest is left out"
+                )
                 break
             named[claim.address] = claim
         view.heard_ms, view.failed = now, ""
         moved = {claim.name for claim in named.values() if claim.name and claim.state != "gone"}
         missing = [address for address in view.claims if full and address not in named]
-        for address in [a for a in view.held if a in named or (view.held[a].claim.name and view.held[a].claim.name in moved)]:
+        for address in [
+            a
+            for a in view.held
+            if a in named or (view.held[a].claim.name and view.held[a].claim.name in moved)
+        ]:
             del view.held[address]
         for address, claim in named.items():
             if claim.state == "gone":
-                self._bury(view, address, now, by_name=True)  # also one that it never named: another source may
+                self._bury(
+                    view, address, now, by_name=True
+                )  # also one that it never named: another source may
                 continue
             if address not in view.claims and len(view.claims) >= MOST_BOXES:
                 continue
@@ -165,10 +180,14 @@
         """A source can't be asked or made no sense: what it last said stays. KeyError for an unknown one."""
         view = self._views[source]
         if not view.failed:
-            self._reports.append(f"{source}: failed: {why}; {len(view.claims)} boxes stay as it last named them")
+            self._reports.append(
+                f"{source}: failed: {why}; {len(view.claims)} boxes stay as it last named them"
+            )
         view.failed = why
 
-    def _fall(self, source: str, view: _View, missing: list[Address], moved: set[str], now: float) -> None:
+    def _fall(
+        self, source: str, view: _View, missing: list[Address], moved: set[str], now: float
+    ) -> None:
         """A full view no longer names some boxes: they go, or are held where too many fall or one flaps."""
         guard = self._guard
         view.fallen = [at for at in view.fallen if now - at < guard.fall_ms]
@@ -183,7 +202,9 @@
         held = sudden and len(sudden) + len(view.fallen) > guard.most_fall * peak
         if held:
             hold_s = guard.hold_ms / 1000.0
-            self._reports.append(f"{source}: {len(sudden)} of {len(view.claims)} boxes fell out at once; held for {hold_s:g} s")
+            self._reports.append(
+                f"{source}: {len(sudden)} of {len(view.claims)} boxes fell out at once; held for {hold_s:g} s"
+            )
         for address in sudden:
             view.fallen.append(now)
             claim, since = view.claims[address], view.since[address]
@@ -196,7 +217,9 @@
                 view.held[address] = _Held(claim, float("inf"), "flapping", since)
                 self._reports.append(f"{source}: {_text(address)} comes and goes; kept")
             else:
-                view.held[address] = _Held(claim, now, "last", since)  # of use only if nothing else is left
+                view.held[address] = _Held(
+                    claim, now, "last", since
+                )  # of use only if nothing else is left
         while len(view.held) > MOST_BOXES:
             del view.held[next(iter(view.held))]
         for address in [a for a in view.penalties if view.penalty(a, now) < PENALTY_LEAST]:
@@ -223,7 +246,11 @@
     def merge(self, now: float) -> list[Box]:
         """The set as it is now, by address. In service, or draining; what is gone is not in it."""
         self._lapse(now)
-        ordinary = self._boxes(now, [name for name, view in self._views.items() if not view.rights.fallback], last=False)
+        ordinary = self._boxes(
+            now,
+            [name for name, view in self._views.items() if not view.rights.fallback],
+            last=False,
+        )
         if not _in_service(ordinary):
             ordinary = self._boxes(now, list(self._views), last=False)
         if not _in_service(ordinary):
@@ -259,31 +286,71 @@
                 boxes.append(box)
         return boxes
 
-    def _box(self, address: Address, names: list[str], now: float, last: bool, taken: set[str]) -> Optional[Box]:
+    def _box(
+        self, address: Address, names: list[str], now: float, last: bool, taken: set[str]
+    ) -> Optional[Box]:
         says: list[tuple[str, Claim, float, str]] = []  # source, claim, since, how
-        removed: Optional[tuple[int, float]] = None  # by the best rank that removed it: rank, until when naming it was before that
-        drained = next((n for n, v in self._views.items() if v.rights.drain and _state(v, address) == "draining"), "")  # whoever counts
+        removed: Optional[tuple[int, float]] = (
+            None  # by the best rank that removed it: rank, until when naming it was before that
+        )
+        drained = next(
+            (
+                n
+                for n, v in self._views.items()
+                if v.rights.drain and _state(v, address) == "draining"
+            ),
+            "",
+        )  # whoever counts
         for name in names:  # best first
             view = self._views[name]
             claim, held = view.claims.get(address), view.held.get(address)
             if claim is not None:
                 since = view.since[address]
-                if drained != name and removed is not None and removed[0] < view.rights.rank and since <= removed[1]:
+                if (
+                    drained != name
+                    and removed is not None
+                    and removed[0] < view.rights.rank
+                    and since <= removed[1]
+                ):
                     continue
                 says.append((name, claim, since, claim.state))
             elif held is not None and (last or held.until > now):
                 if removed is None:
-                    says.append((name, held.claim, held.since, f"held: {held.why if held.until > now else 'last'}"))
+                    says.append(
+                        (
+                            name,
+                            held.claim,
+                            held.since,
+                            f"held: {held.why if held.until > now else 'last'}",
+                        )
+                    )
             elif view.rights.remove and address in view.tombs and removed is None:
-                removed = view.rights.rank, float("inf") if address in view.by_name else view.tombs[address]
+                removed = (
+                    view.rights.rank,
+                    float("inf") if address in view.by_name else view.tombs[address],
+                )
         if not any(self._views[name].rights.add for name, *_ in says):
             return None
         source, first, since, how = says[0]
-        rule = f"drain by {drained}" if drained else how if how.startswith("held") else "agreed" if len(says) > 1 else f"only {source}"
+        rule = (
+            f"drain by {drained}"
+            if drained
+            else how
+            if how.startswith("held")
+            else "agreed"
+            if len(says) > 1
+            else f"only {source}"
+        )
         if rule.startswith("only") and self._views[source].rights.fallback:
             rule = f"fallback {source}"
-        name = next((claim.name for _, claim, _, _ in says if claim.name and claim.name not in taken), "")
-        weights = [c.weight for n, c, _, _ in says if c.weight is not None and self._views[n].rights.weigh and self._views[n].fresh(now)]
+        name = next(
+            (claim.name for _, claim, _, _ in says if claim.name and claim.name not in taken), ""
+        )
+        weights = [
+            c.weight
+            for n, c, _, _ in says
+            if c.weight is not None and self._views[n].rights.weigh and self._views[n].fresh(now)
+        ]
         server = Server(
             name=name or _text(address),
             zone=next((claim.zone for _, claim, _, _ in says if claim.zone), ""),
@@ -298,7 +365,9 @@
 
     def due(self, now: float) -> Optional[float]:
         """When the merged set may next change by itself; None where nothing is held, removed or faded."""
-        held = [held for view in self._views.values() for held in view.held.values() if held.until > now]
+        held = [
+            held for view in self._views.values() for held in view.held.values() if held.until > now
+        ]
         times = [now + 1_000.0 if one.why == "flapping" else one.until for one in held]
         times += [at + TOMB_MS for view in self._views.values() for at in view.tombs.values()]
         return min(times, default=None)
@@ -315,8 +384,18 @@
         rows = []
         for name, view in self._views.items():
             never = view.heard_ms == float("-inf")
-            how = view.failed or ("never heard" if never else "fresh" if view.fresh(now) else "stale")
-            rows.append((name, how, -1.0 if never else now - view.heard_ms, len(view.claims), len(view.held)))
+            how = view.failed or (
+                "never heard" if never else "fresh" if view.fresh(now) else "stale"
+            )
+            rows.append(
+                (
+                    name,
+                    how,
+                    -1.0 if never else now - view.heard_ms,
+                    len(view.claims),
+                    len(view.held),
+                )
+            )
         return rows
 
 
--- a/forkweir/known/seen.py
+++ b/forkweir/known/seen.py
@@ -47,7 +47,9 @@
     alive = False  # the server itself answered, whatever it said
     heard = False  # something came back
     may_have_run = True  # the request may have been carried out (rule on duplicates)
-    fetch_over = False  # a fetch of it, if there was one, has ended, as far as anybody waited for it
+    fetch_over = (
+        False  # a fetch of it, if there was one, has ended, as far as anybody waited for it
+    )
     may_be_brief = False  # it ended because its time did
     away: Optional[bool] = None  # turned away (True) or served (False); None where neither
     zone_answers: Optional[bool] = None  # whether its zone answers; None where that is not told
@@ -86,7 +88,9 @@
     @property
     def sort(self) -> str:
         """Among which attempts it is to be held: a member of SORTS."""
-        return "write" if self.write else "cold" if self.cold else "known" if self.known else "unknown"
+        return (
+            "write" if self.write else "cold" if self.cold else "known" if self.known else "unknown"
+        )
 
     @property
     def wrong(self) -> Optional[bool]:
@@ -146,12 +150,28 @@
 
 class Served(Seen):
     __slots__ = ()
-    status, served, alive, heard, fetch_over, away, zone_answers = "success", True, True, True, True, False, True
+    status, served, alive, heard, fetch_over, away, zone_answers = (
+        "success",
+        True,
+        True,
+        True,
+        True,
+        False,
+        True,
+    )
 
 
 class Full(Seen):
     __slots__ = ()
-    status, full, alive, heard, may_have_run, away, zone_answers = "overloaded", True, True, True, False, True, True
+    status, full, alive, heard, may_have_run, away, zone_answers = (
+        "overloaded",
+        True,
+        True,
+        True,
+        False,
+        True,
+        True,
+    )
 
 
 class Failed(Seen):
@@ -195,6 +215,18 @@
 
 
 WORDS: dict[str, type[Seen]] = {
-    word.status: word for word in (Served, Full, Failed, Absent, TimedOut, Withdrawn, Unreachable, Broken, Spoilt, Void)
+    word.status: word
+    for word in (
+        Served,
+        Full,
+        Failed,
+        Absent,
+        TimedOut,
+        Withdrawn,
+        Unreachable,
+        Broken,
+        Spoilt,
+        Void,
+    )
 }
 NEVER_RAN = frozenset(word for word, seen in WORDS.items() if not seen.may_have_run)
--- a/forkweir/known/speeds.py
+++ b/forkweir/known/speeds.py
@@ -9,7 +9,9 @@
 
 from forkweir.settings import Settings
 
-PEER_EVIDENCE = 3.0  # busy seconds' worth of its kind's estimate that a server's own is held against
+PEER_EVIDENCE = (
+    3.0  # busy seconds' worth of its kind's estimate that a server's own is held against
+)
 LEAST_SERVED_MS = 5_000.0  # of hits of a kind before its quickness counts
 
 
--- a/forkweir/known/zones.py
+++ b/forkweir/known/zones.py
@@ -8,7 +8,9 @@
 from forkweir.known.seen import Seen
 
 CUT_AFTER = 4  # unanswered attempts in a row at one other zone: its links are held to be cut
-SILENT_AIMS = 2.0  # or as many out with no answer for this many times the aim, while the own zone answers
+SILENT_AIMS = (
+    2.0  # or as many out with no answer for this many times the aim, while the own zone answers
+)
 CUT_MS = 1_000.0  # between two trials of a zone that is held to be cut off
 
 
@@ -21,7 +23,9 @@
         self.own = own
         self.unheard: dict[str, int] = {}  # attempts in a row that nothing in a zone answered
         self.cut_until: dict[str, float] = {}
-        self.silent: dict[str, list[float]] = {}  # of a zone: attempts since it last answered, time of the first
+        self.silent: dict[
+            str, list[float]
+        ] = {}  # of a zone: attempts since it last answered, time of the first
         self.heard_ms = 0.0  # when the own zone last answered
 
     def cut(self, zone: str, now: float) -> bool:
@@ -58,5 +62,9 @@
             return
         silent = self.silent.setdefault(zone, [0.0, now])
         silent[0] += 1.0
-        if silent[0] > CUT_AFTER and now - silent[1] > SILENT_AIMS * aim_ms and self.heard_ms > silent[1]:
+        if (
+            silent[0] > CUT_AFTER
+            and now - silent[1] > SILENT_AIMS * aim_ms
+            and self.heard_ms > silent[1]
+        ):
             self.cut_until[zone] = now + CUT_MS
--- a/forkweir/limits/duty.py
+++ b/forkweir/limits/duty.py
@@ -10,7 +10,9 @@
 TAKE_MS = 500.0  # after SIGTERM connections and requests are taken for this long: new connections come for 200 to 400 ms
 KILL_MS = 700.0  # SIGKILL comes no sooner than this and the longest deadline after SIGTERM,
 LONGEST_MS = 3_000.0  # which is counted as this where it is longer
-ANSWER_MS = 180.0  # before that whatever is still open is answered (a late answer is a lost request),
+ANSWER_MS = (
+    180.0  # before that whatever is still open is answered (a late answer is a lost request),
+)
 EXIT_MS = 80.0  # and this long before it the process has ended
 SHED_MS = 1_800.0  # from the call to drain until the last idle connection is closed: within 2 s nothing more may be taken
 
--- a/forkweir/limits/fetches.py
+++ b/forkweir/limits/fetches.py
@@ -29,12 +29,16 @@
 KEYS = 4_096
 LEARN = 0.03  # weight of one answer in the judgement of what misses
 FRESH_MS = 1_000.0  # what was noted for less time is not noted anew
-FIRST_UNKNOWN = 0.3  # of reads of keys of which nothing is remembered miss, until answers tell more,
+FIRST_UNKNOWN = (
+    0.3  # of reads of keys of which nothing is remembered miss, until answers tell more,
+)
 FIRST_KNOWN = 0.05  # and of the others
 PASS = 0.15  # a request expected to cost less is let in whatever is in flight
 SLOW = 0.8  # a fetch that takes this part of its request's aim is slow
 SLOW_LEARN = 0.05  # weight of one fetch in the judgement of how many are
-SLOW_MANY = 0.8  # where the budget begins to press (docs/cold-and-full.md has what earlier marks cost),
+SLOW_MANY = (
+    0.8  # where the budget begins to press (docs/cold-and-full.md has what earlier marks cost),
+)
 SLOW_FEW = 0.6  # and where it ends
 USUAL_LEARN = 0.01
 GROW = 2.0  # of the limit, for as many good fetches as it holds
@@ -49,11 +53,26 @@
 class Fetches:
     """What the origin is asked for by way of this node."""
 
-    __slots__ = ("limit", "dealt", "out", "known", "unknown", "slow", "usual", "pressed", "_cut_ms", "_most_worth", "_served", "_ended")
+    __slots__ = (
+        "limit",
+        "dealt",
+        "out",
+        "known",
+        "unknown",
+        "slow",
+        "usual",
+        "pressed",
+        "_cut_ms",
+        "_most_worth",
+        "_served",
+        "_ended",
+    )
 
     def __init__(self, most_worth: float) -> None:
         self.limit = MOST  # in flight, while the budget presses
-        self.dealt: Optional[float] = None  # this node's part of what all may have in flight, where that is dealt (`limits/parts`)
+        self.dealt: Optional[float] = (
+            None  # this node's part of what all may have in flight, where that is dealt (`limits/parts`)
+        )
         self.out = 0.0  # expected in flight
         self.known = FIRST_KNOWN
         self.unknown = FIRST_UNKNOWN
@@ -63,7 +82,9 @@
         self._cut_ms = 0.0
         self._most_worth = max(most_worth, 1e-9)
         self._ended = Faded(ENDED_MS)  # expected fetches that ended
-        self._served: dict[float, tuple[str, float]] = {}  # by position of a key: server and when, longest ago first
+        self._served: dict[
+            float, tuple[str, float]
+        ] = {}  # by position of a key: server and when, longest ago first
 
     def remembers(self, position: float, server: str, started_ms: float) -> bool:
         """Whether this server was the last to serve the key, since it last started."""
--- a/forkweir/line.py
+++ b/forkweir/line.py
@@ -38,8 +38,13 @@
     """Cuts of a sorted window at equal counts, each the midpoint of two neighbouring points."""
     size = len(window)
     if size >= ranges and not size % ranges:
-        step = size // ranges  # the same, at a tenth of the time: this is a fifth of what a request costs
-        return [(a + b) / 2.0 for a, b in zip(window[step - 1 : size - 1 : step], window[step::step], strict=True)]
+        step = (
+            size // ranges
+        )  # the same, at a tenth of the time: this is a fifth of what a request costs
+        return [
+            (a + b) / 2.0
+            for a, b in zip(window[step - 1 : size - 1 : step], window[step::step], strict=True)
+        ]
     last = size - 1
     cuts = []
     for i in range(1, ranges):
@@ -56,7 +61,19 @@
 class Line:
     """Positions, the window of recent ones, and the cuts."""
 
-    __slots__ = ("ranges", "window", "prior", "real", "oldest", "cuts", "since", "counts", "recent", "at", "shared")
+    __slots__ = (
+        "ranges",
+        "window",
+        "prior",
+        "real",
+        "oldest",
+        "cuts",
+        "since",
+        "counts",
+        "recent",
+        "at",
+        "shared",
+    )
 
     def __init__(self, ranges: int, prior: Optional[array[float]] = None) -> None:
         """prior: the evenly spaced window, if it has been made already (see `build`)."""
@@ -122,7 +139,9 @@
             self.at = (self.at + 1) % HOT_MEMORY
         counts[key] = counts.get(key, 0) + 1
         self.since += 1
-        if self.since >= UPDATE_EVERY and self.shared is None:  # a common line moves with each word of it, alike at all nodes
+        if (
+            self.since >= UPDATE_EVERY and self.shared is None
+        ):  # a common line moves with each word of it, alike at all nodes
             self.since = 0
             self.update()
 
@@ -140,7 +159,9 @@
         """How many servers a key's recent share fills (1 for an ordinary key)."""
         if self.shared is not None and position >= 0.0:
             share = self.shared.share(position)
-            return min(servers, max(1, round(share * servers))) if share * HOT_MEMORY >= HOT_MIN else 1
+            return (
+                min(servers, max(1, round(share * servers))) if share * HOT_MEMORY >= HOT_MIN else 1
+            )
         seen = self.counts.get(key, 0)
         if seen < HOT_MIN:
             return 1
--- a/forkweir/placement.py
+++ b/forkweir/placement.py
@@ -26,8 +26,12 @@
 RANGES_PER_SERVER = 8  # ranges are at least this many times the servers that they are dealt to
 SLICE_SERVERS = 16  # whose points are hashed between two yields,
 MERGED_SERVERS = 128  # and whose points are sorted in together: either takes under 1 ms
-SLICE_RANGES = 256  # that get their homes between two yields: under 1 ms, the hashes of their places included
-SLICE_POINTS = 8_192  # that are looked through between two yields, where many came or left: some 1 ms
+SLICE_RANGES = (
+    256  # that get their homes between two yields: under 1 ms, the hashes of their places included
+)
+SLICE_POINTS = (
+    8_192  # that are looked through between two yields, where many came or left: some 1 ms
+)
 SLICE_DELETED = 768  # points that are deleted between two yields: under 1 ms
 FEW_CHANGES = 8  # servers whose points are put in or deleted one by one; beyond, passes over all points are cheaper
 
@@ -95,7 +99,11 @@
             return
         staying: list[float] = []
         for first in range(0, len(self.points), SLICE_POINTS):
-            staying += [point for point in self.points[first : first + SLICE_POINTS] if point in self._member_at]
+            staying += [
+                point
+                for point in self.points[first : first + SLICE_POINTS]
+                if point in self._member_at
+            ]
             yield
         self.points = staying
 
@@ -152,7 +160,12 @@
     __slots__ = ("members", "weights", "ranges", "ring", "owners", "_neighbours")
 
     def __init__(
-        self, members: Sequence[Member], weights: Sequence[float], ranges: int, ring: HashRing[Member], owners: list[Member]
+        self,
+        members: Sequence[Member],
+        weights: Sequence[float],
+        ranges: int,
+        ring: HashRing[Member],
+        owners: list[Member],
     ) -> None:
         self.members = members
         self.weights = weights
@@ -181,12 +194,17 @@
 
 
 def build(
-    before: Optional[Placement[Member]], members: Sequence[Member], weights: Sequence[float], ranges: int
+    before: Optional[Placement[Member]],
+    members: Sequence[Member],
+    weights: Sequence[float],
+    ranges: int,
 ) -> Generator[None, None, Placement[Member]]:
     """The placement of these servers, made from the one before. Yields between slices; the one before stays whole."""
     there = set(before.members) if before is not None else set()
     staying = set(members)
-    leaving = [member for member in (before.members if before is not None else ()) if member not in staying]
+    leaving = [
+        member for member in (before.members if before is not None else ()) if member not in staying
+    ]
     entering = [member for member in members if member not in there]
     ring: HashRing[Member] = before.ring if before is not None else HashRing()
     if leaving or entering:
@@ -194,7 +212,9 @@
         yield
         yield from ring.change(leaving, entering)
     share = ranges * ROOM / sum(weights, 1e-9)
-    room = {member: int(weight * share) + 1 for member, weight in zip(members, weights, strict=True)}
+    room = {
+        member: int(weight * share) + 1 for member, weight in zip(members, weights, strict=True)
+    }
     owners: list[Member] = []
     for first in range(0, ranges if members else 0, SLICE_RANGES):
         owners += ring.owners_of(range(first, first + SLICE_RANGES), room)
--- a/forkweir/request.py
+++ b/forkweir/request.py
@@ -46,7 +46,9 @@
         self.id = request_id
         self.work = work  # as hinted, in ms; 0 where it is not
         self.cost = work  # as expected of a server, in ms
-        self.fetches: dict[int, tuple[float, bool]] = {}  # by attempt: expected of the origin, and whether the key was known
+        self.fetches: dict[
+            int, tuple[float, bool]
+        ] = {}  # by attempt: expected of the origin, and whether the key was known
         self.write = write
         self.spec = spec
         self.key = key
--- a/forkweir/send_guard.py
+++ b/forkweir/send_guard.py
@@ -13,11 +13,19 @@
 from enum import StrEnum
 from typing import Optional
 
-STALL_MS = 150.0  # STANDING.md: between reading its clock and writing a node may be held up for so long
+STALL_MS = (
+    150.0  # STANDING.md: between reading its clock and writing a node may be held up for so long
+)
 SOCKET_SLACK_MS = 50.0  # PROTOCOL.md: each time limit of the rules is this much longer on sockets
-DEADLINE_SLACK_MS = 150.0  # STANDING.md: by so much a server may be told more than its client has left;
-WORDING_MS = 50.0  # of it, what may pass between the wording of a head and the last byte of its request
-CLIENT_MARGIN_MS = 5.0  # of what is left to a client: the way of its request here, and rounding to whole ms
+DEADLINE_SLACK_MS = (
+    150.0  # STANDING.md: by so much a server may be told more than its client has left;
+)
+WORDING_MS = (
+    50.0  # of it, what may pass between the wording of a head and the last byte of its request
+)
+CLIENT_MARGIN_MS = (
+    5.0  # of what is left to a client: the way of its request here, and rounding to whole ms
+)
 
 
 class Denial(StrEnum):
@@ -27,7 +35,9 @@
     DRAINING = "draining"  # the server drains or is gone, and the grace for sending is over
     REPEAT_WINDOW = "repeat-window"  # servers may no longer discard a repeat of this request
     OUT_OF_TIME = "out-of-time"  # the client waits no longer
-    STALE_DEADLINE = "stale-deadline"  # the deadline that is told to the server is later than the client's
+    STALE_DEADLINE = (
+        "stale-deadline"  # the deadline that is told to the server is later than the client's
+    )
 
 
 @dataclass(frozen=True, slots=True)
@@ -68,7 +78,9 @@
         self.violations[broken] += 1
         return broken
 
-    def _broken(self, state: SendState, now: float, margin_ms: float, told_slack_ms: float) -> Optional[Denial]:
+    def _broken(
+        self, state: SendState, now: float, margin_ms: float, told_slack_ms: float
+    ) -> Optional[Denial]:
         if not state.wanted:
             return Denial.CLIENT_GONE
         if state.leaving_ms is not None and now - state.leaving_ms > self._grace_ms - margin_ms:
--- a/forkweir/settings.py
+++ b/forkweir/settings.py
@@ -14,7 +14,9 @@
 Timer = tuple[Literal["timer"], int, float]  # token, when due in ms
 Probe = tuple[Literal["probe"], str]  # server
 Follow = tuple[Literal["follow"], bool]  # ask for the server list's changes
-Publish = tuple[Literal["publish"], int, str]  # to which node of the tier, hex digits; on the simulator's wire alone
+Publish = tuple[
+    Literal["publish"], int, str
+]  # to which node of the tier, hex digits; on the simulator's wire alone
 Action = Attempt | Refuse | Fail | Cancel | Timer | Probe | Follow | Publish
 """What the node must do, name first."""
 
@@ -49,7 +51,9 @@
     backoff_max_ms: float = 0.0
     cold_from: float = 0.2
     cold_ms: float = 20_000.0
-    fall_multiple: float = 4.0  # of its present capacity, sent for a while: a cold server falls over
+    fall_multiple: float = (
+        4.0  # of its present capacity, sent for a while: a cold server falls over
+    )
     tick_ms: float = 1.0
     aside: bool = False
     origin_kind: str = ""
--- a/forkweir/tier/claims.py
+++ b/forkweir/tier/claims.py
@@ -32,15 +32,35 @@
 
 def id_of(server: str) -> int:
     """The id of the bound on a cold server's work: the same at all nodes, 1 to 2 ** 32 - 1."""
-    return int.from_bytes(blake2b(server.encode(), digest_size=4, person=b"tier").digest(), "big") or 1
+    return (
+        int.from_bytes(blake2b(server.encode(), digest_size=4, person=b"tier").digest(), "big") or 1
+    )
 
 
 class Claims:
     """One node's wants, and what it has of them."""
 
-    __slots__ = ("floor", "holdings", "shares", "deals_fetches", "lines", "own_work", "own_fetches", "_wanted", "_names", "_flight_ms")
-
-    def __init__(self, floor: float, holdings: Holdings, shares: bool = True, fetches: bool = True, line: bool = True) -> None:
+    __slots__ = (
+        "floor",
+        "holdings",
+        "shares",
+        "deals_fetches",
+        "lines",
+        "own_work",
+        "own_fetches",
+        "_wanted",
+        "_names",
+        "_flight_ms",
+    )
+
+    def __init__(
+        self,
+        floor: float,
+        holdings: Holdings,
+        shares: bool = True,
+        fetches: bool = True,
+        line: bool = True,
+    ) -> None:
         self.floor = floor
         self.holdings = holdings
         self.shares = shares  # whether work to cold servers is dealt here,
--- a/forkweir/tier/lending.py
+++ b/forkweir/tier/lending.py
@@ -158,7 +158,9 @@
     __slots__ = ("_out",)
 
     def __init__(self) -> None:
-        self._out: dict[int, dict[Who, list[tuple[float, int]]]] = {}  # by bound and holder: until when, how much; both falling or rising
+        self._out: dict[
+            int, dict[Who, list[tuple[float, int]]]
+        ] = {}  # by bound and holder: until when, how much; both falling or rising
 
     def holders(self, bound: int, now: float) -> dict[Who, int]:
         """The most that each may spend of a bound by what it was granted."""
@@ -169,7 +171,9 @@
                 del out[who]
         return {who: max(parts for _, parts in grants) for who, grants in out.items()}
 
-    def deal(self, bound: int, wants: Mapping[Who, float], hold_ms: float, now: float) -> dict[Who, int]:
+    def deal(
+        self, bound: int, wants: Mapping[Who, float], hold_ms: float, now: float
+    ) -> dict[Who, int]:
         """Grant anew: by holder, how many parts until hold_ms from now. wants: in parts.
 
         Whoever no longer wants any is granted none, and keeps what it was granted until that ends.
@@ -188,7 +192,9 @@
             parts = max(0, min(parts, WHOLE - taken + mine))
             granted[who] = parts
             # Earlier grants that are smaller say nothing any more: the holder has this one at most, or a larger one that ends sooner.
-            out[who] = [grant for grant in out.get(who, []) if grant[1] > parts] + [(now + hold_ms, parts)]
+            out[who] = [grant for grant in out.get(who, []) if grant[1] > parts] + [
+                (now + hold_ms, parts)
+            ]
             taken += max(mine, parts) - mine
         return granted
 
@@ -227,7 +233,17 @@
         self._sent.pop(self._number - ECHOES, None)
         return self._number
 
-    def take(self, keeper: Who, number: int, echo: int, hold_ms: float, size: float, bound: int, parts: int, now: float) -> bool:
+    def take(
+        self,
+        keeper: Who,
+        number: int,
+        echo: int,
+        hold_ms: float,
+        size: float,
+        bound: int,
+        parts: int,
+        now: float,
+    ) -> bool:
         """A grant came; whether it counts. Of two from one keeper the one with the higher number does."""
         sent = self._sent.get(echo)
         if sent is None:
@@ -302,10 +318,21 @@
             self.candidacy.voted(slot, echo)
 
     def granted(
-        self, keeper: Who, to: int, number: int, echo: int, hold_ms: float, size: float, bound: int, parts: int, now: float
+        self,
+        keeper: Who,
+        to: int,
+        number: int,
+        echo: int,
+        hold_ms: float,
+        size: float,
+        bound: int,
+        parts: int,
+        now: float,
     ) -> bool:
         """A grant came for the process with token `to`; whether it counts."""
-        return to == self.who[1] and self.holdings.take(keeper, number, echo, hold_ms, size, bound, parts, now)
+        return to == self.who[1] and self.holdings.take(
+            keeper, number, echo, hold_ms, size, bound, parts, now
+        )
 
     def stand_back(self, now: float) -> int:
         """Stand no more; the number up to which no vote for its calls counts, for the others to know (`Voter.release`).
--- a/forkweir/tier/lines.py
+++ b/forkweir/tier/lines.py
@@ -76,16 +76,23 @@
 def packed(shares: Iterable[tuple[int, float]]) -> bytes:
     """Buckets and shares (over 0, up to 1) as they travel: two bytes and one."""
     return b"".join(
-        bucket.to_bytes(2, "big") + bytes([min(255, max(0, round(-STEPS * log2(min(1.0, max(share, 1e-9))))))]) for bucket, share in shares
+        bucket.to_bytes(2, "big")
+        + bytes([min(255, max(0, round(-STEPS * log2(min(1.0, max(share, 1e-9))))))])
+        for bucket, share in shares
     )
 
 
 def unpacked(data: bytes) -> list[tuple[int, float]]:
     """The same again; bytes that make no whole entry are left out."""
-    return [(data[n] * 256 + data[n + 1], float(2.0 ** (-data[n + 2] / STEPS))) for n in range(0, len(data) - 2, 3)]
+    return [
+        (data[n] * 256 + data[n + 1], float(2.0 ** (-data[n + 2] / STEPS)))
+        for n in range(0, len(data) - 2, 3)
+    ]
 
 
-def merged(told: Mapping[int, tuple[float, Mapping[int, float]]]) -> tuple[float, list[tuple[int, float]]]:
+def merged(
+    told: Mapping[int, tuple[float, Mapping[int, float]]],
+) -> tuple[float, list[tuple[int, float]]]:
     """The windows of all nodes laid together: what part of it is arrivals, and the parts of its heavy buckets, the largest first.
 
     told: by node, what part of its window is arrivals, and the parts of its heavy buckets, which count for no more than that.
@@ -113,7 +120,11 @@
 
     def share(self, position: float) -> float:
         """The part of all requests that goes to a position's bucket."""
-        return self.shares.get(int(position * BUCKETS), 0.0) / self.filled if self.filled > LEAST_FILLED else 0.0
+        return (
+            self.shares.get(int(position * BUCKETS), 0.0) / self.filled
+            if self.filled > LEAST_FILLED
+            else 0.0
+        )
 
 
 def cuts_of(shares: Iterable[tuple[int, float]], ranges: int) -> list[float]:
@@ -136,7 +147,17 @@
 class Lines:
     """One node's side: what it tells, and what it was told."""
 
-    __slots__ = ("sketch", "_pages", "_name", "_whole", "_shares", "_told_ms", "_filled", "_table", "_ranges")
+    __slots__ = (
+        "sketch",
+        "_pages",
+        "_name",
+        "_whole",
+        "_shares",
+        "_told_ms",
+        "_filled",
+        "_table",
+        "_ranges",
+    )
 
     def __init__(self) -> None:
         self.sketch = Sketch()
@@ -149,7 +170,16 @@
         self._table: Optional[Table] = None
         self._ranges = 0
 
-    def page(self, keeper: int, number: int, page: int, pages: int, filled: float, data: bytes, now: float) -> bool:
+    def page(
+        self,
+        keeper: int,
+        number: int,
+        page: int,
+        pages: int,
+        filled: float,
+        data: bytes,
+        now: float,
+    ) -> bool:
         """A page of a table came; whether the table is whole now. Of two tables of one keeper the later one counts."""
         name = keeper, number
         if name[0] == self._name[0] and number < self._name[1]:
@@ -169,7 +199,11 @@
 
     def told(self, now: float) -> Optional[tuple[tuple[int, int], list[tuple[int, float]]]]:
         """The table that holds now: its name and its shares."""
-        return None if self._shares is None or now - self._told_ms > STALE_MS else (self._whole, self._shares)
+        return (
+            None
+            if self._shares is None or now - self._told_ms > STALE_MS
+            else (self._whole, self._shares)
+        )
 
     def table(self, ranges: int, now: float) -> Optional[Table]:
         """The line as it was last told, cut into so many ranges; none where that is too long ago. The same object until it changes."""
--- a/forkweir/tier/members.py
+++ b/forkweir/tier/members.py
@@ -82,7 +82,9 @@
 class Members:
     """One node's picture of the tier. Times in ms of one monotonic clock."""
 
-    def __init__(self, slot: int, count: int, incarnation: int, seed: int, period_ms: float, now: float) -> None:
+    def __init__(
+        self, slot: int, count: int, incarnation: int, seed: int, period_ms: float, now: float
+    ) -> None:
         self.slot = slot
         self.count = count
         self.incarnation = incarnation
@@ -109,13 +111,17 @@
     @property
     def suspicion_ms(self) -> float:
         """How long a suspect has to refute."""
-        return self.period_ms * SUSPICION * max(1.0, log10(self.count)) * (1.0 + 0.5 * self.slowness)
+        return (
+            self.period_ms * SUSPICION * max(1.0, log10(self.count)) * (1.0 + 0.5 * self.slowness)
+        )
 
     @property
     def joining(self) -> bool:
         """Whether this node still gets to know the others: at its start, and as long as it knows nobody."""
         return self._periods <= JOIN_PERIODS or not any(
-            entry.state in ("alive", "suspect") for slot, entry in enumerate(self.entries) if slot != self.slot
+            entry.state in ("alive", "suspect")
+            for slot, entry in enumerate(self.entries)
+            if slot != self.slot
         )
 
     def state(self, slot: int) -> Standing:
@@ -124,7 +130,9 @@
 
     def there(self) -> list[int]:
         """Those that take part, this one among them, in the order of their numbers. A suspect does until it is dead."""
-        return [slot for slot, entry in enumerate(self.entries) if entry.state in ("alive", "suspect")]
+        return [
+            slot for slot, entry in enumerate(self.entries) if entry.state in ("alive", "suspect")
+        ]
 
     # -- what comes ----------------------------------------------------------------------
 
@@ -152,7 +160,10 @@
                 continue
             entry, state = self.entries[slot], STATES[code]
             known = entry.state != "unknown"
-            if known and (incarnation < entry.incarnation or (incarnation == entry.incarnation and code <= STATES.index(entry.state))):
+            if known and (
+                incarnation < entry.incarnation
+                or (incarnation == entry.incarnation and code <= STATES.index(entry.state))
+            ):
                 continue
             self._move(slot, state, incarnation, now)
 
@@ -251,7 +262,10 @@
         chosen: dict[int, News] = {}
         if entry.state in ("suspect", "dead"):
             chosen[to] = (to, entry.incarnation, STATES.index(entry.state))
-        fresh = sorted((slot for slot, entry in enumerate(self.entries) if entry.untold > 0), key=lambda s: -self.entries[s].untold)
+        fresh = sorted(
+            (slot for slot, entry in enumerate(self.entries) if entry.untold > 0),
+            key=lambda s: -self.entries[s].untold,
+        )
         for slot in fresh[:NEWS]:
             if len(chosen) < NEWS and slot != to:
                 self.entries[slot].untold -= 1
--- a/forkweir/tier/options.py
+++ b/forkweir/tier/options.py
@@ -6,7 +6,9 @@
 
 PERIOD_MS = 500.0  # between two questions of `members`, and two beats of a keeper
 FLOOR = 0.5  # of what a node takes by itself: what it has when it hears nobody
-CROWD = 200  # nodes; a keeper of more has longer beats, so that it handles no more datagrams a second
+CROWD = (
+    200  # nodes; a keeper of more has longer beats, so that it handles no more datagrams a second
+)
 TICKS = 4  # of a caller's clock in a period, at least
 
 
--- a/forkweir/tier/seat.py
+++ b/forkweir/tier/seat.py
@@ -36,7 +36,11 @@
     def _prepare(self, now: float) -> None:
         balancer, claims = self.balancer, self.tier.claims
         if claims.shares:
-            claims.own_work = balancer.allowances.reference(balancer.fleet.weight) if balancer.fleet.weight else 0.0
+            claims.own_work = (
+                balancer.allowances.reference(balancer.fleet.weight)
+                if balancer.fleet.weight
+                else 0.0
+            )
         if claims.deals_fetches:
             # Also while the order book does not press: a part that is asked for only then comes a second or two late (docs/tier.md).
             claims.own_fetches = balancer.fetches.would_be
--- a/forkweir/tier/signals.py
+++ b/forkweir/tier/signals.py
@@ -57,12 +57,18 @@
 
 def packed(words: Iterable[tuple[int, float]]) -> bytes:
     """Ids of boxes and odds, as they travel: four bytes and one."""
-    return b"".join(box.to_bytes(4, "big") + bytes([min(255, max(0, round(odds / STEP) + 128))]) for box, odds in words)
+    return b"".join(
+        box.to_bytes(4, "big") + bytes([min(255, max(0, round(odds / STEP) + 128))])
+        for box, odds in words
+    )
 
 
 def unpacked(data: bytes) -> list[tuple[int, float]]:
     """The same again; bytes that make no whole entry are left out."""
-    return [(int.from_bytes(data[n : n + 4], "big"), (data[n + 4] - 128) * STEP) for n in range(0, len(data) - 4, 5)]
+    return [
+        (int.from_bytes(data[n : n + 4], "big"), (data[n + 4] - 128) * STEP)
+        for n in range(0, len(data) - 4, 5)
+    ]
 
 
 class Signals:
@@ -72,9 +78,13 @@
 
     def __init__(self) -> None:
         self._own: dict[int, float] = {}  # boxes that it holds to be bad,
-        self._good_ms: dict[int, tuple[float, float]] = {}  # and those that it no longer does: since when, and its odds
+        self._good_ms: dict[
+            int, tuple[float, float]
+        ] = {}  # and those that it no longer does: since when, and its odds
         self._words: dict[int, dict[int, Word]] = {}  # by box and member
-        self._numbers: dict[int, tuple[int, int]] = {}  # of each member: its token, and the number of its last word
+        self._numbers: dict[
+            int, tuple[int, int]
+        ] = {}  # of each member: its token, and the number of its last word
 
     def saw(self, bad: Mapping[int, float], odds: Mapping[int, float], now: float) -> None:
         """Where the node's own tests stand now. bad: the odds of the boxes that it holds to be bad; odds: of all that it knows."""
@@ -82,7 +92,9 @@
             if box not in bad and box in odds:
                 self._good_ms[box] = now, odds[box]
         self._own = dict(bad)
-        for box in [b for b, (at, _) in self._good_ms.items() if b in bad or now - at > TOLD_GOOD_MS]:
+        for box in [
+            b for b, (at, _) in self._good_ms.items() if b in bad or now - at > TOLD_GOOD_MS
+        ]:
             del self._good_ms[box]
 
     def told(self) -> list[tuple[int, float]]:
@@ -91,7 +103,9 @@
         good = [(box, min(0.0, odds)) for box, (_, odds) in sorted(self._good_ms.items())]
         return (bad + good)[:ON_A_PAGE]
 
-    def heard(self, member: int, token: int, number: int, words: Iterable[tuple[int, float]], now: float) -> bool:
+    def heard(
+        self, member: int, token: int, number: int, words: Iterable[tuple[int, float]], now: float
+    ) -> bool:
         """A member's word; whether it is newer than its last one. What it said before and does not repeat is forgotten."""
         last = self._numbers.get(member)
         if last is not None and last[0] == token and number <= last[1]:
@@ -116,6 +130,8 @@
                 continue
             words = [word.odds for word in of_box.values()]
             over = sorted(min(MOST_OF_ONE, odds - PRIOR_ODDS) for odds in words if odds > 0.0)[:-1]
-            back = sum(odds <= 0.0 for odds in words) >= BACK and not any(odds > 0.0 for odds in words)
+            back = sum(odds <= 0.0 for odds in words) >= BACK and not any(
+                odds > 0.0 for odds in words
+            )
             result[box] = Hearsay(min(MOST_OF_ALL, WEIGHT * sum(over)), back)
         return result
--- a/forkweir/tier/tier.py
+++ b/forkweir/tier/tier.py
@@ -58,7 +58,9 @@
     own: tuple[float, float] = (0.0, 0.0)
     wants: dict[int, tuple[float, float]] = field(default_factory=dict)
     filled: float = 0.0  # what part of its window is arrivals,
-    heavy: dict[int, float] = field(default_factory=dict)  # and what is asked for often there: by bucket, its part of the window
+    heavy: dict[int, float] = field(
+        default_factory=dict
+    )  # and what is asked for often there: by bucket, its part of the window
     heavy_number: int = 0  # the call after which it said so
 
 
@@ -66,11 +68,20 @@
     """A process of one node. Ask it again by `tick` at least TICKS times a period."""
 
     def __init__(
-        self, slot: int, count: int, seed: int, incarnation: int, now: float, options: Options = USUAL, tier: int = 0
+        self,
+        slot: int,
+        count: int,
+        seed: int,
+        incarnation: int,
+        now: float,
+        options: Options = USUAL,
+        tier: int = 0,
     ) -> None:
         """slot: this node's number, of count nodes; incarnation: Unix seconds; tier: number of the tier; seed: new with each start."""
         if not 0 <= slot < count <= wire.MOST_NODES:
-            raise ValueError(f"node {slot} of {count}: a tier has at most {wire.MOST_NODES} nodes, counted from 0")
+            raise ValueError(
+                f"node {slot} of {count}: a tier has at most {wire.MOST_NODES} nodes, counted from 0"
+            )
         self.slot = slot
         self.count = count
         self.options = options
@@ -81,16 +92,28 @@
         self.members = Members(slot, count, incarnation, seed, options.period_ms, now)
         self.vote_ms = VOTE_BEATS * self.beat_ms
         self.dealer = Dealer((slot, self.token), count, self.vote_ms, now)
-        self.claims = Claims(options.floor, self.dealer.holdings, options.shares, options.fetches, options.line)
-        self.signals = Signals() if options.signals else None  # none: this node neither tells nor heeds what was seen of boxes
-        self.attend: Callable[[float], None] = lambda now: None  # brings `signals` and what follows from them up to date
+        self.claims = Claims(
+            options.floor, self.dealer.holdings, options.shares, options.fetches, options.line
+        )
+        self.signals = (
+            Signals() if options.signals else None
+        )  # none: this node neither tells nor heeds what was seen of boxes
+        self.attend: Callable[[float], None] = lambda now: (
+            None
+        )  # brings `signals` and what follows from them up to date
         self.sizes = (0.0, 0.0)  # of the tier, as the keeper had them
         self.followed = -1  # whose calls this node answers with its vote
-        self.prepare: Callable[[float], None] = lambda now: None  # brings `claims` up to date before it is read
-        self.counts = dict.fromkeys(("in", "out", "malformed", "foreign", "impostor", "stranger", "old"), 0)
+        self.prepare: Callable[[float], None] = lambda now: (
+            None
+        )  # brings `claims` up to date before it is read
+        self.counts = dict.fromkeys(
+            ("in", "out", "malformed", "foreign", "impostor", "stranger", "old"), 0
+        )
         self.bytes_out = 0
         self._told: dict[int, Told] = {}
-        self._relays: dict[int, tuple[int, int]] = {}  # by number of our question: for whom, and by what number of theirs
+        self._relays: dict[
+            int, tuple[int, int]
+        ] = {}  # by number of our question: for whom, and by what number of theirs
         self._relayed = 0
         self._called_ms = now  # when a call last came that got the vote
         self._next_beat_ms = now + FIRST_BEATS * self.beat_ms * (1.0 + 0.2 * self._random.random())
@@ -187,13 +210,33 @@
             if slot == self.slot:
                 for bound, parts in grants:
                     size = self._size_of(bound, sizes)
-                    dealer.granted(dealer.who, self.token, number, self._told[slot].number, hold_ms, size, bound, parts, now)
+                    dealer.granted(
+                        dealer.who,
+                        self.token,
+                        number,
+                        self._told[slot].number,
+                        hold_ms,
+                        size,
+                        bound,
+                        parts,
+                        now,
+                    )
                 continue
             token, echo = (known.token, known.number) if known is not None and grants else (0, 0)
             for page in range(max(1, min(CALLS, -(-len(grants) // ENTRIES)))):
                 dealer.number += page > 0
                 some = tuple(grants[page * ENTRIES : (page + 1) * ENTRIES])
-                call = wire.Call(*self._head(), token, dealer.number if page else number, not page, echo, hold_ms, sizes, heavy, some)
+                call = wire.Call(
+                    *self._head(),
+                    token,
+                    dealer.number if page else number,
+                    not page,
+                    echo,
+                    hold_ms,
+                    sizes,
+                    heavy,
+                    some,
+                )
                 yield self._send(slot, call)
         if hold_ms and heavy:
             yield from self._tell_line(number, now)
@@ -204,14 +247,21 @@
             if slot != self.slot and slot not in self._reached:
                 self._reached.add(slot)
                 sizes = wire.scaled(self.sizes[0]), wire.scaled(self.sizes[1])
-                yield self._send(slot, wire.Call(*self._head(), 0, self._beat_number, True, 0, 0, sizes, False, ()))
+                yield self._send(
+                    slot,
+                    wire.Call(*self._head(), 0, self._beat_number, True, 0, 0, sizes, False, ()),
+                )
 
     def _tell_line(self, number: int, now: float) -> Iterator[Send]:
         """Merge what all nodes are asked for often, and tell them."""
         lines, oldest = self.claims.lines, now - 2.0 * LINE_BEATS * TOLD * self.beat_ms
         if lines is None:
             return
-        told = {slot: (t.filled, t.heavy) for slot, t in self._told.items() if t.at_ms >= oldest and slot != self.slot}
+        told = {
+            slot: (t.filled, t.heavy)
+            for slot, t in self._told.items()
+            if t.at_ms >= oldest and slot != self.slot
+        }
         told[self.slot] = lines.sketch.weight / WINDOW, dict(unpacked(packed(lines.sketch.heavy())))
         filled, shares = merged(told)
         code = wire.scaled(filled)
@@ -221,7 +271,9 @@
             lines.page(self.token, number, page, len(pages), wire.unscaled(code), some, now)
             for slot in self.members.there():
                 if slot != self.slot:
-                    yield self._send(slot, wire.Line(*self._head(), number, page, len(pages), code, some))
+                    yield self._send(
+                        slot, wire.Line(*self._head(), number, page, len(pages), code, some)
+                    )
 
     def _tell_heavy(self, keeper: int, number: int) -> Iterator[Send]:
         """Tell the keeper what is asked for often here."""
@@ -254,7 +306,10 @@
         """Grant anew what was asked for lately: by node and bound."""
         oldest = now - TOLD * self.beat_ms
         lately = {slot: told for slot, told in self._told.items() if told.at_ms >= oldest}
-        self.sizes = _size([told.own[0] for told in lately.values()]), _size([told.own[1] for told in lately.values()])
+        self.sizes = (
+            _size([told.own[0] for told in lately.values()]),
+            _size([told.own[1] for told in lately.values()]),
+        )
         wants: dict[int, dict[Who, float]] = {}
         for slot, told in lately.items():
             for bound in [b for b, (_, at) in told.wants.items() if at < oldest]:
@@ -262,7 +317,9 @@
             for bound, (amount, _) in told.wants.items():
                 pool = (1.0 - self.options.floor) * self.sizes[bound == FETCHES]
                 if pool > 0.0:
-                    wants.setdefault(bound, {})[slot, told.token] = min(WHOLE, WHOLE * amount / pool)
+                    wants.setdefault(bound, {})[slot, told.token] = min(
+                        WHOLE, WHOLE * amount / pool
+                    )
         self.dealer.ledger.forget(now)
         dealt: dict[int, dict[int, int]] = {}
         for bound, by_who in wants.items():
@@ -303,7 +360,12 @@
     def _receive(self, sender: int, message: Message, now: float) -> Iterator[Send]:
         if isinstance(message, wire.Ping):
             self.members.told(message.news, now)
-            yield self._send(sender, wire.Ack(*self._head(), message.number, self.members.news(sender, full=message.joining)))
+            yield self._send(
+                sender,
+                wire.Ack(
+                    *self._head(), message.number, self.members.news(sender, full=message.joining)
+                ),
+            )
         elif isinstance(message, wire.Ack):
             self.members.told(message.news, now)
             asked_for = self._relays.pop(message.number, None)
@@ -318,7 +380,10 @@
                 self._relays[number] = sender, message.number
                 while len(self._relays) > 64:
                     del self._relays[next(iter(self._relays))]
-                yield self._send(message.target, wire.Ping(*self._head(), number, False, self.members.news(message.target)))
+                yield self._send(
+                    message.target,
+                    wire.Ping(*self._head(), number, False, self.members.news(message.target)),
+                )
         elif isinstance(message, wire.Call):
             yield from self._called(sender, message, now)
         elif isinstance(message, wire.Reply):
@@ -327,11 +392,24 @@
             self._heavy(sender, message, now)
         elif isinstance(message, wire.Seen):
             if self.signals is not None:
-                self.signals.heard(sender, message.token, message.number, signals.unpacked(message.data), now)
+                self.signals.heard(
+                    sender, message.token, message.number, signals.unpacked(message.data), now
+                )
         elif isinstance(message, wire.Line):
-            if self.claims.lines is not None and self.dealer.voter.promised == (sender, message.token):
+            if self.claims.lines is not None and self.dealer.voter.promised == (
+                sender,
+                message.token,
+            ):
                 filled = wire.unscaled(message.filled)
-                self.claims.lines.page(message.token, message.number, message.page, message.pages, filled, message.data, now)
+                self.claims.lines.page(
+                    message.token,
+                    message.number,
+                    message.page,
+                    message.pages,
+                    filled,
+                    message.data,
+                    now,
+                )
         elif isinstance(message, wire.Back):
             self.dealer.voter.release((sender, message.token), message.number, now)
         else:
@@ -341,10 +419,14 @@
         keeper = sender, call.token
         for bound, parts in call.grants:
             size = self._size_of(bound, call.sizes)
-            self.dealer.granted(keeper, call.to, call.number, call.echo, call.hold_ms, size, bound, parts, now)
+            self.dealer.granted(
+                keeper, call.to, call.number, call.echo, call.hold_ms, size, bound, parts, now
+            )
         if not call.answer:
             return
-        vote, void = (False, 0) if self.disagrees(now) else self.dealer.called(keeper, call.number, now)
+        vote, void = (
+            (False, 0) if self.disagrees(now) else self.dealer.called(keeper, call.number, now)
+        )
         if void:
             self._void, self._stood_ms = void, -1.0
             yield from self._say_back()
@@ -354,13 +436,27 @@
         if vote and call.heavy:
             yield from self._tell_heavy(sender, call.number)
         self.prepare(now)
-        wants = [(bound, wire.scaled(amount)) for bound, amount in self.claims.wanted(now)][: CALLS * ENTRIES]
+        wants = [(bound, wire.scaled(amount)) for bound, amount in self.claims.wanted(now)][
+            : CALLS * ENTRIES
+        ]
         own = wire.scaled(self.claims.own_work), wire.scaled(self.claims.own_fetches)
         other = now - self._foreign_ms < self.vote_ms
         for page in range(max(1, -(-len(wants) // ENTRIES))):
             number = self.dealer.holdings.replies(now) if not page else 0
             some = tuple(wants[page * ENTRIES : (page + 1) * ENTRIES])
-            yield self._send(sender, wire.Reply(*self._head(), call.token, number, call.number, vote and not page, other, own, some))
+            yield self._send(
+                sender,
+                wire.Reply(
+                    *self._head(),
+                    call.token,
+                    number,
+                    call.number,
+                    vote and not page,
+                    other,
+                    own,
+                    some,
+                ),
+            )
 
     def _replied(self, sender: int, reply: wire.Reply, now: float) -> None:
         if reply.to != self.token:
@@ -409,10 +505,14 @@
 
     def _question(self, question: Question) -> Iterator[Send]:
         if question.relay >= 0:
-            relay = wire.Relay(*self._head(), question.number, question.to, self.members.news(question.relay))
+            relay = wire.Relay(
+                *self._head(), question.number, question.to, self.members.news(question.relay)
+            )
             yield self._send(question.relay, relay)
         else:
-            ping = wire.Ping(*self._head(), question.number, self.members.joining, self.members.news(question.to))
+            ping = wire.Ping(
+                *self._head(), question.number, self.members.joining, self.members.news(question.to)
+            )
             yield self._send(question.to, ping)
 
     def _head(self) -> tuple[int, int, int, int, int]:
@@ -446,5 +546,3 @@
         return 0.0
     most = LIAR * median(some)
     return sum(min(own, most) for own in some)
-
-
--- a/testbed/check/lending.py
+++ b/testbed/check/lending.py
@@ -44,7 +44,9 @@
 
     at: int
     dealers: list[Dealer]
-    known: list[dict[int, tuple[int, int]]]  # of each node: by other, its token and the number of its last reply
+    known: list[
+        dict[int, tuple[int, int]]
+    ]  # of each node: by other, its token and the number of its last reply
     keys: list[int]  # of each node: what tells its states apart
     out: tuple[Datagram, ...]
     calls: int
@@ -96,19 +98,41 @@
 def _copied(dealer: Dealer) -> Dealer:
     new = Dealer(dealer.who, NODES, dealer.voter.vote_ms, 0.0)
     new.number = dealer.number
-    new.voter.promised, new.voter.until_ms, new.voter.number = dealer.voter.promised, dealer.voter.until_ms, dealer.voter.number
-    new.candidacy._votes, new.candidacy._calls = dict(dealer.candidacy._votes), dict(dealer.candidacy._calls)
-    new.ledger._out = {bound: {who: list(grants) for who, grants in out.items()} for bound, out in dealer.ledger._out.items()}
+    new.voter.promised, new.voter.until_ms, new.voter.number = (
+        dealer.voter.promised,
+        dealer.voter.until_ms,
+        dealer.voter.number,
+    )
+    new.candidacy._votes, new.candidacy._calls = (
+        dict(dealer.candidacy._votes),
+        dict(dealer.candidacy._calls),
+    )
+    new.ledger._out = {
+        bound: {who: list(grants) for who, grants in out.items()}
+        for bound, out in dealer.ledger._out.items()
+    }
     old = dealer.holdings
     new.holdings._sent, new.holdings._number = dict(old._sent), old._number
-    new.holdings.leases = {b: Lease(x.parts, x.until_ms, x.size, x.keeper, x.number) for b, x in old.leases.items()}
+    new.holdings.leases = {
+        b: Lease(x.parts, x.until_ms, x.size, x.keeper, x.number) for b, x in old.leases.items()
+    }
     return new
 
 
 def _key(dealer: Dealer, known: dict[int, tuple[int, int]]) -> int:
-    held = tuple((b, x.parts, x.until_ms, x.keeper, x.number) for b, x in sorted(dealer.holdings.leases.items()))
-    out = tuple((b, tuple(sorted((w, tuple(g)) for w, g in o.items()))) for b, o in sorted(dealer.ledger._out.items()))
-    votes, calls, sent = dealer.candidacy._votes.items(), dealer.candidacy._calls.items(), dealer.holdings._sent.items()
+    held = tuple(
+        (b, x.parts, x.until_ms, x.keeper, x.number)
+        for b, x in sorted(dealer.holdings.leases.items())
+    )
+    out = tuple(
+        (b, tuple(sorted((w, tuple(g)) for w, g in o.items())))
+        for b, o in sorted(dealer.ledger._out.items())
+    )
+    votes, calls, sent = (
+        dealer.candidacy._votes.items(),
+        dealer.candidacy._calls.items(),
+        dealer.holdings._sent.items(),
+    )
     promise = dealer.voter.promised, dealer.voter.until_ms, dealer.voter.number
     said = tuple(sorted(votes)), tuple(calls), tuple(sent), tuple(sorted(known.items()))
     return hash((dealer.who, dealer.number, promise, said, held, out))
@@ -129,13 +153,26 @@
         """Walk until the scope ends, or the invariant breaks."""
         dealers = [Dealer((n, 1), NODES, VOTE * UNIT, -VOTE * UNIT) for n in range(NODES)]
         keys = [_key(dealer, {}) for dealer in dealers]
-        first = State(0, dealers, [{} for _ in range(NODES)], keys, (), self.scope.calls, self.scope.doubles, self.scope.restarts, None)
+        first = State(
+            0,
+            dealers,
+            [{} for _ in range(NODES)],
+            keys,
+            (),
+            self.scope.calls,
+            self.scope.doubles,
+            self.scope.restarts,
+            None,
+        )
         seen = {self._whole_key(first)}
         queue = deque([first])
         while queue:
             state = queue.popleft()
             self.states += 1
-            held = [sum(self._held(state, n, bound) for n in range(NODES)) for bound in range(self.scope.bounds)]
+            held = [
+                sum(self._held(state, n, bound) for n in range(NODES))
+                for bound in range(self.scope.bounds)
+            ]
             self.granted += any(held)
             if max(held) > WHOLE:
                 assert state.trail is not None
@@ -171,12 +208,20 @@
             if n and datagram in state.out[:n]:
                 continue
             rest = state.out[:n] + state.out[n + 1 :]
-            following = self._after(state, f"{datagram.kind} {datagram.number} of {datagram.sender} comes to n{datagram.to}", datagram.to)
+            following = self._after(
+                state,
+                f"{datagram.kind} {datagram.number} of {datagram.sender} comes to n{datagram.to}",
+                datagram.to,
+            )
             following.out = rest
             self._come(following, datagram)
             yield self._keyed(following, datagram.to)
             if state.doubles:
-                again = self._after(state, f"a double of {datagram.kind} {datagram.number} comes to n{datagram.to}", datagram.to)
+                again = self._after(
+                    state,
+                    f"a double of {datagram.kind} {datagram.number} comes to n{datagram.to}",
+                    datagram.to,
+                )
                 again.doubles -= 1
                 self._come(again, datagram)
                 yield self._keyed(again, datagram.to)
@@ -184,7 +229,9 @@
             for node in range(NODES):
                 following = self._after(state, f"n{node} is killed and begins anew", node)
                 following.restarts -= 1
-                following.dealers[node] = Dealer((node, 2), NODES, VOTE * UNIT, self.clock(node, state))
+                following.dealers[node] = Dealer(
+                    (node, 2), NODES, VOTE * UNIT, self.clock(node, state)
+                )
                 following.known[node] = {}
                 yield self._keyed(following, node)
 
@@ -194,14 +241,28 @@
         if node >= 0:
             dealers[node], known[node] = _copied(dealers[node]), dict(known[node])
         trail = Trail(step, state.trail)
-        return State(state.at, dealers, known, list(state.keys), state.out, state.calls, state.doubles, state.restarts, trail)
+        return State(
+            state.at,
+            dealers,
+            known,
+            list(state.keys),
+            state.out,
+            state.calls,
+            state.doubles,
+            state.restarts,
+            trail,
+        )
 
     def _keyed(self, state: State, node: int) -> State:
         state.keys[node] = _key(state.dealers[node], state.known[node])
         return state
 
     def _put(self, state: State, datagram: Datagram) -> None:
-        state.out = tuple(sorted((*state.out, datagram)))[-MOST_OUT:] if datagram not in state.out else state.out
+        state.out = (
+            tuple(sorted((*state.out, datagram)))[-MOST_OUT:]
+            if datagram not in state.out
+            else state.out
+        )
 
     def _call(self, state: State, node: int) -> bool:
         dealer, now = state.dealers[node], self.clock(node, state)
@@ -212,18 +273,32 @@
         granted: dict[int, list[int]] = {}
         if hold:
             number = dealer.holdings.replies(now)
-            wants: dict[tuple[int, int], float] = {(other, token): WHOLE for other, (token, _) in known.items()}
+            wants: dict[tuple[int, int], float] = {
+                (other, token): WHOLE for other, (token, _) in known.items()
+            }
             wants[dealer.who] = WHOLE
             for bound in range(self.scope.bounds):
                 for who, parts in dealer.ledger.deal(bound, wants, hold, now).items():
                     granted.setdefault(who[0], []).append(parts)
                     if who == dealer.who:
-                        dealer.granted(dealer.who, dealer.who[1], dealer.number, number, hold, 1.0, bound, parts, now)
+                        dealer.granted(
+                            dealer.who,
+                            dealer.who[1],
+                            dealer.number,
+                            number,
+                            hold,
+                            1.0,
+                            bound,
+                            parts,
+                            now,
+                        )
         for other in range(NODES):
             if other != node:
                 token, echo = known.get(other, (0, 0))
                 what = (hold, *granted.get(other, ())) if token else (0,)
-                self._put(state, Datagram("call", dealer.who, other, token, dealer.number, echo, what))
+                self._put(
+                    state, Datagram("call", dealer.who, other, token, dealer.number, echo, what)
+                )
         return True
 
     def _come(self, state: State, datagram: Datagram) -> None:
@@ -232,13 +307,31 @@
         if datagram.kind == "call":
             hold, *parts = datagram.what
             for bound, some in enumerate(parts):
-                dealer.granted(datagram.sender, datagram.token, datagram.number, datagram.echo, hold, 1.0, bound, some, now)
+                dealer.granted(
+                    datagram.sender,
+                    datagram.token,
+                    datagram.number,
+                    datagram.echo,
+                    hold,
+                    1.0,
+                    bound,
+                    some,
+                    now,
+                )
             vote, void = dealer.called(datagram.sender, datagram.number, now)
             for other in range(NODES):
                 if void and other != node:
                     self._put(state, Datagram("back", dealer.who, other, 0, void, 0, ()))
             number = dealer.holdings.replies(now)
-            reply = Datagram("reply", dealer.who, datagram.sender[0], datagram.sender[1], number, datagram.number, (int(vote),))
+            reply = Datagram(
+                "reply",
+                dealer.who,
+                datagram.sender[0],
+                datagram.sender[1],
+                number,
+                datagram.number,
+                (int(vote),),
+            )
             self._put(state, reply)
             return
         if datagram.kind == "back":
--- a/testbed/cli.py
+++ b/testbed/cli.py
@@ -50,15 +50,26 @@
         from testbed.nights.defects import DEFECTS
 
         if name not in DEFECTS:
-            print(f"gradeshift sim: no defect of this name; there are {', '.join(DEFECTS)}", file=sys.stderr)
+            print(
+                f"gradeshift sim: no defect of this name; there are {', '.join(DEFECTS)}",
+                file=sys.stderr,
+            )
             context.exit(2)
     return name
 
 
 _seed = click.option("--seed", type=int, required=True, metavar="N")
-_script_file = click.option("--script", metavar="FILE", help="The world and its faults, instead of those that the seed draws.")
+_script_file = click.option(
+    "--script",
+    metavar="FILE",
+    help="The world and its faults, instead of those that the seed draws.",
+)
 _defect = click.option(
-    "--defect", default="", metavar="NAME", callback=_known, help="Put a deliberate defect into the node (testbed/nights/defects.py)."
+    "--defect",
+    default="",
+    metavar="NAME",
+    callback=_known,
+    help="Put a deliberate defect into the node (testbed/nights/defects.py).",
 )
 
 
@@ -73,7 +84,9 @@
 @click.option("--write-script", metavar="FILE", help="Write the script that was played.")
 @_defect
 @_action
-def _run(seed: int, script: Optional[str], trace: Optional[str], write_script: Optional[str], defect: str) -> int:
+def _run(
+    seed: int, script: Optional[str], trace: Optional[str], write_script: Optional[str], defect: str
+) -> int:
     """One night; exits with 1 where a rule is broken."""
     from testbed.nights.defects import patched
     from testbed.nights.simulation import run
@@ -139,7 +152,8 @@
         if summary.failures:
             failed += 1
             print(
-                f"seed {summary.seed}: {summary.failures[0]}\n    {command_of(summary.seed, defect)}", flush=True
+                f"seed {summary.seed}: {summary.failures[0]}\n    {command_of(summary.seed, defect)}",
+                flush=True,
             )
         if time.monotonic() - last > 5.0:
             last = time.monotonic()
@@ -169,19 +183,28 @@
         print(f"seed {seed} breaks no rule", file=sys.stderr)
         return 1
     wanted = kind_of(failures[0])
-    small, runs = shrink(seed, night, wanted, lambda seed, candidate: play(seed, defect, candidate).failures)
+    small, runs = shrink(
+        seed, night, wanted, lambda seed, candidate: play(seed, defect, candidate).failures
+    )
     text = f"# seed {seed} breaks: {wanted}\n" + written(small)
     if to:
         Path(to).write_text(text)
     else:
         print(text, end="")
-    print(f"{len(night.fault)} faults before, {len(small.fault)} after {runs} runs", file=sys.stderr)
+    print(
+        f"{len(night.fault)} faults before, {len(small.fault)} after {runs} runs", file=sys.stderr
+    )
     return 0
 
 
 @sim.command("show")
 @click.argument("trace")
-@click.option("--about", default="", metavar="NAME", help="A request (x12), a connection (127.1.0.1:8000), a box or a node.")
+@click.option(
+    "--about",
+    default="",
+    metavar="NAME",
+    help="A request (x12), a connection (127.1.0.1:8000), a box or a node.",
+)
 @_action
 def _show(trace: str, about: str) -> int:
     """A readable timeline out of a trace."""
--- a/testbed/machine/faults.py
+++ b/testbed/machine/faults.py
@@ -25,11 +25,19 @@
 ERRORS: dict[Call, tuple[int, ...]] = {
     Call.ACCEPT: (errno.ECONNABORTED, *_SHORTAGES),
     Call.SOCKET: _SHORTAGES,
-    Call.CONNECT: (errno.EADDRNOTAVAIL, errno.ENETUNREACH, errno.ENOBUFS, errno.EHOSTUNREACH, errno.ETIMEDOUT),
+    Call.CONNECT: (
+        errno.EADDRNOTAVAIL,
+        errno.ENETUNREACH,
+        errno.ENOBUFS,
+        errno.EHOSTUNREACH,
+        errno.ETIMEDOUT,
+    ),
     Call.SEND: (errno.ENOBUFS, errno.ENOMEM),
     Call.RECV: (errno.ENOBUFS, errno.ENOMEM),
 }
-TABLE: tuple[tuple[Call, int], ...] = tuple((call, error) for call, errors in ERRORS.items() for error in errors)
+TABLE: tuple[tuple[Call, int], ...] = tuple(
+    (call, error) for call, errors in ERRORS.items() for error in errors
+)
 """Every call with every error, by number: the value of a `node_calls` fault."""
 
 
--- a/testbed/machine/loop.py
+++ b/testbed/machine/loop.py
@@ -41,7 +41,9 @@
         super().__init__()
         self.now_us = 0
         self.steps = 0  # callbacks run
-        self.after_step: Optional[Callable[[Owner], None]] = None  # called after each callback of a process
+        self.after_step: Optional[Callable[[Owner], None]] = (
+            None  # called after each callback of a process
+        )
         self._order = random.Random(f"order/{seed}")
         self._due: list[tuple[int, float, int, asyncio.TimerHandle]] = []
         self._number = 0
@@ -59,11 +61,17 @@
         return self.now_us / 1e6
 
     def call_at(
-        self, when: float, callback: Callable[[*_Ts], object], *args: *_Ts, context: Optional[Context] = None
+        self,
+        when: float,
+        callback: Callable[[*_Ts], object],
+        *args: *_Ts,
+        context: Optional[Context] = None,
     ) -> asyncio.TimerHandle:
         return self._at(ceil(when * 1e6 - 1e-3), callback, args, context)
 
-    def after_us(self, delay_us: int, callback: Callable[..., object], *args: Any) -> asyncio.TimerHandle:
+    def after_us(
+        self, delay_us: int, callback: Callable[..., object], *args: Any
+    ) -> asyncio.TimerHandle:
         """Call back after so many microseconds, on behalf of the world and of no process."""
         return self._at(self.now_us + delay_us, callback, args, _WORLD)
 
@@ -85,7 +93,11 @@
 
     def timers(self) -> list[asyncio.TimerHandle]:
         """Every timer that is still to come, in the order in which it will."""
-        return [entry[3] for entry in sorted(self._due, key=lambda entry: entry[:3]) if not entry[3].cancelled()]
+        return [
+            entry[3]
+            for entry in sorted(self._due, key=lambda entry: entry[:3])
+            if not entry[3].cancelled()
+        ]
 
     # -- readiness -----------------------------------------------------------------------
 
@@ -164,7 +176,11 @@
             self._gather(ready)
         self._turns += 1
         if self._turns > LIVELOCK:
-            raise Livelock(f"{LIVELOCK} turns at {self.now_us} us; the last is {ready[0]!r}" if ready else "spinning")
+            raise Livelock(
+                f"{LIVELOCK} turns at {self.now_us} us; the last is {ready[0]!r}"
+                if ready
+                else "spinning"
+            )
         for _ in range(len(ready)):
             self._run(ready.popleft())
 
@@ -202,7 +218,10 @@
             if sock.process is not None and not sock.process.running:
                 continue  # nobody polls; it is asked again when the process goes on
             reader, writer = self._readers.get(sock), self._writers.get(sock)
-            reads, writes = reader is not None and sock.readable, writer is not None and sock.writable
+            reads, writes = (
+                reader is not None and sock.readable,
+                writer is not None and sock.writable,
+            )
             if reads and reader is not None:
                 hot.append(reader)
             if writes and writer is not None:
--- a/testbed/machine/net.py
+++ b/testbed/machine/net.py
@@ -56,7 +56,9 @@
     late_us: int = 5_000
     cut: bool = False
     free_us: int = 0  # when the line has carried what was put on it
-    datagram_us: int = 0  # when the last datagram arrives: none overtakes another but where it is drawn so
+    datagram_us: int = (
+        0  # when the last datagram arrives: none overtakes another but where it is drawn so
+    )
 
 
 @dataclass(slots=True)
@@ -252,7 +254,12 @@
             self.process.check_call(Call.CONNECT)
         if not self.local[1]:
             self.net.bind(self, (self.host, 0))
-        self.state, self.remote, self.connected, self.dialed = "dialing", (address[0], address[1]), done, True
+        self.state, self.remote, self.connected, self.dialed = (
+            "dialing",
+            (address[0], address[1]),
+            done,
+            True,
+        )
         self.net.note("dial", self)
         self.net.send_syn(self, SYN_US)
 
@@ -380,7 +387,9 @@
     @property
     def readable(self) -> bool:
         """Whether a read or an accept would not block."""
-        return bool(self.rx or self.rx_end or self.error or self.reset or self.waiting or self.datagrams)
+        return bool(
+            self.rx or self.rx_end or self.error or self.reset or self.waiting or self.datagrams
+        )
 
     @property
     def writable(self) -> bool:
@@ -426,7 +435,9 @@
                 self.net.loop.poke(self)
             return
         if isinstance(what, bytes):
-            self.net.loop.after_us(self.net.delay(self.host, peer.host), peer.acknowledged, len(what))
+            self.net.loop.after_us(
+                self.net.delay(self.host, peer.host), peer.acknowledged, len(what)
+            )
         if self.closed or self.dead:
             if what != "fin":
                 self.send_reset()  # there is nobody to read it, and an earlier word of that may have been lost
@@ -536,7 +547,11 @@
         now = self.loop.now_us
         if link.bandwidth:
             now = link.free_us = max(now, link.free_us) + size * 1_000_000 // link.bandwidth
-        return now + link.latency_us + (self.rng.randrange(link.jitter_us + 1) if link.jitter_us else 0)
+        return (
+            now
+            + link.latency_us
+            + (self.rng.randrange(link.jitter_us + 1) if link.jitter_us else 0)
+        )
 
     # -- addresses -----------------------------------------------------------------------
 
@@ -568,7 +583,9 @@
         if sock.closed or sock.state != "dialing":
             return
         link = self.link(sock.host, sock.remote[0])
-        if self.reaches(sock.host, sock.remote[0]) and not (link.loss and self.rng.random() < link.loss):
+        if self.reaches(sock.host, sock.remote[0]) and not (
+            link.loss and self.rng.random() < link.loss
+        ):
             self.loop.after_us(self.flight(link, 40) - self.loop.now_us, self._syn_arrives, sock)
         self.loop.after_us(repeat_us, self.send_syn, sock, 2 * repeat_us)
 
@@ -587,7 +604,12 @@
         if len(listener.waiting) > listener.backlog:
             return  # dropped; the SYN comes again
         other = VirtualSocket(self, None, listener.host, "stream")
-        other.state, other.local, other.remote, other.peer = "open", listener.local, sock.local, sock
+        other.state, other.local, other.remote, other.peer = (
+            "open",
+            listener.local,
+            sock.local,
+            sock,
+        )
         other.receive_buffer, other.send_buffer = listener.receive_buffer, listener.send_buffer
         sock.peer = other
         listener.waiting.append(other)
@@ -655,7 +677,11 @@
 
     def _datagram(self, data: bytes, sender: Address, address: Address) -> None:
         target = self.host(address[0]).bound.get(("datagram", address[1]))
-        if target is None or not self.reaches(sender[0], address[0]) or target.datagram_size + len(data) > DATAGRAMS:
+        if (
+            target is None
+            or not self.reaches(sender[0], address[0])
+            or target.datagram_size + len(data) > DATAGRAMS
+        ):
             return
         target.datagrams.append((data, sender))
         target.datagram_size += len(data)
--- a/testbed/machine/process.py
+++ b/testbed/machine/process.py
@@ -35,7 +35,9 @@
         self.state = "new"  # new, running, paused, ended, killed
         self.paused_us: list[tuple[int, int]] = []  # spans in which it stood still
         self.calls = CallFaults()
-        self.starved_us: list[tuple[int, int]] = []  # spans in which it had no descriptor to accept with
+        self.starved_us: list[
+            tuple[int, int]
+        ] = []  # spans in which it had no descriptor to accept with
         self.exit: Optional[BaseException] = None
         self.on_end: Callable[[], None] = lambda: None
         self.context = Context()  # of its code, once it is started
@@ -169,7 +171,10 @@
 
     def stood_still(self, since_us: int, until_us: int, longer_us: int = -1) -> bool:
         """Whether it was paused at any time in a span, by a pause that lasted for longer than this."""
-        return any(begin <= until_us and end >= since_us and end - begin > longer_us for begin, end in self.paused_us)
+        return any(
+            begin <= until_us and end >= since_us and end - begin > longer_us
+            for begin, end in self.paused_us
+        )
 
     def hindered(self, since_us: int, until_us: int) -> bool:
         """Whether it was paused, or could accept nothing for want of descriptors, at any time in a span."""
--- a/testbed/nights/defects.py
+++ b/testbed/nights/defects.py
@@ -98,14 +98,19 @@
     return [(Discovery, "_fade", fade)]
 
 
-@defect("word of a client's end reaches its request a turn of the loop later, and a request that stood unread passes for a new one")
+@defect(
+    "word of a client's end reaches its request a turn of the loop later, and a request that stood unread passes for a new one"
+)
 def hears_of_an_end_late() -> list[Patch]:
     def noticed(self: Any) -> None:
         if self._stream.ended:
             self._task.cancel()
 
     # Either guard alone is enough: what stood unread is looked at once more before it is sent on.
-    return [(ClientConnection, "_noticed", noticed), (ClientConnection, "_waited_ms", lambda self: 0.0)]
+    return [
+        (ClientConnection, "_noticed", noticed),
+        (ClientConnection, "_waited_ms", lambda self: 0.0),
+    ]
 
 
 @defect("what has waited is not looked at again before it is sent on")
@@ -115,7 +120,10 @@
 
 @defect("the grace after a drain is not looked at before the last byte")
 def sends_after_the_grace() -> list[Patch]:
-    return [(Fleet, "usable", lambda self, member, now: True), (SendGuard, "check", _ignores_bounds)]
+    return [
+        (Fleet, "usable", lambda self, member, now: True),
+        (SendGuard, "check", _ignores_bounds),
+    ]
 
 
 @defect("a dial that fails leaves its socket open")
@@ -194,7 +202,11 @@
 
     async def wrong(self: Any) -> Outcome:
         outcome = await run(self)
-        return Outcome("unreachable") if outcome.status in ("broken", "timed_out", "spoilt") else outcome
+        return (
+            Outcome("unreachable")
+            if outcome.status in ("broken", "timed_out", "spoilt")
+            else outcome
+        )
 
     return [(Attempt, "run", wrong)]
 
@@ -270,7 +282,9 @@
     return [(Node, "_start", forever)]
 
 
-@defect("a server that starts cold is taken for a warm one and gets all writes and reads of its neighbours")
+@defect(
+    "a server that starts cold is taken for a warm one and gets all writes and reads of its neighbours"
+)
 def pushes_a_cold_server_over() -> list[Patch]:
     def pick(self: Any, request: Any, now: float) -> Any:
         fleet = self.fleet
@@ -282,7 +296,9 @@
     return [(Balancer, "_pick", pick)]
 
 
-@defect("what a cold server is allowed is not looked at for a repeat or a second request, nor paid for it")
+@defect(
+    "what a cold server is allowed is not looked at for a repeat or a second request, nor paid for it"
+)
 def forgets_the_allowance_of_a_repeat() -> list[Patch]:
     room, send = Balancer._has_room, Balancer._send
 
@@ -308,10 +324,14 @@
     def has_room(self: Any, member: Any, request: Any, now: float) -> bool:
         account = member.account
         if account is not None and now - account.at > 150.0:
-            account.level += self.allowances.reference(self.fleet.weight) * 2_000.0  # ms: the time of the rule
+            account.level += (
+                self.allowances.reference(self.fleet.weight) * 2_000.0
+            )  # ms: the time of the rule
         return room(self, member, request, now)
 
-    def has(self: Allowances, account: Account, rate: float, cost: float, worth: float, now: float) -> bool:
+    def has(
+        self: Allowances, account: Account, rate: float, cost: float, worth: float, now: float
+    ) -> bool:
         account.level += rate * (now - account.at)
         account.at = now
         return account.level >= cost
@@ -342,7 +362,11 @@
 
     def deaf(self: Any, address: Any, names: Any, now: float, last: bool, taken: Any) -> Any:
         found = box(self, address, names, now, last, taken)
-        if found is not None and found.server.state == "draining" and any(how == "in" for _, how in found.said):
+        if (
+            found is not None
+            and found.server.state == "draining"
+            and any(how == "in" for _, how in found.said)
+        ):
             return replace(found, server=replace(found.server, state="in"))
         return found
 
--- a/testbed/nights/explore.py
+++ b/testbed/nights/explore.py
@@ -38,7 +38,14 @@
     first = result.failures[0].step if result.failures else 0
     failures = tuple(map(str, result.failures))
     return Summary(
-        seed, failures, result.digest, result.virtual_s, result.real_s, result.figures.asked, result.steps, first
+        seed,
+        failures,
+        result.digest,
+        result.virtual_s,
+        result.real_s,
+        result.figures.asked,
+        result.steps,
+        first,
     )
 
 
@@ -114,9 +121,21 @@
 def _smaller(script: Script) -> Iterator[Script]:
     world = script.world
     nodes = max(
-        [1] + [f.target + 1 for f in script.fault if f.kind.startswith(("node", "clock", "rude", "trip_client"))]
+        [1]
+        + [
+            f.target + 1
+            for f in script.fault
+            if f.kind.startswith(("node", "clock", "rude", "trip_client"))
+        ]
+    )
+    boxes = max(
+        [1]
+        + [
+            f.target + 1
+            for f in script.fault
+            if f.kind.startswith(("box", "trip_request", "trip_answer"))
+        ]
     )
-    boxes = max([1] + [f.target + 1 for f in script.fault if f.kind.startswith(("box", "trip_request", "trip_answer"))])
     for change in (
         {"seconds": max(0.25, round(world.seconds / 2, 3))},
         {"seconds": max(0.25, round(world.seconds * 0.8, 3))},
@@ -133,7 +152,9 @@
             yield msgspec.structs.replace(script, world=fresh)
     for n, fault in enumerate(script.fault):
         for less in _milder(fault):
-            yield msgspec.structs.replace(script, fault=[*script.fault[:n], less, *script.fault[n + 1 :]])
+            yield msgspec.structs.replace(
+                script, fault=[*script.fault[:n], less, *script.fault[n + 1 :]]
+            )
 
 
 def _milder(fault: Fault) -> Iterator[Fault]:
--- a/testbed/nights/fleets.py
+++ b/testbed/nights/fleets.py
@@ -22,13 +22,21 @@
 def _herd(rng: random.Random, nodes: int, boxes: int) -> list[Fault]:
     """Seven nodes of eight are killed within a second and start cold, with the list of the last moment."""
     killed = rng.sample(range(nodes), nodes * 7 // 8)
-    return [Fault(at_ms=1_000.0 + rng.uniform(0.0, 1_000.0), kind="node_kill", target=n, for_ms=300.0) for n in killed]
+    return [
+        Fault(at_ms=1_000.0 + rng.uniform(0.0, 1_000.0), kind="node_kill", target=n, for_ms=300.0)
+        for n in killed
+    ]
 
 
 def _overbooked(rng: random.Random, nodes: int, boxes: int) -> list[Fault]:
     """Discovery answers late, sends what can't be read or breaks off in the middle of a line, and refuses; boxes go on being replaced."""
-    faults = [Fault(at_ms=800.0, kind="discovery_late", for_ms=900.0), Fault(at_ms=2_900.0, kind="discovery_down", for_ms=1_200.0)]
-    faults += [Fault(at_ms=1_200.0 + 250.0 * n, kind="discovery_wrong", value=float(n)) for n in range(8)]
+    faults = [
+        Fault(at_ms=800.0, kind="discovery_late", for_ms=900.0),
+        Fault(at_ms=2_900.0, kind="discovery_down", for_ms=1_200.0),
+    ]
+    faults += [
+        Fault(at_ms=1_200.0 + 250.0 * n, kind="discovery_wrong", value=float(n)) for n in range(8)
+    ]
     return faults + _replaced(rng, boxes // 10, boxes)
 
 
@@ -45,19 +53,39 @@
     for fault in list(faults):
         if rng.random() < 0.2:
             kind, value = rng.choice(BAD)
-            faults.append(Fault(at_ms=fault.at_ms + 500.0, kind=kind, target=fault.target, for_ms=2_500.0, value=value))
+            faults.append(
+                Fault(
+                    at_ms=fault.at_ms + 500.0,
+                    kind=kind,
+                    target=fault.target,
+                    for_ms=2_500.0,
+                    value=value,
+                )
+            )
     return faults
 
 
 def _zone(rng: random.Random, nodes: int, boxes: int) -> list[Fault]:
     """A third of the boxes is gone at once, and back cold and at once."""
-    return [Fault(at_ms=1_000.0, kind="box_kill", target=n, for_ms=1_500.0) for n in rng.sample(range(boxes), boxes // 3)]
+    return [
+        Fault(at_ms=1_000.0, kind="box_kill", target=n, for_ms=1_500.0)
+        for n in rng.sample(range(boxes), boxes // 3)
+    ]
 
 
 def _half(rng: random.Random, nodes: int, boxes: int) -> list[Fault]:
     """Nearly half of the boxes fail what they are asked, hit or miss."""
     bad = rng.sample(range(boxes), boxes * 9 // 20)
-    return [Fault(at_ms=1_000.0 + rng.uniform(0.0, 300.0), kind="box_errors", target=n, for_ms=2_500.0, value=400.0) for n in bad]
+    return [
+        Fault(
+            at_ms=1_000.0 + rng.uniform(0.0, 300.0),
+            kind="box_errors",
+            target=n,
+            for_ms=2_500.0,
+            value=400.0,
+        )
+        for n in bad
+    ]
 
 
 def _all(rng: random.Random, nodes: int, boxes: int) -> list[Fault]:
@@ -70,8 +98,17 @@
 }  # fmt: skip
 
 
-def night(name: str, seed: int, nodes: int = NODES, boxes: int = BOXES, requests_per_s: float = 300.0, seconds: float = 5.0) -> Script:
+def night(
+    name: str,
+    seed: int,
+    nodes: int = NODES,
+    boxes: int = BOXES,
+    requests_per_s: float = 300.0,
+    seconds: float = 5.0,
+) -> Script:
     """The script of a night."""
     faults = ALL[name](random.Random(f"fleet/{name}/{seed}"), nodes, boxes)
-    world = World(seconds=seconds, nodes=nodes, boxes=boxes, requests_per_s=requests_per_s, keys=2_000)
+    world = World(
+        seconds=seconds, nodes=nodes, boxes=boxes, requests_per_s=requests_per_s, keys=2_000
+    )
     return Script(world=world, fault=sorted(faults, key=lambda fault: fault.at_ms))
--- a/testbed/nights/oracle.py
+++ b/testbed/nights/oracle.py
@@ -41,7 +41,9 @@
 class Supply:
     """What the boxes and the order book could do, sampled as the night goes."""
 
-    work: list[float] = field(default_factory=list)  # by slice: ms of work in a ms, summed over samples,
+    work: list[float] = field(
+        default_factory=list
+    )  # by slice: ms of work in a ms, summed over samples,
     fetches: list[float] = field(default_factory=list)  # places of the order book a ms, likewise,
     samples: list[int] = field(default_factory=list)  # and how many there were
 
@@ -62,7 +64,9 @@
             n -= 1
         if n >= len(self.samples) or not self.samples[n]:
             return 0.0, 0.0
-        return SLICE_MS * self.work[n] / self.samples[n], SLICE_MS * self.fetches[n] / self.samples[n]
+        return SLICE_MS * self.work[n] / self.samples[n], SLICE_MS * self.fetches[n] / self.samples[
+            n
+        ]
 
 
 def served_at_most(demands: list[Demand], supply: Supply) -> dict[str, float]:
@@ -102,7 +106,12 @@
 
 
 def _solved(
-    costs: list[float], rows: list[int], columns: list[int], values: list[float], limits: list[float], most: Optional[float]
+    costs: list[float],
+    rows: list[int],
+    columns: list[int],
+    values: list[float],
+    limits: list[float],
+    most: Optional[float],
 ) -> list[float]:
     """The variables, each from 0 to most (None: no bound), at the least cost; rows, columns and values place what the limits bound.
 
--- a/testbed/nights/rules.py
+++ b/testbed/nights/rules.py
@@ -50,8 +50,12 @@
 TOLD_SLACK_US = 150_000  # of the deadline that a server is told
 STILL_US = 60_000  # after a request's end nothing of it is out any more
 LEFT_US = 100_000  # after this a request of a client that has left is not begun, whatever its node could know when
-CROSSED_US = 20_000  # what is on the way while word of an end comes (over a slow link it waits its turn)
-SOURCES_TIMERS = 2 + AT_ONCE  # of further sources: the next round, the next look, and look-ups that are out
+CROSSED_US = (
+    20_000  # what is on the way while word of an end comes (over a slow link it waits its turn)
+)
+SOURCES_TIMERS = (
+    2 + AT_ONCE
+)  # of further sources: the next round, the next look, and look-ups that are out
 IDLE_TIMERS = 6  # of a node that has nothing to do: two sweeps, its look at what is out, its presence, and up to two calls to come
 CALL_TIMERS = 2  # of each call to discovery, or of the watch that it has become: its patience and the call beside it, a pause and a silence
 
@@ -96,7 +100,9 @@
 class Rules(Witness, Observer):
     """Collects what happened, and what of it breaks a rule."""
 
-    def __init__(self, now_us: Callable[[], int], note: Callable[[str], None], later: Callable[..., object]) -> None:
+    def __init__(
+        self, now_us: Callable[[], int], note: Callable[[str], None], later: Callable[..., object]
+    ) -> None:
         self.failures: list[Failure] = []
         self.lives: dict[str, Life] = {}
         self.nodes: dict[str, Owner] = {}  # by host: the process that runs there now
@@ -107,13 +113,25 @@
         self._now = now_us
         self._note = note
         self._later = later  # calls back after so many us
-        self._left_out: dict[tuple[Owner, str], int] = {}  # (node, address): since when it may get nothing new
-        self._listed: dict[Owner, set[str]] = {}  # of a node: the addresses that it was told are in service
-        self._started: set[tuple[Owner, str]] = set()  # (node, host of a server): the node was told that it started lately
-        self._ever: dict[Owner, set[str]] = {}  # of a node: the addresses that its list ever named in service
+        self._left_out: dict[
+            tuple[Owner, str], int
+        ] = {}  # (node, address): since when it may get nothing new
+        self._listed: dict[
+            Owner, set[str]
+        ] = {}  # of a node: the addresses that it was told are in service
+        self._started: set[tuple[Owner, str]] = (
+            set()
+        )  # (node, host of a server): the node was told that it started lately
+        self._ever: dict[
+            Owner, set[str]
+        ] = {}  # of a node: the addresses that its list ever named in service
         self._named: set[str] = set()  # and those that DNS did,
-        self._heard: dict[Owner, dict[str, int]] = {}  # and those that it gave to a node, first when
-        self._empty: dict[Owner, int] = {}  # nodes with no server in service, since when one could be (a line may be on its way)
+        self._heard: dict[
+            Owner, dict[str, int]
+        ] = {}  # and those that it gave to a node, first when
+        self._empty: dict[
+            Owner, int
+        ] = {}  # nodes with no server in service, since when one could be (a line may be on its way)
         self._heads: dict[VirtualSocket, bytearray] = {}
         self._work: dict[str, deque[tuple[int, float, bool]]] = {}
         self._dialed: dict[Owner, int] = {}
@@ -121,7 +139,9 @@
         self._seen: set[tuple[str, str]] = set()
         self.reads: dict[str, Counter[str]] = defaultdict(Counter)  # by key and box
         self.leases = 0  # that were taken,
-        self.most_held: dict[int, int] = {}  # and the most parts of each bound that were held at once
+        self.most_held: dict[
+            int, int
+        ] = {}  # and the most parts of each bound that were held at once
 
     def broken(self, rule: str, what: str) -> None:
         """Note a broken rule, once for each thing it is about."""
@@ -152,10 +172,16 @@
         life.answer, life.answered_us = answer, self._now()
         self._later(STILL_US, self._no_work_left, ask, life.answered_us)
         if answer.status == 200 and answer.body not in life.bodies:
-            self.broken("one final answer", f"{ask.txn} is served with what was not made for it: {answer.body[:40]!r}")
+            self.broken(
+                "one final answer",
+                f"{ask.txn} is served with what was not made for it: {answer.body[:40]!r}",
+            )
         may_have_run = [begun for begun in life.begun if not begun.turned_away]
         if answer.status in (429, 503) and ask.kind.repeat == "unsafe" and may_have_run:
-            self.broken("no effect twice", f"{ask.txn} is refused though it may have run at {may_have_run[0].box}")
+            self.broken(
+                "no effect twice",
+                f"{ask.txn} is refused though it may have run at {may_have_run[0].box}",
+            )
 
     def left(self, ask: Ask) -> None:
         self.life(ask.txn).left_us = self._now()
@@ -165,13 +191,20 @@
     def _no_work_left(self, ask: Ask, ended_us: int) -> None:
         """A while after a request's end nothing of it is left in its node."""
         for process, service in self.services.items():
-            if process.name != ask.node or not process.running or process.hindered(ended_us, self._now()):
+            if (
+                process.name != ask.node
+                or not process.running
+                or process.hindered(ended_us, self._now())
+            ):
                 continue
             txn = ask.txn.encode()
             if any(call.txn == txn for call in service.node._calls.values()):
                 self.broken("nothing after the end", f"{process.name} still holds {ask.txn}")
             if any(attempt.call.txn == txn for attempt in service.node._running.values()):
-                self.broken("nothing after the end", f"an attempt of {process.name} for {ask.txn} is still out")
+                self.broken(
+                    "nothing after the end",
+                    f"an attempt of {process.name} for {ask.txn} is still out",
+                )
 
     def ended(self, ask: Ask, how: str) -> bool:
         life = self.life(ask.txn)
@@ -181,9 +214,13 @@
         if how == "no answer":
             self.broken("one final answer", f"{ask.txn} has none when its time is up")
         elif life.sends:
-            self.broken("one final answer", f"{ask.txn} was sent on, and its connection ended: {how}")
+            self.broken(
+                "one final answer", f"{ask.txn} was sent on, and its connection ended: {how}"
+            )
         elif not ask.first:
-            return True  # a close that crossed the request: it is sent once more on a new connection
+            return (
+                True  # a close that crossed the request: it is sent once more on a new connection
+            )
         return False
 
     def unasked(self, node: str) -> None:
@@ -196,7 +233,9 @@
         if any(process.hindered(since, self._now()) or not process.alive for process in here):
             return
         if status == -1:
-            self.broken("bad clients", f"{name} got neither an error nor a close in {waited_ms:.0f} ms")
+            self.broken(
+                "bad clients", f"{name} got neither an error nor a close in {waited_ms:.0f} ms"
+            )
         elif 200 <= status < 400:
             self.broken("bad clients", f"{name} was served with {status}")
 
@@ -209,7 +248,10 @@
         life.begun.append(Sent(now, box.name))
         kind = life.ask.kind if life.ask is not None else None
         if earlier and kind is not None and kind.repeat == "unsafe":
-            self.broken("no effect twice", f"{txn} may have run at {earlier[0].box} and is sent to {box.name}")
+            self.broken(
+                "no effect twice",
+                f"{txn} may have run at {earlier[0].box} and is sent to {box.name}",
+            )
         if earlier and kind is not None and kind.repeat == "keyed":
             if now - earlier[0].at_us > 1000 * kind.window_ms + MORE_US:
                 self.broken("no effect twice", f"{txn} is sent to {box.name} after the window")
@@ -260,10 +302,14 @@
     def starts(self, process: Owner, known: list[dict[str, object]]) -> None:
         """A node starts with the list as it last was."""
         self.nodes[process.host] = process
-        self._listed[process] = {str(entry["hostPort"]) for entry in known if entry["lifecycle"] == "in_service"}
+        self._listed[process] = {
+            str(entry["hostPort"]) for entry in known if entry["lifecycle"] == "in_service"
+        }
         self._ever[process] = set(self._listed[process])
 
-    def told(self, node: str, entries: list[dict[str, object]], full: bool, sound: bool = True) -> None:
+    def told(
+        self, node: str, entries: list[dict[str, object]], full: bool, sound: bool = True
+    ) -> None:
         now = self._now()
         process = self.nodes.get(node)
         if process is None or not process.alive:
@@ -293,7 +339,9 @@
                     continue  # a line that can't be read may not take the last server
                 listed.discard(address)
                 self._left_out.setdefault((process, address), now)
-                self._note(f"{process.name} is told that {entry['instanceId']} is {entry['lifecycle']}")
+                self._note(
+                    f"{process.name} is told that {entry['instanceId']} is {entry['lifecycle']}"
+                )
 
     # -- further sources -----------------------------------------------------------------
 
@@ -317,13 +365,22 @@
             if any(server.leaving_ms is None for server in service.node.servers.values()):
                 self._empty.pop(process, None)
                 continue
-            heard = {a for a, at in self._heard.get(process, {}).items() if self._now() - at > HEARD_US}
-            left = [address for address in self._ever[process] | heard if (process, address) not in self._left_out]
+            heard = {
+                a for a, at in self._heard.get(process, {}).items() if self._now() - at > HEARD_US
+            }
+            left = [
+                address
+                for address in self._ever[process] | heard
+                if (process, address) not in self._left_out
+            ]
             since = self._empty.setdefault(process, self._now())
             if not left:
                 self._empty[process] = self._now()
             elif self._now() - since > GRACE_US and not process.stood_still(since, self._now()):
-                self.broken("never empty", f"{process.name} has no server in service though {min(left)} was never taken away")
+                self.broken(
+                    "never empty",
+                    f"{process.name} has no server in service though {min(left)} was never taken away",
+                )
 
     # -- the tier ------------------------------------------------------------------------
 
@@ -353,7 +410,11 @@
 
     def wire(self, sock: VirtualSocket, piece: bytes, asked: int) -> None:
         """Bytes left a program. Called by the network for every send."""
-        if sock.remote[0] not in self.boxes or sock.process is None or sock.process not in self.services:
+        if (
+            sock.remote[0] not in self.boxes
+            or sock.process is None
+            or sock.process not in self.services
+        ):
             return
         head = self._heads.get(sock)
         if head is None:
@@ -368,7 +429,11 @@
         at = head.find(b"\r\nX-Txn: ")
         txn = head[at + 9 : head.index(b"\r\n", at + 9)].decode("latin-1")
         told = head.find(b"\r\nX-Remaining-Ms: ")
-        self._sent(sock, txn, 1000 * int(head[told + 18 : head.index(b"\r\n", told + 18)]) if told >= 0 else 0)
+        self._sent(
+            sock,
+            txn,
+            1000 * int(head[told + 18 : head.index(b"\r\n", told + 18)]) if told >= 0 else 0,
+        )
 
     def _sent(self, sock: VirtualSocket, txn: str, told_us: int) -> None:
         now, process = self._now(), sock.process
@@ -378,21 +443,39 @@
         life.sends.append(Sent(now, box))
         life.sender = process
         self._note(f"{process.name} sends {txn} to {box} #{len(life.sends)}")
-        for ended_us, what in ((life.answered_us, "its final answer"), (life.left_us, "its client had left")):
+        for ended_us, what in (
+            (life.answered_us, "its final answer"),
+            (life.left_us, "its client had left"),
+        ):
             if 0 <= ended_us < now - CROSSED_US and not process.hindered(ended_us, now):
-                self.broken("nothing after the end", f"{process.name} sends {txn} to {box} after {what}")
+                self.broken(
+                    "nothing after the end", f"{process.name} sends {txn} to {box} after {what}"
+                )
         if 0 <= life.left_us <= now - LEFT_US:
             late_ms = (now - life.left_us) / 1000
-            self.broken("left while it waited", f"{process.name} sends {txn} to {box} {late_ms:.0f} ms after its client left")
+            self.broken(
+                "left while it waited",
+                f"{process.name} sends {txn} to {box} {late_ms:.0f} ms after its client left",
+            )
         if life.ask is not None and life.ask.budget_ms and life.asked_us >= 0:
             left_us = life.asked_us + int(1000 * life.ask.budget_ms) - now
-            if told_us > max(1_000, left_us) + TOLD_SLACK_US and not process.stood_still(life.asked_us, now):
-                self.broken("deadline told", f"{process.name} tells {box} {told_us // 1000} ms for {txn}, {left_us // 1000} are left")
+            if told_us > max(1_000, left_us) + TOLD_SLACK_US and not process.stood_still(
+                life.asked_us, now
+            ):
+                self.broken(
+                    "deadline told",
+                    f"{process.name} tells {box} {told_us // 1000} ms for {txn}, {left_us // 1000} are left",
+                )
         address = f"{sock.remote[0]}:{sock.remote[1]}"
         since = self._left_out.get((process, address))
-        if since is not None and now - since > GRACE_US + MORE_US and not process.stood_still(since, now, STALL_US):
+        if (
+            since is not None
+            and now - since > GRACE_US + MORE_US
+            and not process.stood_still(since, now, STALL_US)
+        ):
             self.broken(
-                "drains kept", f"{process.name} sends {txn} to {box} {(now - since) / 1000:.0f} ms after it was told"
+                "drains kept",
+                f"{process.name} sends {txn} to {box} {(now - since) / 1000:.0f} ms after it was told",
             )
 
     # -- the node's books ----------------------------------------------------------------
@@ -422,15 +505,22 @@
             return
         dialed, accepted = self._dialed.get(process, 0), self._accepted.get(process, 0)
         if service.pool.open != dialed:
-            self.broken("books", f"{process.name} counts {service.pool.open} connections to servers and has {dialed}")
+            self.broken(
+                "books",
+                f"{process.name} counts {service.pool.open} connections to servers and has {dialed}",
+            )
         if accepted > len(service.frontend._connections):
-            self.broken("books", f"{process.name} has {accepted} client connections and counts fewer")
+            self.broken(
+                "books", f"{process.name} has {accepted} client connections and counts fewer"
+            )
 
     def timers_at_rest(self, timers: dict[Owner, int]) -> None:
         """Shortly after the last answer no timer of a request is left. timers: how many each process has."""
         for process in self.services:
             discovery = self.services[process].discovery
-            most = IDLE_TIMERS + (SOURCES_TIMERS if self.services[process].sources is not None else 0)
+            most = IDLE_TIMERS + (
+                SOURCES_TIMERS if self.services[process].sources is not None else 0
+            )
             most += CALL_TIMERS * (len(discovery._calls) + len(discovery._fading))
             most += (discovery.book._lapsing is not None) + bool(discovery.book._overruled)
             most += self.services[process].tier is not None  # its tick
@@ -453,7 +543,13 @@
                 "bytes of bodies": service.frontend.budget.used,
                 "client connections": len(service.frontend._connections),
                 # A watch that lost something is read on until another has told a line: its next call may be due after the end (10101004).
-                "tasks over the usual": max(0, len(process.pending()) - 2 - min(FADING_MOST, len(service.discovery._fading)) - more),
+                "tasks over the usual": max(
+                    0,
+                    len(process.pending())
+                    - 2
+                    - min(FADING_MOST, len(service.discovery._fading))
+                    - more,
+                ),
                 "connections in use": service.pool.open - len(service.pool._resting),
             }
             for what, count in left.items():
--- a/testbed/nights/script.py
+++ b/testbed/nights/script.py
@@ -32,7 +32,13 @@
     "node_calls",
 ]  # fmt: skip
 DRAWN: tuple[Kind, ...] = Kind.__args__[:30]  # type: ignore[attr-defined]  # of every night; the others come with hard nights alone
-MISSED: tuple[Kind, ...] = ("discovery_refuse", "discovery_mute", "discovery_down", "discovery_drop", "discovery_silent")
+MISSED: tuple[Kind, ...] = (
+    "discovery_refuse",
+    "discovery_mute",
+    "discovery_down",
+    "discovery_drop",
+    "discovery_silent",
+)
 HARD_FROM = 20_001  # nights drawn from this seed on are hard ones,
 TOLD_FROM = 10_000_001  # and from this one on nights on which discovery spoils what it tells,
 PAIRED_FROM = 10_100_001  # of which these lose a line while the watch has already lost something, or stands in the middle of a line
@@ -42,7 +48,13 @@
 TIERED_FROM = 30_000_001  # and from this one on nights of many nodes that talk to one another, over links that fail
 HALF_A_LINE, NO_LIST = 7.0, 0.0  # values of discovery_wrong
 FRAMING = 5  # of the ways to spoil a line (`standins.SPOIL_HOWS`)
-BETWEEN: tuple[Kind, ...] = ("peer_cut", "peer_oneway", "peer_loss", "peer_late", "peer_double")  # faults of what goes from node to node
+BETWEEN: tuple[Kind, ...] = (
+    "peer_cut",
+    "peer_oneway",
+    "peer_loss",
+    "peer_late",
+    "peer_double",
+)  # faults of what goes from node to node
 TARGETS: dict[str, str] = {
     kind: "node"
     if kind.startswith(("node", "clock", "rude", "trip_client", "peer_junk"))
@@ -72,16 +84,26 @@
     jitter_us: Annotated[int, msgspec.Meta(ge=0, le=1_000_000)] = 100
     bandwidth: Annotated[int, msgspec.Meta(ge=0)] = 0
     descriptors: Annotated[int, msgspec.Meta(ge=32, le=65_536)] = 256
-    worths: Literal["equal", "site"] = "equal"  # of the classes: all the same, or as the brief has them
-    ask_within_ms: Annotated[float, msgspec.Meta(gt=0.0, le=60_000.0)] = 2_000.0  # how long a node may go without discovery
-    sources: Literal["list", "dns"] = "list"  # what nodes learn of boxes from: the box list alone, or DNS SRV beside it
+    worths: Literal["equal", "site"] = (
+        "equal"  # of the classes: all the same, or as the brief has them
+    )
+    ask_within_ms: Annotated[float, msgspec.Meta(gt=0.0, le=60_000.0)] = (
+        2_000.0  # how long a node may go without discovery
+    )
+    sources: Literal["list", "dns"] = (
+        "list"  # what nodes learn of boxes from: the box list alone, or DNS SRV beside it
+    )
     # Whether nodes may send one another datagrams, and if so for which part alone.
     tier: Literal["off", "on", "shares", "fetches", "line", "signals"] = "off"
     leaving: Share = 0.03  # of the requests, whose clients leave before the answer,
     leave_ms: Millis = 60.0  # after up to so long,
-    leave_oddly: bool = False  # some of them by a reset, or behind the beginning of a further request,
+    leave_oddly: bool = (
+        False  # some of them by a reset, or behind the beginning of a further request,
+    )
     leave_together_ms: Millis = 0.0  # and all at the next multiple of this, where it is over 0
-    tier_period_ms: Annotated[float, msgspec.Meta(ge=50.0, le=10_000.0)] = 500.0  # `period_ms` of their operator's file
+    tier_period_ms: Annotated[float, msgspec.Meta(ge=50.0, le=10_000.0)] = (
+        500.0  # `period_ms` of their operator's file
+    )
 
 
 class Fault(Table, frozen=True, kw_only=True):
@@ -90,7 +112,9 @@
     at_ms: Millis
     kind: Kind
     target: Place = 0  # which box or node
-    nodes: list[Place] = []  # in its place, for faults of nodes: all of these; of what goes between nodes: one side, none for all
+    nodes: list[
+        Place
+    ] = []  # in its place, for faults of nodes: all of these; of what goes between nodes: one side, none for all
     for_ms: Millis = 0.0  # 0: for good, where it lasts at all
     value: float = 0.0  # a share, a factor, a count or a byte, by kind
 
@@ -117,11 +141,19 @@
         for n, fault in enumerate(self.fault):
             limit = {"node": self.world.nodes, "box": self.world.boxes}.get(TARGETS[fault.kind], 64)
             if fault.target >= limit:
-                yield Wrong(f"fault[{n}].target", f"the world has only {limit} of them, from 0, got {fault.target}")
+                yield Wrong(
+                    f"fault[{n}].target",
+                    f"the world has only {limit} of them, from 0, got {fault.target}",
+                )
             for m, node in enumerate(fault.nodes):
                 if node >= self.world.nodes:
-                    yield Wrong(f"fault[{n}].nodes[{m}]", f"the world has only {self.world.nodes} of them, from 0, got {node}")
-            if (fault.kind in BETWEEN or fault.kind in ("peer_junk", "node_other")) and self.world.tier == "off":
+                    yield Wrong(
+                        f"fault[{n}].nodes[{m}]",
+                        f"the world has only {self.world.nodes} of them, from 0, got {node}",
+                    )
+            if (
+                fault.kind in BETWEEN or fault.kind in ("peer_junk", "node_other")
+            ) and self.world.tier == "off":
                 yield Wrong(f"fault[{n}].kind", f'a {fault.kind} needs tier = "on" in [world]')
 
 
@@ -146,10 +178,14 @@
 def written(script: Script) -> str:
     """A script as TOML, which `parse_script` reads back to the same."""
     lines = ["[world]"]
-    lines += [f"{key} = {_plain(value)}" for key, value in msgspec.structs.asdict(script.world).items()]
+    lines += [
+        f"{key} = {_plain(value)}" for key, value in msgspec.structs.asdict(script.world).items()
+    ]
     for fault in script.fault:
         lines += ["", "[[fault]]"]
-        lines += [f"{key} = {_plain(value)}" for key, value in msgspec.structs.asdict(fault).items()]
+        lines += [
+            f"{key} = {_plain(value)}" for key, value in msgspec.structs.asdict(fault).items()
+        ]
     return "\n".join(lines) + "\n"
 
 
@@ -186,7 +222,15 @@
         at, node = rng.uniform(100.0, world.seconds * 900.0), rng.randrange(world.nodes)
         if rng.random() < 0.2:
             faults.append(Fault(at_ms=round(max(0.0, at - 20.0), 3), kind="node_term", target=node))
-        faults.append(Fault(at_ms=round(at, 3), kind="node_calls", target=node, for_ms=for_ms, value=float(which)))
+        faults.append(
+            Fault(
+                at_ms=round(at, 3),
+                kind="node_calls",
+                target=node,
+                for_ms=for_ms,
+                value=float(which),
+            )
+        )
     return Script(world=world, fault=sorted(faults, key=lambda fault: fault.at_ms))
 
 
@@ -210,13 +254,30 @@
     faults = []
     for _ in range(rng.choice((1, 2, 3))):
         kind: Kind = rng.choice(
-            ("node_pause", "node_pause", "node_descriptors", "link_slow", "box_hang", "box_slow", "box_vanish", "node_term")
+            (
+                "node_pause",
+                "node_pause",
+                "node_descriptors",
+                "link_slow",
+                "box_hang",
+                "box_slow",
+                "box_vanish",
+                "node_term",
+            )
         )
         of = TARGETS[kind]
         target = rng.randrange(world.nodes if of == "node" else world.boxes)
         value = {"link_slow": rng.choice((40_000.0, 150_000.0)), "box_slow": 20.0}.get(kind, 0.0)
         for_ms = float(rng.choice((200, 450, 700, 1_200)))
-        faults.append(Fault(at_ms=round(rng.uniform(50.0, world.seconds * 800.0), 3), kind=kind, target=target, for_ms=for_ms, value=value))
+        faults.append(
+            Fault(
+                at_ms=round(rng.uniform(50.0, world.seconds * 800.0), 3),
+                kind=kind,
+                target=target,
+                for_ms=for_ms,
+                value=value,
+            )
+        )
     faults += [_draw_fault(rng, world) for _ in range(rng.choice((0, 0, 1, 2)))]
     return Script(world=world, fault=sorted(faults, key=lambda fault: fault.at_ms))
 
@@ -241,9 +302,15 @@
     )
     last = world.seconds * 800.0
     faults = []
-    for box in rng.sample(range(world.boxes), rng.randint(1, world.boxes - 1)):  # cold while leases are dealt
+    for box in rng.sample(
+        range(world.boxes), rng.randint(1, world.boxes - 1)
+    ):  # cold while leases are dealt
         at = rng.choice((50.0, 1_500.0, rng.uniform(50.0, last)))
-        faults.append(Fault(at_ms=round(at + rng.uniform(0.0, 400.0), 3), kind="box_quick_restart", target=box))
+        faults.append(
+            Fault(
+                at_ms=round(at + rng.uniform(0.0, 400.0), 3), kind="box_quick_restart", target=box
+            )
+        )
     for _ in range(rng.choice((1, 2, 3, 4, 5))):
         at, for_ms = rng.uniform(200.0, last), float(rng.choice((100, 400, 900, 2_000)))
         some = sorted(rng.sample(range(world.nodes), rng.randint(1, world.nodes // 2)))
@@ -255,13 +322,23 @@
             value = rng.choice((0.05, 0.3, 0.6))
         elif kind == "peer_late":
             value = float(rng.choice((50, 500, 3_000)))
-        nodes = [] if kind in ("peer_loss", "peer_late", "peer_double") and rng.random() < 0.5 else some
+        nodes = (
+            [] if kind in ("peer_loss", "peer_late", "peer_double") and rng.random() < 0.5 else some
+        )
         faults.append(Fault(at_ms=round(at, 3), kind=kind, nodes=nodes, for_ms=for_ms, value=value))
     if rng.random() < 0.4:
         kind = rng.choice(("book_slow", "book_slow", "load_step", "flush", "box_slow"))
         value = {"book_slow": 10.0, "load_step": 3.0, "flush": 0.9, "box_slow": 5.0}[kind]
         target = rng.randrange(world.boxes) if kind == "box_slow" else 0
-        faults.append(Fault(at_ms=round(rng.uniform(200.0, last), 3), kind=kind, target=target, for_ms=1_500.0, value=value))
+        faults.append(
+            Fault(
+                at_ms=round(rng.uniform(200.0, last), 3),
+                kind=kind,
+                target=target,
+                for_ms=1_500.0,
+                value=value,
+            )
+        )
     if rng.random() < 0.3:
         late = sorted(rng.sample(range(world.nodes), rng.randint(1, 3)))
         faults.append(Fault(at_ms=round(rng.uniform(500.0, last), 3), kind="node_join", nodes=late))
@@ -276,20 +353,48 @@
     faults = list(base.fault)
     for _ in range(rng.choice((1, 2, 3, 4))):
         kind: Kind = rng.choice(("dns_how", "dns_how", "dns_stale", "dns_odd"))
-        at, for_ms = rng.uniform(20.0, world.seconds * 900.0), float(rng.choice((300, 1_000, 2_500)))
-        faults.append(Fault(at_ms=round(at, 3), kind=kind, target=rng.randrange(3), for_ms=for_ms, value=float(rng.randrange(1, 18))))
+        at, for_ms = (
+            rng.uniform(20.0, world.seconds * 900.0),
+            float(rng.choice((300, 1_000, 2_500))),
+        )
+        faults.append(
+            Fault(
+                at_ms=round(at, 3),
+                kind=kind,
+                target=rng.randrange(3),
+                for_ms=for_ms,
+                value=float(rng.randrange(1, 18)),
+            )
+        )
     if rng.random() < 0.4:  # discovery is away while boxes die and come back
-        at, kind = rng.uniform(300.0, 1_500.0), rng.choice(("discovery_down", "discovery_silent", "discovery_refuse"))
+        at, kind = (
+            rng.uniform(300.0, 1_500.0),
+            rng.choice(("discovery_down", "discovery_silent", "discovery_refuse")),
+        )
         faults.append(Fault(at_ms=round(at, 3), kind=kind, for_ms=1_500.0))
         for box in rng.sample(range(world.boxes), rng.randint(1, world.boxes)):
             at_ms = round(at + rng.uniform(0.0, 300.0), 3)
-            faults.append(Fault(at_ms=at_ms, kind=rng.choice(("box_kill", "box_rename", "box_drain")), target=box, for_ms=600.0))
+            faults.append(
+                Fault(
+                    at_ms=at_ms,
+                    kind=rng.choice(("box_kill", "box_rename", "box_drain")),
+                    target=box,
+                    for_ms=600.0,
+                )
+            )
     if rng.random() < 0.25:  # a node that has DNS alone, and then not even that
         at, node = rng.uniform(100.0, 600.0), rng.randrange(world.nodes)
         faults.append(Fault(at_ms=round(at, 3), kind="discovery_down", for_ms=10_000.0))
         faults.append(Fault(at_ms=round(at + 10.0, 3), kind="node_blank", target=node))
         how = float(rng.choice((1, 2, 3, 12, 12, 13)))  # silent, servfail, refused, empty, nxdomain
-        faults.append(Fault(at_ms=round(at + rng.uniform(1_000.0, 1_500.0), 3), kind="dns_how", target=2, value=how))
+        faults.append(
+            Fault(
+                at_ms=round(at + rng.uniform(1_000.0, 1_500.0), 3),
+                kind="dns_how",
+                target=2,
+                value=how,
+            )
+        )
     return Script(world=world, fault=sorted(faults, key=lambda fault: fault.at_ms))
 
 
@@ -309,22 +414,47 @@
     at = rng.uniform(550.0, 1_200.0)  # by then every watch is up where nodes ask within 2 s
     faults = []
     for box in rng.sample(range(world.boxes), rng.randint(1, max(1, world.boxes - 1))):
-        kind: Kind = rng.choice(("box_drain", "box_drain", "box_drain", "box_rename", "box_quick_restart", "box_kill"))
+        kind: Kind = rng.choice(
+            ("box_drain", "box_drain", "box_drain", "box_rename", "box_quick_restart", "box_kill")
+        )
         after = rng.choice((0.0, 0.0, rng.uniform(0.0, 3.0), rng.uniform(0.0, 400.0)))
-        faults.append(Fault(at_ms=round(at + after, 3), kind=kind, target=box, for_ms=float(rng.choice((1, 200, 600)))))
+        faults.append(
+            Fault(
+                at_ms=round(at + after, 3),
+                kind=kind,
+                target=box,
+                for_ms=float(rng.choice((1, 200, 600))),
+            )
+        )
     for _ in range(rng.choice((1, 1, 2, 3))):
         early = rng.choice((1.0, 1.0, rng.uniform(0.0, 50.0)))
         how, byte = rng.randrange(64), float(rng.randrange(1, 500))
-        faults.append(Fault(at_ms=round(at - early, 3), kind="discovery_spoil", target=how, value=byte))
+        faults.append(
+            Fault(at_ms=round(at - early, 3), kind="discovery_spoil", target=how, value=byte)
+        )
     if seed >= PAIRED_FROM:
         faults += _draw_pair(rng, at)
     elif rng.random() < 0.3:
-        faults.append(Fault(at_ms=round(at - 0.5, 3), kind="discovery_wrong", value=float(rng.randrange(8))))
+        faults.append(
+            Fault(at_ms=round(at - 0.5, 3), kind="discovery_wrong", value=float(rng.randrange(8)))
+        )
     for kind in rng.sample(MISSED, rng.choice((0, 1, 1, 2))):
         after = rng.choice((-0.2, 0.2, rng.uniform(0.0, 10.0), rng.uniform(0.0, 300.0)))
-        faults.append(Fault(at_ms=round(at + after, 3), kind=kind, for_ms=float(rng.choice((40, 200, 375, 1_500)))))
+        faults.append(
+            Fault(
+                at_ms=round(at + after, 3),
+                kind=kind,
+                for_ms=float(rng.choice((40, 200, 375, 1_500))),
+            )
+        )
     if rng.random() < 0.15:
-        faults.append(Fault(at_ms=round(at + rng.uniform(-100.0, 100.0), 3), kind="node_hup", target=rng.randrange(world.nodes)))
+        faults.append(
+            Fault(
+                at_ms=round(at + rng.uniform(-100.0, 100.0), 3),
+                kind="node_hup",
+                target=rng.randrange(world.nodes),
+            )
+        )
     faults += [_draw_fault(rng, world) for _ in range(rng.choice((0, 0, 0, 1, 2)))]
     return Script(world=world, fault=sorted(faults, key=lambda fault: fault.at_ms))
 
@@ -335,13 +465,39 @@
     Half a line is drawn over every state that it puts a watch in: just read, in its pause (0.1 s), after it, and given up (1 s). Nights
     before these had half a line and lost framing together on one of a hundred, half a millisecond apart alone.
     """
-    gap = rng.choice((0.5, rng.uniform(0.0, 5.0), rng.uniform(5.0, 99.0), rng.uniform(101.0, 500.0), rng.uniform(1_001.0, 1_900.0)))
+    gap = rng.choice(
+        (
+            0.5,
+            rng.uniform(0.0, 5.0),
+            rng.uniform(5.0, 99.0),
+            rng.uniform(101.0, 500.0),
+            rng.uniform(1_001.0, 1_900.0),
+        )
+    )
     gap = min(gap, at - 100.0)
-    values = rng.choice(((HALF_A_LINE,), (HALF_A_LINE,), (NO_LIST,), (NO_LIST, HALF_A_LINE), (float(rng.randrange(8)),)))
-    pair = [Fault(at_ms=round(at - gap / n, 3), kind="discovery_wrong", value=value) for n, value in enumerate(values, 1)]
+    values = rng.choice(
+        (
+            (HALF_A_LINE,),
+            (HALF_A_LINE,),
+            (NO_LIST,),
+            (NO_LIST, HALF_A_LINE),
+            (float(rng.randrange(8)),),
+        )
+    )
+    pair = [
+        Fault(at_ms=round(at - gap / n, 3), kind="discovery_wrong", value=value)
+        for n, value in enumerate(values, 1)
+    ]
     if rng.random() < 0.6:
         noise = rng.randrange(8)
-        pair.append(Fault(at_ms=round(max(0.0, at - gap - 1.0), 3), kind="discovery_spoil", target=FRAMING + 6 * noise, value=20.0))
+        pair.append(
+            Fault(
+                at_ms=round(max(0.0, at - gap - 1.0), 3),
+                kind="discovery_spoil",
+                target=FRAMING + 6 * noise,
+                value=20.0,
+            )
+        )
     return pair
 
 
@@ -363,24 +519,67 @@
     faults = []
     if rng.random() < 0.75:
         for box in many:
-            kind: Kind = rng.choice(("box_quick_restart", "box_quick_restart", "box_kill", "box_rename", "box_lie"))
+            kind: Kind = rng.choice(
+                ("box_quick_restart", "box_quick_restart", "box_kill", "box_rename", "box_lie")
+            )
             for_ms = float(rng.choice((1, 200, 600, 1_500)))
-            faults.append(Fault(at_ms=round(at + rng.uniform(0.0, 900.0), 3), kind=kind, target=box, for_ms=for_ms))
+            faults.append(
+                Fault(
+                    at_ms=round(at + rng.uniform(0.0, 900.0), 3),
+                    kind=kind,
+                    target=box,
+                    for_ms=for_ms,
+                )
+            )
     if rng.random() < 0.35:
         value = float(rng.choice((2, 4)))
-        faults.append(Fault(at_ms=round(at + rng.uniform(0.0, 900.0), 3), kind="load_step", for_ms=1_200.0, value=value))
+        faults.append(
+            Fault(
+                at_ms=round(at + rng.uniform(0.0, 900.0), 3),
+                kind="load_step",
+                for_ms=1_200.0,
+                value=value,
+            )
+        )
     if rng.random() < 0.3:
-        faults.append(Fault(at_ms=round(at + rng.uniform(0.0, 900.0), 3), kind="flush", value=rng.choice((0.3, 0.9, 1.0))))
+        faults.append(
+            Fault(
+                at_ms=round(at + rng.uniform(0.0, 900.0), 3),
+                kind="flush",
+                value=rng.choice((0.3, 0.9, 1.0)),
+            )
+        )
     if rng.random() < 0.3:
-        faults.append(Fault(at_ms=round(at, 3), kind="book_slow", for_ms=float(rng.choice((600, 2_500))), value=10.0))
+        faults.append(
+            Fault(
+                at_ms=round(at, 3),
+                kind="book_slow",
+                for_ms=float(rng.choice((600, 2_500))),
+                value=10.0,
+            )
+        )
     if rng.random() < 0.4:
         for_ms = float(rng.choice((200, 600, 1_500)))
         target = rng.randrange(world.nodes)
-        faults.append(Fault(at_ms=round(at + rng.uniform(0.0, 900.0), 3), kind="node_pause", target=target, for_ms=for_ms))
+        faults.append(
+            Fault(
+                at_ms=round(at + rng.uniform(0.0, 900.0), 3),
+                kind="node_pause",
+                target=target,
+                for_ms=for_ms,
+            )
+        )
     if rng.random() < 0.3:
         for node in range(world.nodes):
             if rng.random() < 0.6:
-                faults.append(Fault(at_ms=round(at + rng.uniform(0.0, 600.0), 3), kind="node_kill", target=node, for_ms=600.0))
+                faults.append(
+                    Fault(
+                        at_ms=round(at + rng.uniform(0.0, 600.0), 3),
+                        kind="node_kill",
+                        target=node,
+                        for_ms=600.0,
+                    )
+                )
     faults += [_draw_fault(rng, world) for _ in range(rng.choice((0, 0, 1, 2)))]
     return Script(world=world, fault=sorted(faults, key=lambda fault: fault.at_ms))
 
@@ -402,7 +601,9 @@
     faults = [_draw_fault(rng, world) for _ in range(rng.choice((0, 1, 2, 3, 4, 5, 7)))]
     if rng.random() < 0.05:  # a server that starts cold under a load that could push it over
         world = msgspec.structs.replace(world, seconds=4.0, cores=1, requests_per_s=150.0)
-        faults.append(Fault(at_ms=200.0, kind="box_quick_restart", target=rng.randrange(world.boxes)))
+        faults.append(
+            Fault(at_ms=200.0, kind="box_quick_restart", target=rng.randrange(world.boxes))
+        )
     return Script(world=world, fault=sorted(faults, key=lambda fault: fault.at_ms))
 
 
@@ -427,5 +628,9 @@
     elif kind in ("rude", "discovery_wrong"):
         value = float(rng.randrange(8))
     return Fault(
-        at_ms=round(rng.uniform(50.0, world.seconds * 900.0), 3), kind=kind, target=target, for_ms=for_ms, value=value
+        at_ms=round(rng.uniform(50.0, world.seconds * 900.0), 3),
+        kind=kind,
+        target=target,
+        for_ms=for_ms,
+        value=value,
     )
--- a/testbed/nights/simulation.py
+++ b/testbed/nights/simulation.py
@@ -28,10 +28,30 @@
 from testbed.nights.rules import Failure, Rules
 from testbed.nights.script import Fault, Script, draw, each
 from testbed.nights.script import World as WorldTable
-from testbed.systems.clients import CLASSES, RUDE, SITE_CLASSES, Ask, Class, Clients, Figures, neighbours, settings
+from testbed.systems.clients import (
+    CLASSES,
+    RUDE,
+    SITE_CLASSES,
+    Ask,
+    Class,
+    Clients,
+    Figures,
+    neighbours,
+    settings,
+)
 from testbed.systems.dns import HOWS, SERVICE, NameServer, Zone
 from testbed.systems.serving import Connection, Server
-from testbed.systems.standins import SPOIL_HOWS, SPOILS, SPOILT_BY, BoxSpec, CacheBox, OrderBook, Registry, Spoil, work_of
+from testbed.systems.standins import (
+    SPOIL_HOWS,
+    SPOILS,
+    SPOILT_BY,
+    BoxSpec,
+    CacheBox,
+    OrderBook,
+    Registry,
+    Spoil,
+    work_of,
+)
 
 SOON_S = 0.3  # after the last answer, before timers are counted (those of deadlines have not come due by then),
 QUIET_S = 2.7  # and before all books are read
@@ -41,7 +61,13 @@
 SAMPLE_US = 10_000  # between two looks at what boxes and order book can do, for the oracle
 DNS_S = 1.2  # until DNS has heard of either
 NODE_PORT, BOX_PORT, PEER_PORT = 8000, 8001, 7946
-JUNK = (b"", b"\x00", b"\xc1" * 300, b"\x96\x01\x01\x01", bytes(range(256)))  # datagrams that are none
+JUNK = (
+    b"",
+    b"\x00",
+    b"\xc1" * 300,
+    b"\x96\x01\x01\x01",
+    bytes(range(256)),
+)  # datagrams that are none
 ODD = "127.2.0.99"  # where no box is
 RESOLVERS = (("127.6.0.1", 53), ("127.6.0.2", 53))
 
@@ -64,8 +90,12 @@
     good: set[int]  # which demands were served in time
     lines: list[str] = field(default_factory=list)
     leases: int = 0  # of bounds of the tier, that nodes took,
-    most_held: dict[int, int] = field(default_factory=dict)  # and the most parts of each that all held at once
-    members: dict[str, list[int]] = field(default_factory=dict)  # whom each node had in the tier at the end
+    most_held: dict[int, int] = field(
+        default_factory=dict
+    )  # and the most parts of each that all held at once
+    members: dict[str, list[int]] = field(
+        default_factory=dict
+    )  # whom each node had in the tier at the end
     keepers: list[str] = field(default_factory=list)
     usual: float = 0.0  # of the reads, that went to the box to which most of their key's went
     fetches: int = 0  # that the order book was asked for
@@ -155,7 +185,9 @@
         self._names = {n: f"s{n}" for n in range(w.boxes)}
         self._dead_us: dict[str, int] = {}  # of a node: when it was last killed
         self._gone_us: dict[str, int] = {}  # or ended in order, which excuses nothing
-        self._hurt_us: dict[str, list[int]] = {}  # of a node: when client connections of its were broken by the network
+        self._hurt_us: dict[
+            str, list[int]
+        ] = {}  # of a node: when client connections of its were broken by the network
         self.clients = Clients(
             {f"n{n}": (self._node_host(n), NODE_PORT) for n in range(w.nodes)},
             self.rules,
@@ -165,14 +197,20 @@
             classes=self.classes,
         )
         self.clients.left_share, self.clients.leave_ms = w.leaving, w.leave_ms
-        self.clients.leave_oddly, self.clients.leave_together_ms = w.leave_oddly, w.leave_together_ms
+        self.clients.leave_oddly, self.clients.leave_together_ms = (
+            w.leave_oddly,
+            w.leave_together_ms,
+        )
         self.clients.down = self._noticed_down
         self.clients.wanted = self._wanted
         self.good: set[int] = set()
         self.clients.got = self.good.add
         self.demands: list[Demand] = []
         self.supply = Supply()
-        self.tier_at_end: tuple[dict[str, list[int]], list[str]] = {}, []  # of each node whom it has in the tier, and who is keeper
+        self.tier_at_end: tuple[dict[str, list[int]], list[str]] = (
+            {},
+            [],
+        )  # of each node whom it has in the tier, and who is keeper
         self._sample_us = 0
         self.zone = Zone()
         self.resolvers = [NameServer(address, self.zone) for address in RESOLVERS]
@@ -185,7 +223,9 @@
 
     def _wanted(self, kind: Class, key: str) -> int:
         work, at_ms = work_of(key, kind.method), self.loop.now_us / 1000.0
-        self.demands.append(Demand(at_ms, kind.name, work, kind.aim_ms, kind.worth, kind.method == "PUT"))
+        self.demands.append(
+            Demand(at_ms, kind.name, work, kind.aim_ms, kind.worth, kind.method == "PUT")
+        )
         return len(self.demands) - 1
 
     def _after_step(self, process: Owner) -> None:
@@ -219,7 +259,9 @@
         self.processes.append(process)
         return process
 
-    def start_node(self, n: int, wall_offset_ms: float = 0.0, blank: bool = False, others: int = 0) -> None:
+    def start_node(
+        self, n: int, wall_offset_ms: float = 0.0, blank: bool = False, others: int = 0
+    ) -> None:
         """Start a node, or start it again with the list as it last was (blank: with none); others: so many more peers than there are."""
         w, name = self.script.world, f"n{n}"
         process = self._process(name, self._node_host(n))
@@ -237,14 +279,20 @@
             "settings": settings(self.classes, w.ask_within_ms),
         }
         if w.tier != "off":
-            config |= neighbours(config["settings"], n, [f"{self._node_host(m)}:{PEER_PORT}" for m in range(w.nodes + others)])
+            config |= neighbours(
+                config["settings"],
+                n,
+                [f"{self._node_host(m)}:{PEER_PORT}" for m in range(w.nodes + others)],
+            )
         process.files["config.json"] = json.dumps(config).encode()
         process.variables["PROXY_CONFIG"] = "config.json"
 
         sources: Optional[SourcesTable] = None
         if w.sources == "dns":
             names = [f"{host}:{port}" for host, port in RESOLVERS]
-            sources = SourcesTable(dns=DnsTable(service=SERVICE, resolvers=names, floor_s=0.3, ceiling_s=2.0))
+            sources = SourcesTable(
+                dns=DnsTable(service=SERVICE, resolvers=names, floor_s=0.3, ceiling_s=2.0)
+            )
 
         async def program() -> None:
             service = Service(load(seam.environ()), sources, tier=tier_table(w))
@@ -269,7 +317,14 @@
         """Start a cache box at its place."""
         address = (self._box_host(n), BOX_PORT)
         process = self._process(name, address[0])
-        box = CacheBox(name, address, self.book.address, BoxSpec(cores=self.script.world.cores), self.rules, False)
+        box = CacheBox(
+            name,
+            address,
+            self.book.address,
+            BoxSpec(cores=self.script.world.cores),
+            self.rules,
+            False,
+        )
         if cold:
             box._since_ms = EPOCH_MS + self.loop.now_us / 1000.0
         else:
@@ -306,7 +361,10 @@
             return True  # it joins later
         if process.alive:
             return False
-        return self.loop.now_us - max(self._dead_us.get(node, 0), self._gone_us.get(node, 0)) > FRONT_S * 1e6
+        return (
+            self.loop.now_us - max(self._dead_us.get(node, 0), self._gone_us.get(node, 0))
+            > FRONT_S * 1e6
+        )
 
     def _exception(self, loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
         error = context.get("exception")
@@ -316,7 +374,9 @@
 
     def _trace_socket(self, what: str, sock: VirtualSocket) -> None:
         owner = sock.process.name if sock.process is not None else sock.host
-        self.trace.note(f"{owner} {what} {sock.local[0]}:{sock.local[1]} {sock.remote[0]}:{sock.remote[1]}")
+        self.trace.note(
+            f"{owner} {what} {sock.local[0]}:{sock.local[1]} {sock.remote[0]}:{sock.remote[1]}"
+        )
 
     # -- the night -----------------------------------------------------------------------
 
@@ -337,7 +397,12 @@
                 server.told = self._given
                 process = self._process(f"dns-{server.address[0]}", server.address[0])
                 process.start(server.run)
-        late = {n for fault in self.script.fault if fault.kind == "node_join" for n in fault.nodes or [fault.target]}
+        late = {
+            n
+            for fault in self.script.fault
+            if fault.kind == "node_join"
+            for n in fault.nodes or [fault.target]
+        }
         for n in range(w.nodes):
             if n not in late:
                 self.start_node(n)
@@ -385,7 +450,11 @@
         """Let DNS name the boxes that run now; odd: and this host, where nobody listens."""
         if self._zone_stale:
             return
-        alive = {self._names[n]: (self._box_host(n), BOX_PORT) for n in self.boxes if self.box_processes[n].alive}
+        alive = {
+            self._names[n]: (self._box_host(n), BOX_PORT)
+            for n in self.boxes
+            if self.box_processes[n].alive
+        }
         if odd is not None:
             alive["odd"] = (odd, BOX_PORT)
         self.zone.serve(alive, ttl=1)
@@ -407,7 +476,14 @@
             self._later(fault, setattr, server, "how", "good")
 
     def _given(self, host: str, targets: list[str]) -> None:
-        self.rules.given(host, [f"{address}:{BOX_PORT}" for target in targets for address in self.zone.records[target, "A"][1]])
+        self.rules.given(
+            host,
+            [
+                f"{address}:{BOX_PORT}"
+                for target in targets
+                for address in self.zone.records[target, "A"][1]
+            ],
+        )
 
     def _do_dns_stale(self, fault: Fault) -> None:
         """DNS hears of nothing."""
@@ -502,7 +578,9 @@
     def _do_flush(self, fault: Fault) -> None:
         """A share of all kept copies goes void at once."""
         for box in self.boxes.values():
-            for key in self.rng.sample(sorted(box._values), int(len(box._values) * (fault.value or 1.0))):
+            for key in self.rng.sample(
+                sorted(box._values), int(len(box._values) * (fault.value or 1.0))
+            ):
                 box.void(key)
 
     def _do_load_step(self, fault: Fault) -> None:
@@ -511,7 +589,9 @@
         self._later(fault, setattr, self.clients, "rate", self.script.world.requests_per_s)
 
     def _do_box_spoil(self, fault: Fault) -> None:
-        self.boxes[fault.target].spoil += [self.rng.choice(SPOILS) for _ in range(int(fault.value) or 1)]
+        self.boxes[fault.target].spoil += [
+            self.rng.choice(SPOILS) for _ in range(int(fault.value) or 1)
+        ]
 
     def _do_box_errors(self, fault: Fault) -> None:
         self.boxes[fault.target].errors += int(fault.value) or 1
@@ -544,7 +624,9 @@
             self._kill_node(fault.target)
             self._later(fault, self._restart_node, fault.target)
 
-    def _restart_node(self, n: int, wall_offset_ms: float = 0.0, blank: bool = False, others: int = 0) -> None:
+    def _restart_node(
+        self, n: int, wall_offset_ms: float = 0.0, blank: bool = False, others: int = 0
+    ) -> None:
         if not self.nodes[f"n{n}"].alive:
             self.start_node(n, wall_offset_ms, blank, others)
 
@@ -564,7 +646,9 @@
 
     def _end_node(self, process: Process, n: int) -> None:
         if process.state == "running":
-            self.rules.broken("one final answer", f"{process.name} has not ended 3.7 s after SIGTERM")
+            self.rules.broken(
+                "one final answer", f"{process.name} has not ended 3.7 s after SIGTERM"
+            )
         process.kill()
         if self.nodes[f"n{n}"] is process:
             self._restart_node(n)
@@ -584,15 +668,21 @@
         process.descriptors = len(process.sockets)
         for_ms = fault.for_ms or 1_000.0
         # What waits in the backlog is taken a moment later.
-        process.starved_us.append((self.loop.now_us, self.loop.now_us + int(for_ms * 1000) + 200_000))
-        self.loop.after_us(int(for_ms * 1000), setattr, process, "descriptors", self.script.world.descriptors)
+        process.starved_us.append(
+            (self.loop.now_us, self.loop.now_us + int(for_ms * 1000) + 200_000)
+        )
+        self.loop.after_us(
+            int(for_ms * 1000), setattr, process, "descriptors", self.script.world.descriptors
+        )
 
     def _do_node_calls(self, fault: Fault) -> None:
         """A system call of a node fails: once, or for a time."""
         process = self.nodes[f"n{fault.target}"]
         call, error = CALL_TABLE[int(fault.value) % len(CALL_TABLE)]
         for_us = int(fault.for_ms * 1000)
-        process.calls.fail(call, error, self.loop.now_us + (for_us or 1_000_000), -1 if for_us else 1)
+        process.calls.fail(
+            call, error, self.loop.now_us + (for_us or 1_000_000), -1 if for_us else 1
+        )
         if call is Call.ACCEPT:
             process.starved_us.append((self.loop.now_us, self.loop.now_us + for_us + 200_000))
 
@@ -622,7 +712,10 @@
     def _do_reset(self, fault: Fault) -> None:
         """Break open connections between nodes and boxes, or between clients and a node."""
         sockets = [
-            sock for process in self.nodes.values() for sock in process.sockets if sock.state == "open" and sock.peer
+            sock
+            for process in self.nodes.values()
+            for sock in process.sockets
+            if sock.state == "open" and sock.peer
         ]
         if fault.target % 2:
             chosen = [sock for sock in sockets if sock.remote[0] in self.rules.boxes]
@@ -633,7 +726,9 @@
                 self._hurt_us.setdefault(sock.process.name, []).append(self.loop.now_us)
             sock.hurt()
 
-    def _trip(self, source: str, target: str, fault: Fault, action: Callable[[VirtualSocket], None]) -> None:
+    def _trip(
+        self, source: str, target: str, fault: Fault, action: Callable[[VirtualSocket], None]
+    ) -> None:
         """Arm a fault for the next new connection and for one that is open."""
         trip = Trip(source, target, max(1, int(fault.value)), action)
         self.net.trips.append(trip)
@@ -703,7 +798,10 @@
 
     def _do_discovery_spoil(self, fault: Fault) -> None:
         """The next line that each place tells is spoilt: how, by what noise, and at which byte."""
-        how, noise = SPOIL_HOWS[fault.target % len(SPOIL_HOWS)], SPOILT_BY[fault.target // len(SPOIL_HOWS) % len(SPOILT_BY)]
+        how, noise = (
+            SPOIL_HOWS[fault.target % len(SPOIL_HOWS)],
+            SPOILT_BY[fault.target // len(SPOIL_HOWS) % len(SPOILT_BY)],
+        )
         for registry in self.registries:
             registry.spoils.append(Spoil(how, int(fault.value), noise))
 
@@ -757,7 +855,12 @@
         """From the nodes of one side to all others, and back; without a side between all."""
         hosts = {self._node_host(n) for n in range(self.script.world.nodes)}
         side = {self._node_host(n) for n in fault.nodes}
-        pairs = [(a, b) for a in sorted(hosts) for b in sorted(hosts) if a != b and ((a in side) != (b in side) or not side)]
+        pairs = [
+            (a, b)
+            for a in sorted(hosts)
+            for b in sorted(hosts)
+            if a != b and ((a in side) != (b in side) or not side)
+        ]
         return [self.net.link(a, b) for a, b in pairs if both or a in side]
 
     def _do_peer_cut(self, fault: Fault) -> None:
@@ -790,7 +893,10 @@
         """A node gets datagrams that are none, from an address of a peer and from a stranger."""
         to = self._node_host(fault.target), PEER_PORT
         for data in JUNK:
-            for host in (self._node_host((fault.target + 1) % self.script.world.nodes), "127.9.9.9"):
+            for host in (
+                self._node_host((fault.target + 1) % self.script.world.nodes),
+                "127.9.9.9",
+            ):
                 self.net.throw((host, PEER_PORT), to, data)
 
     def _do_clock_jump(self, fault: Fault) -> None:
@@ -834,7 +940,9 @@
         loop.run_until_complete(main)
     except (Deadlock, Livelock) as error:
         world.rules.broken("no standstill", str(error))
-    except Exception as error:  # the world itself: told as a failure of its seed, so that the others go on
+    except (
+        Exception
+    ) as error:  # the world itself: told as a failure of its seed, so that the others go on
         world.rules.exceptional("world", f"{type(error).__name__}: {error}")
     finally:
         root.removeHandler(log)
--- a/testbed/nights/traffic.py
+++ b/testbed/nights/traffic.py
@@ -77,7 +77,12 @@
             elif what in ("close", "abort", "reset"):
                 open_at.discard(end)
             t.idle_most = max(t.idle_most, len(open_at) - max(0, carrying))
-        elif who[0] == "n" and what == "dial" and len(words) == 5 and words[4].startswith(DISCOVERY_HOSTS):
+        elif (
+            who[0] == "n"
+            and what == "dial"
+            and len(words) == 5
+            and words[4].startswith(DISCOVERY_HOSTS)
+        ):
             t.lists += 1
             calls.append(at_us)
             while calls[0] < at_us - 1_000_000:
--- a/testbed/soak/__main__.py
+++ b/testbed/soak/__main__.py
@@ -31,11 +31,27 @@
 
 @click.command()
 @click.option("--seeds", default="1-5", show_default=True, help="One seed or a span of them.")
-@click.option("--nodes", default=12, show_default=True, type=click.IntRange(1, 40), help="Processes of the node.")
-@click.option("--seconds", default=14.0, show_default=True, type=click.FloatRange(4.0, 600.0), help="Of load in each run.")
+@click.option(
+    "--nodes",
+    default=12,
+    show_default=True,
+    type=click.IntRange(1, 40),
+    help="Processes of the node.",
+)
+@click.option(
+    "--seconds",
+    default=14.0,
+    show_default=True,
+    type=click.FloatRange(4.0, 600.0),
+    help="Of load in each run.",
+)
 @click.option("--json", "file", type=click.Path(path_type=Path), help="Write all reports there.")
-@click.option("--logs", type=click.Path(path_type=Path), help="Keep each run's logs in a folder there.")
-def main(seeds: str, nodes: int, seconds: float, file: Optional[Path], logs: Optional[Path]) -> None:
+@click.option(
+    "--logs", type=click.Path(path_type=Path), help="Keep each run's logs in a folder there."
+)
+def main(
+    seeds: str, nodes: int, seconds: float, file: Optional[Path], logs: Optional[Path]
+) -> None:
     """Play randomized faults on real processes and hold the rules against what was seen."""
     reports = []
     for seed in seeds_of(seeds):
--- a/testbed/soak/discovery.py
+++ b/testbed/soak/discovery.py
@@ -126,8 +126,13 @@
             sent = servers.number
             await self._line(connection, sent, changes, whole=False)
 
-    async def _line(self, connection: Connection, number: int, entries: list[Entry], whole: bool) -> None:
-        line = json.dumps({"generation": number, "reset": whole, "instances": entries}).encode() + b"\n"
+    async def _line(
+        self, connection: Connection, number: int, entries: list[Entry], whole: bool
+    ) -> None:
+        line = (
+            json.dumps({"generation": number, "reset": whole, "instances": entries}).encode()
+            + b"\n"
+        )
         if self.cuts and len(line) > 200:
             self.cuts -= 1
             await self._send(connection, line[: len(line) // 2])
@@ -161,7 +166,10 @@
 
     def __init__(self, nodes: list[str], told: Told) -> None:
         self.servers = ListOfServers()
-        self.places = {node: (Place(node, self.servers, told), Place(node, self.servers, told)) for node in nodes}
+        self.places = {
+            node: (Place(node, self.servers, told), Place(node, self.servers, told))
+            for node in nodes
+        }
         self._told = told
         self._downs = 0
 
--- a/testbed/soak/faults.py
+++ b/testbed/soak/faults.py
@@ -56,7 +56,9 @@
 
     async def carry_out(self, event: Event) -> None:
         """One fault, from its beginning to its end."""
-        self._notes.append(f"{event.at_s:.2f} {event.kind} {event.target} for {event.for_s:.2f} s, {event.value:g}")
+        self._notes.append(
+            f"{event.at_s:.2f} {event.kind} {event.target} for {event.for_s:.2f} s, {event.value:g}"
+        )
         await self._handlers[event.kind](event)
 
     def _node(self, event: Event) -> Node:
@@ -92,7 +94,9 @@
 
     async def _discovery_refuses(self, event: Event) -> None:
         for place in self._world.discovery.all():
-            if not place.delay_s:  # late and refused calls together leave no time that any node could keep
+            if (
+                not place.delay_s
+            ):  # late and refused calls together leave no time that any node could keep
                 place.refusals = int(event.value)
 
     async def _discovery_silent(self, event: Event) -> None:
@@ -112,13 +116,21 @@
     async def _drain_servers(self, event: Event) -> None:
         serving = self._world.serving()
         leaving = serving[event.target % 2 :: 4][: max(0, len(serving) - LEAST_SERVING)]
-        entries: list[Entry] = [{**self._world.discovery.servers.entries[server.name], "lifecycle": "terminating"} for server in leaving]
+        entries: list[Entry] = [
+            {**self._world.discovery.servers.entries[server.name], "lifecycle": "terminating"}
+            for server in leaving
+        ]
         if entries:
             await self._world.discovery.change(entries)
 
     async def _replace_servers(self, event: Event) -> None:
-        ending = self._world.serving()[: max(0, min(MOST_REPLACED, len(self._world.serving()) - LEAST_SERVING))]
-        entries: list[Entry] = [{**self._world.discovery.servers.entries[server.name], "lifecycle": "terminated"} for server in ending]
+        ending = self._world.serving()[
+            : max(0, min(MOST_REPLACED, len(self._world.serving()) - LEAST_SERVING))
+        ]
+        entries: list[Entry] = [
+            {**self._world.discovery.servers.entries[server.name], "lifecycle": "terminated"}
+            for server in ending
+        ]
         entries += [self._world.start_server(cold=True) for _ in ending]
         for server in ending:
             server.close()
@@ -161,7 +173,9 @@
         for n in range(int(event.value)):
             data = STOPPED[n % len(STOPPED)]
             if not node.down:
-                self._world.clients.be_rude(node.name, f"client that stops after {len(data)} bytes", data)
+                self._world.clients.be_rude(
+                    node.name, f"client that stops after {len(data)} bytes", data
+                )
 
     async def _burst(self, event: Event) -> None:
         self._world.clients.rate = 2.0 * self._world.plan.requests_per_s
--- a/testbed/soak/large_fleet.py
+++ b/testbed/soak/large_fleet.py
@@ -52,11 +52,15 @@
 MEMORY_MB = 80
 SOCKETS = 1_024
 READY_S = 30.0
-END_S = DEADLINE_MS / 1000.0 + 0.7 + 0.5  # after SIGTERM: when SIGKILL may come, and half a second for the harness
+END_S = (
+    DEADLINE_MS / 1000.0 + 0.7 + 0.5
+)  # after SIGTERM: when SIGKILL may come, and half a second for the harness
 LIST_S = 0.6  # from the clients' start to the first list
 SEEN_S = 0.25  # between two looks at the node's memory
 MOST_KNOWN = 1_500  # servers for which the oracle keeps a budget of cold work
-CLASSES_OF_THE_RUN = tuple(replace(kind, aim_ms=AIM_MS, deadline_ms=DEADLINE_MS) for kind in CLASSES)
+CLASSES_OF_THE_RUN = tuple(
+    replace(kind, aim_ms=AIM_MS, deadline_ms=DEADLINE_MS) for kind in CLASSES
+)
 
 
 class WatchFault(StrEnum):
@@ -78,7 +82,9 @@
     requests_per_s: float = 30.0
     replace_every_s: float = 1.5
     replaced_part: float = 0.02  # of the servers in service, each time
-    drain: bool = True  # the leaving ones are listed as terminating first; otherwise they are gone at once
+    drain: bool = (
+        True  # the leaving ones are listed as terminating first; otherwise they are gone at once
+    )
     seed: int = 1
     idle_clients: int = 0  # connections on which nothing is asked
     faults: tuple[tuple[float, WatchFault], ...] = ()  # of the watch, in s after the first list
@@ -106,7 +112,9 @@
     @property
     def kept(self) -> bool:
         """Whether no rule was broken and the node ended in its time."""
-        return not (self.violations or self.late_attempts or self.decisions_failed or self.ended_s is None)
+        return not (
+            self.violations or self.late_attempts or self.decisions_failed or self.ended_s is None
+        )
 
 
 SIZES = (200, 400, 800, 1_600, 3_200)
@@ -118,7 +126,10 @@
 def draw(seed: int) -> Scenario:
     """The scenario of a seed."""
     rng = random.Random(f"large/{seed}")
-    faults = [(round(rng.uniform(1.0, LAST_FAULT_S), 2), rng.choice(list(WatchFault))) for _ in range(rng.randint(0, 3))]
+    faults = [
+        (round(rng.uniform(1.0, LAST_FAULT_S), 2), rng.choice(list(WatchFault)))
+        for _ in range(rng.randint(0, 3))
+    ]
     every_s = rng.choice((0.5, 1.5, 3.0))
     return Scenario(
         servers=rng.choice(SIZES),
@@ -159,11 +170,16 @@
         """One more cache server; its entry in the list."""
         number = len(self._names)
         name = f"s{number}"
-        address: Address = (socket.inet_ntoa((FIRST_ADDRESS + number).to_bytes(4, "big")), self.address[1])
+        address: Address = (
+            socket.inet_ntoa((FIRST_ADDRESS + number).to_bytes(4, "big")),
+            self.address[1],
+        )
         self._names[f"{address[0]}:{address[1]}"] = name
         if cold and len(self.oracle.cold) < MOST_KNOWN:
             spec = BoxSpec()
-            self.oracle.cold[name] = ColdBox(name, spec.cold_from, spec.cold_ms, float("inf"), now_ms())
+            self.oracle.cold[name] = ColdBox(
+                name, spec.cold_from, spec.cold_ms, float("inf"), now_ms()
+            )
         return started_entry(name, address, cold)
 
     def expect(self, ask: Ask) -> None:
@@ -174,7 +190,10 @@
         name, txn = self._names[request.header(b"host")], request.header(b"x-txn")
         told = request.header(b"x-remaining-ms")
         deadline_ms = self._deadlines_ms.get(txn)
-        if deadline_ms is not None and now_ms() > deadline_ms + ATTEMPT_SLACK_MS + self.oracle.lag.since(deadline_ms):
+        if (
+            deadline_ms is not None
+            and now_ms() > deadline_ms + ATTEMPT_SLACK_MS + self.oracle.lag.since(deadline_ms)
+        ):
             self.late_attempts += 1
         self.oracle.arrived(name, txn, float(told) if told.isdigit() else None)
         await asyncio.sleep(SERVICE_S)
@@ -219,7 +238,14 @@
         self._list = ListOfServers()
         self._place = FirstCall(NODE, self._list, self._oracle)
         self._ports = Ports()
-        self._clients = Clients({}, self._oracle, scenario.seed, 2_000, scenario.requests_per_s, classes=CLASSES_OF_THE_RUN)
+        self._clients = Clients(
+            {},
+            self._oracle,
+            scenario.seed,
+            2_000,
+            scenario.requests_per_s,
+            classes=CLASSES_OF_THE_RUN,
+        )
         self._clients.slack_ms = ANSWER_SLACK_MS
         self._shim = Shim(build(folder), folder / "node.shim")
         self._listen: Address = (HOST, self._ports.take())
@@ -233,7 +259,12 @@
         self._servers.listen()
         self._place.listen()
         self._place.down = True
-        for table in (self._oracle.unreachable, self._oracle.hurt, self._oracle.held_up, self._oracle.deaf):
+        for table in (
+            self._oracle.unreachable,
+            self._oracle.hurt,
+            self._oracle.held_up,
+            self._oracle.deaf,
+        ):
             table[NODE] = Spans()
         process = await self._start()
         measuring = asyncio.create_task(self._oracle.lag.measure())
@@ -243,10 +274,15 @@
             self._clients.nodes[NODE] = self._listen
             load = asyncio.create_task(self._clients.run(LIST_S + self.scenario.seconds))
             await asyncio.sleep(LIST_S)
-            self._list.change([self._servers.start(cold=False) for _ in range(self.scenario.servers)])
+            self._list.change(
+                [self._servers.start(cold=False) for _ in range(self.scenario.servers)]
+            )
             self._place.down = False
             self._listed_ms = now_ms()
-            background += [asyncio.create_task(task) for task in (self._replace(), self._look(process.pid), self._spoil())]
+            background += [
+                asyncio.create_task(task)
+                for task in (self._replace(), self._look(process.pid), self._spoil())
+            ]
             await load
             for task in background[1:]:
                 task.cancel()
@@ -276,7 +312,11 @@
             "listen": f"{HOST}:{self._listen[1]}",
             "discovery": f"{HOST}:{self._place.address[1]}",
             "seed": "1",
-            "limits": {"cores": self.scenario.core_share, "memory_mb": MEMORY_MB, "sockets": SOCKETS},
+            "limits": {
+                "cores": self.scenario.core_share,
+                "memory_mb": MEMORY_MB,
+                "sockets": SOCKETS,
+            },
             "settings": settings(CLASSES_OF_THE_RUN, ASK_WITHIN_MS),
         }
         path = self._folder / "node.json"
@@ -306,7 +346,11 @@
                 gone, leaving = [{**entry, "lifecycle": "terminated"} for entry in leaving], []
             started = [self._servers.start(cold=True) for _ in range(count)]
             serving += started
-            change: list[Entry] = [*gone, *({**entry, "lifecycle": "terminating"} for entry in leaving), *started]
+            change: list[Entry] = [
+                *gone,
+                *({**entry, "lifecycle": "terminating"} for entry in leaving),
+                *started,
+            ]
             self._list.change(change)
             self._oracle.changed(change)
             await self._list.announce()
@@ -332,14 +376,18 @@
             sock.setblocking(False)
             crowd.append(sock)
             with suppress(OSError):
-                await asyncio.wait_for(asyncio.get_running_loop().sock_connect(sock, self._listen), 1.0)
+                await asyncio.wait_for(
+                    asyncio.get_running_loop().sock_connect(sock, self._listen), 1.0
+                )
         return crowd
 
     async def _look(self, pid: int) -> None:
         while True:
             status = Path(f"/proc/{pid}/status").read_text()
             self._memory.append(int(status.partition("VmRSS:")[2].split()[0]) / 1024.0)
-            self._served.append(((now_ms() - self._listed_ms) / 1000.0, self._clients.figures.served))
+            self._served.append(
+                ((now_ms() - self._listed_ms) / 1000.0, self._clients.figures.served)
+            )
             await asyncio.sleep(SEEN_S)
 
     async def _end(self, process: asyncio.subprocess.Process) -> Optional[float]:
@@ -381,7 +429,10 @@
 
     def _thirds(self, served: int) -> tuple[int, int, int]:
         third = self.scenario.seconds / 3.0
-        marks = [max((count for at, count in self._served if at <= third * part), default=0) for part in (1, 2)]
+        marks = [
+            max((count for at, count in self._served if at <= third * part), default=0)
+            for part in (1, 2)
+        ]
         return marks[0], marks[1] - marks[0], served - marks[1]
 
 
@@ -398,8 +449,14 @@
     """One result in one line."""
     scenario = result.scenario
     state = "kept" if result.kept else f"{len(result.violations)} VIOLATIONS"
-    drawn = [f"{scenario.replaced_part:g} replaced every {scenario.replace_every_s:g} s", f"drain {scenario.drain}"]
-    drawn += [f"idle {scenario.idle_clients}", *(f"{fault} at {at_s:g} s" for at_s, fault in scenario.faults)]
+    drawn = [
+        f"{scenario.replaced_part:g} replaced every {scenario.replace_every_s:g} s",
+        f"drain {scenario.drain}",
+    ]
+    drawn += [
+        f"idle {scenario.idle_clients}",
+        *(f"{fault} at {at_s:g} s" for at_s, fault in scenario.faults),
+    ]
     parts = [
         f"seed {scenario.seed}: {scenario.servers} servers, {scenario.core_share:g} of a core: {state}; asked {result.asked}",
         f"served {result.served} {result.served_by_third}, refused {result.refused}, failed {result.failed}",
@@ -415,16 +472,31 @@
 
 
 @click.command()
-@click.option("--servers", default="200,800,1600,3200", show_default=True, help="Numbers of cache servers.")
+@click.option(
+    "--servers", default="200,800,1600,3200", show_default=True, help="Numbers of cache servers."
+)
 @click.option("--shares", default="1.0,0.3,0.1", show_default=True, help="Shares of a core.")
 @click.option("--seconds", default=18.0, show_default=True, type=click.FloatRange(2.0, 600.0))
-@click.option("--replace-every", default=1.5, show_default=True, help="Seconds between two replacements.")
+@click.option(
+    "--replace-every", default=1.5, show_default=True, help="Seconds between two replacements."
+)
 @click.option("--replaced-part", default=0.02, show_default=True, help="Of the servers, each time.")
-@click.option("--drain/--no-drain", default=True, show_default=True, help="Whether leaving servers drain first.")
+@click.option(
+    "--drain/--no-drain",
+    default=True,
+    show_default=True,
+    help="Whether leaving servers drain first.",
+)
 @click.option("--seed", default=1, show_default=True)
-@click.option("--seeds", default="", help="One seed or a span of them: draw the scenarios, whatever else is given.")
+@click.option(
+    "--seeds",
+    default="",
+    help="One seed or a span of them: draw the scenarios, whatever else is given.",
+)
 @click.option("--json", "file", type=click.Path(path_type=Path), help="Write all results there.")
-@click.option("--logs", type=click.Path(path_type=Path), help="Keep the nodes' logs in folders there.")
+@click.option(
+    "--logs", type=click.Path(path_type=Path), help="Keep the nodes' logs in folders there."
+)
 def main(
     servers: str, shares: str, seconds: float, replace_every: float, replaced_part: float, drain: bool, seed: int, seeds: str,
     file: Optional[Path], logs: Optional[Path],
@@ -434,13 +506,24 @@
         scenarios = [draw(number) for number in seeds_of(seeds)]
     else:
         scenarios = [
-            Scenario(count, share, seconds, replace_every_s=replace_every, replaced_part=replaced_part, drain=drain, seed=seed)
+            Scenario(
+                count,
+                share,
+                seconds,
+                replace_every_s=replace_every,
+                replaced_part=replaced_part,
+                drain=drain,
+                seed=seed,
+            )
             for count in map(int, _numbers(servers))
             for share in _numbers(shares)
         ]
     results = []
     for scenario in scenarios:
-        result = run(scenario, logs / f"{scenario.seed}-{scenario.servers}-{scenario.core_share:g}" if logs else None)
+        result = run(
+            scenario,
+            logs / f"{scenario.seed}-{scenario.servers}-{scenario.core_share:g}" if logs else None,
+        )
         results.append(result)
         click.echo(line_of(result))
         for violation in result.violations[:6]:
--- a/testbed/soak/nodes.py
+++ b/testbed/soak/nodes.py
@@ -75,7 +75,11 @@
         host, port = self.discovery.places[self.name][self.place].address
         self.config["discovery"] = f"{host}:{port}"
         servers = self.discovery.servers
-        self.config["known"] = {"generation": servers.number, "reset": True, "instances": list(servers.entries.values())}
+        self.config["known"] = {
+            "generation": servers.number,
+            "reset": True,
+            "instances": list(servers.entries.values()),
+        }
         self._path.write_text(json.dumps(self.config))
 
     @property
@@ -85,7 +89,12 @@
     async def start(self) -> None:
         """Start a process by a fresh file."""
         self.configure()
-        environ = {**os.environ, **self.shim.environment, "PROXY_CONFIG": str(self._path), "TMPDIR": str(self.folder)}
+        environ = {
+            **os.environ,
+            **self.shim.environment,
+            "PROXY_CONFIG": str(self._path),
+            "TMPDIR": str(self.folder),
+        }
         with open(self.folder / f"{self.name}.log", "ab") as log:
             self.process = await asyncio.create_subprocess_exec(
                 sys.executable, "-m", "corkshift", cwd=ROOT, env=environ, stdin=asyncio.subprocess.DEVNULL, stdout=log, stderr=log,
@@ -193,7 +202,11 @@
         """One of its system calls fails for a while; which one, how and for how long."""
         call = SystemCall(draw % len(SystemCall))
         error = CALL_ERRORS[call][draw % len(CALL_ERRORS[call])]
-        most_ms = {SystemCall.ACCEPT: LOCAL_FAULT_MS, SystemCall.SEND: SHORT_MS, SystemCall.RECV: SHORT_MS}.get(call, 10_000.0)
+        most_ms = {
+            SystemCall.ACCEPT: LOCAL_FAULT_MS,
+            SystemCall.SEND: SHORT_MS,
+            SystemCall.RECV: SHORT_MS,
+        }.get(call, 10_000.0)
         for_s = min(for_s, most_ms / 1000.0)
         blocks = call in (SystemCall.CONNECT, SystemCall.SOCKET)
         if blocks:
--- a/testbed/soak/oracle.py
+++ b/testbed/soak/oracle.py
@@ -22,7 +22,9 @@
 from testbed.tier.books import ColdBox
 
 NOTIFIED_MS = 6_000.0  # after discovery had a change and could be reached it counts as notified
-STARTING_MS = 10_000.0  # a new process is held to the list that it was given for so long (`mustAskInMs`)
+STARTING_MS = (
+    10_000.0  # a new process is held to the list that it was given for so long (`mustAskInMs`)
+)
 SOCKET_SLACK_MS = 50.0  # of each limit of the rules
 LEFT_MS = 100.0  # after its client closed no attempt of a request may begin
 DEADLINE_SLACK_MS = 150.0  # of the deadline that a server is told
@@ -152,7 +154,9 @@
         self.counts: Counter[str] = Counter()
         self.lag = Lag()
         self.unreachable: dict[str, Spans] = {}  # by node: discovery can't be reached
-        self.hurt: dict[str, Spans] = {}  # by node: killed, or just started again: nothing is owed by it
+        self.hurt: dict[
+            str, Spans
+        ] = {}  # by node: killed, or just started again: nothing is owed by it
         self.held_up: dict[str, Spans] = {}  # by node: stopped, or held up before writes
         self.deaf: dict[str, Spans] = {}  # by node: it can't read as fast as it is written to
         self.started_ms: dict[str, float] = {}  # by node: when its process began
@@ -163,7 +167,9 @@
         self._changed_ms: dict[str, float] = {}  # by server: when discovery had its departure
         self._notified_ms: dict[tuple[str, str], float] = {}
         self._knows_start: set[tuple[str, str]] = set()
-        self._unframed: dict[str, bool] = {}  # by request with a complete answer without a length: whether that one was served
+        self._unframed: dict[
+            str, bool
+        ] = {}  # by request with a complete answer without a length: whether that one was served
         self._asked_again: set[str] = set()
 
     def broken(self, rule: Rule, what: str) -> None:
@@ -183,11 +189,17 @@
         record.answered = True
         if answer.status == 200:
             if answer.body not in record.bodies:
-                self.broken(Rule.WRONG_ANSWER, f"{ask.txn} is served with what was not made for it: {answer.body[:40]!r}")
+                self.broken(
+                    Rule.WRONG_ANSWER,
+                    f"{ask.txn} is served with what was not made for it: {answer.body[:40]!r}",
+                )
             if ask.txn in self._unframed and ask.txn not in self._asked_again:
                 self._unframed[ask.txn] = True
         if answer.status in (429, 503) and ask.kind.repeat == "unsafe" and record.may_have_run:
-            self.broken(Rule.DUPLICATE, f"{ask.txn} is refused though it may have run at {record.may_have_run[0].server}")
+            self.broken(
+                Rule.DUPLICATE,
+                f"{ask.txn} is refused though it may have run at {record.may_have_run[0].server}",
+            )
 
     def left(self, ask: Ask) -> None:
         self._records[ask.txn].left_ms = now_ms()
@@ -200,10 +212,14 @@
             self.broken(Rule.LOST, f"{ask.txn} of {ask.node} has no answer when its time is up")
             return False
         if record.arrivals:
-            self.broken(Rule.LOST, f"{ask.txn} of {ask.node} was sent on, and its connection ended: {how}")
+            self.broken(
+                Rule.LOST, f"{ask.txn} of {ask.node} was sent on, and its connection ended: {how}"
+            )
             return False
         if ask.first:
-            self.broken(Rule.LOST, f"{ask.txn} of {ask.node} was on a new connection, which ended: {how}")
+            self.broken(
+                Rule.LOST, f"{ask.txn} of {ask.node} was on a new connection, which ended: {how}"
+            )
             return False
         return True  # a close that crossed the request: it is sent once more on a new connection
 
@@ -212,7 +228,10 @@
         if self.hurt[node].overlap(since, now_ms()) or self.held_up[node].overlap(since, now_ms()):
             return
         if status == -1:
-            self.broken(Rule.BAD_CLIENT, f"{name} got neither an error nor a close of {node} in {waited_ms:.0f} ms")
+            self.broken(
+                Rule.BAD_CLIENT,
+                f"{name} got neither an error nor a close of {node} in {waited_ms:.0f} ms",
+            )
         elif 200 <= status < 400:
             self.broken(Rule.BAD_CLIENT, f"{name} was served by {node} with {status}")
 
@@ -236,14 +255,26 @@
         record.arrivals.append(Arrival(server, now))
         self._check_repeat(ask, server, earlier, now)
         self._check_departure(ask, server, now)
-        if now > record.left_ms + LEFT_MS + self.lag.since(record.left_ms) and not self._excused_late(ask.node, record.left_ms, now):
-            self.broken(Rule.LEFT, f"{txn} of {ask.node} came to {server} {now - record.left_ms:.0f} ms after its client left")
+        if now > record.left_ms + LEFT_MS + self.lag.since(
+            record.left_ms
+        ) and not self._excused_late(ask.node, record.left_ms, now):
+            self.broken(
+                Rule.LEFT,
+                f"{txn} of {ask.node} came to {server} {now - record.left_ms:.0f} ms after its client left",
+            )
         if told_ms is not None and ask.sent_ms:
             left_ms = ask.sent_ms + ask.budget_ms - now
             # A node that is held up several times in a row reads requests late, and can't know how late.
             late = self.deaf[ask.node].overlap(ask.sent_ms, now)
-            if not late and told_ms > 1.0 and told_ms > left_ms + DEADLINE_SLACK_MS + self.lag.since(now - 500.0):
-                self.broken(Rule.DEADLINE, f"{server} was told {told_ms:.0f} ms for {txn} of {ask.node}, {left_ms:.0f} are left")
+            if (
+                not late
+                and told_ms > 1.0
+                and told_ms > left_ms + DEADLINE_SLACK_MS + self.lag.since(now - 500.0)
+            ):
+                self.broken(
+                    Rule.DEADLINE,
+                    f"{server} was told {told_ms:.0f} ms for {txn} of {ask.node}, {left_ms:.0f} are left",
+                )
 
     def _excused_late(self, node: str, since: float, until: float) -> bool:
         return self.held_up[node].overlap(since, until) or self.deaf[node].overlap(since, until)
@@ -253,11 +284,16 @@
             return
         self.counts["repeats"] += 1
         if ask.kind.repeat == "unsafe":
-            self.broken(Rule.DUPLICATE, f"{ask.txn} may have run at {earlier[0].server} and came to {server}")
+            self.broken(
+                Rule.DUPLICATE,
+                f"{ask.txn} may have run at {earlier[0].server} and came to {server}",
+            )
         elif ask.kind.repeat == "keyed":
             late_ms = now - earlier[0].at_ms - ask.kind.window_ms
             if late_ms > SOCKET_SLACK_MS + self.lag.since(earlier[0].at_ms):
-                self.broken(Rule.DUPLICATE, f"{ask.txn} came to {server} {late_ms:.0f} ms after its window")
+                self.broken(
+                    Rule.DUPLICATE, f"{ask.txn} came to {server} {late_ms:.0f} ms after its window"
+                )
 
     def _check_departure(self, ask: Ask, server: str, now: float) -> None:
         told = self._told_ms(ask.node, server)
@@ -265,7 +301,10 @@
             return
         late_ms = now - told - self._grace_ms - SOCKET_SLACK_MS
         if late_ms > self.lag.since(told) and not self.deaf[ask.node].overlap(told, now):
-            self.broken(Rule.DRAIN, f"{ask.txn} of {ask.node} came to {server} {now - told:.0f} ms after it counts as notified")
+            self.broken(
+                Rule.DRAIN,
+                f"{ask.txn} of {ask.node} came to {server} {now - told:.0f} ms after it counts as notified",
+            )
 
     def _told_ms(self, node: str, server: str) -> float:
         changed = self._changed_ms.get(server)
@@ -284,7 +323,11 @@
 
     def received(self, box: CacheBox, txn: str, method: str, work_ms: float) -> None:
         cold, record = self.cold.get(box.name), self._records.get(txn)
-        if cold is not None and record is not None and (record.ask.node, box.name) in self._knows_start:
+        if (
+            cold is not None
+            and record is not None
+            and (record.ask.node, box.name) in self._knows_start
+        ):
             cold.got.append((now_ms(), work_ms, record.ask.node))
 
     def turned_away(self, box: CacheBox, txn: str) -> None:
@@ -332,7 +375,10 @@
         """Hold what only the whole run shows against the rules."""
         for name, cold in self.cold.items():
             if cold.worst() > 1.0:
-                self.broken(Rule.FAILBACK, f"{name} got {cold.worst():.2f} of its budget from nodes that knew of its start")
+                self.broken(
+                    Rule.FAILBACK,
+                    f"{name} got {cold.worst():.2f} of its budget from nodes that knew of its start",
+                )
         served = sum(self._unframed.values())
         self.counts["unframed"], self.counts["unframed served"] = len(self._unframed), served
         if len(self._unframed) >= LEAST_UNFRAMED and served < UNFRAMED_SHARE * len(self._unframed):
--- a/testbed/soak/plan.py
+++ b/testbed/soak/plan.py
@@ -40,7 +40,11 @@
 
 
 PAUSE_MS = (40, 90, 150)
-DELAYS_S = (1.0, 2.0, 3.0)  # a call may be late by so much and still tell a change within 6 s of a silence
+DELAYS_S = (
+    1.0,
+    2.0,
+    3.0,
+)  # a call may be late by so much and still tell a change within 6 s of a silence
 WALL_STEPS_MS = (-3_600_000, -5_000, 5_000, 3_600_000)
 CALL_FAULT_S = (0.05, 0.4, 2.0)
 
@@ -123,7 +127,10 @@
     at_s = rng.uniform(CALM_S, max(CALM_S + 0.5, seconds - 10.0))
     down_s = rng.uniform(2.0, 4.0)
     back_s = at_s + down_s
-    reloads = [Event(back_s + 0.2 * n, Fault.NODE_RELOADS, n, value=float(rng.randint(1, 4))) for n in range(3)]
+    reloads = [
+        Event(back_s + 0.2 * n, Fault.NODE_RELOADS, n, value=float(rng.randint(1, 4)))
+        for n in range(3)
+    ]
     return [
         Event(at_s, Fault.DISCOVERY_DOWN, for_s=down_s),
         *reloads,
--- a/testbed/soak/rig.py
+++ b/testbed/soak/rig.py
@@ -62,7 +62,12 @@
 
     def _report(self, real_s: float) -> Report:
         oracle, figures = self.world.oracle, self.world.clients.figures
-        counts = {**oracle.counts, "asked": figures.asked, "served": figures.served, "refused": figures.refused}
+        counts = {
+            **oracle.counts,
+            "asked": figures.asked,
+            "served": figures.served,
+            "refused": figures.refused,
+        }
         counts |= {"failed": figures.failed, "unanswered": figures.unanswered, "left": figures.left}
         return Report(
             seed=self.plan.seed,
--- a/testbed/soak/servers.py
+++ b/testbed/soak/servers.py
@@ -27,7 +27,16 @@
 class SoakServer(CacheBox):
     """One cache server."""
 
-    def __init__(self, name: str, origin: Address, spec: BoxSpec, witness: Witness, arrivals: Arrivals, cold: bool, seed: int) -> None:
+    def __init__(
+        self,
+        name: str,
+        origin: Address,
+        spec: BoxSpec,
+        witness: Witness,
+        arrivals: Arrivals,
+        cold: bool,
+        seed: int,
+    ) -> None:
         super().__init__(name, ("127.0.0.1", 0), origin, spec, witness, cold)
         self.unframed_share = 0.0
         self.broken_share = 0.0
@@ -48,7 +57,9 @@
     async def _spoilt(self, how: str, connection: Connection, body: bytes) -> None:
         stream = connection.stream
         if how == BROKEN:
-            await stream.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body[:-2]))
+            await stream.write(
+                b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body[:-2])
+            )
             stream.abort()
             return
         await stream.write(b"HTTP/1.1 200 OK\r\nX-Found: hit\r\n\r\n")
--- a/testbed/soak/shim.py
+++ b/testbed/soak/shim.py
@@ -29,7 +29,12 @@
 
 
 class _Call(ctypes.Structure):
-    _fields_ = [("error", ctypes.c_int32), ("left", ctypes.c_int32), ("hits", ctypes.c_int32), ("short_io", ctypes.c_int32)]
+    _fields_ = [
+        ("error", ctypes.c_int32),
+        ("left", ctypes.c_int32),
+        ("hits", ctypes.c_int32),
+        ("short_io", ctypes.c_int32),
+    ]
 
 
 class _Control(ctypes.Structure):
@@ -48,7 +53,17 @@
     if compiler is None:
         raise ShimError("no C compiler (cc) is installed")
     library = folder / "shim.so"
-    command = [compiler, "-O1", "-Wall", "-shared", "-fPIC", "-o", str(library), str(SOURCE), "-ldl"]
+    command = [
+        compiler,
+        "-O1",
+        "-Wall",
+        "-shared",
+        "-fPIC",
+        "-o",
+        str(library),
+        str(SOURCE),
+        "-ldl",
+    ]
     done = subprocess.run(command, capture_output=True, text=True, check=False)
     if done.returncode:
         raise ShimError(done.stderr)
@@ -108,5 +123,12 @@
 
 SHORTAGES = (errno.EADDRNOTAVAIL, errno.ENETUNREACH, errno.ENOBUFS)
 """Errors of connect that are this machine's."""
-ACCEPT_ERRORS = (errno.ECONNABORTED, errno.ENFILE, errno.EMFILE, errno.ENOBUFS, errno.ENOMEM, errno.EINTR)
+ACCEPT_ERRORS = (
+    errno.ECONNABORTED,
+    errno.ENFILE,
+    errno.EMFILE,
+    errno.ENOBUFS,
+    errno.ENOMEM,
+    errno.EINTR,
+)
 """Errors of accept that pass."""
--- a/testbed/soak/world.py
+++ b/testbed/soak/world.py
@@ -48,7 +48,9 @@
         """Start all of it, and wait until every node answers."""
         self._origin.listen()
         self.discovery.listen()
-        await self.discovery.change([self.start_server(cold=False) for _ in range(self.plan.servers)])
+        await self.discovery.change(
+            [self.start_server(cold=False) for _ in range(self.plan.servers)]
+        )
         for n in range(self.plan.nodes):
             self.nodes.append(self._make_node(n))
         await asyncio.gather(*(node.start() for node in self.nodes))
@@ -77,7 +79,9 @@
         """A new server, under a new name; its entry."""
         name = f"s{len(self.servers)}"
         spec = BoxSpec(cores=2, kept=400)
-        server = SoakServer(name, self._origin.address, spec, self.oracle, self.oracle, cold, self.plan.seed)
+        server = SoakServer(
+            name, self._origin.address, spec, self.oracle, self.oracle, cold, self.plan.seed
+        )
         server.unframed_share = self.plan.unframed_share
         if not cold:
             server.warm(self.clients.keys())
@@ -85,18 +89,29 @@
         self._origin.voids.append(server.void)
         self.servers.append(server)
         if cold:
-            self.oracle.cold[name] = ColdBox(name, spec.cold_from, spec.cold_ms, server.full_speed, now_ms())
+            self.oracle.cold[name] = ColdBox(
+                name, spec.cold_from, spec.cold_ms, server.full_speed, now_ms()
+            )
         return started_entry(name, server.address, cold)
 
     def serving(self) -> list[SoakServer]:
         """The servers that are listed in service."""
         listed = self.discovery.servers.entries
-        return [server for server in self.servers if listed.get(server.name, {}).get("lifecycle") == "in_service"]
+        return [
+            server
+            for server in self.servers
+            if listed.get(server.name, {}).get("lifecycle") == "in_service"
+        ]
 
     def _make_node(self, n: int) -> Node:
         name = f"n{n}"
         listen, admin = self._ports.take(), self._ports.take()
-        for table in (self.oracle.unreachable, self.oracle.hurt, self.oracle.held_up, self.oracle.deaf):
+        for table in (
+            self.oracle.unreachable,
+            self.oracle.hurt,
+            self.oracle.held_up,
+            self.oracle.deaf,
+        ):
             table[name] = Spans()
         config: dict[str, Any] = {
             "name": name,
@@ -116,7 +131,9 @@
             for sign in SIGNS_OF_A_DEFECT:
                 if sign in text:
                     at = text.index(sign)
-                    self.oracle.broken(Rule.CRASH, f"{node.name} logs: {text[max(0, at - 200) : at + 400]}")
+                    self.oracle.broken(
+                        Rule.CRASH, f"{node.name} logs: {text[max(0, at - 200) : at + 400]}"
+                    )
             for code in node.exits:
                 if code not in (0, -signal.SIGKILL):
                     self.oracle.broken(Rule.CRASH, f"{node.name} ended with {code}")
