--- a/testbed/systems/clients.py
+++ b/testbed/systems/clients.py
@@ -23,7 +23,12 @@
 
 SLACK_MS = 120.0  # see `Clients.slack_ms`
 # What stands before an end; less than a kernel's buffer, or the end could not come while nobody reads.
-ODD_BYTES = (b"\r\n", b"GET /api/k1 HTT", b"GET /api/k1 HTTP/1.1\r\nHost: x\r\nX: " + b"x" * 9_000, b"\r\n" * 20_000)
+ODD_BYTES = (
+    b"\r\n",
+    b"GET /api/k1 HTT",
+    b"GET /api/k1 HTTP/1.1\r\nHost: x\r\nX: " + b"x" * 9_000,
+    b"\r\n" * 20_000,
+)
 RUDE_S = 3.2  # a bad client is owed an error or a close within 3 s
 
 
@@ -49,10 +54,14 @@
 )
 
 SITE_WORTHS = {"menu-read": 3.0, "cart-update": 5.0, "order-place": 8.0, "stall-note": 3.0}
-SITE_CLASSES = tuple(replace(kind, worth=SITE_WORTHS[kind.name]) for kind in CLASSES)  # with what the brief's table says they are worth
+SITE_CLASSES = tuple(
+    replace(kind, worth=SITE_WORTHS[kind.name]) for kind in CLASSES
+)  # with what the brief's table says they are worth
 
 
-def settings(classes: tuple[Class, ...] = CLASSES, ask_within_ms: float = 2_000.0) -> dict[str, Any]:
+def settings(
+    classes: tuple[Class, ...] = CLASSES, ask_within_ms: float = 2_000.0
+) -> dict[str, Any]:
     """The settings object that a node gets for these classes."""
     return {
         "services": [
@@ -70,7 +79,12 @@
         "discovery": "subscribe",
         "granularityMs": 1.0,
         "weights": "rough",
-        "contract": {"mustAskInMs": ask_within_ms, "stopSendingWithinMs": 250.0, "coldFrom": 0.12, "coldMs": 24_000.0},
+        "contract": {
+            "mustAskInMs": ask_within_ms,
+            "stopSendingWithinMs": 250.0,
+            "coldFrom": 0.12,
+            "coldMs": 24_000.0,
+        },
         "allowed": {
             "mostTries": 3,
             "retryAfter": True,
@@ -83,9 +97,16 @@
     }
 
 
-def neighbours(settings: dict[str, Any], slot: int, peers: list[str], listen: str = "") -> dict[str, object]:
+def neighbours(
+    settings: dict[str, Any], slot: int, peers: list[str], listen: str = ""
+) -> dict[str, object]:
     """What a configuration has where nodes may talk to one another; the settings are changed to say so. listen: if not as peers have it."""
-    settings |= {"slotNo": slot, "balancers": len(peers), "tier": 0, "allowed": {**settings["allowed"], "peers": True}}
+    settings |= {
+        "slotNo": slot,
+        "balancers": len(peers),
+        "tier": 0,
+        "allowed": {**settings["allowed"], "peers": True},
+    }
     return {"peer_listen": listen or peers[slot], "peers": peers}
 
 
@@ -161,13 +182,25 @@
         self.rate = rate
         self.left_share = 0.03  # of the requests: their clients leave before the answer,
         self.leave_ms = 60.0  # after up to so long
-        self.leave_oddly = False  # some by a reset, and some behind the beginning of a further request
-        self.leave_together_ms = 0.0  # over this: all that are to leave do so at the next multiple of it
-        self.slack_ms = SLACK_MS  # past its deadline an answer is awaited for this long before it is missing
+        self.leave_oddly = (
+            False  # some by a reset, and some behind the beginning of a further request
+        )
+        self.leave_together_ms = (
+            0.0  # over this: all that are to leave do so at the next multiple of it
+        )
+        self.slack_ms = (
+            SLACK_MS  # past its deadline an answer is awaited for this long before it is missing
+        )
         self.most = 10_000  # requests out at once; beyond them clients wait to ask
-        self.wanted: Callable[[Class, str], int] = lambda kind, key: 0  # told of each request that is first asked for,
-        self.got: Callable[[int], None] = lambda number: None  # and of those served in time at last, by what it returned
-        self.down: Callable[[str], bool] = lambda node: False  # whether the front has noticed that a node is dead
+        self.wanted: Callable[[Class, str], int] = lambda kind, key: (
+            0
+        )  # told of each request that is first asked for,
+        self.got: Callable[[int], None] = lambda number: (
+            None
+        )  # and of those served in time at last, by what it returned
+        self.down: Callable[[str], bool] = lambda node: (
+            False
+        )  # whether the front has noticed that a node is dead
         self._observer = observer
         self._random = random.Random(f"clients/{seed}")
         self._keys = [f"k{n}" for n in range(keys)]
@@ -175,7 +208,9 @@
         self._classes = classes
         writes = sum(c.share for c in classes if c.method == "PUT")
         share = writes if write_share is None else write_share
-        self._shares = [c.share * share / writes if c.method == "PUT" else 1.0 - share for c in classes]
+        self._shares = [
+            c.share * share / writes if c.method == "PUT" else 1.0 - share for c in classes
+        ]
         self._idle: dict[str, list[Connection]] = {}
         self._number = 0
         self._stopped = False
@@ -229,7 +264,9 @@
         begun = now_ms()
         for attempt in range(3):
             budget = kind.deadline_ms - (now_ms() - begun)
-            if budget < 50.0 or (attempt and kind.repeat == "keyed" and now_ms() - begun > kind.window_ms):
+            if budget < 50.0 or (
+                attempt and kind.repeat == "keyed" and now_ms() - begun > kind.window_ms
+            ):
                 return
             status, wait_ms = await self._ask(kind, key, token, body, budget, attempt > 0)
             if status == 200:
@@ -238,7 +275,9 @@
                 if good:
                     self.got(number)
                 return
-            again = status in (429, 503) or (status != -2 and kind.repeat != "unsafe") or status == -3
+            again = (
+                status in (429, 503) or (status != -2 and kind.repeat != "unsafe") or status == -3
+            )
             if not again or rng.random() < 0.3:
                 return
             await asyncio.sleep((wait_ms or rng.uniform(30.0, 240.0)) / 1000.0)
@@ -267,7 +306,9 @@
         ask = Ask(f"x{self._number}", kind, key, token, node, body)
         for tries in range(2):
             try:
-                connection = await self._connect(node) if not tries else await dial(self.nodes[node], 1.0)
+                connection = (
+                    await self._connect(node) if not tries else await dial(self.nodes[node], 1.0)
+                )
             except OSError:
                 return -3, 0.0
             status, wait_ms = await self._exchange(connection, ask, budget_ms, again, leaves)
@@ -278,7 +319,12 @@
     async def _exchange(
         self, connection: Connection, ask: Ask, budget_ms: float, again: bool, leaves: bool
     ) -> tuple[int, float]:
-        headers = {"X-Txn": ask.txn, "X-Lane": ask.kind.name, "X-Org": "stalls", "X-Remaining-Ms": str(int(budget_ms))}
+        headers = {
+            "X-Txn": ask.txn,
+            "X-Lane": ask.kind.name,
+            "X-Org": "stalls",
+            "X-Remaining-Ms": str(int(budget_ms)),
+        }
         if again:
             headers["X-Resent"] = "1"
         if ask.token:
@@ -297,7 +343,9 @@
         ask.sent_ms = now_ms()
         observer.asked(ask)
         try:
-            async with asyncio.timeout(self._leaves_in() if leaves else (budget_ms + self.slack_ms) / 1000.0):
+            async with asyncio.timeout(
+                self._leaves_in() if leaves else (budget_ms + self.slack_ms) / 1000.0
+            ):
                 answer = await connection.read()
         except TimeoutError:
             if leaves and self.leave_oddly:
@@ -340,7 +388,11 @@
         after_ms = self._random.uniform(0.0, self.leave_ms)
         if self.leave_together_ms > 0.0:
             now = now_ms()
-            after_ms = (now + after_ms) // self.leave_together_ms * self.leave_together_ms + self.leave_together_ms - now
+            after_ms = (
+                (now + after_ms) // self.leave_together_ms * self.leave_together_ms
+                + self.leave_together_ms
+                - now
+            )
         return after_ms / 1000.0
 
     async def _leave_oddly(self, connection: Connection) -> None:
@@ -380,13 +432,17 @@
         self._observer.rude(node, name, status, now_ms() - begun)
 
 
-_GOOD = b"GET /api/k1 HTTP/1.1\r\nHost: x\r\nX-Txn: %s\r\nX-Lane: menu-read\r\nX-Remaining-Ms: 2000\r\n"
+_GOOD = (
+    b"GET /api/k1 HTTP/1.1\r\nHost: x\r\nX-Txn: %s\r\nX-Lane: menu-read\r\nX-Remaining-Ms: 2000\r\n"
+)
 RUDE = {
     "noise": bytes(range(128, 256)) * 2 + b"\r\n\r\n",
     "silence": b"",
     "half a head": b"GET /api/k1 HTTP/1.1\r\nX-Txn: half\r\n",
     "both lengths": b"PUT /api/k1 HTTP/1.1\r\nHost: x\r\nX-Txn: both\r\nX-Lane: order-place\r\n"
-    b"Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n" + _GOOD % b"hidden" + b"\r\n",
+    b"Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"
+    + _GOOD % b"hidden"
+    + b"\r\n",
     "no id": b"GET /api/k1 HTTP/1.1\r\nHost: x\r\nX-Lane: menu-read\r\n\r\n",
     "unknown class": b"GET /api/k1 HTTP/1.1\r\nHost: x\r\nX-Txn: lane\r\nX-Lane: gold\r\n\r\n",
     "huge": b"PUT /api/k1 HTTP/1.1\r\nHost: x\r\nX-Txn: huge\r\nX-Lane: order-place\r\nContent-Length: 60000000\r\n\r\n",
--- a/testbed/systems/dns.py
+++ b/testbed/systems/dns.py
@@ -54,7 +54,12 @@
         """Name these boxes, by id, and no others."""
         for name, kind in [key for key in self.records if key[1] == "A"]:
             del self.records[name, kind]
-        self.put(SERVICE, "SRV", ttl, [f"{priority} 10 {port} {name}.{ZONE}" for name, (_, port) in boxes.items()])
+        self.put(
+            SERVICE,
+            "SRV",
+            ttl,
+            [f"{priority} 10 {port} {name}.{ZONE}" for name, (_, port) in boxes.items()],
+        )
         for name, (host, _) in boxes.items():
             self.put(f"{name}.{ZONE}", "A", ttl, [host])
 
@@ -67,7 +72,9 @@
         self.zone = zone
         self.how = how
         self.late_s = 1.0
-        self.told: Callable[[str, list[str]], None] = lambda host, targets: None  # whom it gave the service's records, and their targets
+        self.told: Callable[[str, list[str]], None] = lambda host, targets: (
+            None
+        )  # whom it gave the service's records, and their targets
         self.asked: list[tuple[str, str, str]] = []  # by which way, name as it came, type
         self._udp: Any = None
         self._tcp: Any = None
@@ -108,9 +115,17 @@
             except OSError:
                 return
             if self.how == "good" and data[12:].lower().startswith(_WIRE):
-                self.told(sender[0], [text.split()[3] for text in self.zone.records.get((SERVICE, "SRV"), (0, []))[1]])
+                self.told(
+                    sender[0],
+                    [
+                        text.split()[3]
+                        for text in self.zone.records.get((SERVICE, "SRV"), (0, []))[1]
+                    ],
+                )
             if self.how == "late":
-                asyncio.get_running_loop().call_later(self.late_s, self._send, self.answers(data, False), sender)
+                asyncio.get_running_loop().call_later(
+                    self.late_s, self._send, self.answers(data, False), sender
+                )
             else:
                 self._send(self.answers(data, False), sender)
 
@@ -158,7 +173,13 @@
         """The messages that go back for a query."""
         query = dns.message.from_wire(data)
         question = query.question[0]
-        self.asked.append(("tcp" if stream else "udp", question.name.to_text(), dns.rdatatype.to_text(question.rdtype)))
+        self.asked.append(
+            (
+                "tcp" if stream else "udp",
+                question.name.to_text(),
+                dns.rdatatype.to_text(question.rdtype),
+            )
+        )
         self._asked_last = query
         how = self.how
         if how in ("silent", "forged sender"):
@@ -166,7 +187,11 @@
         if how == "garbage":
             return [data[:2] + b"\x81\x80" + data[4:6] + b"\x00\x05" + data[8:] + bytes(range(200))]
         if how == "flood":
-            return [b"\x00\x01" + data[2:] for _ in range(100)] if not stream else [self._whole(query, stream)]
+            return (
+                [b"\x00\x01" + data[2:] for _ in range(100)]
+                if not stream
+                else [self._whole(query, stream)]
+            )
         good = self._whole(query, stream)
         if how == "forged id":
             return [((query.id + 1) % 65_536).to_bytes(2, "big") + self._false(query)[2:], good]
@@ -174,7 +199,9 @@
             other = dns.message.make_query("elsewhere.example.org.", "A", id=query.id)
             return [dns.message.make_response(other).to_wire()]
         if how == "another case":
-            lower = dns.message.make_query(question.name.to_text().swapcase(), question.rdtype, id=query.id)
+            lower = dns.message.make_query(
+                question.name.to_text().swapcase(), question.rdtype, id=query.id
+            )
             return [dns.message.make_response(lower).to_wire()]
         return [good]
 
@@ -207,7 +234,9 @@
             answer.flags |= dns.flags.TC
         else:
             self._records(answer, question.name, question.rdtype)
-        if how in ("truncated", "truncated over tcp") and (not stream or how == "truncated over tcp"):
+        if how in ("truncated", "truncated over tcp") and (
+            not stream or how == "truncated over tcp"
+        ):
             answer.answer.clear()
             answer.additional.clear()
             answer.flags |= dns.flags.TC
@@ -219,7 +248,9 @@
             wire = bytes(answer.to_wire())
         return wire
 
-    def _records(self, answer: dns.message.Message, asked: dns.name.Name, kind: dns.rdatatype.RdataType) -> None:
+    def _records(
+        self, answer: dns.message.Message, asked: dns.name.Name, kind: dns.rdatatype.RdataType
+    ) -> None:
         name: Optional[str] = asked.to_text().lower()
         shown = asked.to_text()
         for _ in range(16):
@@ -246,7 +277,9 @@
             for kind in ("A", "AAAA"):
                 found = self.zone.records.get((target, kind))
                 if found is not None:
-                    answer.additional.append(dns.rrset.from_text(target, found[0], "IN", kind, *found[1]))
+                    answer.additional.append(
+                        dns.rrset.from_text(target, found[0], "IN", kind, *found[1])
+                    )
 
     @staticmethod
     def _negative(answer: dns.message.Message) -> None:
--- a/testbed/systems/scripted.py
+++ b/testbed/systems/scripted.py
@@ -25,7 +25,11 @@
 
 def whole(body: bytes, head: bytes = b"") -> bytes:
     """A good answer, with further header lines (each with its end) where they are given."""
-    return b"HTTP/1.1 200 OK\r\nX-Found: hit\r\n%sContent-Length: %d\r\n\r\n%s" % (head, len(body), body)
+    return b"HTTP/1.1 200 OK\r\nX-Found: hit\r\n%sContent-Length: %d\r\n\r\n%s" % (
+        head,
+        len(body),
+        body,
+    )
 
 
 def good(head: bytes) -> bytes:
--- a/testbed/systems/serving.py
+++ b/testbed/systems/serving.py
@@ -91,18 +91,27 @@
     @property
     def spent(self) -> bool:
         """Whether the connection can carry no other exchange."""
-        return h11.MUST_CLOSE in (self._parser.our_state, self._parser.their_state) or self.stream.closed
-
-    async def answer(self, status: int, body: bytes = b"", headers: Mapping[str, str] | None = None) -> None:
+        return (
+            h11.MUST_CLOSE in (self._parser.our_state, self._parser.their_state)
+            or self.stream.closed
+        )
+
+    async def answer(
+        self, status: int, body: bytes = b"", headers: Mapping[str, str] | None = None
+    ) -> None:
         """Write a whole answer."""
-        fields = [(name, value) for name, value in (headers or {}).items()] + [("Content-Length", str(len(body)))]
+        fields = [(name, value) for name, value in (headers or {}).items()] + [
+            ("Content-Length", str(len(body)))
+        ]
         parser = self._parser
         data = parser.send(h11.Response(status_code=status, headers=fields, reason=b"-")) or b""
         data += parser.send(h11.Data(data=body)) or b""
         data += parser.send(h11.EndOfMessage()) or b""
         await self.stream.write(data)
 
-    async def ask(self, method: str, target: str, headers: Mapping[str, str], body: bytes = b"") -> None:
+    async def ask(
+        self, method: str, target: str, headers: Mapping[str, str], body: bytes = b""
+    ) -> None:
         """Write a whole request."""
         fields = [("Host", "service.internal"), *headers.items()]
         if body or method == "PUT":
@@ -210,7 +219,9 @@
             except OSError:
                 sock.close()
                 continue
-            self.connections[connection] = asyncio.get_running_loop().create_task(self._run(connection))
+            self.connections[connection] = asyncio.get_running_loop().create_task(
+                self._run(connection)
+            )
 
     async def _run(self, connection: Connection) -> None:
         try:
@@ -219,7 +230,13 @@
                 if connection.spent:
                     return
                 connection.renew()
-        except (OSError, Ended, h11.RemoteProtocolError, h11.LocalProtocolError, asyncio.CancelledError):
+        except (
+            OSError,
+            Ended,
+            h11.RemoteProtocolError,
+            h11.LocalProtocolError,
+            asyncio.CancelledError,
+        ):
             pass
         finally:
             with suppress(KeyError):
--- a/testbed/systems/standins.py
+++ b/testbed/systems/standins.py
@@ -37,7 +37,9 @@
     def fetched(self, box: str, key: str) -> None:
         """The order book was asked for a key."""
 
-    def told(self, node: str, entries: list[dict[str, object]], full: bool, sound: bool = True) -> None:
+    def told(
+        self, node: str, entries: list[dict[str, object]], full: bool, sound: bool = True
+    ) -> None:
         """Discovery has written entries to a node; sound: in a line that can be read, on a watch of which all could be."""
 
 
@@ -68,7 +70,15 @@
 class CacheBox(Server):
     """Reads through to the order book, keeps what it read, and works on a bounded number of requests."""
 
-    def __init__(self, name: str, address: Address, book: Address, spec: BoxSpec, witness: Witness, cold: bool) -> None:
+    def __init__(
+        self,
+        name: str,
+        address: Address,
+        book: Address,
+        spec: BoxSpec,
+        witness: Witness,
+        cold: bool,
+    ) -> None:
         super().__init__(address)
         self.name = name
         self.spec = spec
@@ -87,7 +97,9 @@
         self._held = 0
         self._values: OrderedDict[str, bytes] = OrderedDict()
         self._fetches: dict[str, asyncio.Future[bytes]] = {}
-        self._done: dict[str, tuple[float, bytes]] = {}  # by idempotency key: when, and what was answered
+        self._done: dict[
+            str, tuple[float, bytes]
+        ] = {}  # by idempotency key: when, and what was answered
         self._links: list[Connection] = []
 
     @property
@@ -127,7 +139,9 @@
             await connection.answer(404)
             return
         if self.hang is not None:
-            await while_wanted(connection.stream, asyncio.get_running_loop().create_task(_set(self.hang)))
+            await while_wanted(
+                connection.stream, asyncio.get_running_loop().create_task(_set(self.hang))
+            )
         work = work_of(key, request.method)
         if self.draining or self.full or self._held >= self.spec.cores + self.spec.queue:
             self.turned += 1
@@ -222,7 +236,10 @@
     async def _spoilt(self, how: str, connection: Connection, body: bytes) -> None:
         """Write an answer that is wrong, or good with more than belongs to it. The connection stays open."""
         stream: Stream = connection.stream
-        good = b"HTTP/1.1 200 OK\r\nX-Found: hit\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body)
+        good = b"HTTP/1.1 200 OK\r\nX-Found: hit\r\nContent-Length: %d\r\n\r\n%s" % (
+            len(body),
+            body,
+        )
         if how == "noise":
             await stream.write(bytes(range(128, 256)) + b"\r\n\r\n")
         elif how == "head":
@@ -230,7 +247,9 @@
         elif how == "short":
             await stream.write(good[:-3])
         elif how == "long":
-            await stream.write(b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n" + b"x" * 20_000)
+            await stream.write(
+                b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n" + b"x" * 20_000
+            )
         elif how == "twice":
             await stream.write(good + good)
         elif how == "behind":
@@ -300,10 +319,15 @@
     """Discovery: the whole list, and watches on it."""
 
     def __init__(
-        self, address: Address, witness: Witness, entries: Optional[dict[str, dict[str, object]]] = None
+        self,
+        address: Address,
+        witness: Witness,
+        entries: Optional[dict[str, dict[str, object]]] = None,
     ) -> None:
         super().__init__(address)
-        self.entries = entries if entries is not None else {}  # by instanceId; may be shared by two places
+        self.entries = (
+            entries if entries is not None else {}
+        )  # by instanceId; may be shared by two places
         self.generation = 1
         self._speaks = asyncio.Event()
         self._speaks.set()
@@ -311,12 +335,18 @@
         self.down = False
         self.refusing = False  # calls are answered 503, and watches go on
         self.mute = False  # calls are taken and not answered
-        self.spoils: list[Spoil] = []  # of the next lines, each at every watch that it is written to
+        self.spoils: list[
+            Spoil
+        ] = []  # of the next lines, each at every watch that it is written to
         self.watches: dict[Connection, str] = {}
-        self._unsound: set[Connection] = set()  # a line of theirs could not be read: nothing more can be built on them
+        self._unsound: set[Connection] = (
+            set()
+        )  # a line of theirs could not be read: nothing more can be built on them
         self._begun: dict[Connection, None] = {}  # have had their first line
         self._mute: set[Connection] = set()  # nothing more is written
-        self._history: OrderedDict[int, list[dict[str, object]]] = OrderedDict()  # by generation, oldest first
+        self._history: OrderedDict[int, list[dict[str, object]]] = (
+            OrderedDict()
+        )  # by generation, oldest first
         self._witness = witness
 
     @property
@@ -332,10 +362,18 @@
             self._speaks.set()
 
     @staticmethod
-    def entry(name: str, address: Address, started_ms: float = 0.0, zone: str = "a") -> dict[str, object]:
+    def entry(
+        name: str, address: Address, started_ms: float = 0.0, zone: str = "a"
+    ) -> dict[str, object]:
         """One server as discovery lists it."""
         place = f"{address[0]}:{address[1]}"
-        more = {"zone": zone, "machineType": "m", "cell": 0, "lifecycle": "in_service", "weight": 1.0}
+        more = {
+            "zone": zone,
+            "machineType": "m",
+            "cell": 0,
+            "lifecycle": "in_service",
+            "weight": 1.0,
+        }
         return {"instanceId": name, "hostPort": place, "startedAtMs": started_ms, **more}
 
     def change(self, entry: dict[str, object], lifecycle: str = "in_service") -> None:
@@ -355,7 +393,9 @@
             self._history.popitem(last=False)
         spoil = self.spoils.pop(0) if self.spoils else None
         for connection in list(self.watches):
-            asyncio.get_running_loop().create_task(self._write(connection, self.generation, entries, False, spoil))
+            asyncio.get_running_loop().create_task(
+                self._write(connection, self.generation, entries, False, spoil)
+            )
 
     def tell_raw(self, data: bytes) -> None:
         """Write bytes that need not be a list to every watch that has had its first line."""
@@ -381,7 +421,12 @@
         return True
 
     async def _write(
-        self, connection: Connection, generation: int, entries: list[dict[str, object]], full: bool, spoil: Optional[Spoil] = None
+        self,
+        connection: Connection,
+        generation: int,
+        entries: list[dict[str, object]],
+        full: bool,
+        spoil: Optional[Spoil] = None,
     ) -> None:
         """Write a line, and tell the witness of what came whole with it.
 
@@ -403,7 +448,11 @@
             else:
                 at = {"before": 0, "inside": at, "after": len(text) - 1}[spoil.how]
                 data = _chunk(text[:at] + spoil.noise + text[at:])
-                whole = [entry for entry, (begin, end) in zip(entries, spans, strict=True) if not begin < at < end]
+                whole = [
+                    entry
+                    for entry, (begin, end) in zip(entries, spans, strict=True)
+                    if not begin < at < end
+                ]
         if not await self._send(connection, data):
             return
         if spoil is not None:
@@ -424,14 +473,20 @@
             await connection.answer(503)
             return
         if "watch=1" not in request.target:
-            everything = {"generation": self.generation, "reset": True, "instances": list(self.entries.values())}
+            everything = {
+                "generation": self.generation,
+                "reset": True,
+                "instances": list(self.entries.values()),
+            }
             await connection.answer(200, json.dumps(everything).encode())
             return
         stream = connection.stream
         await stream.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
         self.watches[connection] = self.node_of(connection)
         beat = asyncio.get_running_loop().create_task(self._beat(connection))
-        first = asyncio.get_running_loop().create_task(self._begin(connection, self.generation, *self._since(request.target)))
+        first = asyncio.get_running_loop().create_task(
+            self._begin(connection, self.generation, *self._since(request.target))
+        )
         try:
             while await stream.read():
                 pass
@@ -444,15 +499,26 @@
             self._mute.discard(connection)
         raise Ended("the watch")
 
-    async def _begin(self, connection: Connection, generation: int, entries: list[dict[str, object]], full: bool) -> None:
+    async def _begin(
+        self, connection: Connection, generation: int, entries: list[dict[str, object]], full: bool
+    ) -> None:
         await self._write(connection, generation, entries, full)
         self._begun[connection] = None
 
     def _since(self, target: str) -> tuple[list[dict[str, object]], bool]:
         """What a watch hears first: what changed after the version that it names, or the whole list; and whether it is whole."""
         after = target.partition("after=")[2]
-        if after.isdigit() and self._history and next(iter(self._history)) <= int(after) + 1 <= self.generation + 1:
-            last = {str(entry["instanceId"]): entry for n, some in self._history.items() if n > int(after) for entry in some}
+        if (
+            after.isdigit()
+            and self._history
+            and next(iter(self._history)) <= int(after) + 1 <= self.generation + 1
+        ):
+            last = {
+                str(entry["instanceId"]): entry
+                for n, some in self._history.items()
+                if n > int(after)
+                for entry in some
+            }
             return list(last.values()), False
         return list(self.entries.values()), True
 
@@ -470,7 +536,9 @@
                     return
 
 
-def _line(generation: int, entries: list[dict[str, object]], full: bool) -> tuple[bytes, list[tuple[int, int]]]:
+def _line(
+    generation: int, entries: list[dict[str, object]], full: bool
+) -> tuple[bytes, list[tuple[int, int]]]:
     """A line of a watch, and from where to where in it each entry stands, in bytes."""
     text = json.dumps({"generation": generation, "reset": full, "instances": []})[:-2].encode()
     spans = []
--- a/testbed/tier/books.py
+++ b/testbed/tier/books.py
@@ -27,7 +27,9 @@
     until: float
 
 
-def spans_of(node: int, token: int, taken: Iterable[tuple[int, int, float, float]], ended: float) -> list[Span]:
+def spans_of(
+    node: int, token: int, taken: Iterable[tuple[int, int, float, float]], ended: float
+) -> list[Span]:
     """The spans of one process. taken: bound, parts, from when, until when, in the order in which it took them; ended: when it died."""
     by_bound: dict[int, list[tuple[int, float, float]]] = defaultdict(list)
     for bound, parts, since, until in taken:
@@ -48,7 +50,9 @@
     steps: dict[int, list[tuple[float, int, int]]] = defaultdict(list)
     for span in spans:
         steps[span.bound].append((span.since, 1, span.parts))
-        steps[span.bound].append((span.until, 0, -span.parts))  # what ends in an instant ends before what begins in it
+        steps[span.bound].append(
+            (span.until, 0, -span.parts)
+        )  # what ends in an instant ends before what begins in it
     most = {}
     for bound, rows in steps.items():
         total, best = 0, (0, 0.0)
@@ -62,7 +66,11 @@
 
 def at_time(spans: Iterable[Span], bound: int, at: float) -> dict[int, int]:
     """Who held how many parts of a bound at a time."""
-    return {span.node: span.parts for span in spans if span.bound == bound and span.since <= at < span.until}
+    return {
+        span.node: span.parts
+        for span in spans
+        if span.bound == bound and span.since <= at < span.until
+    }
 
 
 @dataclass(slots=True)
@@ -78,7 +86,10 @@
 
     def capacity(self, at: float) -> float:
         """The part of its full speed that it has."""
-        return min(1.0, self.cold_from + (1.0 - self.cold_from) * max(0.0, at - self.started) / self.cold_ms)
+        return min(
+            1.0,
+            self.cold_from + (1.0 - self.cold_from) * max(0.0, at - self.started) / self.cold_ms,
+        )
 
     def worst(self) -> float:
         """The largest part of its budget that came within any span of FALL_MS; over 1 it would fall."""
--- a/testbed/tier/defects.py
+++ b/testbed/tier/defects.py
@@ -26,7 +26,11 @@
     """What a holder is granted less of is given to others at once, though it may not have heard of it."""
 
     def holders(self: Ledger, bound: int, now: float) -> dict[Who, int]:
-        return {who: grants[-1][1] for who, grants in self._out.get(bound, {}).items() if grants[-1][0] > now}
+        return {
+            who: grants[-1][1]
+            for who, grants in self._out.get(bound, {}).items()
+            if grants[-1][0] > now
+        }
 
     return patch.object(Ledger, "holders", holders)
 
@@ -46,7 +50,17 @@
     """A grant counts from when it comes, and not from when the reply that it answers was sent."""
     usual = Holdings.take
 
-    def take(self: Holdings, keeper: Who, number: int, echo: int, hold_ms: float, size: float, bound: int, parts: int, now: float) -> bool:
+    def take(
+        self: Holdings,
+        keeper: Who,
+        number: int,
+        echo: int,
+        hold_ms: float,
+        size: float,
+        bound: int,
+        parts: int,
+        now: float,
+    ) -> bool:
         if echo in self._sent:
             self._sent[echo] = now
         return usual(self, keeper, number, echo, hold_ms, size, bound, parts, now)
--- a/testbed/tier/model.py
+++ b/testbed/tier/model.py
@@ -26,7 +26,20 @@
 UNIX_S = 1_764_547_200
 USUAL = Options()
 
-Kind = Literal["kill", "pause", "cut", "one_way", "loss", "storm", "late", "lie", "leave", "clock_back", "stranger", "half"]
+Kind = Literal[
+    "kill",
+    "pause",
+    "cut",
+    "one_way",
+    "loss",
+    "storm",
+    "late",
+    "lie",
+    "leave",
+    "clock_back",
+    "stranger",
+    "half",
+]
 KINDS: tuple[Kind, ...] = Kind.__args__  # type: ignore[attr-defined]
 
 
@@ -87,7 +100,9 @@
         self.rate = rate
         self.state = "running"
         self.inbox: list[tuple[int, bytes]] = []
-        self.tier = Tier(slot, night.script.nodes, night.rng.getrandbits(48), wall_s, self.now, night.options)
+        self.tier = Tier(
+            slot, night.script.nodes, night.rng.getrandbits(48), wall_s, self.now, night.options
+        )
         claims = Wanted(night.options.floor, self.tier.dealer.holdings)
         claims.own_work, claims.own_fetches = 1.0, 8.0
         claims.given = {}
@@ -129,7 +144,12 @@
         self._events: list[tuple[float, int, Callable[..., None], tuple[Any, ...]]] = []
         self._count = 0
         n = script.nodes
-        self.links = {(a, b): Links(script.loss, script.delay_ms, script.double) for a in range(n) for b in range(n) if a != b}
+        self.links = {
+            (a, b): Links(script.loss, script.delay_ms, script.double)
+            for a in range(n)
+            for b in range(n)
+            if a != b
+        }
         self.nodes: list[Node] = []
         self.all: list[Node] = []  # also those that are gone
         for slot in range(n):
@@ -165,13 +185,25 @@
         if total > self.most.get(bound, 0):
             self.most[bound] = total
         if total > WHOLE:
-            self.failures.append(f"{self.now / 1000.0:.3f} s: bound {bound}: {total} parts are held of {WHOLE}")
+            self.failures.append(
+                f"{self.now / 1000.0:.3f} s: bound {bound}: {total} parts are held of {WHOLE}"
+            )
 
     def _start(self, slot: int, wall_s: Optional[int] = None) -> Node:
         script, rng = self.script, self.rng
-        wall = UNIX_S + int(self.now / 1000.0) + (rng.randrange(-30, 31) if script.skewed else 0) if wall_s is None else wall_s
+        wall = (
+            UNIX_S + int(self.now / 1000.0) + (rng.randrange(-30, 31) if script.skewed else 0)
+            if wall_s is None
+            else wall_s
+        )
         offset = rng.uniform(0.0, 3_600_000.0) if script.skewed else 0.0
-        node = Node(self, slot, wall, offset, 1.0 + (rng.choice((-1.0, 0.0, 1.0, rng.uniform(-1.0, 1.0))) * script.drift))
+        node = Node(
+            self,
+            slot,
+            wall,
+            offset,
+            1.0 + (rng.choice((-1.0, 0.0, 1.0, rng.uniform(-1.0, 1.0))) * script.drift),
+        )
         self._demand(node)
         self.all.append(node)
         self.after(rng.uniform(0.0, self._tick_ms), self._tick, node)
@@ -182,8 +214,12 @@
         if self.script.demands == "even":
             node.claims.given = dict.fromkeys(BOUNDS, 50.0)
         else:
-            node.claims.given = {bound: self.rng.choice((0.0, 0.1, 1.0, 5.0, 200.0)) for bound in BOUNDS}
-            node.claims.given = {bound: amount for bound, amount in node.claims.given.items() if amount}
+            node.claims.given = {
+                bound: self.rng.choice((0.0, 0.1, 1.0, 5.0, 200.0)) for bound in BOUNDS
+            }
+            node.claims.given = {
+                bound: amount for bound, amount in node.claims.given.items() if amount
+            }
 
     def _change(self) -> None:
         for node in self.alive():
@@ -244,7 +280,9 @@
 
     def _do_half(self, trouble: Trouble) -> None:
         """Half of the nodes go at once, and stay away or come back together."""
-        self._do_kill(Trouble(trouble.at_ms, "kill", tuple(range(self.script.nodes // 2)), trouble.for_ms))
+        self._do_kill(
+            Trouble(trouble.at_ms, "kill", tuple(range(self.script.nodes // 2)), trouble.for_ms)
+        )
 
     def _do_clock_back(self, trouble: Trouble) -> None:
         """Killed, and back with a wall clock that is set back."""
@@ -270,7 +308,11 @@
     def _between(self, trouble: Trouble, both: bool) -> list[Links]:
         """Links from these nodes to the others, and back."""
         inside = set(trouble.nodes)
-        return [link for (a, b), link in self.links.items() if (a in inside) != (b in inside) and (both or a in inside)]
+        return [
+            link
+            for (a, b), link in self.links.items()
+            if (a in inside) != (b in inside) and (both or a in inside)
+        ]
 
     def _cut(self, links: list[Links], for_ms: float) -> None:
         for link in links:
@@ -331,7 +373,9 @@
             if node.state != "running":
                 continue
             foreign = Tier((slot + 1) % self.script.nodes, self.script.nodes, 1, 1, node.now, other)
-            good = self.nodes[(slot + 1) % self.script.nodes].tier.leave(node.now) or [(slot, b"\x00")]
+            good = self.nodes[(slot + 1) % self.script.nodes].tier.leave(node.now) or [
+                (slot, b"\x00")
+            ]
             for sender, data in (
                 (-1, good[0][1]), (slot, good[0][1]), ((slot + 1) % self.script.nodes, good[0][1][:-3]),
                 ((slot + 2) % self.script.nodes, good[0][1]), (0, b""), (0, b"\xc1" * 65_507), (0, self.rng.randbytes(200)),
@@ -356,7 +400,11 @@
         some = tuple(rng.sample(range(nodes), rng.randint(1, max(1, nodes // 2))))
         for_ms = rng.choice((100.0, 900.0, 2_000.0, 3_000.0, 6_000.0))
         value = rng.choice((0.05, 0.3, 0.6))
-        script.troubles.append(Trouble(rng.uniform(100.0, script.seconds * 900.0), rng.choice(KINDS), some, for_ms, value))
+        script.troubles.append(
+            Trouble(
+                rng.uniform(100.0, script.seconds * 900.0), rng.choice(KINDS), some, for_ms, value
+            )
+        )
     return script
 
 
--- a/testbed/tier/processes.py
+++ b/testbed/tier/processes.py
@@ -33,7 +33,15 @@
 from testbed.nights.script import BETWEEN, Fault, Script, each
 from testbed.nights.simulation import JUNK as SMALL_JUNK
 from testbed.nights.simulation import tier_table
-from testbed.systems.clients import CLASSES, SITE_CLASSES, Ask, Clients, Observer, neighbours, settings
+from testbed.systems.clients import (
+    CLASSES,
+    SITE_CLASSES,
+    Ask,
+    Clients,
+    Observer,
+    neighbours,
+    settings,
+)
 from testbed.systems.serving import Message, fetch
 from testbed.systems.standins import BoxSpec, CacheBox, OrderBook, Registry, Witness, usual_part
 from testbed.tier.books import ColdBox, Span, at_time, most_held, spans_of
@@ -97,7 +105,9 @@
         if answer.status == 200 and answer.body not in self._bodies[ask.txn]:
             self.broken(f"one final answer: {ask.txn} is served with what was not made for it")
         if answer.status in (429, 503) and ask.kind.repeat == "unsafe" and self._begun[ask.txn]:
-            self.broken(f"no effect twice: {ask.txn} is refused though it may have run at {self._begun[ask.txn][0]}")
+            self.broken(
+                f"no effect twice: {ask.txn} is refused though it may have run at {self._begun[ask.txn][0]}"
+            )
 
     def ended(self, ask: Ask, how: str) -> bool:
         if self.excused(ask):
@@ -105,7 +115,9 @@
         if how == "no answer":
             self.broken(f"one final answer: {ask.txn} of {ask.node} has none when its time is up")
         elif self._begun[ask.txn]:
-            self.broken(f"one final answer: {ask.txn} of {ask.node} was sent on, and its connection ended: {how}")
+            self.broken(
+                f"one final answer: {ask.txn} of {ask.node} was sent on, and its connection ended: {how}"
+            )
         return not ask.first
 
     def received(self, box: CacheBox, txn: str, method: str, work_ms: float) -> None:
@@ -115,7 +127,9 @@
         if ask is not None and method == "GET":
             self.reads[ask.key][box.name] += 1
         if ask is not None and ask.kind.repeat == "unsafe" and self._begun[txn]:
-            self.broken(f"no effect twice: {txn} may have run at {self._begun[txn][0]} and is sent to {box.name}")
+            self.broken(
+                f"no effect twice: {txn} may have run at {self._begun[txn][0]} and is sent to {box.name}"
+            )
         self._begun[txn].append(box.name)
         cold = self.cold.get(box.name)
         if cold is not None:
@@ -151,7 +165,9 @@
     path: Path
     lives: list[Life] = field(default_factory=list)
     starting: bool = False
-    hurt: list[tuple[float, float]] = field(default_factory=list)  # spans in which it was killed, stood still, or ended
+    hurt: list[tuple[float, float]] = field(
+        default_factory=list
+    )  # spans in which it was killed, stood still, or ended
 
     @property
     def name(self) -> str:
@@ -187,12 +203,17 @@
 
     def __init__(self, script: Script, seed: int, folder: Path) -> None:
         if kinds := unplayable(script):
-            raise Unplayable(f"not on real processes: {', '.join(kinds)}; there are {', '.join(sorted(PLAYED))}")
+            raise Unplayable(
+                f"not on real processes: {', '.join(kinds)}; there are {', '.join(sorted(PLAYED))}"
+            )
         self.script = script
         self.folder = folder
         self.operator = folder / "operator.toml"
         table = msgspec.structs.asdict(tier_table(script.world))
-        self.operator.write_text("format = 1\n[tier]\n" + "".join(f"{key} = {json.dumps(value)}\n" for key, value in table.items()))
+        self.operator.write_text(
+            "format = 1\n[tier]\n"
+            + "".join(f"{key} = {json.dumps(value)}\n" for key, value in table.items())
+        )
         self.watch = Watch()
         self.rng = random.Random(f"rig/{seed}")
         self.seed = seed
@@ -215,22 +236,33 @@
         w = self.script.world
         self.book.listen()
         self.registry.listen()
-        keys = Clients({}, self.watch, self.seed, w.keys, w.requests_per_s, classes=self.classes).keys()
+        keys = Clients(
+            {}, self.watch, self.seed, w.keys, w.requests_per_s, classes=self.classes
+        ).keys()
         for n in range(w.boxes):
-            box = CacheBox(f"s{n}", (HOST, 0), self.book.address, BoxSpec(cores=w.cores), self.watch, False)
+            box = CacheBox(
+                f"s{n}", (HOST, 0), self.book.address, BoxSpec(cores=w.cores), self.watch, False
+            )
             box.warm(keys)
             self._add(box, n)
         places: list[Address] = []
         for slot in range(w.nodes):
             listen, admin = self.ports.take(), self.ports.take()
             places.append((f"127.77.{listen >> 8}.{listen & 255}", PEER_PORT))
-            self.nodes.append(NodePlace(slot, (HOST, listen), (HOST, admin), {}, self.folder / f"n{slot}.json"))
+            self.nodes.append(
+                NodePlace(slot, (HOST, listen), (HOST, admin), {}, self.folder / f"n{slot}.json")
+            )
         self.relay = Relay(w.nodes, places, self.seed)
         await self.relay.start()
         for node in self.nodes:
             self._configure(node)
         self.clients = Clients(
-            {node.name: node.listen for node in self.nodes}, self.watch, self.seed, w.keys, w.requests_per_s, classes=self.classes
+            {node.name: node.listen for node in self.nodes},
+            self.watch,
+            self.seed,
+            w.keys,
+            w.requests_per_s,
+            classes=self.classes,
         )
         self.clients.down = self._down
         self.watch.excused = self._excused
@@ -253,11 +285,17 @@
             "discovery": f"{HOST}:{self.registry.address[1]}",
             "seed": f"{self.rng.getrandbits(48):x}",
             "limits": {"cores": 1.0, "memory_mb": 64, "sockets": 512},
-            "known": {"generation": 1, "reset": True, "instances": list(self.registry.entries.values())},
+            "known": {
+                "generation": 1,
+                "reset": True,
+                "instances": list(self.registry.entries.values()),
+            },
             "settings": settings(self.classes, w.ask_within_ms),
         }
         if w.tier != "off":
-            peers = self.relay.peers(node.slot) + [f"127.99.0.{n + 1}:{PEER_PORT}" for n in range(others)]
+            peers = self.relay.peers(node.slot) + [
+                f"127.99.0.{n + 1}:{PEER_PORT}" for n in range(others)
+            ]
             host, port = self.relay.places[node.slot]
             config |= neighbours(config["settings"], node.slot, peers, f"{host}:{port}")
         node.config = config
@@ -274,7 +312,12 @@
             node.starting = False
 
     async def _spawn_node(self, node: NodePlace) -> None:
-        environ = {**os.environ, "PROXY_CONFIG": str(node.path), "PYTHONPATH": str(ROOT), "TMPDIR": str(self.folder)}
+        environ = {
+            **os.environ,
+            "PROXY_CONFIG": str(node.path),
+            "PYTHONPATH": str(ROOT),
+            "TMPDIR": str(self.folder),
+        }
         environ["GRADESHIFT_OPERATOR"] = str(self.operator)
         with open(self.folder / f"{node.name}.log", "ab") as log:
             process = await asyncio.create_subprocess_exec(
@@ -290,7 +333,9 @@
             while await fetch(node.listen, "/up") is None:
                 life = node.lives[-1]
                 if life.process.returncode is not None:
-                    raise RuntimeError(f"{node.name} ended with {life.process.returncode}: {self.log_of(node)}")
+                    raise RuntimeError(
+                        f"{node.name} ended with {life.process.returncode}: {self.log_of(node)}"
+                    )
                 await asyncio.sleep(0.05)
 
     def log_of(self, node: NodePlace) -> str:
@@ -311,7 +356,9 @@
 
     def _excused(self, ask: Ask) -> bool:
         since, now = ask.sent_ms - EXCUSED_MS, now_ms()
-        return any(begin <= now and end >= since for begin, end in self.nodes[int(ask.node[1:])].hurt)
+        return any(
+            begin <= now and end >= since for begin, end in self.nodes[int(ask.node[1:])].hurt
+        )
 
     async def _look(self) -> None:
         """Read every node's own view, again and again."""
@@ -354,7 +401,12 @@
         began = time.monotonic()
         try:
             await self._open()
-            late = {n for fault in self.script.fault if fault.kind == "node_join" for n in fault.nodes or [fault.target]}
+            late = {
+                n
+                for fault in self.script.fault
+                if fault.kind == "node_join"
+                for n in fault.nodes or [fault.target]
+            }
             first = [node for node in self.nodes if node.slot not in late]
             await asyncio.gather(*map(self.start_node, first))
             await asyncio.gather(*map(self._ready, first))
@@ -397,7 +449,9 @@
             self._spawn(self._at(now_ms() - self._began + fault.for_ms, action, *args))
 
     def _fault(self, fault: Fault) -> Any:
-        self.note(f"{fault.kind} {fault.nodes or fault.target} for {fault.for_ms:g} ms, {fault.value:g}")
+        self.note(
+            f"{fault.kind} {fault.nodes or fault.target} for {fault.for_ms:g} ms, {fault.value:g}"
+        )
         return getattr(self, f"_do_{fault.kind}")(fault)
 
     # -- faults of nodes -----------------------------------------------------------------
@@ -540,7 +594,9 @@
         old = self.boxes[n]
         box = CacheBox(old.name, (HOST, 0), self.book.address, old.spec, self.watch, True)
         self._add(box, n)
-        self.watch.cold[box.name] = ColdBox(box.name, box.spec.cold_from, box.spec.cold_ms, box.full_speed, now_ms())
+        self.watch.cold[box.name] = ColdBox(
+            box.name, box.spec.cold_from, box.spec.cold_ms, box.full_speed, now_ms()
+        )
         self.registry.change(self.registry.entries[box.name])
 
     def _do_box_slow(self, fault: Fault) -> None:
@@ -571,7 +627,9 @@
 
     def _do_flush(self, fault: Fault) -> None:
         for box in self.boxes:
-            for key in self.rng.sample(sorted(box._values), int(len(box._values) * (fault.value or 1.0))):
+            for key in self.rng.sample(
+                sorted(box._values), int(len(box._values) * (fault.value or 1.0))
+            ):
                 box.void(key)
 
     def _do_discovery_silent(self, fault: Fault) -> None:
@@ -593,10 +651,14 @@
         for bound, (parts, at) in held.items():
             if parts > WHOLE:
                 who = {f"n{node}": some for node, some in at_time(spans, bound, at).items()}
-                failures.append(f"shares add up: of bound {bound} {parts} parts of {WHOLE} at {(at - self._began) / 1000.0:.3f} s: {who}")
+                failures.append(
+                    f"shares add up: of bound {bound} {parts} parts of {WHOLE} at {(at - self._began) / 1000.0:.3f} s: {who}"
+                )
         for name, cold in self.watch.cold.items():
             if cold.worst() > 1.0:
-                failures.append(f"no cold server pushed over: {name} got {cold.worst():.2f} of its budget from all nodes together")
+                failures.append(
+                    f"no cold server pushed over: {name} got {cold.worst():.2f} of its budget from all nodes together"
+                )
         for node in self.nodes:
             for life in node.lives:
                 code = life.process.returncode
@@ -608,7 +670,11 @@
         for node in self.nodes:
             for life in node.lives:
                 names |= life.view.get("names", {})
-        views = {node.name: node.life.view for node in self.nodes if node.life is not None and node.life.view}
+        views = {
+            node.name: node.life.view
+            for node in self.nodes
+            if node.life is not None and node.life.view
+        }
         return {
             "seed": self.seed,
             "seconds": self.script.world.seconds,
--- a/testbed/tier/relay.py
+++ b/testbed/tier/relay.py
@@ -54,7 +54,9 @@
         """Open a socket for each pair, on ports that the system chooses."""
         loop = asyncio.get_running_loop()
         for a, b in self.links:
-            transport, _ = await loop.create_datagram_endpoint(lambda a=a, b=b: _Wire(self, a, b), local_addr=("127.0.0.1", 0))  # type: ignore[misc]
+            transport, _ = await loop.create_datagram_endpoint(
+                lambda a=a, b=b: _Wire(self, a, b), local_addr=("127.0.0.1", 0)
+            )  # type: ignore[misc]
             self._wires[a, b] = transport
 
     def close(self) -> None:
@@ -66,7 +68,11 @@
         """The addresses by which a node knows all, itself by where it listens."""
         names = []
         for other in range(self.count):
-            host, port = self.places[node] if other == node else self._wires[node, other].get_extra_info("sockname")
+            host, port = (
+                self.places[node]
+                if other == node
+                else self._wires[node, other].get_extra_info("sockname")
+            )
             names.append(f"{host}:{port}")
         return names
 
--- a/tests/admin/test_admin.py
+++ b/tests/admin/test_admin.py
@@ -19,7 +19,9 @@
 
     def __init__(self, node: Rig) -> None:
         self.rig = node
-        self.admin = Admin(Status(node.node, node.frontend, node.discovery, node.figures), ("127.0.0.1", 0))
+        self.admin = Admin(
+            Status(node.node, node.frontend, node.discovery, node.figures), ("127.0.0.1", 0)
+        )
         self.admin.start()
 
     async def send(self, data: bytes) -> bytes:
@@ -60,11 +62,25 @@
             assert status(await made.rig.ask("bad", path="/api/bad", lane="order")) == 502
             assert status(await made.rig.ask("full", path="/api/full", lane="order")) == 503
             seen = await made.figures()
-            assert (seen["svc.responses.read.ok"], seen["svc.responses.read.shed"], seen["svc.responses.read.errors"]) == (3, 0, 0)
-            assert (seen["svc.responses.order.ok"], seen["svc.responses.order.shed"], seen["svc.responses.order.errors"]) == (0, 1, 1)
+            assert (
+                seen["svc.responses.read.ok"],
+                seen["svc.responses.read.shed"],
+                seen["svc.responses.read.errors"],
+            ) == (3, 0, 0)
+            assert (
+                seen["svc.responses.order.ok"],
+                seen["svc.responses.order.shed"],
+                seen["svc.responses.order.errors"],
+            ) == (0, 1, 1)
             assert seen["svc.tries"] == len(made.rig.boxes["s1"].heads)
-            assert (seen["svc.active"], seen["svc.pool_size"], seen["svc.pool_ejected"]) == (0, 1, 0)
-            refused = {name: count for name, count in seen.items() if name.startswith("svc.refused.")}
+            assert (seen["svc.active"], seen["svc.pool_size"], seen["svc.pool_ejected"]) == (
+                0,
+                1,
+                0,
+            )
+            refused = {
+                name: count for name, count in seen.items() if name.startswith("svc.refused.")
+            }
             assert len(refused) == 10 and refused["svc.refused.tries"] == sum(refused.values()) == 1
 
     play(test)
@@ -80,8 +96,15 @@
 
         box, dead = CacheBox(slow), CacheBox()
         async with desk({"s1": box, "s2": dead}) as made:
-            asks = [asyncio.create_task(made.rig.ask(f"t{n}", path=f"/api/k{n}", lane="order")) for n in range(8)]
-            await until(lambda: made.rig.node.open + sum(ask.done() for ask in asks) == 8 and len(box.heads) > 0)
+            asks = [
+                asyncio.create_task(made.rig.ask(f"t{n}", path=f"/api/k{n}", lane="order"))
+                for n in range(8)
+            ]
+            await until(
+                lambda: (
+                    made.rig.node.open + sum(ask.done() for ask in asks) == 8 and len(box.heads) > 0
+                )
+            )
             assert (await made.figures())["svc.active"] == made.rig.node.open > 0
             release.set()
             await asyncio.gather(*asks)
@@ -91,8 +114,16 @@
                 n += 1
                 await made.rig.ask(f"again-{n}", path=f"/api/j{n}")
             seen = await made.figures()
-            assert (seen["svc.pool_size"], seen["svc.pool_ejected"], seen["svc.active"]) == (2, 1, 0)
-            assert (seen["svc.pool.in_service"], seen["svc.pool.silent"], seen["svc.pool.draining"]) == (1, 1, 0)
+            assert (seen["svc.pool_size"], seen["svc.pool_ejected"], seen["svc.active"]) == (
+                2,
+                1,
+                0,
+            )
+            assert (
+                seen["svc.pool.in_service"],
+                seen["svc.pool.silent"],
+                seen["svc.pool.draining"],
+            ) == (1, 1, 0)
 
     play(test)
 
@@ -115,8 +146,15 @@
         (b"PUT /admin/stats HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n", 405),
         (b"\x16\x03\x01\x02\x00\x01\x00\x01\xfc\x03\x03\r\n\r\n", 400),
         (b"GET /admin/stats HTTP/1.1\r\nHost: x\r\nX: " + b"y" * 20_000, 431),
-        (b"PUT /admin/quiesce HTTP/1.1\r\nHost: x\r\nContent-Length: 70000\r\n\r\n" + b"z" * 70_000, 413),
-        (b"PUT /admin/quiesce HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\nno\r\n", 400),
+        (
+            b"PUT /admin/quiesce HTTP/1.1\r\nHost: x\r\nContent-Length: 70000\r\n\r\n"
+            + b"z" * 70_000,
+            413,
+        ),
+        (
+            b"PUT /admin/quiesce HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\nno\r\n",
+            400,
+        ),
     ],
 )
 def test_what_is_no_call_gets_its_error_and_changes_nothing(data: bytes, expected: int) -> None:
@@ -177,13 +215,17 @@
             assert await made.call("/admin/quiesce", "PUT") == 200
             began = loop.time()
             assert status(await node.send(b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n")) == 503
-            late = await node.send(request("late"))  # dealt out just before: served, and told that the connection ends
+            late = await node.send(
+                request("late")
+            )  # dealt out just before: served, and told that the connection ends
             assert status(late) == 200 and b"connection: close" in late.lower()
             ends = []
             for reader, _ in idle:
                 await reader.read()
                 ends.append(loop.time() - began)
-            assert ends[-1] < SHED_MS / 1000.0 + 0.2 and ends[0] < ends[-1] - 0.5  # spread, not at once
+            assert (
+                ends[-1] < SHED_MS / 1000.0 + 0.2 and ends[0] < ends[-1] - 0.5
+            )  # spread, not at once
             release.set()
             answer = await busy_reader.read()
             assert status(answer) == 200 and b"connection: close" in answer.lower()
--- a/tests/audited.py
+++ b/tests/audited.py
@@ -12,8 +12,26 @@
 import threading
 from typing import Any
 
-CHILDREN = {"subprocess.Popen", "os.fork", "os.forkpty", "os.posix_spawn", "os.exec", "os.system", "pty.spawn"}
-CHANGES = {"os.mkdir", "os.rename", "os.remove", "os.rmdir", "os.link", "os.symlink", "os.truncate", "os.chmod", "os.mkfifo"}
+CHILDREN = {
+    "subprocess.Popen",
+    "os.fork",
+    "os.forkpty",
+    "os.posix_spawn",
+    "os.exec",
+    "os.system",
+    "pty.spawn",
+}
+CHANGES = {
+    "os.mkdir",
+    "os.rename",
+    "os.remove",
+    "os.rmdir",
+    "os.link",
+    "os.symlink",
+    "os.truncate",
+    "os.chmod",
+    "os.mkfifo",
+}
 WRITES = os.O_WRONLY | os.O_RDWR | os.O_CREAT | os.O_TRUNC | os.O_APPEND
 TEMPORARY = os.path.realpath(os.environ["TMPDIR"]) + os.sep
 
@@ -31,7 +49,9 @@
     if event == "open" and isinstance(args[0], str | bytes) and (args[2] or 0) & WRITES:
         path = os.path.realpath(os.fsdecode(args[0]))
         if "__pycache__" in path:
-            raise PermissionError(30, "read-only")  # Python does without its compiled modules where it can't write them
+            raise PermissionError(
+                30, "read-only"
+            )  # Python does without its compiled modules where it can't write them
         if not path.startswith((TEMPORARY, "/dev/null")):
             return f"a file: {path}"
     return ""
--- a/tests/cli/test_check.py
+++ b/tests/cli/test_check.py
@@ -46,7 +46,11 @@
         {"name": "", "idempotency": "sometimes", "deadlineMs": -1},
         {"name": "read"},
     ]
-    bad = node_file(listen=8000, limits={"cores": 0, "sockets": "many"}, settings={"services": services, "allowed": []})
+    bad = node_file(
+        listen=8000,
+        limits={"cores": 0, "sockets": "many"},
+        settings={"services": services, "allowed": []},
+    )
     del bad["discovery"]
     assert paths(tmp_path / "a.json", json.dumps(bad)) == [
         "listen",
@@ -96,7 +100,9 @@
 
 
 def test_a_fault_says_what_is_allowed() -> None:
-    with pytest.raises(BadOperatorFile, match=r"op.toml: demo.boxs: unknown key; allowed here: boxes, "):
+    with pytest.raises(
+        BadOperatorFile, match=r"op.toml: demo.boxs: unknown key; allowed here: boxes, "
+    ):
         parse(b"format = 1\n[demo]\nboxs = 3\n", "op.toml")
     with pytest.raises(BadOperatorFile, match=r"op.toml: demo.boxes: expected `int` >= 1, got 0"):
         parse(b"format = 1\n[demo]\nboxes = 0\n", "op.toml")
@@ -106,7 +112,9 @@
     assert faults_of(str(ROOT / "deploy" / "operator.example.toml")) == []
 
 
-def test_check_ends_with_one_where_there_is_a_fault(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
+def test_check_ends_with_one_where_there_is_a_fault(
+    tmp_path: Path, capsys: pytest.CaptureFixture[str]
+) -> None:
     path = tmp_path / "a.toml"
     path.write_text("format = 1\nx = 1\ny = 2\n")
     assert command(["check", str(path)]) == 1
@@ -123,7 +131,11 @@
     config.write_text(json.dumps(node_file()))
     operator.write_text("format = 1\nx = 1\n")
     more = ["--operator", str(operator)] if how == "argument" else []
-    environ = {**os.environ, "PROXY_CONFIG": str(config), **({} if more else {"GRADESHIFT_OPERATOR": str(operator)})}
+    environ = {
+        **os.environ,
+        "PROXY_CONFIG": str(config),
+        **({} if more else {"GRADESHIFT_OPERATOR": str(operator)}),
+    }
     done = subprocess.run(
         [sys.executable, "-m", "corkshift", *more],
         cwd=ROOT,
@@ -133,7 +145,11 @@
         check=False,
         text=True,
     )
-    assert done.returncode == 2 and "a.toml: x: unknown key" in done.stderr and done.stderr.count("\n") == 1
+    assert (
+        done.returncode == 2
+        and "a.toml: x: unknown key" in done.stderr
+        and done.stderr.count("\n") == 1
+    )
 
 
 def test_what_is_off_is_not_imported() -> None:
@@ -141,7 +157,12 @@
     prefixes = "('msgspec', 'argparse', 'click', 'dns', 'testbed', 'corkshift.cli')"
     code = f"import sys, corkshift.__main__; print([m for m in sys.modules if m.startswith({prefixes})])"
     done = subprocess.run(
-        [sys.executable, "-c", code], cwd=ROOT, capture_output=True, timeout=30, check=True, text=True
+        [sys.executable, "-c", code],
+        cwd=ROOT,
+        capture_output=True,
+        timeout=30,
+        check=True,
+        text=True,
     )
     assert done.stdout.strip() == "[]"
     assert callable(serve)
--- a/tests/cli/test_commands.py
+++ b/tests/cli/test_commands.py
@@ -27,7 +27,9 @@
         ("--operator", 2, "requires an argument"),
     ],
 )
-def test_wrong_arguments_end_with_two_and_say_why(line: str, code: int, words: str, capsys: pytest.CaptureFixture[str]) -> None:
+def test_wrong_arguments_end_with_two_and_say_why(
+    line: str, code: int, words: str, capsys: pytest.CaptureFixture[str]
+) -> None:
     assert command(line.split()) == code
     out, errors = capsys.readouterr()
     assert out == "" and words in errors
@@ -41,5 +43,12 @@
 
 def test_a_node_that_reads_an_operators_file_imports_no_command() -> None:
     code = "import sys, corkshift.cli.operator; print([m for m in sys.modules if m.startswith(('click', 'testbed', 'dns'))])"
-    done = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, timeout=30, check=True, text=True)
+    done = subprocess.run(
+        [sys.executable, "-c", code],
+        cwd=ROOT,
+        capture_output=True,
+        timeout=30,
+        check=True,
+        text=True,
+    )
     assert done.stdout.strip() == "[]"
--- a/tests/cli/test_demo.py
+++ b/tests/cli/test_demo.py
@@ -16,12 +16,20 @@
 
 def start(*arguments: str) -> subprocess.Popen[str]:
     command = [sys.executable, "-m", "corkshift", *arguments]
-    environ = {name: value for name, value in os.environ.items() if not name.startswith(("PROXY_", "GRADESHIFT_"))}
-    return subprocess.Popen(command, cwd=ROOT, env=environ, stdout=subprocess.PIPE, stderr=subprocess.PIPE, text=True)
+    environ = {
+        name: value
+        for name, value in os.environ.items()
+        if not name.startswith(("PROXY_", "GRADESHIFT_"))
+    }
+    return subprocess.Popen(
+        command, cwd=ROOT, env=environ, stdout=subprocess.PIPE, stderr=subprocess.PIPE, text=True
+    )
 
 
 def served(text: str) -> tuple[int, int]:
-    found = re.search(r"^(\d+) requests, ([\d.]+)% served in time, .* book fetches$", text, re.MULTILINE)
+    found = re.search(
+        r"^(\d+) requests, ([\d.]+)% served in time, .* book fetches$", text, re.MULTILINE
+    )
     assert found, text
     return int(found[1]), round(float(found[2]))
 
@@ -48,7 +56,9 @@
     assert served("".join(lines) + out)[0] > 0
 
 
-@pytest.mark.parametrize("arguments", [["demo", "--seconds", "0"], ["--operator", "absent.toml", "demo"]])
+@pytest.mark.parametrize(
+    "arguments", [["demo", "--seconds", "0"], ["--operator", "absent.toml", "demo"]]
+)
 def test_the_demo_says_what_is_wrong(arguments: list[str]) -> None:
     with start(*arguments) as process:
         out, errors = process.communicate(timeout=60)
--- a/tests/forkweir/test_advice.py
+++ b/tests/forkweir/test_advice.py
@@ -11,21 +11,33 @@
 from forkweir.settings import ClassSpec, Refuse, Server, Settings
 
 READ = ClassSpec("read", aim_ms=750, deadline_ms=2500, worth=3)
-ORDER = ClassSpec("order", aim_ms=1200, deadline_ms=2500, repeat="keyed", repeat_window_ms=2500, worth=8)
+ORDER = ClassSpec(
+    "order", aim_ms=1200, deadline_ms=2500, repeat="keyed", repeat_window_ms=2500, worth=8
+)
 ONCE = ClassSpec("once", aim_ms=900, deadline_ms=2000, repeat="unsafe", worth=3)
 
 
 def make(servers: list[Server], now: float = 1_000.0) -> Balancer:
-    told = Settings(classes=(READ, ORDER, ONCE), max_attempts=2, backoff_max_ms=1_200.0, cold_from=0.12, cold_ms=24_000.0)
+    told = Settings(
+        classes=(READ, ORDER, ONCE),
+        max_attempts=2,
+        backoff_max_ms=1_200.0,
+        cold_from=0.12,
+        cold_ms=24_000.0,
+    )
     balancer = Balancer(told, 1)
     balancer.on_list(now, "full", servers)
     return balancer
 
 
-def refusals(balancer: Balancer, now: float, count: int, lane: str = "read", gap: float = 1.0) -> list[Refuse]:
+def refusals(
+    balancer: Balancer, now: float, count: int, lane: str = "read", gap: float = 1.0
+) -> list[Refuse]:
     got: list[Refuse] = []
     for n in range(count):
-        asked = balancer.on_request(now + gap * n, n, lane, f"k{n}", 2000.0, 12.0, "", lane != "read")
+        asked = balancer.on_request(
+            now + gap * n, n, lane, f"k{n}", 2000.0, 12.0, "", lane != "read"
+        )
         got += [action for action in asked if action[0] == "refuse"]
     return got
 
@@ -50,7 +62,9 @@
 
 def test_a_node_that_knows_no_server_says_so() -> None:
     got = refusals(make([]), 1_000.0, 5)
-    assert [refuse[3] for refuse in got] == ["no-server"] * 5 and min(refuse[2] for refuse in got) >= 1_080.0
+    assert [refuse[3] for refuse in got] == ["no-server"] * 5 and min(
+        refuse[2] for refuse in got
+    ) >= 1_080.0
 
 
 def test_cold_servers_without_room_are_told_apart_and_the_bucket_forecasts() -> None:
@@ -66,9 +80,13 @@
     balancer.gate.part = 0.1
     got = refusals(balancer, 1_010.0, 200)
     assert {refuse[3] for refuse in got} == {"gate"} and len(got) > 100
-    assert balancer.gate.opens_in(0.3, 0.0) == balancer.gate.opens_in(0.3, 1e-200) > 1_200.0  # what is worth nothing waits longest
+    assert (
+        balancer.gate.opens_in(0.3, 0.0) == balancer.gate.opens_in(0.3, 1e-200) > 1_200.0
+    )  # what is worth nothing waits longest
     waits = sorted(refuse[2] for refuse in got)
-    assert waits[0] < 0.5 * waits[-1] <= 1_200.0  # a key just beyond the part that is let in waits less
+    assert (
+        waits[0] < 0.5 * waits[-1] <= 1_200.0
+    )  # a key just beyond the part that is let in waits less
 
 
 def test_the_origins_causes() -> None:
--- a/tests/forkweir/test_allowance.py
+++ b/tests/forkweir/test_allowance.py
@@ -7,12 +7,22 @@
 from hypothesis import strategies as st
 
 from forkweir.choice import Balancer
-from forkweir.limits.allowance import BURST_MS, DEPTH, LEAST_TRUST, MOST_BOOST, STARVED_MS, Account, Allowances
+from forkweir.limits.allowance import (
+    BURST_MS,
+    DEPTH,
+    LEAST_TRUST,
+    MOST_BOOST,
+    STARVED_MS,
+    Account,
+    Allowances,
+)
 from forkweir.limits.work import STEP, Costs, Faded
 from forkweir.settings import ClassSpec, Server, Settings
 
 READ = ClassSpec("read", aim_ms=750, deadline_ms=2500, worth=3)
-ORDER = ClassSpec("order", aim_ms=1200, deadline_ms=2500, repeat="keyed", repeat_window_ms=2500, worth=8)
+ORDER = ClassSpec(
+    "order", aim_ms=1200, deadline_ms=2500, repeat="keyed", repeat_window_ms=2500, worth=8
+)
 COLD_FROM, COLD_MS, FALL_MS, MULTIPLE = 0.12, 24_000.0, 2_000.0, 4.0
 
 
@@ -33,7 +43,9 @@
         self.strict = strict
         self.busy_until: dict[str, float] = {}
         self.names = [f"s{n}" for n in range(servers)]
-        self.nodes = [make([Server(name) for name in self.names], seed) for seed in range(1, nodes + 1)]
+        self.nodes = [
+            make([Server(name) for name in self.names], seed) for seed in range(1, nodes + 1)
+        ]
         self.started: dict[str, float] = {}
         self.sent: list[tuple[float, str, float]] = []
         self.refused: dict[str, int] = {"read": 0, "order": 0}
@@ -50,7 +62,9 @@
         age = now - self.started[name] if name in self.started else COLD_MS
         return min(1.0, COLD_FROM + (1.0 - COLD_FROM) * age / COLD_MS)
 
-    def run(self, begin: float, end: float, load: float, work: float = 12.0, paused: int = -1) -> None:
+    def run(
+        self, begin: float, end: float, load: float, work: float = 12.0, paused: int = -1
+    ) -> None:
         """Offer so much work a ms (1: what one warm server does); a paused node takes all that came at the end."""
         gap, now, n = work / load, begin, 0
         held: list[tuple[str, str]] = []
@@ -74,10 +88,14 @@
             node.on_outcome(due, number, 0, True, status, name, 20.0, status == "success")
         self.number += 1
         self.asked[lane] += 1
-        for action in node.on_request(now, self.number, lane, key, 2500.0, work, "", lane == "order"):
+        for action in node.on_request(
+            now, self.number, lane, key, 2500.0, work, "", lane == "order"
+        ):
             if action[0] == "attempt":
                 self.sent.append((now, action[2], work))
-                self.out[n].append((now + 20.0, self.number, action[2], self._serve(action[2], now, work)))
+                self.out[n].append(
+                    (now + 20.0, self.number, action[2], self._serve(action[2], now, work))
+                )
             elif action[0] == "refuse":
                 self.refused[lane] += 1
 
@@ -115,10 +133,14 @@
 
 
 @pytest.mark.parametrize("servers", [2, 3, 6, 17])
-def test_a_fleet_that_is_cold_as_a_whole_gets_what_it_can_do_and_no_server_falls(servers: int) -> None:
+def test_a_fleet_that_is_cold_as_a_whole_gets_what_it_can_do_and_no_server_falls(
+    servers: int,
+) -> None:
     worst, got = cold_as_a_whole(servers, strict=False)
     assert worst < 0.5
-    assert 0.08 < got < 0.25 * MOST_BOOST  # its capacity is 0.12 to 0.30 of the whole, and these servers bear whatever they get
+    assert (
+        0.08 < got < 0.25 * MOST_BOOST
+    )  # its capacity is 0.12 to 0.30 of the whole, and these servers bear whatever they get
 
 
 @pytest.mark.parametrize("servers", [3, 6, 17])
@@ -140,16 +162,22 @@
         day.restart(3_200.0 + 200.0 * n, [name])
     day.run(10_200.0, 12_200.0, 36.0, 24.0)
     late = [(to, work) for at, to, work in day.sent if at > 10_200.0]
-    cold = sum(work for to, work in late if to in day.started) / sum(day.capacity(name, 11_200.0) for name in day.started)
+    cold = sum(work for to, work in late if to in day.started) / sum(
+        day.capacity(name, 11_200.0) for name in day.started
+    )
     warm = sum(work for to, work in late if to not in day.started) / 24.0
     return day.worst(), cold / warm
 
 
 @pytest.mark.parametrize(("nodes", "least"), [(10, 0.6), (40, 0.4), (160, 0.2)])
-def test_many_nodes_use_what_36_cold_servers_of_60_can_do_and_push_none_over(nodes: int, least: float) -> None:
+def test_many_nodes_use_what_36_cold_servers_of_60_can_do_and_push_none_over(
+    nodes: int, least: float
+) -> None:
     worst, part = replaced(nodes, strict=True)
     assert worst < 0.5
-    assert part > least  # a bucket of one request, behind keys thinned by the ramp as well, gave 0.07 before 40 nodes
+    assert (
+        part > least
+    )  # a bucket of one request, behind keys thinned by the ramp as well, gave 0.07 before 40 nodes
 
 
 def test_what_one_cold_server_bears_is_pooled_and_taken_back_when_one_is_pressed() -> None:
@@ -178,7 +206,10 @@
     day.run(0.0, 4_000.0, 5.0)
     day.started = {name: 4_000.0 for name in day.names}
     for n in (0, 1, 2):
-        day.nodes[n], day.out[n] = make([Server(name, started_ms=4_000.0) for name in day.names], 50 + n), []
+        day.nodes[n], day.out[n] = (
+            make([Server(name, started_ms=4_000.0) for name in day.names], 50 + n),
+            [],
+        )
     day.restart(4_000.0, day.names)
     day.run(4_000.0, 8_000.0, 5.0)
     assert 0.0 < day.worst() < 0.75
@@ -261,10 +292,14 @@
 @settings(max_examples=60, deadline=None)
 @given(
     st.lists(
-        st.tuples(st.floats(0.0, 400.0), st.floats(1.0, 30.0), st.sampled_from([3.0, 8.0])), min_size=1, max_size=200
+        st.tuples(st.floats(0.0, 400.0), st.floats(1.0, 30.0), st.sampled_from([3.0, 8.0])),
+        min_size=1,
+        max_size=200,
     )
 )
-def test_no_span_gets_more_than_its_rate_and_one_burst(steps: list[tuple[float, float, float]]) -> None:
+def test_no_span_gets_more_than_its_rate_and_one_burst(
+    steps: list[tuple[float, float, float]],
+) -> None:
     allowances, rate = Allowances(MULTIPLE, 8.0, 1), 0.15
     account, now = allowances.open(0.0, 30.0), 0.0
     sent: list[tuple[float, float]] = []
@@ -322,11 +357,18 @@
     def homes(turned: float) -> list[str]:
         balancer = make([Server("warm"), Server("cold", started_ms=1.0)])
         balancer.fleet.members["warm"].turned = turned
-        balancer.fleet.members["warm"].strain, balancer.fleet.members["warm"].strain_ms = 1e6, 30_000.0  # it keeps no key as its home
+        balancer.fleet.members["warm"].strain, balancer.fleet.members["warm"].strain_ms = (
+            1e6,
+            30_000.0,
+        )  # it keeps no key as its home
         went = []
         for n in range(160):
             now = 12_001.0 + 62.5 * n
-            (sent,) = [action for action in balancer.on_request(now, n, "read", f"k{n}", 2_500.0, 12.0) if action[0] == "attempt"]
+            (sent,) = [
+                action
+                for action in balancer.on_request(now, n, "read", f"k{n}", 2_500.0, 12.0)
+                if action[0] == "attempt"
+            ]
             went.append(sent[2])
             balancer.on_departure(now, n)
         return went
--- a/tests/forkweir/test_asking.py
+++ b/tests/forkweir/test_asking.py
@@ -20,7 +20,9 @@
     Asking,
 )
 
-NOTIFIED_MS = 6_000.0  # after discovery had a change and could be reached, the change counts as notified
+NOTIFIED_MS = (
+    6_000.0  # after discovery had a change and could be reached, the change counts as notified
+)
 
 
 def test_a_loss_is_asked_about_at_once_and_the_next_failure_waits() -> None:
@@ -31,7 +33,9 @@
 
 @pytest.mark.parametrize("within_ms", [0.0, 1_000.0, 10_000.0, 60_000.0, 3_600_000.0])
 @pytest.mark.parametrize("lost", [False, True])
-def test_a_service_that_always_fails_is_asked_within_the_bound_and_not_faster_than_its_budget(lost: bool, within_ms: float) -> None:
+def test_a_service_that_always_fails_is_asked_within_the_bound_and_not_faster_than_its_budget(
+    lost: bool, within_ms: float
+) -> None:
     # Before, each failure doubled the wait, up to 10.4 s: a change was notified and the node did not ask (incident of 2026-12-02).
     # Three refused calls in a row fit into the time by which a change counts as notified, wherever in a wait it is made.
     asking, now, at = Asking(within_ms, random.Random(2)), 0.0, []
@@ -42,15 +46,22 @@
     assert max(gaps) <= NOTIFIED_MS
     settled = min(within_ms * WAIT * 2.0**LONGEST, SOON_MS)
     slowest = max(LEAST_MS, 0.3 * settled)
-    assert len(at) <= 2 * LONGEST + 120_000.0 / slowest + lost * (URGENT_MOST + 120_000.0 / URGENT_MS)
+    assert len(at) <= 2 * LONGEST + 120_000.0 / slowest + lost * (
+        URGENT_MOST + 120_000.0 / URGENT_MS
+    )
     if settled == SOON_MS:
-        assert len(at) <= 2 * LONGEST + 120_000.0 / (0.7 * SOON_MS) + lost * (URGENT_MOST + 120_000.0 / URGENT_MS)
+        assert len(at) <= 2 * LONGEST + 120_000.0 / (0.7 * SOON_MS) + lost * (
+            URGENT_MOST + 120_000.0 / URGENT_MS
+        )
 
 
 def test_the_waits_of_a_fleet_are_spread() -> None:
     # Guards against all nodes asking in one moment: of 200 that failed at once, no tenth of a second has a fifth of the next calls.
     waits = [Asking(10_000.0, random.Random(n)).wait(False, 0.0) for n in range(200)]
-    assert max(sum(start <= wait < start + 100.0 for wait in waits) for start in range(0, 1_400, 50)) < 40
+    assert (
+        max(sum(start <= wait < start + 100.0 for wait in waits) for start in range(0, 1_400, 50))
+        < 40
+    )
 
 
 def test_after_a_move_the_waits_begin_anew() -> None:
--- a/tests/forkweir/test_doubt.py
+++ b/tests/forkweir/test_doubt.py
@@ -102,13 +102,20 @@
 def test_waits_double_to_a_bound_and_are_spread_over_nodes() -> None:
     first = [Doubts(seed).wait(Record()) for seed in range(40)]
     assert TRIAL_MS * (1.0 - SPREAD) <= min(first) < max(first) <= TRIAL_MS
-    assert len({round(wait / 50.0) for wait in first}) > 10  # no two dozen nodes try in the same moment
+    assert (
+        len({round(wait / 50.0) for wait in first}) > 10
+    )  # no two dozen nodes try in the same moment
     doubts, record = Doubts(1), Record()
     waits = [doubts.wait(record) for _ in range(12)]
     assert max(waits) <= TRIAL_MOST_MS and max(waits[:1]) <= TRIAL_MS < max(waits[2:])
 
 
-@given(st.lists(st.tuples(st.sampled_from(["known", "unknown"]), st.booleans(), st.floats(0, 5_000)), max_size=200))
+@given(
+    st.lists(
+        st.tuples(st.sampled_from(["known", "unknown"]), st.booleans(), st.floats(0, 5_000)),
+        max_size=200,
+    )
+)
 @settings(max_examples=60, deadline=None)
 def test_all_stays_within_bounds(attempts: list[tuple[str, bool, float]]) -> None:
     doubts, record, now = Doubts(1), Record(), 0.0
@@ -122,7 +129,14 @@
             assert record.odds >= before
 
 
-def asked(balancer: Balancer, now: float, n: int, key: str, after_ms: float, answer: Callable[[str], tuple[str, int, float]]) -> bool:
+def asked(
+    balancer: Balancer,
+    now: float,
+    n: int,
+    key: str,
+    after_ms: float,
+    answer: Callable[[str], tuple[str, int, float]],
+) -> bool:
     """One request with all its attempts, each over `after_ms` later with the status, note and time that its server gives.
 
     Whether it was served.
@@ -131,7 +145,9 @@
     while action[0] == "attempt":
         status, note, elapsed_ms = answer(str(action[2]))
         served = status == "success"
-        after = balancer.on_outcome(now + after_ms, n, attempt, served, status, str(action[2]), elapsed_ms, note)
+        after = balancer.on_outcome(
+            now + after_ms, n, attempt, served, status, str(action[2]), elapsed_ms, note
+        )
         if served:
             return True
         action, attempt = after[0], attempt + 1
@@ -171,7 +187,9 @@
     assert balancer.fleet.health.doubts.usual("unknown") > 0.45
 
 
-def test_half_a_fleet_that_fails_neither_shuts_the_gate_nor_passes_for_an_origin_in_trouble() -> None:
+def test_half_a_fleet_that_fails_neither_shuts_the_gate_nor_passes_for_an_origin_in_trouble() -> (
+    None
+):
     """A node of 20 requests a second before 60 servers, of which 27 fail most of what they are asked, hit or miss."""
     rng = random.Random(11)
     balancer = Balancer(Settings(classes=(READ,)), 1)
--- a/tests/forkweir/test_duty.py
+++ b/tests/forkweir/test_duty.py
@@ -14,7 +14,9 @@
     duty = Duty()
     assert duty.welcome and duty.lasting
     assert duty.quiesce(100.0) and not duty.welcome and not duty.lasting
-    assert duty.resume(5_000.0) and duty.welcome and duty.lasting and duty.due(9_000.0, 200.0) == 0.0
+    assert (
+        duty.resume(5_000.0) and duty.welcome and duty.lasting and duty.due(9_000.0, 200.0) == 0.0
+    )
 
 
 def test_told_twice_it_drains_from_the_first_call_on() -> None:
@@ -32,7 +34,9 @@
 
 
 @given(idle=st.integers(0, 500), steps=st.lists(st.floats(1.0, 700.0), min_size=1, max_size=60))
-def test_all_idle_connections_are_closed_by_the_end_however_the_steps_fall(idle: int, steps: list[float]) -> None:
+def test_all_idle_connections_are_closed_by_the_end_however_the_steps_fall(
+    idle: int, steps: list[float]
+) -> None:
     duty, now = Duty(), 0.0
     duty.quiesce(now)
     for step in steps:
--- a/tests/forkweir/test_fetches.py
+++ b/tests/forkweir/test_fetches.py
@@ -5,11 +5,23 @@
 import pytest
 
 from forkweir.choice import Balancer
-from forkweir.limits.fetches import CUT, CUT_MS, FRESH_MS, KEYS, LEAST, PASS, SLOW_FEW, SLOW_MANY, Fetches
+from forkweir.limits.fetches import (
+    CUT,
+    CUT_MS,
+    FRESH_MS,
+    KEYS,
+    LEAST,
+    PASS,
+    SLOW_FEW,
+    SLOW_MANY,
+    Fetches,
+)
 from forkweir.settings import ClassSpec, Server, Settings
 
 READ = ClassSpec("read", aim_ms=750, deadline_ms=2500, worth=3)
-ORDER = ClassSpec("order", aim_ms=1200, deadline_ms=2500, repeat="keyed", repeat_window_ms=2500, worth=8)
+ORDER = ClassSpec(
+    "order", aim_ms=1200, deadline_ms=2500, repeat="keyed", repeat_window_ms=2500, worth=8
+)
 
 
 def jammed(out: float = 20.0) -> Fetches:
@@ -24,7 +36,9 @@
     return fetches
 
 
-def test_a_key_is_remembered_where_it_was_served_last_until_that_server_starts_again_or_it_is_written() -> None:
+def test_a_key_is_remembered_where_it_was_served_last_until_that_server_starts_again_or_it_is_written() -> (
+    None
+):
     fetches = Fetches(8.0)
     fetches.served(0.5, "s1", False, 100.0)
     assert fetches.remembers(0.5, "s1", 0.0) and not fetches.remembers(0.5, "s2", 0.0)
@@ -56,7 +70,9 @@
         assert fetches.has(1.0, 1.0)
 
 
-def test_a_slow_origin_holds_back_misses_first_of_the_classes_worth_least_and_never_expected_hits() -> None:
+def test_a_slow_origin_holds_back_misses_first_of_the_classes_worth_least_and_never_expected_hits() -> (
+    None
+):
     fetches = jammed()
     fetches.out = 0.9 * fetches.limit
     assert fetches.has(1.0, 8.0) and not fetches.has(1.0, 3.0)
@@ -91,11 +107,23 @@
     told = Settings(classes=(READ, ORDER), max_attempts=3, may_cancel=True)
     balancer = Balancer(told, 1)
     balancer.on_list(0.0, "full", [Server(f"s{n}") for n in range(5)])
-    ends = ("success", "failure", "overloaded", "timed_out", "unreachable", "broken", "withdrawn", "void", "leaves")
+    ends = (
+        "success",
+        "failure",
+        "overloaded",
+        "timed_out",
+        "unreachable",
+        "broken",
+        "withdrawn",
+        "void",
+        "leaves",
+    )
     for n in range(900):
         now = 5.0 * n
         write = n % 7 == 0
-        actions = balancer.on_request(now, n, "order" if write else "read", f"k{n % 40}", 1_500.0, 0.0, "", write)
+        actions = balancer.on_request(
+            now, n, "order" if write else "read", f"k{n % 40}", 1_500.0, 0.0, "", write
+        )
         end, tries = ends[n % len(ends)], 0
         while actions and (action := actions[0])[0] == "attempt":
             if end == "leaves":
@@ -103,7 +131,9 @@
             else:
                 done = end == "success" or tries == 2
                 server = str(action[2])
-                actions = balancer.on_outcome(now + 1.0, n, tries, done, end, server, 20.0, 1 + n % 2)
+                actions = balancer.on_outcome(
+                    now + 1.0, n, tries, done, end, server, 20.0, 1 + n % 2
+                )
             tries += 1
     assert not balancer.held
     assert balancer.fetches.out == pytest.approx(0.0, abs=1e-6)
--- a/tests/forkweir/test_gate.py
+++ b/tests/forkweir/test_gate.py
@@ -22,7 +22,12 @@
 
 def test_a_time_out_of_a_likely_miss_spares_its_server_as_far_as_misses_are_slow() -> None:
     # Guards against servers that are throttled, and spared as if their origin were in trouble.
-    hit, quick, slowish, slow = strain(0.0, 0.0), strain(0.1, 0.9), strain(0.35, 0.9), strain(0.95 * ORIGIN_SLOW, 0.9)
+    hit, quick, slowish, slow = (
+        strain(0.0, 0.0),
+        strain(0.1, 0.9),
+        strain(0.35, 0.9),
+        strain(0.95 * ORIGIN_SLOW, 0.9),
+    )
     assert hit > 0.0 and quick > 0.9 * hit
     assert hit > slowish > slow > 0.0 and slow < 0.1 * hit
 
--- a/tests/forkweir/test_health.py
+++ b/tests/forkweir/test_health.py
@@ -10,13 +10,32 @@
 from hypothesis import strategies as st
 
 from forkweir.known.doubt import MOST_ALONE, TRIAL_MOST_MS, Doubts, Record
-from forkweir.known.health import AWAY_MS, EJECT_MAX_MS, EJECT_MS, FAULTS_ROW, SILENT_MOST, SILENT_ROW, STATES, Health, HealthTable
+from forkweir.known.health import (
+    AWAY_MS,
+    EJECT_MAX_MS,
+    EJECT_MS,
+    FAULTS_ROW,
+    SILENT_MOST,
+    SILENT_ROW,
+    STATES,
+    Health,
+    HealthTable,
+)
 from forkweir.known.seen import WORDS, Seen
 from forkweir.settings import ClassSpec
 
 AIM_MS = 800.0
 READ = ClassSpec("read", aim_ms=AIM_MS, deadline_ms=2500.0)
-OUTCOMES = ("success",) * 3 + ("overloaded", "failure", "timed_out", "timed_out", "unreachable", "broken", "spoilt", "withdrawn")
+OUTCOMES = ("success",) * 3 + (
+    "overloaded",
+    "failure",
+    "timed_out",
+    "timed_out",
+    "unreachable",
+    "broken",
+    "spoilt",
+    "withdrawn",
+)
 LISTS = ("in", "in", "in", "draining", "gone", "restarted")
 USABLE = {"in_service", "cold", "due"}
 
@@ -43,7 +62,9 @@
         rng = self.rng
         self.now += rng.choice((0.0, 1.0, 30.0, 400.0, 2_500.0))
         n = rng.randrange(len(self.servers))
-        rng.choice((self.list, self.send, self.outcome, self.outcome, self.outcome, self.wait))(n, self.servers[n])
+        rng.choice((self.list, self.send, self.outcome, self.outcome, self.outcome, self.wait))(
+            n, self.servers[n]
+        )
         self.hold()
 
     def list(self, n: int, server: Health) -> None:
@@ -64,14 +85,21 @@
         server.sent(self.ids, AIM_MS, self.now)
         assert (server.trial == self.ids) == tried
         if tried:  # and the next is not let through before its aim is over
-            assert not server.free(self.now + 0.99 * AIM_MS) and server.state(self.now, False) == "on_trial"
+            assert (
+                not server.free(self.now + 0.99 * AIM_MS)
+                and server.state(self.now, False) == "on_trial"
+            )
 
     def wait(self, n: int, server: Health) -> None:
         for _ in range(self.rng.randint(1, SILENT_ROW + 1)):
             row, struck, out = server.waited, server.strikes, self.out()
-            found = self.table.silent_for(server, self.now - 2 * AIM_MS, AIM_MS, self.servers, self.live, self.now)
+            found = self.table.silent_for(
+                server, self.now - 2 * AIM_MS, AIM_MS, self.servers, self.live, self.now
+            )
             assert server.waited == row + 1
-            assert not found or (not struck and row + 1 >= SILENT_ROW and out < SILENT_MOST * self.live)
+            assert not found or (
+                not struck and row + 1 >= SILENT_ROW and out < SILENT_MOST * self.live
+            )
             if found:
                 server.strike(self.now)
 
@@ -79,7 +107,12 @@
         status, elapsed_ms = self.rng.choice(OUTCOMES), self.rng.choice((10.0, 100.0, 500.0, 900.0))
         trial = server.trial >= 0 and self.rng.random() < 0.7
         seen = WORDS[status](0, elapsed_ms, READ, trial=trial)
-        struck, faults, odds, out_until = server.strikes, server.faults, server.record.odds, server.out_until
+        struck, faults, odds, out_until = (
+            server.strikes,
+            server.faults,
+            server.record.odds,
+            server.out_until,
+        )
         away_ms = self.now - server.out_since
         back = self.table.judge(server, seen, self.now)
         if seen.alive:
@@ -92,13 +125,22 @@
         elif status == "timed_out" and trial and struck and elapsed_ms > AIM_MS:
             assert server.strikes == struck + 1
         if server.strikes > struck:
-            assert server.out_until == self.now + min(EJECT_MAX_MS, EJECT_MS * 2.0 ** (server.strikes - 1))
+            assert server.out_until == self.now + min(
+                EJECT_MAX_MS, EJECT_MS * 2.0 ** (server.strikes - 1)
+            )
         bad = self.table.doubted(server, seen, self.servers, self.live, self.now)
         assert 0.0 <= bad <= 1.0
-        told = {"success": True, "failure": True, "timed_out": elapsed_ms >= 500.0, "withdrawn": elapsed_ms >= 500.0}.get(status, False)
+        told = {
+            "success": True,
+            "failure": True,
+            "timed_out": elapsed_ms >= 500.0,
+            "withdrawn": elapsed_ms >= 500.0,
+        }.get(status, False)
         assert told or server.record.odds == odds  # what tells nothing moves nothing
         if status == "failure" or (status == "timed_out" and elapsed_ms > AIM_MS):
-            assert server.record.odds >= min(odds, Record().odds)  # wrong never speaks for a server, but for what time forgets
+            assert server.record.odds >= min(
+                odds, Record().odds
+            )  # wrong never speaks for a server, but for what time forgets
         if not seen.wrong and told and not server.strikes:
             assert server.out_until == 0.0
 
@@ -114,7 +156,10 @@
             assert server.restricted or state == "in_service"
             assert server.out_until <= self.now + max(EJECT_MAX_MS, TRIAL_MOST_MS, AIM_MS)
             assert 0.0 <= server.turned <= 1.0
-        doubted = sum(s.present and not s.strikes and s.record.row > 0 and s.out_until > self.now for s in self.servers)
+        doubted = sum(
+            s.present and not s.strikes and s.record.row > 0 and s.out_until > self.now
+            for s in self.servers
+        )
         assert doubted <= MOST_ALONE * len(self.servers) + 2
 
 
@@ -154,7 +199,9 @@
     server = Health(True, False)
     server.strike(0.0)
     server.sent(7, AIM_MS, 1_000.0)
-    assert server.state(2_500.0, True) == "due"  # 1.5 s later the trial's aim is over, and one more request may go
+    assert (
+        server.state(2_500.0, True) == "due"
+    )  # 1.5 s later the trial's aim is over, and one more request may go
     server.sent(8, AIM_MS, 2_500.0)
     assert server.state(2_501.0, True) == "on_trial" and server.trial == 8
 
@@ -195,7 +242,9 @@
         self.trial = request_id
 
 
-def silent_without_bound(self: Any, server: Health, sent_ms: float, aim_ms: float, servers: Any, live: int, now: float) -> bool:
+def silent_without_bound(
+    self: Any, server: Health, sent_ms: float, aim_ms: float, servers: Any, live: int, now: float
+) -> bool:
     if not server.waited:
         server.waited_ms = sent_ms
     server.waited += 1
@@ -213,14 +262,26 @@
     "an answer does not end strikes": (Health, "proved", proved_keeps_strikes),
     "an answer does not end a trial": (Health, "proved", proved_keeps_trial),
     "a restart keeps doubts": (Health, "restarted", restarted_keeps_doubts),
-    "a server that the list took away is usable": (Health, "free", lambda self, now: self.out_until <= now),
+    "a server that the list took away is usable": (
+        Health,
+        "free",
+        lambda self, now: self.out_until <= now,
+    ),
     "health goes before the list": (Health, "state", state_of_the_drained_by_health),
     "a trial lets all through": (Health, "sent", sent_lets_all_through),
     "silence has no bound": (HealthTable, "silent_for", silent_without_bound),
     "one fault is enough": (Health, "fault", fault_at_once),
     "doubt has no bound": (Doubts, "common", lambda self, sort, share: False),
-    "brief time-outs tell of their server": (Seen, "wrong", property(lambda self: True if self.timed_out else WRONG(self))),
-    "being turned away is held against a server": (Seen, "wrong", property(lambda self: True if self.full else WRONG(self))),
+    "brief time-outs tell of their server": (
+        Seen,
+        "wrong",
+        property(lambda self: True if self.timed_out else WRONG(self)),
+    ),
+    "being turned away is held against a server": (
+        Seen,
+        "wrong",
+        property(lambda self: True if self.full else WRONG(self)),
+    ),
     "a trial that hangs is no strike": (Seen, "hung", property(lambda self: False)),
 }
 
--- a/tests/forkweir/test_hearsay.py
+++ b/tests/forkweir/test_hearsay.py
@@ -8,12 +8,23 @@
 from forkweir.known.hearsay import MOST_SUSPECT, SUSPECT_MS, Hearsay, Word
 
 NAMES = [f"s{n}" for n in range(12)]
-words = st.builds(Word, st.sampled_from(NAMES), st.sampled_from(["draining", "gone", "in", "unreadable"]), st.booleans(), st.booleans())
-steps = st.lists(st.tuples(st.sampled_from(["heed", "line", "list", "lapse"]), st.lists(words, max_size=12)), max_size=30)
+words = st.builds(
+    Word,
+    st.sampled_from(NAMES),
+    st.sampled_from(["draining", "gone", "in", "unreadable"]),
+    st.booleans(),
+    st.booleans(),
+)
+steps = st.lists(
+    st.tuples(st.sampled_from(["heed", "line", "list", "lapse"]), st.lists(words, max_size=12)),
+    max_size=30,
+)
 
 
 @given(st.integers(1, 12), steps)
-def test_whatever_is_said_somebody_stays_in_service(many: int, plan: list[tuple[str, list[Word]]]) -> None:
+def test_whatever_is_said_somebody_stays_in_service(
+    many: int, plan: list[tuple[str, list[Word]]]
+) -> None:
     hearsay, serving, now = Hearsay(), set(NAMES[:many]), 0.0
     for what, said in plan:
         now += 1_000.0
@@ -26,8 +37,14 @@
                 word.name for word in known if word.state in ("draining", "gone")
             }
             assert len(set(back) & suspects) <= max(1.0, MOST_SUSPECT * many)
-            assert all(any(w.name == name and w.same_place and w.state not in ("in",) for w in known) for name in back)
-            assert all(any(w.name == name and w.same_place and w.later_start for w in known) for name in cold)
+            assert all(
+                any(w.name == name and w.same_place and w.state not in ("in",) for w in known)
+                for name in back
+            )
+            assert all(
+                any(w.name == name and w.same_place and w.later_start for w in known)
+                for name in cold
+            )
         elif what == "lapse":
             free = hearsay.lapse(now)
             assert set(free) | set(hearsay.held) == held
@@ -42,12 +59,23 @@
 
 def test_a_whole_entry_holds_until_a_list_and_a_broken_one_for_a_while() -> None:
     hearsay = Hearsay()
-    said = [Word("s0", "draining", True), Word("s1", "unreadable", True), Word("s2", "unreadable", True), Word("s3", "gone", False)]
-    assert hearsay.heed(said, 6, 0.0) == (["s0"], [])  # of six one may be held back for broken entries, and one is held back
+    said = [
+        Word("s0", "draining", True),
+        Word("s1", "unreadable", True),
+        Word("s2", "unreadable", True),
+        Word("s3", "gone", False),
+    ]
+    assert hearsay.heed(said, 6, 0.0) == (
+        ["s0"],
+        [],
+    )  # of six one may be held back for broken entries, and one is held back
     hearsay.settle([], True)
     assert hearsay.heed(said[1:], 8, 0.0) == (["s1", "s2"], [])
     assert hearsay.lapse(SUSPECT_MS - 1.0) == []
-    assert hearsay.heed([Word("s2", "gone", True)], 6, 1.0) == ([], [])  # the suspicion is confirmed
+    assert hearsay.heed([Word("s2", "gone", True)], 6, 1.0) == (
+        [],
+        [],
+    )  # the suspicion is confirmed
     assert hearsay.lapse(SUSPECT_MS) == ["s1"]
     assert hearsay.lapse(1e12) == [] and hearsay.held == ("s2",)
     assert hearsay.settle(["s5"], False) == [] and hearsay.settle([], True) == ["s2"]
--- a/tests/forkweir/test_membership.py
+++ b/tests/forkweir/test_membership.py
@@ -6,7 +6,17 @@
 from hypothesis import strategies as st
 
 from forkweir.known.groups import RETURN_MS, Groups
-from forkweir.known.membership import FLAP_AT, MOST_BOXES, TOMB_MS, Address, Box, Claim, Guard, Membership, Rights
+from forkweir.known.membership import (
+    FLAP_AT,
+    MOST_BOXES,
+    TOMB_MS,
+    Address,
+    Box,
+    Claim,
+    Guard,
+    Membership,
+    Rights,
+)
 
 LIST, DNS, FILE = Rights(0), Rights(10, drain=False, remove=False), Rights(20, fallback=True)
 RIGHTS = {"list": LIST, "dns": DNS, "file": FILE}
@@ -17,7 +27,10 @@
 
 
 def claims(*numbers: int, named: bool = False, draining: tuple[int, ...] = ()) -> list[Claim]:
-    return [Claim(at(n), "draining" if n in draining else "in", f"s{n}" if named else "") for n in numbers]
+    return [
+        Claim(at(n), "draining" if n in draining else "in", f"s{n}" if named else "")
+        for n in numbers
+    ]
 
 
 def made(guard: Guard | None = None) -> Membership:
@@ -26,7 +39,10 @@
 
 def seen(merged: Membership, now: float) -> dict[int, tuple[str, str]]:
     """Of each box by its number: state and rule."""
-    return {int(box.address[0].rpartition(".")[2]): (box.server.state, box.rule) for box in merged.merge(now)}
+    return {
+        int(box.address[0].rpartition(".")[2]): (box.server.state, box.rule)
+        for box in merged.merge(now)
+    }
 
 
 def test_ids_and_weights_come_from_the_best_source_that_has_them() -> None:
@@ -35,7 +51,13 @@
     assert merged.merge(0.0)[0].server.name == "10.0.0.1:8001"
     merged.tell("list", [Claim(at(1), name="s1", zone="a", started_ms=5.0)], 1.0)
     box = merged.merge(1.0)[0]
-    assert (box.server.name, box.server.zone, box.server.weight, box.server.started_ms, box.priority) == ("s1", "a", 2.0, 5.0, 3)
+    assert (
+        box.server.name,
+        box.server.zone,
+        box.server.weight,
+        box.server.started_ms,
+        box.priority,
+    ) == ("s1", "a", 2.0, 5.0, 3)
     assert box.rule == "agreed" and dict(box.said) == {"list": "in", "dns": "in"}
     merged.tell("list", [Claim(at(1), name="s1", weight=1.5)], 2.0)
     assert merged.merge(2.0)[0].server.weight == 1.5
@@ -68,7 +90,11 @@
     merged.tell("list", claims(2, 3), 10.0)
     merged.tell("dns", claims(1, 2, 3), 20.0)
     assert set(seen(merged, 20.0)) == {2, 3}
-    assert set(seen(merged, 10.0 + TOMB_MS)) == {1, 2, 3}  # by then it is another one, or the list would say so again
+    assert set(seen(merged, 10.0 + TOMB_MS)) == {
+        1,
+        2,
+        3,
+    }  # by then it is another one, or the list would say so again
 
 
 def test_a_removal_ends_where_the_other_source_names_the_box_anew() -> None:
@@ -80,7 +106,9 @@
     merged.tell("dns", claims(2, 3), 20.0)
     merged.tell("dns", claims(1, 2, 3), 30.0)
     assert set(seen(merged, 30.0)) == {1, 2, 3}
-    merged.tell("list", [*claims(1), Claim(at(2), "gone")], 40.0, full=False)  # by name: no other source brings it back
+    merged.tell(
+        "list", [*claims(1), Claim(at(2), "gone")], 40.0, full=False
+    )  # by name: no other source brings it back
     merged.tell("dns", claims(1, 3), 50.0)
     merged.tell("dns", claims(1, 2, 3), 60.0)
     assert set(seen(merged, 60.0)) == {1, 3}
@@ -101,7 +129,9 @@
     merged.tell("list", claims(1, 2, 3, 4), 0.0)
     merged.tell("list", claims(1), 100.0)
     assert seen(merged, 100.0)[2] == ("in", "held: fall")
-    assert any("3 of 4 boxes fell out" in line for line in merged.reports()) and not merged.reports()
+    assert (
+        any("3 of 4 boxes fell out" in line for line in merged.reports()) and not merged.reports()
+    )
     assert merged.due(100.0) == 30_100.0
     assert set(seen(merged, 30_100.0)) == {1}
 
@@ -165,14 +195,25 @@
     merged = Membership({"list": Rights(0, stale_ms=1_000.0), "dns": DNS})
     merged.tell("list", [Claim(at(1), name="s1", weight=3.0)], 0.0)
     merged.tell("dns", [Claim(at(1), weight=0.5)], 0.0)
-    assert [box.server.weight for box in (*merged.merge(1_000.0), *merged.merge(1_001.0))] == [3.0, 0.5]
+    assert [box.server.weight for box in (*merged.merge(1_000.0), *merged.merge(1_001.0))] == [
+        3.0,
+        0.5,
+    ]
     assert merged.merge(1e9)[0].server.name == "s1"
-    assert [(name, how) for name, how, *_ in merged.sources(1_001.0)] == [("list", "stale"), ("dns", "fresh")]
+    assert [(name, how) for name, how, *_ in merged.sources(1_001.0)] == [
+        ("list", "stale"),
+        ("dns", "fresh"),
+    ]
 
 
 Step = tuple[str, tuple[tuple[int, str], ...], bool]
 WORDS = st.tuples(st.integers(1, 6), st.sampled_from(["in", "in", "in", "draining", "gone"]))
-STEPS = st.lists(st.tuples(st.sampled_from(sorted(RIGHTS)), st.lists(WORDS, max_size=5).map(tuple), st.booleans()), max_size=12)
+STEPS = st.lists(
+    st.tuples(
+        st.sampled_from(sorted(RIGHTS)), st.lists(WORDS, max_size=5).map(tuple), st.booleans()
+    ),
+    max_size=12,
+)
 
 
 def played(steps: list[tuple[float, Step]]) -> Membership:
@@ -188,7 +229,9 @@
 
 @settings(max_examples=300, deadline=None, derandomize=True)
 @given(STEPS, st.randoms(use_true_random=False))
-def test_the_order_in_which_sources_arrive_does_not_matter(steps: list[Step], random: object) -> None:
+def test_the_order_in_which_sources_arrive_does_not_matter(
+    steps: list[Step], random: object
+) -> None:
     order = timed(steps)
     mixed: list[tuple[float, Step]] = []
     queues = {name: [one for one in order if one[1][0] == name] for name in RIGHTS}
@@ -203,7 +246,10 @@
 @given(STEPS)
 def test_the_set_is_never_empty_but_by_drains_and_settles(steps: list[Step]) -> None:
     order = timed(steps)
-    merged, last = made(Guard(0.5, 5_000.0, 4_000.0)), {name: dict[Address, str]() for name in RIGHTS}
+    merged, last = (
+        made(Guard(0.5, 5_000.0, 4_000.0)),
+        {name: dict[Address, str]() for name in RIGHTS},
+    )
     named, ever_in = {name: set[Address]() for name in RIGHTS}, set[Address]()
     for now, (source, words, full) in order:
         states = {at(n): state for n, state in words}
@@ -214,12 +260,20 @@
         ever_in |= {address for address, state in states.items() if state == "in"}
         boxes = merged.merge(now)
         assert boxes == merged.merge(now)
-        said_away = {a for n, view in last.items() for a, s in view.items() if s == "gone" or (s == "draining" and RIGHTS[n].drain)}
+        said_away = {
+            a
+            for n, view in last.items()
+            for a, s in view.items()
+            if s == "gone" or (s == "draining" and RIGHTS[n].drain)
+        }
         if ever_in - said_away:
             assert any(box.server.state == "in" for box in boxes)
         for box in boxes:  # nobody that no source ever named; drains obeyed
             assert any(box.address in view for view in last.values())
-            if any(RIGHTS[n].drain and box.address in named[n] and view[box.address] == "draining" for n, view in last.items()):
+            if any(
+                RIGHTS[n].drain and box.address in named[n] and view[box.address] == "draining"
+                for n, view in last.items()
+            ):
                 assert box.server.state == "draining"
         assert len({box.server.name for box in boxes}) == len(boxes)
     now = 700.0 * len(steps)
@@ -237,9 +291,19 @@
     merged = Membership({"list": LIST})
     for generation in range(4):
         base = generation * 5_000
-        merged.tell("list", [Claim((f"10.{n >> 16}.{n >> 8 & 255}.{n & 255}", 1)) for n in range(base, base + 5_000)], generation * 1e6)
+        merged.tell(
+            "list",
+            [
+                Claim((f"10.{n >> 16}.{n >> 8 & 255}.{n & 255}", 1))
+                for n in range(base, base + 5_000)
+            ],
+            generation * 1e6,
+        )
         view = merged._views["list"]
-        assert max(len(view.claims), len(view.since), len(view.tombs), len(view.penalties)) <= MOST_BOXES
+        assert (
+            max(len(view.claims), len(view.since), len(view.tombs), len(view.penalties))
+            <= MOST_BOXES
+        )
         assert len(view.held) <= MOST_BOXES and view.by_name <= view.tombs.keys()
     assert any("more than" in line for line in merged.reports())
 
--- a/tests/forkweir/test_patience.py
+++ b/tests/forkweir/test_patience.py
@@ -22,14 +22,18 @@
     patience = Patience()
     assert patience.waited("read", 1_956.0, False, 2_500.0) == 0.0
     assert patience.waited("read", 1_956.0, True, 2_500.0) == 0.0
-    assert patience.waited("write", 1_956.0, True, 2_500.0) == 544.0  # nothing is known of another class
+    assert (
+        patience.waited("write", 1_956.0, True, 2_500.0) == 544.0
+    )  # nothing is known of another class
 
 
 def test_any_other_repeat_counts_on_from_its_first_try() -> None:
     patience = Patience()
     patience.waited("read", 1_956.0, False, 2_500.0)
     assert patience.waited("read", 1_256.0, True, 2_500.0) == 1_244.0
-    assert patience.waited("read", 2_100.0, True, 2_500.0) == 400.0  # more than first tries say: counted from the deadline
+    assert (
+        patience.waited("read", 2_100.0, True, 2_500.0) == 400.0
+    )  # more than first tries say: counted from the deadline
     assert patience.waited("read", 2_600.0, True, 2_500.0) == 0.0
 
 
@@ -49,7 +53,9 @@
 
 @given(st.lists(st.tuples(st.floats(0, 5_000), st.booleans()), max_size=50))
 @settings(max_examples=60, deadline=None)
-def test_a_wait_is_never_negative_nor_longer_than_the_most_that_was_said(said: list[tuple[float, bool]]) -> None:
+def test_a_wait_is_never_negative_nor_longer_than_the_most_that_was_said(
+    said: list[tuple[float, bool]],
+) -> None:
     patience, most = Patience(), 2_500.0
     for budget, repeated in said:
         waited = patience.waited("read", budget, repeated, 2_500.0)
@@ -76,7 +82,9 @@
         now = 1_000.0 + 50.0 * n
         repeated = rng.random() < 0.33
         budget = 1_950.0 if not repeated or patient else 1_250.0
-        action = balancer.on_request(now, n, "read", f"k{rng.randrange(400)}", budget, repeated=repeated)[0]
+        action = balancer.on_request(
+            now, n, "read", f"k{rng.randrange(400)}", budget, repeated=repeated
+        )[0]
         if action[0] != "attempt":
             continue
         given = action[3]
@@ -90,8 +98,12 @@
     return balancer
 
 
-def test_time_outs_of_repeats_with_little_time_shut_no_gate_and_are_held_against_no_server() -> None:
+def test_time_outs_of_repeats_with_little_time_shut_no_gate_and_are_held_against_no_server() -> (
+    None
+):
     for patient in (True, False):
         balancer = gate_after(patient)
         assert balancer.gate.part == 1.0 and balancer.gate.bad < 0.01
-        assert all(member.strain == 0.0 and not member.record.bad for member in balancer.fleet.placed)
+        assert all(
+            member.strain == 0.0 and not member.record.bad for member in balancer.fleet.placed
+        )
--- a/tests/forkweir/test_placement.py
+++ b/tests/forkweir/test_placement.py
@@ -54,11 +54,17 @@
     def ask(self) -> str:
         """Where a request goes; empty where it is refused."""
         self._requests += 1
-        actions = self.balancer.on_request(self.now, self._requests, "read", f"k{self._requests}", DEADLINE_MS)
+        actions = self.balancer.on_request(
+            self.now, self._requests, "read", f"k{self._requests}", DEADLINE_MS
+        )
         self._carry(actions)
         target = str(actions[0][2]) if actions[0][0] == "attempt" else ""
         if target:
-            self._carry(self.balancer.on_outcome(self.now, self._requests, 0, True, "success", target, 1.0, 1))
+            self._carry(
+                self.balancer.on_outcome(
+                    self.now, self._requests, 0, True, "success", target, 1.0, 1
+                )
+            )
         return target
 
     def wait(self, ms: float, most_slices: int = 10_000) -> None:
@@ -72,7 +78,11 @@
         self.now = end
 
     def _carry(self, actions: list[Action]) -> None:
-        self._due += [float(action[2]) for action in actions if action[0] == "timer" and action[1] == REBUILD_TIMER]
+        self._due += [
+            float(action[2])
+            for action in actions
+            if action[0] == "timer" and action[1] == REBUILD_TIMER
+        ]
         assert len(self._due) <= 1  # one build at a time
 
 
@@ -80,11 +90,19 @@
 def test_each_range_has_the_next_server_with_room(count: int) -> None:
     servers = members(count)
     found = placed(servers)
-    points = sorted((digest(f"{server.info.name}/{n}"), server) for server in servers for n in range(POINTS_PER_SERVER))
+    points = sorted(
+        (digest(f"{server.info.name}/{n}"), server)
+        for server in servers
+        for n in range(POINTS_PER_SERVER)
+    )
     room = dict.fromkeys(servers, int(found.ranges * ROOM / count) + 1)
     for number in range(found.ranges):
         after = digest(f"range/{number}")
-        at = next((n for n, (point, _) in enumerate(points) if point >= after), 0) if number < 40 else None
+        at = (
+            next((n for n, (point, _) in enumerate(points) if point >= after), 0)
+            if number < 40
+            else None
+        )
         owner = found.owners[number]
         if at is not None:
             while not room[points[at % len(points)][1]]:
@@ -96,7 +114,9 @@
 
 @given(st.lists(st.tuples(st.integers(0, 120), st.booleans()), max_size=60))
 @settings(max_examples=60, deadline=None)
-def test_a_placement_made_from_another_is_that_of_its_servers(moves: list[tuple[int, bool]]) -> None:
+def test_a_placement_made_from_another_is_that_of_its_servers(
+    moves: list[tuple[int, bool]],
+) -> None:
     everybody = members(121)
     there = set(everybody[:40])
     before = placed([server for server in everybody if server in there])
@@ -118,7 +138,9 @@
         hashed += 1
         return points_of(member)
 
-    def counted_owners(ring: HashRing[Member], numbers: range, room: dict[Member, int]) -> list[Member]:
+    def counted_owners(
+        ring: HashRing[Member], numbers: range, room: dict[Member, int]
+    ) -> list[Member]:
         nonlocal homes
         homes += len(numbers)
         return owners_of(ring, numbers, room)
@@ -126,7 +148,9 @@
     monkeypatch.setattr(placement, "_points_of", counted_points)
     monkeypatch.setattr(HashRing, "owners_of", counted_owners)
 
-    def counts(servers: list[Member], before: Placement[Member] | None) -> tuple[Placement[Member], int, int, int, int]:
+    def counts(
+        servers: list[Member], before: Placement[Member] | None
+    ) -> tuple[Placement[Member], int, int, int, int]:
         """The placement; servers hashed, in all and at most in one slice; ranges that got homes, likewise."""
         nonlocal hashed, homes
         all_hashed = most_hashed = all_homes = most_homes = 0
@@ -155,12 +179,19 @@
     assert node.balancer.fleet.placement is None and node.ask()
     node.wait(50.0)
     found = node.balancer.fleet.placement
-    assert found is not None and len(found.owners) == found.ranges == node.balancer.line.ranges == 16_384
+    assert (
+        found is not None
+        and len(found.owners) == found.ranges == node.balancer.line.ranges == 16_384
+    )
     assert node.slices > 2_000 // 64 and node.ask()
 
 
-@pytest.mark.parametrize(("count", "more"), [(250, 10), (256, 1), (500, 40), (1_000, 60), (2_040, 20)])
-def test_a_list_that_grows_just_after_homes_were_found_fails_no_decision(count: int, more: int) -> None:
+@pytest.mark.parametrize(
+    ("count", "more"), [(250, 10), (256, 1), (500, 40), (1_000, 60), (2_040, 20)]
+)
+def test_a_list_that_grows_just_after_homes_were_found_fails_no_decision(
+    count: int, more: int
+) -> None:
     # Issue 49: ranges were doubled at once, and owners followed up to 2.5 s later.
     node = Node()
     node.tell("full", [Server(f"s{n}") for n in range(count)])
@@ -190,7 +221,9 @@
     )
 )
 @settings(max_examples=80, deadline=None)
-def test_no_order_of_lists_requests_and_times_fails_a_decision(steps: list[tuple[str, int, int]]) -> None:
+def test_no_order_of_lists_requests_and_times_fails_a_decision(
+    steps: list[tuple[str, int, int]],
+) -> None:
     node = Node()
     listed: dict[str, str] = {}
     for kind, first, count in steps:
@@ -210,7 +243,10 @@
             listed |= dict.fromkeys(names, kind)
         found = node.balancer.fleet.placement
         if found is not None:
-            assert found.ranges == node.balancer.line.ranges and len(found.owners) in (0, found.ranges)
+            assert found.ranges == node.balancer.line.ranges and len(found.owners) in (
+                0,
+                found.ranges,
+            )
     assert len(node.balancer.fleet.members) <= 2 * 941 + 300
 
 
@@ -238,7 +274,10 @@
     node.tell("full", [Server(f"s{n}") for n in range(AT_ONCE_SERVERS + 1)])
     node.wait(2_000.0)
     assert node.ask() and node.slices > 0
-    node.tell("full", [Server(f"s{n}", state="in" if n < 10 else "draining") for n in range(AT_ONCE_SERVERS + 1)])
+    node.tell(
+        "full",
+        [Server(f"s{n}", state="in" if n < 10 else "draining") for n in range(AT_ONCE_SERVERS + 1)],
+    )
     node.wait(6_000.0)
     counts = Counter(node.ask() for _ in range(300))
     assert set(counts) == {f"s{n}" for n in range(10)}
--- a/tests/forkweir/test_seen.py
+++ b/tests/forkweir/test_seen.py
@@ -12,7 +12,18 @@
 from forkweir.settings import ClassSpec
 
 READ = ClassSpec("read", aim_ms=800.0, deadline_ms=2500.0)
-STATUSES = ("success", "overloaded", "failure", "absent", "timed_out", "withdrawn", "unreachable", "broken", "spoilt", "void")
+STATUSES = (
+    "success",
+    "overloaded",
+    "failure",
+    "absent",
+    "timed_out",
+    "withdrawn",
+    "unreachable",
+    "broken",
+    "spoilt",
+    "void",
+)
 
 
 def seen(status: str, elapsed_ms: float = 500.0, note: int = 0, **more: Any) -> Seen:
@@ -23,10 +34,17 @@
 def test_each_outcome_says_what_the_table_says(status: str) -> None:
     one = seen(status)
     assert one.alive == (status in ("success", "overloaded", "failure", "absent"))
-    assert one.heard == (status in ("success", "overloaded", "failure", "absent", "broken", "spoilt"))
+    assert one.heard == (
+        status in ("success", "overloaded", "failure", "absent", "broken", "spoilt")
+    )
     assert one.fault == (status in ("unreachable", "broken", "spoilt"))
     assert one.away == {"success": False, "overloaded": True}.get(status)
-    assert one.wrong == {"success": False, "failure": True, "timed_out": True, "withdrawn": True}.get(status)
+    assert one.wrong == {
+        "success": False,
+        "failure": True,
+        "timed_out": True,
+        "withdrawn": True,
+    }.get(status)
     assert one.pressed == (status in ("overloaded", "timed_out"))
     assert one.may_have_run == (status not in ("overloaded", "absent", "unreachable", "void"))
     assert one.fetch_over == (status in ("success", "timed_out", "failure"))
@@ -36,7 +54,10 @@
 
 @pytest.mark.parametrize("status", ["timed_out", "withdrawn"])
 def test_time_that_ran_out_early_tells_of_nobody(status: str) -> None:
-    brief, long = seen(status, 0.99 * LONG * READ.aim_ms, likely_miss=1.0), seen(status, LONG * READ.aim_ms, likely_miss=1.0)
+    brief, long = (
+        seen(status, 0.99 * LONG * READ.aim_ms, likely_miss=1.0),
+        seen(status, LONG * READ.aim_ms, likely_miss=1.0),
+    )
     assert brief.brief and not long.brief
     assert brief.wrong is None and long.wrong is True
 
@@ -44,15 +65,24 @@
 def test_a_late_answer_is_wrong_and_too_much() -> None:
     late = seen("success", 801.0, 1)
     assert late.wrong and late.pressed and not late.in_time
-    assert late.cost_told and not seen("success", 801.0, 2).cost_told and not seen("success", 801.0, 1, work_ms=5.0).cost_told
+    assert (
+        late.cost_told
+        and not seen("success", 801.0, 2).cost_told
+        and not seen("success", 801.0, 1, work_ms=5.0).cost_told
+    )
 
 
 def test_what_a_read_tells_of_its_key_and_a_write_of_the_origin() -> None:
-    assert seen("success", note=1).missed(False) is False and seen("success", note=2).missed(True) is True
+    assert (
+        seen("success", note=1).missed(False) is False
+        and seen("success", note=2).missed(True) is True
+    )
     assert seen("timed_out").missed(False) is True and seen("timed_out").missed(True) is None
     assert seen("success", write=True).missed(False) is None and seen("success", write=True).fetched
     assert seen("failure").missed(False) is None and seen("failure").fetch_lost(0.9)
-    assert seen("timed_out", likely_miss=0.2).fetch_lost(0.15) and not seen("timed_out", likely_miss=0.1).fetch_lost(0.15)
+    assert seen("timed_out", likely_miss=0.2).fetch_lost(0.15) and not seen(
+        "timed_out", likely_miss=0.1
+    ).fetch_lost(0.15)
 
 
 def test_an_error_is_quick_within_a_part_of_the_aim() -> None:
@@ -64,21 +94,44 @@
 FLAG = st.booleans()
 
 
-@given(st.sampled_from(STATUSES), st.integers(0, 3), st.floats(0.0, 5_000.0), FLAG, FLAG, st.floats(0.0, 1.0), FLAG)
+@given(
+    st.sampled_from(STATUSES),
+    st.integers(0, 3),
+    st.floats(0.0, 5_000.0),
+    FLAG,
+    FLAG,
+    st.floats(0.0, 1.0),
+    FLAG,
+)
 def test_no_outcome_contradicts_itself(
-    status: str, note: int, elapsed_ms: float, write: bool, known: bool, likely_miss: float, cold: bool
+    status: str,
+    note: int,
+    elapsed_ms: float,
+    write: bool,
+    known: bool,
+    likely_miss: float,
+    cold: bool,
 ) -> None:
-    one = seen(status, elapsed_ms, note, write=write, known=known, likely_miss=likely_miss, cold=cold)
+    one = seen(
+        status, elapsed_ms, note, write=write, known=known, likely_miss=likely_miss, cold=cold
+    )
     gone = WORDS[status](note, elapsed_ms, None)
     assert one.alive <= one.heard and not (one.alive and one.fault)
     assert not (one.in_time and one.pressed) and one.sort in SORTS
     assert one.wrong is not True or not one.in_time
     assert not (one.brief and (one.served or one.wrong))
-    assert one.longer_than(1.0) is None or one.longer_than(1.0) == (one.timed_out or not one.in_time)
+    assert one.longer_than(1.0) is None or one.longer_than(1.0) == (
+        one.timed_out or not one.in_time
+    )
     # Of a request that is over nothing is held against anybody, but that its server and zone are there.
     assert gone.wrong is None and gone.longer_than(0.0) is None and not gone.brief
     assert (gone.alive, gone.heard, gone.zone_answers) == (one.alive, one.heard, one.zone_answers)
 
 
 def test_every_word_of_the_wire_has_its_class() -> None:
-    assert set(WORDS) == set(STATUSES) and NEVER_RAN == {"overloaded", "unreachable", "void", "absent"}
+    assert set(WORDS) == set(STATUSES) and NEVER_RAN == {
+        "overloaded",
+        "unreachable",
+        "void",
+        "absent",
+    }
--- a/tests/forkweir/test_send_guard.py
+++ b/tests/forkweir/test_send_guard.py
@@ -22,7 +22,13 @@
 )
 
 GRACE, WINDOW, NOW = 250.0, 4_000.0, 1_000_000.0
-FREE = SendState(wanted=True, leaving_ms=None, first_sent_ms=None, repeat_window_ms=None, deadline_ms=NOW + 1_000.0)
+FREE = SendState(
+    wanted=True,
+    leaving_ms=None,
+    first_sent_ms=None,
+    repeat_window_ms=None,
+    deadline_ms=NOW + 1_000.0,
+)
 
 # What is known, and the denial and the violation that follow at NOW.
 CASES: dict[str, tuple[dict[str, Any], Denial | None, Denial | None]] = {
@@ -55,8 +61,12 @@
     state = replace(FREE, **changes)
     assert guard.check(state, NOW) == denial
     assert guard.violated(state, NOW) == violation
-    assert {cause for cause, count in guard.denied.items() if count} == ({denial} if denial else set())
-    assert {cause for cause, count in guard.violations.items() if count} == ({violation} if violation else set())
+    assert {cause for cause, count in guard.denied.items() if count} == (
+        {denial} if denial else set()
+    )
+    assert {cause for cause, count in guard.violations.items() if count} == (
+        {violation} if violation else set()
+    )
 
 
 @given(
@@ -67,7 +77,9 @@
     grace: float, left: float, window: float, sent: float, deadline: float, stall: float
 ) -> None:
     guard = SendGuard(grace)
-    state = SendState(True, NOW - left, NOW - sent, window, NOW + deadline, deadline_told_ms(inf, deadline))
+    state = SendState(
+        True, NOW - left, NOW - sent, window, NOW + deadline, deadline_told_ms(inf, deadline)
+    )
     if guard.check(state, NOW) is None:
         assert guard.violated(state, NOW + stall) is None
 
--- a/tests/forkweir/test_starts.py
+++ b/tests/forkweir/test_starts.py
@@ -25,19 +25,34 @@
 def test_a_clock_that_agrees_with_announced_starts_is_trusted() -> None:
     starts = Starts()
     starts.read(Server("s1", started_ms=NOW - HOUR), False, NOW)
-    assert starts.read(Server("s2", started_ms=NOW - HOUR), False, NOW).started_ms == NOW  # not yet known to agree
-    assert starts.read(Server("s3", started_ms=NOW - NEWS_MS), False, NOW).started_ms == NOW - NEWS_MS
-    assert starts.read(Server("s4", started_ms=NOW - HOUR), False, NOW).started_ms == NOW - HOUR  # old, and joins late
+    assert (
+        starts.read(Server("s2", started_ms=NOW - HOUR), False, NOW).started_ms == NOW
+    )  # not yet known to agree
+    assert (
+        starts.read(Server("s3", started_ms=NOW - NEWS_MS), False, NOW).started_ms == NOW - NEWS_MS
+    )
+    assert (
+        starts.read(Server("s4", started_ms=NOW - HOUR), False, NOW).started_ms == NOW - HOUR
+    )  # old, and joins late
 
 
 def test_a_first_list_is_believed_but_never_ahead_of_the_clock() -> None:
     starts = Starts()
-    assert starts.read(Server("s1", started_ms=NOW - 5_000.0), True, NOW).started_ms == NOW - 5_000.0
+    assert (
+        starts.read(Server("s1", started_ms=NOW - 5_000.0), True, NOW).started_ms == NOW - 5_000.0
+    )
     assert starts.read(Server("s2", started_ms=NOW + HOUR), True, NOW).started_ms == NOW
 
 
-@given(st.lists(st.tuples(st.sampled_from(["a", "b", "c"]), st.floats(0.0, 2.0 * NOW), st.booleans()), max_size=20))
-def test_no_start_is_ahead_of_the_clock_and_none_moves(steps: list[tuple[str, float, bool]]) -> None:
+@given(
+    st.lists(
+        st.tuples(st.sampled_from(["a", "b", "c"]), st.floats(0.0, 2.0 * NOW), st.booleans()),
+        max_size=20,
+    )
+)
+def test_no_start_is_ahead_of_the_clock_and_none_moves(
+    steps: list[tuple[str, float, bool]],
+) -> None:
     starts, now = Starts(), NOW
     seen: dict[tuple[str, float], float] = {}
     last: dict[str, float] = {}
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -23,20 +23,72 @@
 from testbed.systems.scripted import good, path_of, whole
 from testbed.systems.serving import Connection, Message
 
-__all__ = ["CacheBox", "Registry", "Rig", "entry", "good", "path_of", "play", "request", "rig", "send_to", "status", "until", "whole"]
+__all__ = [
+    "CacheBox",
+    "Registry",
+    "Rig",
+    "entry",
+    "good",
+    "path_of",
+    "play",
+    "request",
+    "rig",
+    "send_to",
+    "status",
+    "until",
+    "whole",
+]
 
 PATIENCE_S = 30.0  # generous: what is waited for comes at once on an idle machine
 OPTIONS: dict[str, Any] = {
     "services": [
-        {"name": "read", "promiseMs": 20_000, "deadlineMs": 20_000, "idempotency": "safe", "worth": 1},
-        {"name": "order", "promiseMs": 20_000, "deadlineMs": 20_000, "idempotency": "unsafe", "worth": 1},
-        {"name": "brisk", "promiseMs": 4_000, "deadlineMs": 20_000, "idempotency": "safe", "worth": 1},
-        {"name": "pay", "promiseMs": 4_000, "deadlineMs": 20_000, "idempotency": "keyed", "group": "all", "windowMs": 20_000, "worth": 1},
-        {"name": "once", "promiseMs": 4_000, "deadlineMs": 20_000, "idempotency": "unsafe", "worth": 1},
+        {
+            "name": "read",
+            "promiseMs": 20_000,
+            "deadlineMs": 20_000,
+            "idempotency": "safe",
+            "worth": 1,
+        },
+        {
+            "name": "order",
+            "promiseMs": 20_000,
+            "deadlineMs": 20_000,
+            "idempotency": "unsafe",
+            "worth": 1,
+        },
+        {
+            "name": "brisk",
+            "promiseMs": 4_000,
+            "deadlineMs": 20_000,
+            "idempotency": "safe",
+            "worth": 1,
+        },
+        {
+            "name": "pay",
+            "promiseMs": 4_000,
+            "deadlineMs": 20_000,
+            "idempotency": "keyed",
+            "group": "all",
+            "windowMs": 20_000,
+            "worth": 1,
+        },
+        {
+            "name": "once",
+            "promiseMs": 4_000,
+            "deadlineMs": 20_000,
+            "idempotency": "unsafe",
+            "worth": 1,
+        },
     ],
     "discovery": "subscribe",
     "contract": {"mustAskInMs": 1000, "stopSendingWithinMs": 250},
-    "allowed": {"mostTries": 3, "retryAfter": True, "maxRetryAfterMs": 1200, "mayCancel": True, "dialTimeoutMs": 5000},
+    "allowed": {
+        "mostTries": 3,
+        "retryAfter": True,
+        "maxRetryAfterMs": 1200,
+        "mayCancel": True,
+        "dialTimeoutMs": 5000,
+    },
 }
 
 
@@ -134,10 +186,14 @@
         self.registry = registry
         self.figures = Figures(spec.name for spec in config.settings.classes)
         self.presence = Presence()  # always present until a test starts it
-        self.pool = Pool(sockets // 2, config.dial_timeout_ms, config.conn_idle_ms, self.figures, self.presence)
+        self.pool = Pool(
+            sockets // 2, config.dial_timeout_ms, config.conn_idle_ms, self.figures, self.presence
+        )
         self.node = Node(config, self.pool, sockets)
         listener = seam.listen(config.listen, KERNEL_BUFFER)
-        self.frontend = Frontend(self.node, listener, clients, 1 << 20, leave=leave, presence=self.presence)
+        self.frontend = Frontend(
+            self.node, listener, clients, 1 << 20, leave=leave, presence=self.presence
+        )
         self.discovery = Discovery(self.node, self.pool, config.discovery, presence=self.presence)
         self.node.follow = self.discovery.follow
         self.node.list_unread = self.discovery.unread
@@ -155,7 +211,9 @@
         within_ms: int = 20_000,
     ) -> bytes:  # fmt: skip
         """One good request on a connection of its own; the whole answer."""
-        return await self.send(request(txn, more + "Connection: close\r\n", path, lane, method, within_ms) + body)
+        return await self.send(
+            request(txn, more + "Connection: close\r\n", path, lane, method, within_ms) + body
+        )
 
 
 def request(
--- a/tests/sources/test_members.py
+++ b/tests/sources/test_members.py
@@ -16,7 +16,9 @@
 from testbed.systems.dns import NameServer, Zone
 
 
-async def command(*arguments: str, environ: dict[str, str] | None = None) -> tuple[int | None, str, str]:
+async def command(
+    *arguments: str, environ: dict[str, str] | None = None
+) -> tuple[int | None, str, str]:
     process = await asyncio.create_subprocess_exec(
         sys.executable, "-m", "corkshift", *arguments, cwd=ROOT, env={**os.environ, **(environ or {})},
         stdout=asyncio.subprocess.PIPE, stderr=asyncio.subprocess.PIPE,
@@ -35,11 +37,15 @@
         text = f'format = 1\n[sources]\nmembers_socket = "{view}"\n[sources.dns]\nservice = "{SERVICE}"\n'
         operator.write_text(text + f'resolvers = ["127.0.0.1:{server.address[1]}"]\n')
         box = CacheBox()
-        async with running(tmp_path / "config.json", box, {"GRADESHIFT_OPERATOR": str(operator)}) as (process, registry):
+        async with running(
+            tmp_path / "config.json", box, {"GRADESHIFT_OPERATOR": str(operator)}
+        ) as (process, registry):
             zone.serve({"s0": ("127.0.0.1", box.address[1]), "spare": ("127.0.0.1", 2)})
             process.process.send_signal(signal.SIGHUP)  # the file is as it was: nothing changes
             await until(lambda: any("reload: discovery" in line for line in process.log))
-            operator.write_text(text + f'resolvers = ["127.0.0.1:{server.address[1]}"]\nqueries_per_s = 9.0\n')
+            operator.write_text(
+                text + f'resolvers = ["127.0.0.1:{server.address[1]}"]\nqueries_per_s = 9.0\n'
+            )
             process.process.send_signal(signal.SIGHUP)
             rows: dict[str, dict[str, object]] = {}
             while "agreed" not in {row["rule"] for row in rows.values()}:
@@ -52,9 +58,14 @@
             code, out, _ = await command("--operator", str(operator), "members")
             assert code == 0 and "s0" in out and "agreed" in out and "only dns" in out
             where = {"PROXY_CONFIG": str(tmp_path / "config.json")}
-            code, out, _ = await command("--operator", str(operator), "sources", "check", "--json", environ=where)
+            code, out, _ = await command(
+                "--operator", str(operator), "sources", "check", "--json", environ=where
+            )
             view_now = json.loads(out)
-            assert code == 0 and {box["rule"] for box in view_now["boxes"]} == {"agreed", "only dns"}
+            assert code == 0 and {box["rule"] for box in view_now["boxes"]} == {
+                "agreed",
+                "only dns",
+            }
         code, _, errors = await command("members", "--socket", str(view))
         assert code == 1 and errors.count("\n") == 1
         server.how = "refused"
--- a/tests/sources/test_message.py
+++ b/tests/sources/test_message.py
@@ -9,7 +9,17 @@
 import pytest
 
 from benchmarks.membership import mutated
-from corkshift.sources.message import MOST_RECORDS, Answer, Foreign, Query, Service, Truncated, Unusable, query, read
+from corkshift.sources.message import (
+    MOST_RECORDS,
+    Answer,
+    Foreign,
+    Query,
+    Service,
+    Truncated,
+    Unusable,
+    query,
+    read,
+)
 from testbed.systems.dns import SERVICE, ZONE, NameServer, Zone
 
 MUTATIONS = 4_000  # `python -m benchmarks.membership --mutations 1000000` is the long form
@@ -19,7 +29,13 @@
     return query(name, kind, 4711, 0b1010110)
 
 
-def answered(how: str = "good", name: str = SERVICE, kind: str = "SRV", zone: Zone | None = None, stream: bool = False) -> bytes:
+def answered(
+    how: str = "good",
+    name: str = SERVICE,
+    kind: str = "SRV",
+    zone: Zone | None = None,
+    stream: bool = False,
+) -> bytes:
     if zone is None:
         zone = Zone()
         zone.serve({"s0": ("10.0.0.1", 8001), "s1": ("10.0.0.2", 8002)}, ttl=30)
@@ -29,7 +45,10 @@
 def test_records_and_the_addresses_that_come_along() -> None:
     answer = read(answered(), asked())
     assert answer.ttl_s == 30 and answer.exists
-    assert set(answer.services) == {Service(0, 10, 8001, f"s0.{ZONE}"), Service(0, 10, 8002, f"s1.{ZONE}")}
+    assert set(answer.services) == {
+        Service(0, 10, 8001, f"s0.{ZONE}"),
+        Service(0, 10, 8002, f"s1.{ZONE}"),
+    }
     assert answer.extra == {f"s0.{ZONE}": (30, ("10.0.0.1",)), f"s1.{ZONE}": (30, ("10.0.0.2",))}
 
 
@@ -47,7 +66,13 @@
 
 
 @pytest.mark.parametrize(
-    ("how", "words"), [("servfail", "SERVFAIL"), ("refused", "REFUSED"), ("garbage", "readable|of class"), ("loop", "loop")]
+    ("how", "words"),
+    [
+        ("servfail", "SERVFAIL"),
+        ("refused", "REFUSED"),
+        ("garbage", "readable|of class"),
+        ("loop", "loop"),
+    ],
 )
 def test_what_is_of_no_use_says_why(how: str, words: str) -> None:
     with pytest.raises(Unusable, match=words):
@@ -76,7 +101,10 @@
     zone = Zone()
     zone.put("a.cache.example.org.", "CNAME", 7, ["b.cache.example.org."])
     zone.put("b.cache.example.org.", "A", 90, ["10.0.0.9"])
-    answer = read(answered(name="a.cache.example.org.", kind="A", zone=zone), asked("a.cache.example.org.", "A"))
+    answer = read(
+        answered(name="a.cache.example.org.", kind="A", zone=zone),
+        asked("a.cache.example.org.", "A"),
+    )
     assert (answer.ttl_s, answer.addresses) == (7, ("10.0.0.9",))
     one = asked("a.cache.example.org.", "A")
     message = dns.message.make_response(dns.message.from_wire(one.wire))
@@ -131,7 +159,10 @@
 
 
 def test_mutated_messages_bring_the_named_errors_alone() -> None:
-    rng, seeds = random.Random(5), [answered(), answered("empty"), answered("loop"), answered(kind="A", name=f"s0.{ZONE}")]
+    rng, seeds = (
+        random.Random(5),
+        [answered(), answered("empty"), answered("loop"), answered(kind="A", name=f"s0.{ZONE}")],
+    )
     asks = [asked(), asked(), asked(), asked(f"s0.{ZONE}", "A")]
     taken = 0
     for n in range(MUTATIONS):
--- a/tests/sources/test_resolver.py
+++ b/tests/sources/test_resolver.py
@@ -21,33 +21,47 @@
     async def test(lab: Lab) -> None:
         lab.servers[0].how = how
         if how == "hangs over tcp":
-            lab.servers[0].zone.serve({f"box-number-{n}": (f"127.2.1.{n}", 8001) for n in range(60)})  # too long for a datagram
+            lab.servers[0].zone.serve(
+                {f"box-number-{n}": (f"127.2.1.{n}", 8001) for n in range(60)}
+            )  # too long for a datagram
         resolver, begin = lab.resolver(), now_ms()
         kept = await resolver.look_up(SERVICE, "SRV")
         assert len(kept.answer.services) in (len(BOXES), 60)
         assert now_ms() - begin < 3_000.0 and lab.servers[1].asked
         before = len(lab.servers[0].asked)
-        await resolver.look_up(f"s0.{ZONE}" if how != "hangs over tcp" else f"box-number-0.{ZONE}", "A", ahead=1.0)
+        await resolver.look_up(
+            f"s0.{ZONE}" if how != "hangs over tcp" else f"box-number-0.{ZONE}", "A", ahead=1.0
+        )
         assert len(lab.servers[0].asked) == before  # it comes last for a while
         assert sum(resolver.counts.failures.values()) == 1
 
     play(test)
 
 
-@pytest.mark.parametrize("how", [how for how in HOWS if how in ("good", "truncated", "forged id", "flood")])
+@pytest.mark.parametrize(
+    "how", [how for how in HOWS if how in ("good", "truncated", "forged id", "flood")]
+)
 def test_an_answer_is_found_whatever_comes_with_it(how: str) -> None:
     async def test(lab: Lab) -> None:
         lab.servers[0].how = how
         kept = await lab.resolver().look_up(SERVICE.rstrip("."), "SRV")
-        assert {service.target for service in kept.answer.services} == {f"{name}.{ZONE}" for name in BOXES}
-        assert len(lab.servers[0].asked) == (2 if how in ("truncated", "flood") else 1) and not lab.servers[1].asked
+        assert {service.target for service in kept.answer.services} == {
+            f"{name}.{ZONE}" for name in BOXES
+        }
+        assert (
+            len(lab.servers[0].asked) == (2 if how in ("truncated", "flood") else 1)
+            and not lab.servers[1].asked
+        )
 
     play(test)
 
 
 def test_an_answer_that_comes_after_the_next_query_went_out_is_not_taken_for_it() -> None:
     async def test(lab: Lab) -> None:
-        lab.servers[0].how, lab.servers[0].late_s = "late", 0.5  # beyond the first round's time, within the second's
+        lab.servers[0].how, lab.servers[0].late_s = (
+            "late",
+            0.5,
+        )  # beyond the first round's time, within the second's
         resolver = lab.resolver()
         kept = await resolver.look_up(SERVICE, "SRV")
         assert kept.answer.services and resolver.counts.queries == 2
@@ -156,7 +170,9 @@
     assert servers.order(20.0) == [c, a, b] and servers.order(2_000.0) == [a, b, c]
     for _ in range(20):
         servers.failed(a, 0.0)
-    assert servers.order(BACK_OFF_MOST_MS - 1.0) == [b, c, a] and servers.order(BACK_OFF_MOST_MS) == [a, b, c]
+    assert servers.order(BACK_OFF_MOST_MS - 1.0) == [b, c, a] and servers.order(
+        BACK_OFF_MOST_MS
+    ) == [a, b, c]
     servers.answered(a)
     assert servers.order(0.0)[0] == a
 
--- a/tests/sources/test_sources.py
+++ b/tests/sources/test_sources.py
@@ -77,7 +77,9 @@
     node = Node()
     pool: Any = SimpleNamespace(forget=lambda server: node.forgotten.append(server.name))
     resolvers = [f"{host}:{port}" for host, port in lab.addresses]
-    options = SourcesTable(dns=DnsTable(service=SERVICE, resolvers=resolvers, floor_s=1.0, ceiling_s=4.0), **more)
+    options = SourcesTable(
+        dns=DnsTable(service=SERVICE, resolvers=resolvers, floor_s=1.0, ceiling_s=4.0), **more
+    )
     sources = Sources(node, pool, options, 1)  # type: ignore[arg-type]
     sources.start()
     return node, sources, Discovery(sources)
@@ -89,7 +91,9 @@
         await asyncio.sleep(0.1)
         assert node.serving == {f"{host}:{port}" for host, port in BOXES.values()}
         discovery.tell("full", *((name, "in") for name in BOXES))
-        assert node.serving == set(BOXES) and {server.address for server in node.servers.values()} == set(BOXES.values())
+        assert node.serving == set(BOXES) and {
+            server.address for server in node.servers.values()
+        } == set(BOXES.values())
         sources.close()
 
     play(test)
@@ -104,7 +108,9 @@
         assert node.serving == {"s0", "s2", "s3"} and node.forgotten[-1] == "s1"
         discovery.tell("changes", ("s1", "gone"))
         await asyncio.sleep(10.0)
-        assert node.serving == {"s0", "s2", "s3"} and "s1" not in node.servers and lab.servers[0].asked
+        assert (
+            node.serving == {"s0", "s2", "s3"} and "s1" not in node.servers and lab.servers[0].asked
+        )
         sources.close()
 
     play(test)
@@ -180,7 +186,9 @@
         node, sources, discovery = made(lab)
         discovery.tell("saved", ("s0", "in"), ("s1", "in"))
         discovery.box_list.on_list("failed", [])
-        assert node.serving == {"s0", "s1"} and [form for form, _ in node.told if form in ("saved", "failed")] == ["saved", "failed"]
+        assert node.serving == {"s0", "s1"} and [
+            form for form, _ in node.told if form in ("saved", "failed")
+        ] == ["saved", "failed"]
         await asyncio.sleep(5.0)
         assert node.serving == {"s0", "s1"}
         discovery.tell("full", ("s2", "in"))
@@ -192,7 +200,9 @@
 
 def test_a_lower_group_comes_in_when_the_higher_can_not_serve_and_leaves_again() -> None:
     async def test(lab: Lab) -> None:
-        lab.zone.put(SERVICE, "SRV", 2, [f"{10 * (1 + n // 2)} 10 8001 s{n}.{ZONE}" for n in range(4)])
+        lab.zone.put(
+            SERVICE, "SRV", 2, [f"{10 * (1 + n // 2)} 10 8001 s{n}.{ZONE}" for n in range(4)]
+        )
         node, sources, _ = made(lab)
         await asyncio.sleep(0.1)
         first, second = ({f"{BOXES[f's{n}'][0]}:8001" for n in pair} for pair in ((0, 1), (2, 3)))
@@ -212,7 +222,12 @@
 
 def test_weights_are_those_of_rfc_2782_over_their_groups_mean() -> None:
     async def test(lab: Lab) -> None:
-        lab.zone.put(SERVICE, "SRV", 2, [f"0 {weight} 8001 s{n}.{ZONE}" for n, weight in enumerate((30, 10, 20, 0))])
+        lab.zone.put(
+            SERVICE,
+            "SRV",
+            2,
+            [f"0 {weight} 8001 s{n}.{ZONE}" for n, weight in enumerate((30, 10, 20, 0))],
+        )
         node, sources, _ = made(lab)
         await asyncio.sleep(0.1)
         weights = [node.module[f"{host}:{port}"].weight for host, port in BOXES.values()]
@@ -278,7 +293,9 @@
     return msgspec.structs.replace(options, dns=msgspec.structs.replace(options.dns, **changes))
 
 
-def test_a_file_of_known_boxes_serves_while_nothing_else_does_and_a_bad_one_changes_nothing() -> None:
+def test_a_file_of_known_boxes_serves_while_nothing_else_does_and_a_bad_one_changes_nothing() -> (
+    None
+):
     async def test(lab: Lab) -> None:
         side = seam.SIDE.get()
         files: dict[str, bytes] = side.files  # type: ignore[attr-defined]
@@ -312,7 +329,9 @@
         view = orjson.loads(sources.dump())
         assert [source["name"] for source in view["sources"]] == ["list", "dns", "known"]
         assert {box["rule"] for box in view["boxes"]} == {"agreed", "held: fall"}
-        assert address_of(view["boxes"][0]["address"]) == BOXES["s0"] and view["boxes"][0]["said"] == {"list": "in", "dns": "in"}
+        assert address_of(view["boxes"][0]["address"]) == BOXES["s0"] and view["boxes"][0][
+            "said"
+        ] == {"list": "in", "dns": "in"}
         assert view["resolver"]["queries"] >= 1 and node.serving == set(BOXES)
         await asyncio.sleep(60.0)
         assert node.serving == {"s0"}
@@ -330,6 +349,8 @@
     assert [fault.path for fault in caught.value.faults] == ["sources.dns.may[0]"]
     with pytest.raises(BadOperatorFile) as caught:
         parse(b"format = 1\n" + text.replace("fly", "add").encode(), "op.toml")
-    assert [fault.path for fault in caught.value.faults] == ["sources.dns.resolvers[0]", "sources.dns.floor_s", "sources.dns.service"]
-
-
+    assert [fault.path for fault in caught.value.faults] == [
+        "sources.dns.resolvers[0]",
+        "sources.dns.floor_s",
+        "sources.dns.service",
+    ]
--- a/tests/sources/virtual.py
+++ b/tests/sources/virtual.py
@@ -28,7 +28,10 @@
         self.zone.serve(BOXES)
         self.servers = [NameServer((host, 53), self.zone) for host in HOSTS[:servers]]
         self.addresses = [server.address for server in self.servers]
-        self.others = [Process(f"dns-{server.address[0]}", self.net, server.address[0]) for server in self.servers]
+        self.others = [
+            Process(f"dns-{server.address[0]}", self.net, server.address[0])
+            for server in self.servers
+        ]
         for process, server in zip(self.others, self.servers, strict=True):
             process.start(server.run)
         self.process = Process("asker", self.net, "127.1.0.1")
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -7,30 +7,58 @@
 import sys
 
 OPTIONS = {
-    "services": [{"name": "read", "promiseMs": 300.0, "deadlineMs": 1000.0, "idempotency": "safe", "newKey": 1}],
+    "services": [
+        {
+            "name": "read",
+            "promiseMs": 300.0,
+            "deadlineMs": 1000.0,
+            "idempotency": "safe",
+            "newKey": 1,
+        }
+    ],
     "allowed": {"mostTries": 3, "mayCancel": True},
     "contract": {"coldFrom": 0.3, "coldMs": 9000.0},
     "granularityMs": 5.0,
     "unknownKey": {"x": 1},
 }
-ROWS = [["a", "z", "k", 0, "IN", 1, None], ["b", "z", "k", 0, "IN", 1, None], ["c", "z", "k", 0, "LAME", 1, None]]
+ROWS = [
+    ["a", "z", "k", 0, "IN", 1, None],
+    ["b", "z", "k", 0, "IN", 1, None],
+    ["c", "z", "k", 0, "LAME", 1, None],
+]
 
 
 def run(*messages: object, raw: bytes = b"") -> subprocess.CompletedProcess[bytes]:
     text = b"".join(json.dumps(m).encode() + b"\n" for m in messages) + raw
-    return subprocess.run([sys.executable, "-m", "forkweir.adapter"], input=text, capture_output=True, timeout=60, check=False)
+    return subprocess.run(
+        [sys.executable, "-m", "forkweir.adapter"],
+        input=text,
+        capture_output=True,
+        timeout=60,
+        check=False,
+    )
 
 
 def script(instances: list[int]) -> list[list[object]]:
     lines: list[list[object]] = [["BEGIN_BATCH", 100.0, 1]]
     for i in instances:
-        lines += [["INIT", i, 7 + i, OPTIONS], ["MANIFEST", 0, ROWS], ["MEMBERSHIP", i, 1, 0, "SAVED"]]
+        lines += [
+            ["INIT", i, 7 + i, OPTIONS],
+            ["MANIFEST", 0, ROWS],
+            ["MEMBERSHIP", i, 1, 0, "SAVED"],
+        ]
     lines += [["YOUR_TURN"], ["BEGIN_BATCH", 105.0, 2]]
     for i in instances:
-        lines += [["REQUEST", i, 1000 * i + n, False, None, 900.0, None, None, "read", False, f"k{n}"] for n in range(5)]
+        lines += [
+            ["REQUEST", i, 1000 * i + n, False, None, 900.0, None, None, "read", False, f"k{n}"]
+            for n in range(5)
+        ]
     lines += [["YOUR_TURN"], ["BEGIN_BATCH", 130.0, 3]]
     for i in instances:
-        lines += [["CLIENT_GONE", i, 1000 * i], ["ANSWER", i, 1000 * i + 1, 0, False, 25.0, "overloaded", "a", None, None]]
+        lines += [
+            ["CLIENT_GONE", i, 1000 * i],
+            ["ANSWER", i, 1000 * i + 1, 0, False, 25.0, "overloaded", "a", None, None],
+        ]
     return [*lines, ["YOUR_TURN"]]
 
 
@@ -51,7 +79,9 @@
     together = [json.loads(x) for x in run(*script([1, 2])).stdout.splitlines()]
     for i in (1, 2):
         alone = [json.loads(x) for x in run(*script([i])).stdout.splitlines()]
-        assert [r for r in alone if r[0] != "DONE"] == [r for r in together if r[0] != "DONE" and r[1] == i]
+        assert [r for r in alone if r[0] != "DONE"] == [
+            r for r in together if r[0] != "DONE" and r[1] == i
+        ]
 
 
 def check_malformed(*messages: object, raw: bytes = b"") -> None:
@@ -69,7 +99,12 @@
 
 
 def test_an_exception_in_a_decision_gives_in_with_its_text() -> None:
-    done = run(["BEGIN_BATCH", 1.0, 1], ["INIT", 1, 2, OPTIONS], ["MEMBERSHIP", 1, 1, 9, "SAVED"], ["YOUR_TURN"])
+    done = run(
+        ["BEGIN_BATCH", 1.0, 1],
+        ["INIT", 1, 2, OPTIONS],
+        ["MEMBERSHIP", 1, 1, 9, "SAVED"],
+        ["YOUR_TURN"],
+    )
     replies = [json.loads(line) for line in done.stdout.splitlines()]
     assert replies[0][:2] == ["GIVE_IN", 1] and "KeyError" in replies[0][2]
 
--- a/tests/test_address_book.py
+++ b/tests/test_address_book.py
@@ -46,10 +46,18 @@
         """What is known of each server, by the book and by the decisions."""
         members = self.balancer.fleet.members
         listed = {name: (s.address, s.leaving_ms is not None) for name, s in self.servers.items()}
-        here = [(name, member) for name, member in members.items() if member.present or member.draining]
-        kept = {name: (m.present, m.draining, m.info.zone, m.info.weight, m.told_ms) for name, m in here}
+        here = [
+            (name, member) for name, member in members.items() if member.present or member.draining
+        ]
+        kept = {
+            name: (m.present, m.draining, m.info.zone, m.info.weight, m.told_ms) for name, m in here
+        }
         placed = [member.info.name for member in self.balancer.fleet.placed if member.present]
-        return {"listed": (listed,), "members": (kept,), "placed": (placed, self.balancer.fleet.live)}
+        return {
+            "listed": (listed,),
+            "members": (kept,),
+            "placed": (placed, self.balancer.fleet.live),
+        }
 
 
 class Pool:
@@ -63,8 +71,16 @@
     return json.dumps({"generation": generation, "reset": whole, "instances": entries}).encode()
 
 
-def listed(name: int, place: int, lifecycle: str = "in_service", started: int = 0) -> dict[str, Any]:
-    return {"instanceId": f"s{name}", "hostPort": f"127.0.0.{place + 1}:9", "lifecycle": lifecycle, "startedAtMs": started, "zone": "a"}
+def listed(
+    name: int, place: int, lifecycle: str = "in_service", started: int = 0
+) -> dict[str, Any]:
+    return {
+        "instanceId": f"s{name}",
+        "hostPort": f"127.0.0.{place + 1}:9",
+        "lifecycle": lifecycle,
+        "startedAtMs": started,
+        "zone": "a",
+    }
 
 
 class Taker:
@@ -91,7 +107,12 @@
         """Take a whole line; in how many slices."""
         with self._bounds():
             raw = parse_raw(line)
-            return sum(1 for _ in self.book.take(raw.generation, raw.whole, read_entries(raw.entries, self.cache), raw.whole))
+            return sum(
+                1
+                for _ in self.book.take(
+                    raw.generation, raw.whole, read_entries(raw.entries, self.cache), raw.whole
+                )
+            )
 
     def heed(self, text: bytes) -> None:
         with self._bounds():
@@ -99,17 +120,31 @@
 
 
 entries_of = st.lists(
-    st.tuples(st.integers(0, 11), st.integers(0, 13), st.sampled_from(LIFECYCLES), st.integers(0, 2)), max_size=12, unique_by=lambda e: e[0]
+    st.tuples(
+        st.integers(0, 11), st.integers(0, 13), st.sampled_from(LIFECYCLES), st.integers(0, 2)
+    ),
+    max_size=12,
+    unique_by=lambda e: e[0],
 )
 
 
-@given(st.lists(st.tuples(st.sampled_from(["whole", "whole", "changes", "cut"]), entries_of), max_size=12))
+@given(
+    st.lists(
+        st.tuples(st.sampled_from(["whole", "whole", "changes", "cut"]), entries_of), max_size=12
+    )
+)
 @settings(max_examples=200, deadline=None)
-def test_slices_and_differences_come_to_the_same_as_a_list_taken_at_once(lines: list[tuple[str, list[tuple[int, int, str, int]]]]) -> None:
+def test_slices_and_differences_come_to_the_same_as_a_list_taken_at_once(
+    lines: list[tuple[str, list[tuple[int, int, str, int]]]],
+) -> None:
     async def test() -> None:
         at_once, sliced = Taker(1_000), Taker(2)
         for generation, (kind, drawn) in enumerate(lines, 1):
-            line = line_of(generation, kind == "whole", [listed(name, place, state, started) for name, place, state, started in drawn])
+            line = line_of(
+                generation,
+                kind == "whole",
+                [listed(name, place, state, started) for name, place, state, started in drawn],
+            )
             for taker in (at_once, sliced):
                 if kind == "cut":
                     taker.heed(line[: len(line) * 2 // 3])
@@ -123,17 +158,27 @@
 
 def test_a_whole_list_that_has_not_changed_tells_nothing() -> None:
     taker = Taker(100)
-    entries = [listed(n, n % 200, started=n) | {"hostPort": f"127.1.{n >> 8}.{n & 255}:9"} for n in range(1_000)]
+    entries = [
+        listed(n, n % 200, started=n) | {"hostPort": f"127.1.{n >> 8}.{n & 255}:9"}
+        for n in range(1_000)
+    ]
     assert taker.take(line_of(1, True, entries)) == 10
     assert taker.node.told == 1_000 and taker.node.forms == ["part"] * 10 + ["changes"]
     taker.node.told = 0
     assert taker.take(line_of(2, True, list(reversed(entries)))) == 0
     assert taker.node.told == 0
-    assert taker.take(line_of(3, True, [{**entries[5], "lifecycle": "terminating"}, *entries[6:]])) == 0
-    assert taker.node.told == 6 and taker.node.balancer.fleet.live == 994  # one drains, and five are not named any more
-
-
-def test_who_takes_part_in_slices_and_drains_meanwhile_is_added_as_draining(monkeypatch: pytest.MonkeyPatch) -> None:
+    assert (
+        taker.take(line_of(3, True, [{**entries[5], "lifecycle": "terminating"}, *entries[6:]]))
+        == 0
+    )
+    assert (
+        taker.node.told == 6 and taker.node.balancer.fleet.live == 994
+    )  # one drains, and five are not named any more
+
+
+def test_who_takes_part_in_slices_and_drains_meanwhile_is_added_as_draining(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     monkeypatch.setattr(address_book, "SLICE_SERVERS", 2)
     taker = Taker(2)
     raw = parse_raw(line_of(1, True, [listed(n, n) for n in range(9)]))
@@ -154,7 +199,10 @@
         boxes = {f"s{n}": CacheBox() for n in range(2)}
         async with rig(boxes) as made:
             box = boxes["s0"]
-            entries = [*(entry(name, known.port) for name, known in boxes.items()), *(entry(f"x{n}", 1 + n) for n in range(count))]
+            entries = [
+                *(entry(name, known.port) for name, known in boxes.items()),
+                *(entry(f"x{n}", 1 + n) for n in range(count)),
+            ]
             whole = line_of(2, True, entries) + b"\n"
             drain = line_of(3, False, [entry("s0", box.port, "terminating")]) + b"\n"
             seen: list[int] = []
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -22,7 +22,10 @@
     "a chunk that can't be read": CHUNKED + b"\r\nzz\r\nevil\r\n",
     # Guards against an answer that keeps coming: it is given up at its head, or once it is longer than any may be.
     "three gigabytes": b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n" + b"x" * 100_000,
-    "chunks that turn to noise": CHUNKED + b"\r\n" + (b"4000\r\n" + b"x" * 0x4000 + b"\r\n") * 3 + b"zz\r\n",
+    "chunks that turn to noise": CHUNKED
+    + b"\r\n"
+    + (b"4000\r\n" + b"x" * 0x4000 + b"\r\n") * 3
+    + b"zz\r\n",
     "chunks of one byte": CHUNKED + b"\r\n" + b"1\r\nx\r\n" * 3000 + b"0\r\n\r\n",
     "1xx without end": b"HTTP/1.1 103 Early Hints\r\n\r\n" * 100,
 }
@@ -55,7 +58,9 @@
     async def test() -> None:
         box = CacheBox(lambda head: SPOILT["noise"])
         async with rig({"s0": box, "s1": CacheBox(lambda head: SPOILT["noise"])}) as made:
-            answer = await made.ask("a", "Content-Length: 2\r\n", lane="order", method="PUT", body=b"hi")
+            answer = await made.ask(
+                "a", "Content-Length: 2\r\n", lane="order", method="PUT", body=b"hi"
+            )
             assert status(answer) == 502
             assert sum(len(each.heads) for each in made.boxes.values()) == 1
 
--- a/tests/test_bulk.py
+++ b/tests/test_bulk.py
@@ -46,7 +46,13 @@
 
 
 def chunks(body: bytes, size: int = 30_000) -> bytes:
-    return b"".join(b"%x\r\n%b\r\n" % (len(body[at : at + size]), body[at : at + size]) for at in range(0, len(body), size)) + b"0\r\n\r\n"
+    return (
+        b"".join(
+            b"%x\r\n%b\r\n" % (len(body[at : at + size]), body[at : at + size])
+            for at in range(0, len(body), size)
+        )
+        + b"0\r\n\r\n"
+    )
 
 
 def chunked(body: bytes) -> bytes:
@@ -72,7 +78,9 @@
 
 
 async def at_rest(made: Rig) -> None:
-    await until(lambda: not made.node._attempts and not made.node.open and not made.frontend.budget.used)
+    await until(
+        lambda: not made.node._attempts and not made.node.open and not made.frontend.budget.used
+    )
 
 
 @pytest.mark.parametrize("form", [sized, chunked])
@@ -80,7 +88,7 @@
     # Guards against an answer held until it is whole: its first bytes are what its client waits for.
     async def test() -> None:
         data = sized(BODY) if form is sized else chunked(BODY)
-        box = Tap(data[: 200_000], data[200_000:])
+        box = Tap(data[:200_000], data[200_000:])
         async with rig({"s0": box}) as made:
             reader, writer = await asyncio.open_connection("127.0.0.1", made.port)
             writer.write(request("a", "Connection: close\r\n"))
@@ -103,13 +111,23 @@
         async with rig({"s0": box, "s1": Tap(sized(BODY)[:300_000], b"")}) as made:
             asked = asyncio.create_task(made.ask("a"))
             boxes = list(made.boxes.values())
-            await until(lambda: any(each.heads for each in boxes) and made.node.open == 1 and bool(made.node._streams))
+            await until(
+                lambda: (
+                    any(each.heads for each in boxes)
+                    and made.node.open == 1
+                    and bool(made.node._streams)
+                )
+            )
             for each in boxes:
                 each.close()
             answer = await asked
             assert len(answer.partition(b"\r\n\r\n")[2]) < len(BODY)
             await at_rest(made)
-            assert sum(len(each.heads) for each in boxes) == 1 and made.figures.answers["read"] == [0, 0, 1]
+            assert sum(len(each.heads) for each in boxes) == 1 and made.figures.answers["read"] == [
+                0,
+                0,
+                1,
+            ]
 
     play(test)
 
@@ -158,7 +176,11 @@
 def test_an_answer_without_end_is_cut_at_the_longest_that_any_may_be() -> None:
     async def test() -> None:
         chunk = b"10000\r\n" + bytes(65_536) + b"\r\n"
-        box = Tap(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk * (BULK // 65_536 + 20), b"")
+        box = Tap(
+            b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+            + chunk * (BULK // 65_536 + 20),
+            b"",
+        )
         async with rig({"s0": box}) as made:
             answer = await made.ask("a")
             assert not answer.endswith(b"0\r\n\r\n") and len(answer) < BULK + 400_000
@@ -173,7 +195,11 @@
     async def test() -> None:
         async with rig({"s0": CacheBox()}) as made:
             reader, writer = await asyncio.open_connection("127.0.0.1", made.port)
-            more = f"Content-Length: {len(BODY)}\r\n" if form == "sized" else "Transfer-Encoding: chunked\r\n"
+            more = (
+                f"Content-Length: {len(BODY)}\r\n"
+                if form == "sized"
+                else "Transfer-Encoding: chunked\r\n"
+            )
             data = head_of("a", more) + (BODY if form == "sized" else chunks(BODY)) + request("b")
             for at in range(0, len(data), 50_001):
                 writer.write(data[at : at + 50_001])
@@ -201,7 +227,9 @@
     play(test)
 
 
-def test_a_server_that_breaks_in_the_middle_of_a_large_body_never_ran_it_and_the_client_is_told_so() -> None:
+def test_a_server_that_breaks_in_the_middle_of_a_large_body_never_ran_it_and_the_client_is_told_so() -> (
+    None
+):
     class Breaker(CacheBox):
         async def _run(self, connection: Connection) -> None:
             await connection.stream.read()
@@ -213,7 +241,9 @@
             reader, writer = await asyncio.open_connection("127.0.0.1", made.port)
             writer.write(head_of("a", f"Content-Length: {len(BODY)}\r\n") + BODY)
             assert (await answer_on(reader))[0] == 503
-            writer.write(b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n")  # the rest was read past: the connection goes on
+            writer.write(
+                b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n"
+            )  # the rest was read past: the connection goes on
             assert await answer_on(reader) == (200, b"ok\n")
             await at_rest(made)
             assert made.figures.tries == 0
@@ -228,19 +258,40 @@
             return b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"
 
         async with rig({"s0": CacheBox(bad), "s1": CacheBox(bad)}) as made:
-            assert status(await made.ask("a", f"Content-Length: {len(BODY)}\r\n", lane="pay", method="PUT", body=BODY)) in (502, 503)
-            assert status(await made.ask("b", f"Content-Length: {len(BODY)}\r\n", lane="order", method="PUT", body=BODY)) == 502
-            assert made.figures.tries == 2 and sum(len(box.bodies) for box in made.boxes.values()) == 2
+            assert status(
+                await made.ask(
+                    "a", f"Content-Length: {len(BODY)}\r\n", lane="pay", method="PUT", body=BODY
+                )
+            ) in (502, 503)
+            assert (
+                status(
+                    await made.ask(
+                        "b",
+                        f"Content-Length: {len(BODY)}\r\n",
+                        lane="order",
+                        method="PUT",
+                        body=BODY,
+                    )
+                )
+                == 502
+            )
+            assert (
+                made.figures.tries == 2 and sum(len(box.bodies) for box in made.boxes.values()) == 2
+            )
 
     play(test)
 
 
-def test_a_client_that_stops_in_the_middle_of_a_large_body_is_answered_within_three_seconds() -> None:
+def test_a_client_that_stops_in_the_middle_of_a_large_body_is_answered_within_three_seconds() -> (
+    None
+):
     # Guards against a server's connection held for a client that never ends.
     async def test() -> None:
         async with rig({"s0": CacheBox()}) as made:
             began = asyncio.get_running_loop().time()
-            answer = await made.send(head_of("a", f"Content-Length: {len(BODY)}\r\n") + BODY[: 3 * LONGEST])
+            answer = await made.send(
+                head_of("a", f"Content-Length: {len(BODY)}\r\n") + BODY[: 3 * LONGEST]
+            )
             assert status(answer) == 408 and asyncio.get_running_loop().time() - began < 3.0
             await at_rest(made)
             assert made.boxes["s0"].bodies == [] and made.pool.open == 0
@@ -260,7 +311,9 @@
             for at in range(0, 2 * LONGEST, 16_384):
                 writer.write(BODY[at : at + 16_384])
                 await asyncio.sleep(0.25)
-            assert (await answer_on(reader))[0] == 200 and made.boxes["s0"].bodies == [BODY[: 2 * LONGEST]]
+            assert (await answer_on(reader))[0] == 200 and made.boxes["s0"].bodies == [
+                BODY[: 2 * LONGEST]
+            ]
             writer.transport.abort()
 
     play(test)
@@ -271,11 +324,21 @@
     [
         (f"Content-Length: {BULK + 1}\r\n", b"", 413),
         ("Transfer-Encoding: chunked\r\n", chunks(bytes(3 * LONGEST))[:-5] + b"zz\r\n", 400),
-        ("Transfer-Encoding: chunked\r\n", (b"10000\r\n" + bytes(65_536) + b"\r\n") * (BULK // 65_536 + 1), 413),
-        ("Transfer-Encoding: chunked\r\n", chunks(bytes(LONGEST + 1)) [:-5] + b"1\r\nx\r\n" * 20_000, 400),
+        (
+            "Transfer-Encoding: chunked\r\n",
+            (b"10000\r\n" + bytes(65_536) + b"\r\n") * (BULK // 65_536 + 1),
+            413,
+        ),
+        (
+            "Transfer-Encoding: chunked\r\n",
+            chunks(bytes(LONGEST + 1))[:-5] + b"1\r\nx\r\n" * 20_000,
+            400,
+        ),
     ],
 )
-def test_a_large_body_that_is_none_gets_its_error_and_never_runs(more: str, body: bytes, expected: int) -> None:
+def test_a_large_body_that_is_none_gets_its_error_and_never_runs(
+    more: str, body: bytes, expected: int
+) -> None:
     async def test() -> None:
         async with rig({"s0": CacheBox()}) as made:
             assert status(await made.send(head_of("a", more) + body)) in (expected, 0)
@@ -306,7 +369,14 @@
         async with rig({"s0": CacheBox()}) as made:
             answer = await made.ask("a", path="http://service.internal/api/k?x=1")
             assert answer.endswith(b"for /api/k?x=1")
-            assert status(await made.send(b"GET http://service.internal/up HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")) == 200
+            assert (
+                status(
+                    await made.send(
+                        b"GET http://service.internal/up HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n"
+                    )
+                )
+                == 200
+            )
 
     play(test)
 
@@ -356,6 +426,10 @@
         if end == "close":
             assert wrote is False and taken == given[:30]
         else:
-            assert wrote is True and taken == given and (isinstance(got, Broken) if end == "fail" else got is True)
+            assert (
+                wrote is True
+                and taken == given
+                and (isinstance(got, Broken) if end == "fail" else got is True)
+            )
 
     play(test)
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -12,18 +12,32 @@
 HIDDEN = request("hidden")
 BAD = {
     # A head with both lengths may hide a request in its body (guards against serving the hidden one as another's).
-    "two lengths": request("a", "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n", method="PUT") + b"0\r\n\r\n" + HIDDEN,
-    "chunked in HTTP/1.0": request("a", "Transfer-Encoding: chunked\r\n", method="PUT").replace(b"HTTP/1.1", b"HTTP/1.0") + b"0\r\n\r\n",
-    "lengths that differ": request("a", "Content-Length: 5\r\nContent-Length: 6\r\n", method="PUT") + b"hello!",
+    "two lengths": request("a", "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n", method="PUT")
+    + b"0\r\n\r\n"
+    + HIDDEN,
+    "chunked in HTTP/1.0": request("a", "Transfer-Encoding: chunked\r\n", method="PUT").replace(
+        b"HTTP/1.1", b"HTTP/1.0"
+    )
+    + b"0\r\n\r\n",
+    "lengths that differ": request("a", "Content-Length: 5\r\nContent-Length: 6\r\n", method="PUT")
+    + b"hello!",
     "a negative length": request("a", "Content-Length: -5\r\n", method="PUT") + b"hello",
     "a length with a sign": request("a", "Content-Length: +5\r\n", method="PUT") + b"hello",
     # Told from the head alone (guards against reading 60 MB to find out).
     "a huge length": request("a", "Content-Length: 60000000\r\n", method="PUT"),
-    "a length of many digits": request("a", "Content-Length: 99999999999999999999999\r\n", method="PUT"),
-    "a long chunked body": request("a", "Transfer-Encoding: chunked\r\n") + b"10001\r\n" + b"x" * 65_537 + b"\r\n0\r\n\r\n",
+    "a length of many digits": request(
+        "a", "Content-Length: 99999999999999999999999\r\n", method="PUT"
+    ),
+    "a long chunked body": request("a", "Transfer-Encoding: chunked\r\n")
+    + b"10001\r\n"
+    + b"x" * 65_537
+    + b"\r\n0\r\n\r\n",
     # Guards against 64 KiB in one-byte chunks, which cost the parser as much as 60,000 bodies.
-    "chunks of one byte": request("a", "Transfer-Encoding: chunked\r\n", method="PUT") + b"1\r\nx\r\n" * 3000 + b"0\r\n\r\n",
-    "a chunk that can't be read": request("a", "Transfer-Encoding: chunked\r\n", method="PUT") + b"zz\r\nhello\r\n",
+    "chunks of one byte": request("a", "Transfer-Encoding: chunked\r\n", method="PUT")
+    + b"1\r\nx\r\n" * 3000
+    + b"0\r\n\r\n",
+    "a chunk that can't be read": request("a", "Transfer-Encoding: chunked\r\n", method="PUT")
+    + b"zz\r\nhello\r\n",
     "an unknown class": request("a", lane="nothing"),
     "no class": request("a").replace(b"X-Lane: read\r\n", b""),
     "no id": request("a").replace(b"X-Txn: a\r\n", b""),
@@ -32,7 +46,8 @@
     "an id without end": request("a" * 200),
     "a deadline that is no number": request("a").replace(b"20000", b"soon"),
     "a negative deadline": request("a").replace(b"20000", b"-1"),
-    "a head without end": b"GET /api/k HTTP/1.1\r\n" + b"X-Filler: aaaaaaaaaaaaaaaaaaaaaaaa\r\n" * 2000,
+    "a head without end": b"GET /api/k HTTP/1.1\r\n"
+    + b"X-Filler: aaaaaaaaaaaaaaaaaaaaaaaa\r\n" * 2000,
     "noise": bytes(range(128, 256)) * 4 + b"\r\n\r\n",
     "another method": request("a", method="DELETE"),
 }
@@ -52,7 +67,9 @@
     play(test)
 
 
-@pytest.mark.parametrize("part", [b"", b"GET /api/k HT", request("a", "Content-Length: 10\r\n", method="PUT") + b"half"])
+@pytest.mark.parametrize(
+    "part", [b"", b"GET /api/k HT", request("a", "Content-Length: 10\r\n", method="PUT") + b"half"]
+)
 def test_a_client_that_stops_is_let_go_within_three_seconds(part: bytes) -> None:
     # Guards against descriptors held by clients that say nothing, or half of what they have to.
     async def test() -> None:
@@ -105,7 +122,12 @@
         box = CacheBox()
         body = bytes(range(256)) * 256
         async with rig({"s0": box}) as made:
-            assert status(await made.ask("a", f"Content-Length: {len(body)}\r\n", method="PUT", body=body)) == 200
+            assert (
+                status(
+                    await made.ask("a", f"Content-Length: {len(body)}\r\n", method="PUT", body=body)
+                )
+                == 200
+            )
             assert box.bodies == [body]
             await until(lambda: made.frontend.budget.used == 0)
 
@@ -130,15 +152,26 @@
         slow = CacheBox(lambda head: None if b"/never" in head else good(head))
         async with rig({"s0": slow, "s1": CacheBox()}) as made:
             for lap in range(10):
-                jobs = [asyncio.create_task(made.ask(f"{lap}-{n}", path=f"/api/{n}")) for n in range(20)]
-                gone = [asyncio.create_task(made.ask(f"{lap}-{n}-gone", path="/api/never")) for n in range(5)]
+                jobs = [
+                    asyncio.create_task(made.ask(f"{lap}-{n}", path=f"/api/{n}")) for n in range(20)
+                ]
+                gone = [
+                    asyncio.create_task(made.ask(f"{lap}-{n}-gone", path="/api/never"))
+                    for n in range(5)
+                ]
                 assert {status(answer) for answer in await asyncio.gather(*jobs)} == {200}
                 for job in gone:
                     job.cancel()
             node, frontend = made.node, made.frontend
             await until(lambda: not frontend._connections)
             await until(lambda: not node._running)
-            assert not (node._calls or node._tries or node._attempts or node._balancer.held or frontend.budget.used)
+            assert not (
+                node._calls
+                or node._tries
+                or node._attempts
+                or node._balancer.held
+                or frontend.budget.used
+            )
             assert not (frontend._silent or frontend._partial or frontend._resting)
             made.pool.close()
             assert made.pool.open == 0
--- a/tests/test_customers.py
+++ b/tests/test_customers.py
@@ -13,7 +13,19 @@
 
 import orjson
 import pytest
-from loopback import OPTIONS, CacheBox, Registry, entry, options_of, play, request, rig, send_to, status, until
+from loopback import (
+    OPTIONS,
+    CacheBox,
+    Registry,
+    entry,
+    options_of,
+    play,
+    request,
+    rig,
+    send_to,
+    status,
+    until,
+)
 from test_process import free_port
 
 from corkshift.config import Config, config_of, load
@@ -27,7 +39,19 @@
 
 ROOT = Path(__file__).parent.parent
 SITES = sorted((ROOT / "deploy" / "sites").glob("*/*.toml"))
-ACCRA = ("menu-read", "cart-update", "order-place", "osu", "kaneshie", "madina", "tema", "five-core", "seven-core", "menu-cache", "accra")
+ACCRA = (
+    "menu-read",
+    "cart-update",
+    "order-place",
+    "osu",
+    "kaneshie",
+    "madina",
+    "tema",
+    "five-core",
+    "seven-core",
+    "menu-cache",
+    "accra",
+)
 
 
 def least(value: Any) -> float:
@@ -66,7 +90,16 @@
 
 
 def configured(settings: dict[str, Any], **more: Any) -> Config:
-    return config_of({"listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "seed": "1", "settings": settings, **more}, {})
+    return config_of(
+        {
+            "listen": "127.0.0.1:1",
+            "discovery": "127.0.0.1:2",
+            "seed": "1",
+            "settings": settings,
+            **more,
+        },
+        {},
+    )
 
 
 @pytest.mark.parametrize("path", SITES, ids=lambda path: path.stem)
@@ -74,35 +107,66 @@
     site = tomllib.loads(path.read_text())
     options = told(site)
     config = configured(options, limits={"cores": 1.0, "memory_mb": 90, "sockets": 300})
-    settings, allowed, classes = config.settings, options["allowed"], {c["name"]: c for c in options["services"]}
+    settings, allowed, classes = (
+        config.settings,
+        options["allowed"],
+        {c["name"]: c for c in options["services"]},
+    )
     # The classes, each figure of them.
-    assert {spec.name for spec in settings.classes} == set(classes) and len(classes) == len(settings.classes) >= 3
+    assert {spec.name for spec in settings.classes} == set(classes) and len(classes) == len(
+        settings.classes
+    ) >= 3
     for spec in settings.classes:
         c = classes[spec.name]
-        assert (spec.aim_ms, spec.deadline_ms, spec.worth) == (c["promiseMs"], c["deadlineMs"], c["worth"])
-        assert (spec.repeat, spec.group, spec.repeat_window_ms) == (c["idempotency"], c["group"], c["windowMs"])
+        assert (spec.aim_ms, spec.deadline_ms, spec.worth) == (
+            c["promiseMs"],
+            c["deadlineMs"],
+            c["worth"],
+        )
+        assert (spec.repeat, spec.group, spec.repeat_window_ms) == (
+            c["idempotency"],
+            c["group"],
+            c["windowMs"],
+        )
         assert spec.late_worth == c["lateValue"]
     # The limits.
     assert (settings.max_attempts, settings.may_cancel, settings.second_copies) == (
         allowed["mostTries"], allowed["mayCancel"], allowed["parallelTries"],
     )  # fmt: skip
-    assert settings.asked == (options["discovery"] == "subscribe") and settings.ask_within_ms == 10_000.0
-    assert (settings.cold_ms, settings.cold_from) == (options["contract"]["coldMs"], options["contract"]["coldFrom"])
-    assert settings.fall_multiple == options["contract"]["fallMultiple"] and settings.zone == options["zones"][0]
+    assert (
+        settings.asked == (options["discovery"] == "subscribe")
+        and settings.ask_within_ms == 10_000.0
+    )
+    assert (settings.cold_ms, settings.cold_from) == (
+        options["contract"]["coldMs"],
+        options["contract"]["coldFrom"],
+    )
+    assert (
+        settings.fall_multiple == options["contract"]["fallMultiple"]
+        and settings.zone == options["zones"][0]
+    )
     assert settings.backoff_max_ms == allowed["maxRetryAfterMs"]
     assert (config.max_open, config.dial_timeout_ms, config.conn_idle_ms) == (
         allowed["maxOpen"], allowed["dialTimeoutMs"], allowed["connIdleMs"],
     )  # fmt: skip
-    assert config.drain_grace_ms == options["contract"]["stopSendingWithinMs"] and (config.sockets, config.memory_mb) == (300, 90)
+    assert config.drain_grace_ms == options["contract"]["stopSendingWithinMs"] and (
+        config.sockets,
+        config.memory_mb,
+    ) == (300, 90)
     # And what is made of them.
     figures = Figures(classes)
     pool = Pool(64, config.dial_timeout_ms, config.conn_idle_ms, figures)
     node = Node(config, pool, 64)
     longest = max(c["deadlineMs"] for c in classes.values())
     assert all(node.knows(name) for name in classes) and not any(node.knows(name) for name in ACCRA)
-    assert pool._dial_s == allowed["dialTimeoutMs"] / 1000.0 and pool._idle_ms == IDLE_SHARE * allowed["connIdleMs"]
+    assert (
+        pool._dial_s == allowed["dialTimeoutMs"] / 1000.0
+        and pool._idle_ms == IDLE_SHARE * allowed["connIdleMs"]
+    )
     assert node._id_memory_ms > longest
-    assert set(node._windows) == {name for name, c in classes.items() if c["idempotency"] == "keyed"}
+    assert set(node._windows) == {
+        name for name, c in classes.items() if c["idempotency"] == "keyed"
+    }
     leave = Leave(longest)
     assert leave.take < leave.answer < leave.exit < min(longest, 3_000.0) + 700.0
     assert leave.take + longest < leave.answer or longest > 3_000.0
@@ -112,19 +176,44 @@
 def test_a_site_is_far_from_accra(path: Path) -> None:
     # A figure that both have alike would show nothing.
     site = tomllib.loads(path.read_text())
-    assert not set(ACCRA) & {site["name"], *site["net"]["zones"], *(c["name"] for c in site["class"])}
-    assert not {2_500, 2_000} & {c["deadline_ms"] for c in site["class"]} and not {750, 800, 1_200} & {c["aim_ms"] for c in site["class"]}
-    assert site["rules"]["drain_grace_ms"] != 250 and site["rules"]["fall_multiple"] != 4 and site["allow"]["max_attempts"] != 3
+    assert not set(ACCRA) & {
+        site["name"],
+        *site["net"]["zones"],
+        *(c["name"] for c in site["class"]),
+    }
+    assert not {2_500, 2_000} & {c["deadline_ms"] for c in site["class"]} and not {
+        750,
+        800,
+        1_200,
+    } & {c["aim_ms"] for c in site["class"]}
+    assert (
+        site["rules"]["drain_grace_ms"] != 250
+        and site["rules"]["fall_multiple"] != 4
+        and site["allow"]["max_attempts"] != 3
+    )
     conn = site["tier"][0]["conn"]
-    assert conn["idle_s"] != 30 and conn["connect_timeout_ms"] != 250 and "unsafe" in {c["effect"] for c in site["class"]}
+    assert (
+        conn["idle_s"] != 30
+        and conn["connect_timeout_ms"] != 250
+        and "unsafe" in {c["effect"] for c in site["class"]}
+    )
 
 
 def test_no_name_of_a_deployment_stands_in_the_program_or_its_deploy_file() -> None:
     names = [*ACCRA]
     for path in SITES:
         site = tomllib.loads(path.read_text())
-        names += [site["name"], *site["net"]["zones"], *(c["name"] for c in site["class"]), *(t["name"] for t in site.get("tenant", []))]
-    files = [*(ROOT / "forkweir").rglob("*.py"), *(ROOT / "corkshift").rglob("*.py"), ROOT / "deploy" / "balancer.toml"]
+        names += [
+            site["name"],
+            *site["net"]["zones"],
+            *(c["name"] for c in site["class"]),
+            *(t["name"] for t in site.get("tenant", [])),
+        ]
+    files = [
+        *(ROOT / "forkweir").rglob("*.py"),
+        *(ROOT / "corkshift").rglob("*.py"),
+        ROOT / "deploy" / "balancer.toml",
+    ]
     # Whole words: "tema" is no part of "systematic". The demo is a small installation of its own.
     found = [
         (path.name, name)
@@ -138,11 +227,24 @@
 
 def test_what_is_stated_as_nothing_is_nothing() -> None:
     # Guards against a figure of 0 that is taken for one that is absent.
-    options = {**OPTIONS, "contract": {"stopSendingWithinMs": 0, "mustAskInMs": 0, "coldFrom": 0.0}, "allowed": {"connIdleMs": 0}}
+    options = {
+        **OPTIONS,
+        "contract": {"stopSendingWithinMs": 0, "mustAskInMs": 0, "coldFrom": 0.0},
+        "allowed": {"connIdleMs": 0},
+    }
     config = configured(options)
-    assert (config.drain_grace_ms, config.conn_idle_ms, config.settings.ask_within_ms, config.settings.cold_from) == (0.0, 0.0, 0.0, 0.0)
+    assert (
+        config.drain_grace_ms,
+        config.conn_idle_ms,
+        config.settings.ask_within_ms,
+        config.settings.cold_from,
+    ) == (0.0, 0.0, 0.0, 0.0)
     plain = configured({**OPTIONS, "contract": {}, "allowed": {}})
-    assert (plain.drain_grace_ms, plain.conn_idle_ms, plain.settings.ask_within_ms) == (250.0, 15_000.0, 10_000.0)
+    assert (plain.drain_grace_ms, plain.conn_idle_ms, plain.settings.ask_within_ms) == (
+        250.0,
+        15_000.0,
+        10_000.0,
+    )
     # Asking within no time is no reason to ask without end.
     balancer = Balancer(config.settings, 1)
     for _ in range(8):
@@ -153,7 +255,9 @@
 def test_a_second_copy_is_sent_only_where_the_site_allows_it() -> None:
     async def test(allowed: bool, copies: int) -> None:
         options = options_of(allowed={"parallelTries": allowed})
-        async with rig({"s0": CacheBox(lambda head: None), "s1": CacheBox(lambda head: None)}, options=options) as made:
+        async with rig(
+            {"s0": CacheBox(lambda head: None), "s1": CacheBox(lambda head: None)}, options=options
+        ) as made:
             balancer = made.node._balancer
             asking = asyncio.create_task(made.ask("a", lane="brisk"))
             await until(lambda: sum(len(box.heads) for box in made.boxes.values()) == 1)
@@ -182,7 +286,9 @@
     )
 
 
-def test_where_lists_are_pushed_they_are_followed_from_the_first_moment(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_where_lists_are_pushed_they_are_followed_from_the_first_moment(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     # Guards against a node that serves by the list as it last was and never hears of a drain.
     monkeypatch.setattr("corkshift.service.FIRST_LIST_S", 30.0)
 
@@ -193,7 +299,9 @@
         registry = Registry(boxes)
         registry.start()
         known = [entry(name, box.port) for name, box in boxes.items()]
-        registry.entries["s0"] = entry("s0", boxes["s0"].port, "terminating")  # which the node's list does not know
+        registry.entries["s0"] = entry(
+            "s0", boxes["s0"].port, "terminating"
+        )  # which the node's list does not know
         registry.silent = True
         service = pushed(registry, known)
         running = asyncio.create_task(service.run())
@@ -202,14 +310,19 @@
         registry.silent = False
         await until(lambda: service.frontend.started)
         for n in range(8):
-            answer = await send_to(service.frontend.address, request(f"a{n}", "Connection: close\r\n", f"/api/{n}"))
+            answer = await send_to(
+                service.frontend.address, request(f"a{n}", "Connection: close\r\n", f"/api/{n}")
+            )
             assert status(answer) == 200
         assert boxes["s0"].heads == [] and len(boxes["s1"].heads) == 8
         # And a change later on.
         registry.change(entry("s0", boxes["s0"].port))
         registry.change(entry("s1", boxes["s1"].port), "terminating")
         await until(lambda: service.node.servers["s1"].leaving_ms is not None)
-        assert status(await send_to(service.frontend.address, request("b", "Connection: close\r\n"))) == 200
+        assert (
+            status(await send_to(service.frontend.address, request("b", "Connection: close\r\n")))
+            == 200
+        )
         assert len(boxes["s0"].heads) == 1
         # A watch that ends is opened anew at once: what the agent has counts as told meanwhile.
         calls = len(registry.asked)
@@ -251,7 +364,9 @@
     play(test)
 
 
-def test_an_agent_that_is_silent_does_not_keep_a_node_from_serving(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_agent_that_is_silent_does_not_keep_a_node_from_serving(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     monkeypatch.setattr("corkshift.service.FIRST_LIST_S", 0.05)
 
     async def test() -> None:
@@ -263,7 +378,10 @@
         service = pushed(registry, [entry("s0", box.port)])
         running = asyncio.create_task(service.run())
         await until(lambda: service.frontend.started)
-        assert status(await send_to(service.frontend.address, request("a", "Connection: close\r\n"))) == 200
+        assert (
+            status(await send_to(service.frontend.address, request("a", "Connection: close\r\n")))
+            == 200
+        )
         registry.silent = False
         service.stop()
         await running
@@ -300,10 +418,15 @@
 
 
 def test_settings_load_without_any_of_the_optional_parts() -> None:
-    assert settings_of({}).second_copies and settings_of({"services": [{"name": "x"}]}).classes[0].repeat == "unsafe"
+    assert (
+        settings_of({}).second_copies
+        and settings_of({"services": [{"name": "x"}]}).classes[0].repeat == "unsafe"
+    )
 
 
-def test_a_configuration_that_changed_before_anybody_heard_a_sighup_is_in_force(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_configuration_that_changed_before_anybody_heard_a_sighup_is_in_force(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     async def test() -> None:
         old, new = Registry({}), Registry({})
         for registry in (old, new):
@@ -313,7 +436,9 @@
         monkeypatch.setenv("PROXY_CONFIG", str(path))
         path.write_bytes(orjson.dumps({**text, "discovery": f"127.0.0.1:{old.port}"}))
         service = Service(load(os.environ))
-        path.write_bytes(orjson.dumps({**text, "discovery": f"127.0.0.1:{new.port}"}))  # and a SIGHUP that was ignored
+        path.write_bytes(
+            orjson.dumps({**text, "discovery": f"127.0.0.1:{new.port}"})
+        )  # and a SIGHUP that was ignored
         running = asyncio.create_task(service.run())
         await until(lambda: bool(new.asked))
         assert old.asked == []
--- a/tests/test_departures.py
+++ b/tests/test_departures.py
@@ -23,7 +23,11 @@
 from forkweir.choice import HEDGE_LEAST
 
 HOWS = ["end", "reset"]
-BEFORE = [b"", b"\r\n", b"GET /api/k HTTP/1.1\r\nHost: x\r\nX: " + b"x" * 9_000]  # what else stands before the end
+BEFORE = [
+    b"",
+    b"\r\n",
+    b"GET /api/k HTTP/1.1\r\nHost: x\r\nX: " + b"x" * 9_000,
+]  # what else stands before the end
 
 
 def client(made: Rig, data: bytes = b"", receive_buffer: int = 0) -> socket.socket:
@@ -49,7 +53,13 @@
     """An idle connection to each cache server that may be used at once: nothing that is sent on waits for a dial."""
     for server in made.node.servers.values():
         made.pool.keep(server, await made.pool.connect(server))
-    await until(lambda: all(now_ms() - since_ms > REST_MS for s in made.node.servers.values() for since_ms, _ in s.idle))
+    await until(
+        lambda: all(
+            now_ms() - since_ms > REST_MS
+            for s in made.node.servers.values()
+            for since_ms, _ in s.idle
+        )
+    )
 
 
 async def read(sock: socket.socket, size: int = 65_536) -> bytes:
@@ -107,7 +117,9 @@
     play(test)
 
 
-def test_behind_a_slow_dial_that_comes_up_in_the_moment_of_the_leaving(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_behind_a_slow_dial_that_comes_up_in_the_moment_of_the_leaving(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     # The connection is up, and the client's end in the kernel, when the node next runs.
     async def test() -> None:
         async with rig({"s0": CacheBox()}) as made, dials_wait(monkeypatch) as come_up:
@@ -138,9 +150,14 @@
 
 
 @pytest.mark.parametrize("how", HOWS)
-def test_a_burst_of_a_hundred_that_leave_together(monkeypatch: pytest.MonkeyPatch, how: str) -> None:
+def test_a_burst_of_a_hundred_that_leave_together(
+    monkeypatch: pytest.MonkeyPatch, how: str
+) -> None:
     async def test() -> None:
-        async with rig({"s0": CacheBox(), "s1": CacheBox()}, 512) as made, dials_wait(monkeypatch) as come_up:
+        async with (
+            rig({"s0": CacheBox(), "s1": CacheBox()}, 512) as made,
+            dials_wait(monkeypatch) as come_up,
+        ):
             socks = [client(made, request(f"a{n}", path=f"/api/{n}")) for n in range(100)]
             await until(lambda: len(made.node._running) == 100)
             for sock in socks:
@@ -152,7 +169,9 @@
     play(test)
 
 
-@pytest.mark.parametrize("before", [*BEFORE, b"\r\n" * 35_000], ids=["bare", "line", "half", "more-than-a-read"])
+@pytest.mark.parametrize(
+    "before", [*BEFORE, b"\r\n" * 35_000], ids=["bare", "line", "half", "more-than-a-read"]
+)
 def test_while_the_node_stood_still_on_a_kept_connection(before: bytes) -> None:
     # Request and end come in one moment: the end is heard a turn of the loop after the request was read.
     async def test() -> None:
@@ -169,7 +188,9 @@
     play(test)
 
 
-@pytest.mark.parametrize("before", [*BEFORE, b"\r\n" * 40_000], ids=["bare", "line", "half", "more-than-a-buffer"])
+@pytest.mark.parametrize(
+    "before", [*BEFORE, b"\r\n" * 40_000], ids=["bare", "line", "half", "more-than-a-buffer"]
+)
 @pytest.mark.parametrize("how", HOWS)
 def test_in_the_accept_queue(how: str, before: bytes) -> None:
     async def test() -> None:
@@ -179,14 +200,18 @@
             await hold.wait()
             return good(head)
 
-        box = CacheBox(lambda head: held(head) if head.split(b" ")[1] == b"/api/first" else good(head))
+        box = CacheBox(
+            lambda head: held(head) if head.split(b" ")[1] == b"/api/first" else good(head)
+        )
         async with rig({"s0": box}, clients=1) as made:
             first = client(made, request("first", "Connection: close\r\n", "/api/first"))
             await until(lambda: bool(box.heads))
             leave(client(made, request("a")), how, before)
             hold.set()
             await read(first)
-            after = client(made, request("b", path="/api/after"))  # is taken behind the one that has left
+            after = client(
+                made, request("b", path="/api/after")
+            )  # is taken behind the one that has left
             assert b"200" in await read(after)
             assert asked(made) == [b"/api/first", b"/api/after"]
 
@@ -228,7 +253,9 @@
 def test_before_a_second_request_for_what_has_been_out_for_long(how: str) -> None:
     # A timer is due and the client's end stands in the kernel when a node that stood still runs again: timers come first.
     async def test() -> None:
-        async with rig({"s0": CacheBox(lambda head: None), "s1": CacheBox(lambda head: None)}) as made:
+        async with rig(
+            {"s0": CacheBox(lambda head: None), "s1": CacheBox(lambda head: None)}
+        ) as made:
             await warmed(made)
             balancer = made.node._balancer
             balancer.usual = HEDGE_LEAST
@@ -269,7 +296,9 @@
         box = CacheBox(lambda head: large if head.split(b" ")[1] == b"/api/large" else good(head))
         async with rig({"s0": box}) as made:
             sock = client(made, request("a", path="/api/large"), 4_096)
-            await until(lambda: any(c._stream._writer is not None for c in made.frontend._connections))
+            await until(
+                lambda: any(c._stream._writer is not None for c in made.frontend._connections)
+            )
             async with dials_wait(monkeypatch) as come_up:
                 sock.sendall(request("b"))
                 await until(lambda: len(made.node._running) == 2)
@@ -283,7 +312,9 @@
 
 
 @pytest.mark.parametrize("how", HOWS)
-def test_where_its_end_stands_behind_a_full_buffer(monkeypatch: pytest.MonkeyPatch, how: str) -> None:
+def test_where_its_end_stands_behind_a_full_buffer(
+    monkeypatch: pytest.MonkeyPatch, how: str
+) -> None:
     # The reader waits for its place in the queue, the buffer is full, and nobody reads on: the end is in the kernel alone.
     async def test() -> None:
         async with rig({"s0": CacheBox()}, 256) as made, dials_wait(monkeypatch) as come_up:
@@ -306,7 +337,9 @@
 def test_in_the_middle_of_its_body(how: str, size: int) -> None:
     async def test() -> None:
         async with rig({"s0": CacheBox()}) as made:
-            head = request("a", f"Content-Length: {size}\r\nIdempotency-Key: k\r\n", lane="pay", method="PUT")
+            head = request(
+                "a", f"Content-Length: {size}\r\nIdempotency-Key: k\r\n", lane="pay", method="PUT"
+            )
             sock = client(made, head + b"x" * (size - 1))
             await until(lambda: bool(made.frontend._connections))
             leave(sock, how)
@@ -321,7 +354,9 @@
 def test_with_a_large_body_behind_a_slow_dial(monkeypatch: pytest.MonkeyPatch, how: str) -> None:
     async def test() -> None:
         async with rig({"s0": CacheBox()}) as made, dials_wait(monkeypatch) as come_up:
-            head = request("a", "Content-Length: 200000\r\nIdempotency-Key: k\r\n", lane="pay", method="PUT")
+            head = request(
+                "a", "Content-Length: 200000\r\nIdempotency-Key: k\r\n", lane="pay", method="PUT"
+            )
             sock = client(made, head + b"x" * 150_000)
             await until(lambda: bool(made.node._running))
             leave(sock, how)
@@ -353,7 +388,9 @@
             await until(lambda: bool(asked(made)))
             leave(sock, "end")
             await settled(made)
-            assert b"409" in await made.ask("a", "Content-Length: 0\r\n", lane="order", method="PUT")
+            assert b"409" in await made.ask(
+                "a", "Content-Length: 0\r\n", lane="order", method="PUT"
+            )
             assert len(asked(made)) == 1
 
     play(test)
--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -22,7 +22,11 @@
     # SIGHUP is ignored from the first moment: until the interpreter is up nobody else could see to that.
     assert re.fullmatch(r"trap '' HUP; exec \.venv/bin/python -m corkshift", DEPLOY["run"])
     assert re.fullmatch(r"exec \.venv/bin/python -m forkweir\.adapter", DEPLOY["sim"])
-    assert DEPLOY["packages"] == [] and "requirements.txt" in DEPLOY["build"] and "sudo" not in DEPLOY["build"]
+    assert (
+        DEPLOY["packages"] == []
+        and "requirements.txt" in DEPLOY["build"]
+        and "sudo" not in DEPLOY["build"]
+    )
 
 
 def test_a_sighup_before_anything_is_set_up_does_not_end_the_node() -> None:
@@ -53,7 +57,11 @@
 
 def pathnames(pid: int) -> list[str]:
     """The names of the Unix sockets that a process holds, and what of its sockets is neither Unix nor IPv4."""
-    inodes = {os.readlink(path)[8:-1] for path in Path(f"/proc/{pid}/fd").iterdir() if os.readlink(path).startswith("socket:[")}
+    inodes = {
+        os.readlink(path)[8:-1]
+        for path in Path(f"/proc/{pid}/fd").iterdir()
+        if os.readlink(path).startswith("socket:[")
+    }
     known: dict[str, str] = {}
     for kind, column in (("tcp", 9), ("udp", 9), ("unix", 6)):
         for row in Path(f"/proc/{pid}/net/{kind}").read_text().splitlines()[1:]:
@@ -63,7 +71,9 @@
 
 
 @pytest.mark.parametrize("breach", ["", "child", "unix", "file", "ipv6"])
-def test_the_node_serves_with_nothing_but_what_the_platform_allows(tmp_path: Path, breach: str) -> None:
+def test_the_node_serves_with_nothing_but_what_the_platform_allows(
+    tmp_path: Path, breach: str
+) -> None:
     async def test() -> None:
         (tmp_path / "tmp").mkdir()
         box = CacheBox()
@@ -74,7 +84,12 @@
         process.write()
         environ = {**os.environ, "PROXY_CONFIG": str(process.path), "TMPDIR": str(tmp_path / "tmp")}
         process.process = await asyncio.create_subprocess_exec(
-            sys.executable, str(ROOT / "tests" / "audited.py"), breach, cwd=ROOT, env=environ, stderr=asyncio.subprocess.PIPE
+            sys.executable,
+            str(ROOT / "tests" / "audited.py"),
+            breach,
+            cwd=ROOT,
+            env=environ,
+            stderr=asyncio.subprocess.PIPE,
         )
         process.reading = asyncio.create_task(process._read_log())
         try:
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -58,10 +58,16 @@
                 {"instanceId": 7, "hostPort": "127.0.0.1:1", "lifecycle": "in_service"},
                 {"instanceId": "odd", "hostPort": "127.0.0.1:1", "lifecycle": "asleep"},
                 "noise",
-                {"instanceId": "s1", "hostPort": f"127.0.0.1:{fresh.port}", "lifecycle": "in_service"},
+                {
+                    "instanceId": "s1",
+                    "hostPort": f"127.0.0.1:{fresh.port}",
+                    "lifecycle": "in_service",
+                },
             ]
             entries[-1].update({"startedAtMs": 9e15, "weight": 1e300})
-            text = json.dumps({"generation": 2, "reset": False, "instances": entries}).encode() + b"\n"
+            text = (
+                json.dumps({"generation": 2, "reset": False, "instances": entries}).encode() + b"\n"
+            )
             made.registry.tell_raw(text)
             await until(lambda: "s1" in made.node.servers)
             assert sorted(made.node.servers) == ["s0", "s1"]
@@ -82,8 +88,12 @@
     assert list(balancer.fleet.members) == ["s0"]
 
 
-@pytest.mark.parametrize(("turn_s", "calls"), [(0.05, 1), (0.15, 2), (0.25, 3), (0.35, 4), (0.75, 8)])
-def test_a_busy_service_is_not_hung_up_on_before_its_turn(monkeypatch: pytest.MonkeyPatch, turn_s: float, calls: int) -> None:
+@pytest.mark.parametrize(
+    ("turn_s", "calls"), [(0.05, 1), (0.15, 2), (0.25, 3), (0.35, 4), (0.75, 8)]
+)
+def test_a_busy_service_is_not_hung_up_on_before_its_turn(
+    monkeypatch: pytest.MonkeyPatch, turn_s: float, calls: int
+) -> None:
     # Guards against a fleet whose nodes all hang up on one overbooked service, ask anew, and are never told anything. Further calls go
     # beside the first, at most MOST_CALLS at once, and the first answer ends the others.
     monkeypatch.setattr(discovery, "BESIDE_S", 0.1)
@@ -110,8 +120,14 @@
         if end.done():
             hung_up += 1
         else:
-            line = json.dumps({"generation": 1, "reset": True, "instances": [entry("s0", 1)]}).encode() + b"\n"
-            writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%b\r\n" % (len(line), line))
+            line = (
+                json.dumps({"generation": 1, "reset": True, "instances": [entry("s0", 1)]}).encode()
+                + b"\n"
+            )
+            writer.write(
+                b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%b\r\n"
+                % (len(line), line)
+            )
             await end
         open_now -= 1
         writer.close()
@@ -130,7 +146,9 @@
             # A turn that takes longer than MOST_CALLS calls wait: the oldest is given up for a further one, and none is added beyond.
             await until(lambda: begun >= calls)
             assert told.forms == [] and hung_up >= calls - discovery.MOST_CALLS - 1
-        assert most_open <= discovery.MOST_CALLS + 1  # the one given up may be seen to end a moment later
+        assert (
+            most_open <= discovery.MOST_CALLS + 1
+        )  # the one given up may be seen to end a moment later
         for task in asking._calls.values():
             task.cancel()
 
@@ -144,7 +162,13 @@
             calls = len(made.registry.asked)
             for n, together in enumerate((True, True, False)):
                 one = json.dumps(entry(f"x{n}", 1000 + n))
-                text = json.dumps({"generation": 2 + n, "reset": False, "instances": [json.loads(one)]}, indent=2 if n else None) + "\n"
+                text = (
+                    json.dumps(
+                        {"generation": 2 + n, "reset": False, "instances": [json.loads(one)]},
+                        indent=2 if n else None,
+                    )
+                    + "\n"
+                )
                 if not n:
                     text = text.replace("[{", "[\n  {")
                 rows = [text] if together else text.splitlines(keepends=True)
@@ -153,7 +177,11 @@
                     await asyncio.sleep(0)
                 await until(lambda: f"x{n}" in made.node.servers)  # noqa: B023
             assert len(made.registry.asked) == calls  # nothing was lost, and nobody asked anew
-            last = {"generation": 9, "reset": False, "instances": [entry("x1", 1001, "terminating")]}
+            last = {
+                "generation": 9,
+                "reset": False,
+                "instances": [entry("x1", 1001, "terminating")],
+            }
             made.registry.tell_raw(json.dumps(last, indent=1).encode() + b"\n")
             await until(lambda: made.node.servers["x1"].leaving_ms is not None)
 
