--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -57,7 +57,9 @@
     warm = homes(make(servers, cold_from=0.2, cold_ms=10_000.0))
     servers[3] = Server("s3", started_ms=1.0)
     balancer = make(servers, cold_from=0.2, cold_ms=10_000.0)
-    cold = [ask(balancer, 2.0 + n, 10_000 + n, f"k{n}") for n in range(400)]  # as time passes: it is allowed so much a ms
+    cold = [
+        ask(balancer, 2.0 + n, 10_000 + n, f"k{n}") for n in range(400)
+    ]  # as time passes: it is allowed so much a ms
     assert 0 < cold.count("s3") < 0.5 * warm.count("s3")
     assert all(b == "s3" for a, b in zip(cold, warm, strict=True) if a == "s3")
 
@@ -93,7 +95,9 @@
         action = balancer.on_request(now, n, "read", f"k{n}", 1000.0)[0]
         if action[0] == "attempt":
             balancer.on_outcome(now, n, 0, False, "timed_out", str(action[2]), 300.0)
-            balancer.on_departure(now, n)  # or what it repeats would be expected of the origin for ever
+            balancer.on_departure(
+                now, n
+            )  # or what it repeats would be expected of the origin for ever
     assert balancer.gate.part <= 0.6
     for n in range(100, 400):
         now = 50_000.0 + 20.0 * n
@@ -108,10 +112,15 @@
     before = homes(balancer)
     for n, home in enumerate(before):
         # Kind "q" (odd servers) serves hits in half the time of kind "f".
-        balancer.on_outcome(90.0, 10_000 + n, 0, True, "success", home, 60.0 if int(home[1:]) % 2 else 120.0, 1)
+        balancer.on_outcome(
+            90.0, 10_000 + n, 0, True, "success", home, 60.0 if int(home[1:]) % 2 else 120.0, 1
+        )
     assert not balancer.held
     balancer.fleet.speeds.served = {"f": [9000.0, 9000.0], "q": [9000.0, 6000.0]}
-    sent = [balancer.on_request(100.0, 50_000 + n, "read", f"k{n}", 1000.0, write=True)[0] for n in range(400)]
+    sent = [
+        balancer.on_request(100.0, 50_000 + n, "read", f"k{n}", 1000.0, write=True)[0]
+        for n in range(400)
+    ]
     writes = [action[2] for action in sent if action[0] == "attempt"]
     assert len(writes) == 400
     assert all(int(server[1:]) % 2 for server in writes)
@@ -126,7 +135,10 @@
     early = balancer.on_request(0.0, 2, "read", "k", 900.0, repeated=True)[0]
     assert early[0] == "attempt" and isinstance(early[3], float) and 190.0 < early[3] <= 200.0
     balancer.gate.part = 0.95
-    names = [balancer.on_request(1.0, n, "read", f"k{n}", 400.0, repeated=True)[0][0] for n in range(10, 60)]
+    names = [
+        balancer.on_request(1.0, n, "read", f"k{n}", 400.0, repeated=True)[0][0]
+        for n in range(10, 60)
+    ]
     assert set(names) == {"refuse"}
     first = [balancer.on_request(1.0, n, "read", f"k{n}", 400.0)[0][0] for n in range(100, 150)]
     assert first.count("attempt") > 40
@@ -138,7 +150,16 @@
         before = homes(balancer)
         for n, home in enumerate(before):
             bad = others_fail or home == "s3"
-            balancer.on_outcome(2.0, 10_000 + n, 0, True, "timed_out" if bad else "success", home, 300.0 if bad else 20.0, 0 if bad else 1)
+            balancer.on_outcome(
+                2.0,
+                10_000 + n,
+                0,
+                True,
+                "timed_out" if bad else "success",
+                home,
+                300.0 if bad else 20.0,
+                0 if bad else 1,
+            )
         balancer.gate.part = 1.0
         balancer.fetches.pressed = False  # the origin's budget has tests of its own
         after = [ask(balancer, 3.0, 20_000 + n, f"k{n}") for n in range(400)]
@@ -169,7 +190,14 @@
         assert action[0] == "attempt"
         bad = n % 25 == 0
         balancer.on_outcome(
-            now + 20.0, n, 0, True, "timed_out" if bad else "success", str(action[2]), 300.0 if bad else 20.0, 0 if bad else 1
+            now + 20.0,
+            n,
+            0,
+            True,
+            "timed_out" if bad else "success",
+            str(action[2]),
+            300.0 if bad else 20.0,
+            0 if bad else 1,
         )
     assert balancer.gate.part == 1.0
 
@@ -202,7 +230,10 @@
 
     def written(first: int) -> int:
         balancer.fetches.pressed = False
-        names = [balancer.on_request(100.0, n, "read", f"w{n}", 1000.0, write=True)[0][0] for n in range(first, first + 200)]
+        names = [
+            balancer.on_request(100.0, n, "read", f"w{n}", 1000.0, write=True)[0][0]
+            for n in range(first, first + 200)
+        ]
         return names.count("attempt")
 
     assert written(1000) == 200
@@ -237,10 +268,14 @@
             action = balancer.on_request(250.0 * n, n, "read", f"k{n}", 1000.0)[0]
             if action[0] == "attempt":
                 balancer.fleet.members[str(action[2])].strain = 0.0  # as if not avoided yet
-                balancer.on_outcome(250.0 * n + 200.0, n, 0, True, "timed_out", str(action[2]), 200.0)
+                balancer.on_outcome(
+                    250.0 * n + 200.0, n, 0, True, "timed_out", str(action[2]), 200.0
+                )
         return balancer.gate.part
 
-    assert 0.59 < shut(0.0) < 0.61  # the floor of docs/cold-and-full.md: 0.4 was measured to turn away what full caches serve
+    assert (
+        0.59 < shut(0.0) < 0.61
+    )  # the floor of docs/cold-and-full.md: 0.4 was measured to turn away what full caches serve
     assert 0.09 < shut(0.5) < 0.11
 
 
@@ -295,7 +330,9 @@
         for n in range(60):
             action = balancer.on_request(1000.0, n, "read", f"k{n}", 1000.0)[0]
             if action[0] == "attempt":
-                last = str(balancer.on_outcome(1100.0, n, 0, False, "failure", str(action[2]), 100.0)[0][0])
+                last = str(
+                    balancer.on_outcome(1100.0, n, 0, False, "failure", str(action[2]), 100.0)[0][0]
+                )
         return balancer.gate.part, last
 
     assert play(hits=0.2) == (0.1, "refuse")
@@ -331,7 +368,9 @@
         for attempt in range(3):
             # Most servers turn away nearly all (what they do not have, say), after a while.
             if int(server[1:]) < 9 and n % 10:
-                action = balancer.on_outcome(now + 60.0, n, attempt, False, "overloaded", server, 60.0)[0]
+                action = balancer.on_outcome(
+                    now + 60.0, n, attempt, False, "overloaded", server, 60.0
+                )[0]
                 if action[0] != "attempt":
                     break
                 server = str(action[2])
@@ -345,7 +384,9 @@
 def test_a_time_out_of_a_likely_miss_strains_no_server_and_one_of_a_likely_hit_does() -> None:
     def strain(known: bool) -> float:
         balancer = make([Server(f"s{i}", zone="a") for i in range(10)])
-        balancer.gate.origin_slow = 0.95 * ORIGIN_SLOW  # answered misses are slow; where they are quick see forkweir/test_gate.py
+        balancer.gate.origin_slow = (
+            0.95 * ORIGIN_SLOW
+        )  # answered misses are slow; where they are quick see forkweir/test_gate.py
         server = ask(balancer, 1000.0, 1, "k")
         if known:
             balancer.on_outcome(1020.0, 1, 0, True, "success", server, 20.0, 1)
@@ -360,14 +401,18 @@
     assert strain(True) > 10.0 * strain(False) > 0.0
 
 
-def test_full_queues_shut_the_gate_below_the_floor_of_quick_hits_and_orders_stay_let_in_longer() -> None:
+def test_full_queues_shut_the_gate_below_the_floor_of_quick_hits_and_orders_stay_let_in_longer() -> (
+    None
+):
     balancer = make([Server(f"s{i}", zone="a") for i in range(10)])
     balancer.gate.bad = 0.5
     for n in range(400):
         now, attempt = 250.0 * n, 0
         actions = balancer.on_request(now, n, "read", f"k{n}", 1000.0)
         while actions and actions[0][0] == "attempt":
-            actions = balancer.on_outcome(now + attempt, n, attempt, False, "overloaded", str(actions[0][2]), 1.0)
+            actions = balancer.on_outcome(
+                now + attempt, n, attempt, False, "overloaded", str(actions[0][2]), 1.0
+            )
             attempt += 1
         balancer.gate.bad = 0.5
     part = balancer.gate.part
--- a/tests/test_list_freshness.py
+++ b/tests/test_list_freshness.py
@@ -65,7 +65,11 @@
             process.config["settings"] = SLOW_ASKING  # for the next process; this one keeps its own
             process.process.terminate()
             await process.process.wait()
-            process.config["known"] = {"generation": 1, "reset": True, "instances": list(registry.entries.values())}
+            process.config["known"] = {
+                "generation": 1,
+                "reset": True,
+                "instances": list(registry.entries.values()),
+            }
             refusing = CountingRegistry({}, refusals=1_000)
             refusing.start()
             process.config["discovery"] = f"127.0.0.1:{refusing.port}"
@@ -94,7 +98,9 @@
 
 
 @pytest.mark.parametrize("delay_s", [0.0, 3.0, 4.0])
-def test_a_drain_behind_a_silent_watch_and_a_late_call_is_kept(tmp_path: Path, delay_s: float) -> None:
+def test_a_drain_behind_a_silent_watch_and_a_late_call_is_kept(
+    tmp_path: Path, delay_s: float
+) -> None:
     # Measured before: the call was hung up on after 3.2 s and begun anew, up to 9.2 s after the silence.
     async def test() -> None:
         leaving, staying = CacheBox(), CacheBox()
--- a/tests/test_listing.py
+++ b/tests/test_listing.py
@@ -54,14 +54,21 @@
             if not begin < at < end:
                 assert found[f"s{n}"] == STATES[n], (at, n)
         # What noise makes of a name is no name of a server (who it is not known to is passed over).
-        assert all(name in {"s0", "s1", "s2"} or state == "unreadable" for name, state in found.items())
+        assert all(
+            name in {"s0", "s1", "s2"} or state == "unreadable" for name, state in found.items()
+        )
 
 
 @given(st.integers(0, 2**32), st.lists(st.integers(0, 400), max_size=12))
-def test_lines_and_claims_are_the_same_however_the_bytes_are_cut(seed: int, cuts: list[int]) -> None:
+def test_lines_and_claims_are_the_same_however_the_bytes_are_cut(
+    seed: int, cuts: list[int]
+) -> None:
     rng = random.Random(seed)
     full = line([entry(n) for n in range(4)], True)
-    body = b"".join(rng.choice((TEXT, b"\n", full)) for _ in range(3)) + TEXT[: rng.randrange(len(TEXT) - 1)]
+    body = (
+        b"".join(rng.choice((TEXT, b"\n", full)) for _ in range(3))
+        + TEXT[: rng.randrange(len(TEXT) - 1)]
+    )
     lines, got, claims = Lines(), [], []
     at = 0
     for cut in sorted({min(cut, len(body)) for cut in cuts} | {len(body)}):
@@ -72,7 +79,9 @@
     assert got == [text.strip() for text in whole] and lines.rest() == part
     assert lines.unfinished == bool(part)
     wanted = [claim for claim in claims_of(part) if claim.server.state != "unreadable"]
-    assert wanted == claims[len(claims) - len(wanted) :]  # those before are of lines that came whole later
+    assert (
+        wanted == claims[len(claims) - len(wanted) :]
+    )  # those before are of lines that came whole later
 
 
 @given(st.binary(max_size=400), st.integers(0, len(TEXT)), st.integers(0, len(TEXT)))
@@ -104,13 +113,26 @@
             lines.receive(b"{" * 65_536)
 
 
-@pytest.mark.parametrize("text", [b"[1]", b"7", b"{}", b'{"generation":"x","instances":[]}', b'{"generation":1,"instances":7}', b"\xff"])
+@pytest.mark.parametrize(
+    "text",
+    [
+        b"[1]",
+        b"7",
+        b"{}",
+        b'{"generation":"x","instances":[]}',
+        b'{"generation":1,"instances":7}',
+        b"\xff",
+    ],
+)
 def test_what_is_no_list_is_told_so(text: bytes) -> None:
     with pytest.raises(BadList):
         parse(text)
 
 
-@pytest.mark.parametrize("place", ["127{.0.0.1:8001", "box.example.org:8001", "::1:8001", "127.0.0.1:80011", "127.0.0.256:8001"])
+@pytest.mark.parametrize(
+    "place",
+    ["127{.0.0.1:8001", "box.example.org:8001", "::1:8001", "127.0.0.1:80011", "127.0.0.256:8001"],
+)
 def test_an_entry_whose_place_is_no_ipv4_address_is_left_out(place: str) -> None:
     # Guards against noise within an address, in a line that can be read all the same: the node would look the name up.
     text = line([entry(0), {**entry(2, "in_service"), "hostPort": place}])
@@ -119,15 +141,29 @@
 
 
 @given(
-    lists=st.lists(st.tuples(st.integers(0, 3), st.sampled_from([0, 1, 2, 4, "\t", "as the page has it"]), st.integers(0, 2)), max_size=5),
+    lists=st.lists(
+        st.tuples(
+            st.integers(0, 3),
+            st.sampled_from([0, 1, 2, 4, "\t", "as the page has it"]),
+            st.integers(0, 2),
+        ),
+        max_size=5,
+    ),
     cuts=st.lists(st.integers(1, 400), max_size=12),
     end=st.sampled_from(["\n", "\r\n"]),
 )
-def test_an_object_may_come_indented_and_in_any_pieces(lists: list[tuple[int, int | str, int]], cuts: list[int], end: str) -> None:
+def test_an_object_may_come_indented_and_in_any_pieces(
+    lists: list[tuple[int, int | str, int]], cuts: list[int], end: str
+) -> None:
     text = b""
     wanted: list[dict[str, object] | None] = []
     for size, indent, beats in lists:
-        data = {"generation": len(wanted), "reset": False, "instances": [entry(n) for n in range(size)], "note": "} ], {\" \\"}
+        data = {
+            "generation": len(wanted),
+            "reset": False,
+            "instances": [entry(n) for n in range(size)],
+            "note": '} ], {" \\',
+        }
         if indent == "as the page has it":
             rows = json.dumps(data).replace(": [{", ": [\n  {").replace("}, {", "},\n  {")
         else:
--- a/tests/test_lost_lines.py
+++ b/tests/test_lost_lines.py
@@ -15,7 +15,9 @@
 from testbed.systems.standins import SPOIL_HOWS, SPOILT_BY, Spoil
 
 NAMES = ("s0", "s1", "s2", "s3", "s4")
-WAIT_MS = 300.0  # the shortest wait of a call after an ordinary failure here (0.3 of 0.05 x 2 x 10 s)
+WAIT_MS = (
+    300.0  # the shortest wait of a call after an ordinary failure here (0.3 of 0.05 x 2 x 10 s)
+)
 
 
 def boxes() -> dict[str, CacheBox]:
@@ -39,12 +41,17 @@
 @pytest.mark.parametrize("answers", [True, False])
 def test_a_drain_in_a_line_that_is_lost_in_part_is_kept(how: str, answers: bool) -> None:
     async def test() -> None:
-        async with rig(boxes(), 512) as made:  # room for all that is asked at once, however slow the machine
+        async with rig(
+            boxes(), 512
+        ) as made:  # room for all that is asked at once, however slow the machine
             patient(made)
             made.registry.refusing = not answers
             fresh = CacheBox()
             fresh.listen()
-            first, second = drains(made, "s1"), entry("s9", fresh.port)  # the line is spoilt behind its first entry
+            first, second = (
+                drains(made, "s1"),
+                entry("s9", fresh.port),
+            )  # the line is spoilt behind its first entry
             made.registry.spoils.append(Spoil(how, 260, SPOILT_BY[4]))
             made.registry.change(first, "terminating")
             made.registry.spoils.append(Spoil(how, 260, SPOILT_BY[4]))
@@ -80,7 +87,9 @@
             await until(lambda: "s2" not in serving(made))
             assert len(made.registry.watches) == 1 and made.discovery.book._hearsay.held == ("s2",)
             made.registry.mute = False
-            made.registry.change(entry("s2", made.boxes["s2"].port))  # back in service: only a sound line may say so
+            made.registry.change(
+                entry("s2", made.boxes["s2"].port)
+            )  # back in service: only a sound line may say so
             await asyncio.sleep(0.05)
             assert "s2" not in serving(made)
             made.discovery.move(("127.0.0.1", made.registry.port))
@@ -90,7 +99,9 @@
     play(test)
 
 
-def test_a_server_that_a_broken_entry_names_is_held_back_for_a_while_alone(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_server_that_a_broken_entry_names_is_held_back_for_a_while_alone(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     monkeypatch.setattr("forkweir.known.hearsay.SUSPECT_MS", 200.0)
     monkeypatch.setattr(address_book, "SUSPECT_MS", 200.0)
 
@@ -150,7 +161,9 @@
                     await asyncio.sleep(0.002)
 
             spoiling = asyncio.create_task(spoil())
-            await until(lambda: len(made.registry.asked) > asked + 2)  # the third waits like any other
+            await until(
+                lambda: len(made.registry.asked) > asked + 2
+            )  # the third waits like any other
             assert asyncio.get_running_loop().time() - begin > WAIT_MS / 1000.0
             spoiling.cancel()
             await until(lambda: len(made.discovery._fading) <= discovery.FADING_MOST)
@@ -173,16 +186,25 @@
 
 @pytest.mark.parametrize("missed", ["discovery_refuse", "discovery_mute"])
 @pytest.mark.parametrize("state", STATES)
-def test_a_drain_is_kept_where_framing_is_lost_in_any_state_of_a_watch(state: str, missed: str) -> None:
+def test_a_drain_is_kept_where_framing_is_lost_in_any_state_of_a_watch(
+    state: str, missed: str
+) -> None:
     at = 2_000.0
     faults = [
-        *(Fault(at_ms=at - before, kind="discovery_wrong", value=value) for before, value in STATES[state]),
-        Fault(at_ms=at - 0.3, kind="discovery_spoil", target=SPOIL_HOWS.index("framing"), value=20.0),
+        *(
+            Fault(at_ms=at - before, kind="discovery_wrong", value=value)
+            for before, value in STATES[state]
+        ),
+        Fault(
+            at_ms=at - 0.3, kind="discovery_spoil", target=SPOIL_HOWS.index("framing"), value=20.0
+        ),
         Fault(at_ms=at, kind="box_drain", target=1, for_ms=50.0),
     ]
     # The calls that would tell the drain anew fail for longer than it may take.
     refused = Fault(at_ms=min(fault.at_ms for fault in faults) - 0.1, kind=missed, for_ms=1_600.0)  # type: ignore[arg-type]
-    world = World(seconds=3.0, nodes=1, boxes=3, requests_per_s=150.0, keys=20, latency_us=50, jitter_us=0)
+    world = World(
+        seconds=3.0, nodes=1, boxes=3, requests_per_s=150.0, keys=20, latency_us=50, jitter_us=0
+    )
     result = simulation.run(7, Script(world=world, fault=[refused, *faults]), keep=True)
     assert not result.failures
     assert any("held back until a whole list comes: s1" in line for line in result.lines)
@@ -193,16 +215,24 @@
     async def test() -> None:
         async with rig(boxes()) as made:
             entries = ", ".join(json.dumps(drains(made, name)) for name in NAMES)
-            made.registry.tell_raw(b'{"generation": 999999, "reset": false, "instances": [' + entries.encode() + b'] nonsense}\n')
+            made.registry.tell_raw(
+                b'{"generation": 999999, "reset": false, "instances": ['
+                + entries.encode()
+                + b"] nonsense}\n"
+            )
             await until(lambda: len(serving(made)) == 1)
             last = serving(made)
-            await until(lambda: bool(made.discovery.book._overruled))  # the next whole list has come
+            await until(
+                lambda: bool(made.discovery.book._overruled)
+            )  # the next whole list has come
             assert serving(made) == last and status(await made.ask("a")) == 200
 
     play(test)
 
 
-def test_a_server_out_by_a_departure_alone_comes_back_once_that_has_lapsed(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_server_out_by_a_departure_alone_comes_back_once_that_has_lapsed(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     monkeypatch.setattr("forkweir.known.departures.HOLD_MS", 400.0)
     monkeypatch.setattr(address_book, "REINSTATE_S", 0.05)
 
--- a/tests/test_narrow_moments.py
+++ b/tests/test_narrow_moments.py
@@ -62,7 +62,9 @@
             made.frontend._sweep()
             assert status(await read(sock)) == 200
             sock.setblocking(True)
-            sock.sendall(request("b"))  # and the connection goes on: nothing of that time is held against the next one
+            sock.sendall(
+                request("b")
+            )  # and the connection goes on: nothing of that time is held against the next one
             assert status(await read(sock)) == 200
             sock.close()
 
@@ -106,7 +108,9 @@
             sock, rest = await half_asked(made)
             draining = asyncio.create_task(made.frontend.drain())
             await until(lambda: made.frontend._listener._sock.fileno() == -1)
-            idle = asyncio.get_running_loop().time() + 0.1  # beyond the moment at which all idle connections are closed
+            idle = (
+                asyncio.get_running_loop().time() + 0.1
+            )  # beyond the moment at which all idle connections are closed
             await until(lambda: asyncio.get_running_loop().time() > idle)
             sock.sendall(rest)
             assert status(await read(sock)) == 200
@@ -129,7 +133,9 @@
             waiting = [client(made, request(f"b{n}", path=f"/api/b{n}")) for n in range(3)]
             draining = asyncio.create_task(made.frontend.drain())
             await until(lambda: not made.frontend.duty.lasting)
-            taken = asyncio.get_running_loop().time() + 0.8  # the drain has found no place for them, again and again
+            taken = (
+                asyncio.get_running_loop().time() + 0.8
+            )  # the drain has found no place for them, again and again
             await until(lambda: asyncio.get_running_loop().time() > taken)
             hold.set()
             for sock in (*first, *waiting):
@@ -144,18 +150,26 @@
     # The answer says that the connection ends, and takes a while to be written. What comes meanwhile is left unread, and its
     # client asks again elsewhere; taken, it would be sent on and then dropped.
     async def test() -> None:
-        box = CacheBox(lambda head: whole(b"x" * 1_000_000) if head.split(b" ")[1] == b"/api/large" else good(head))
+        box = CacheBox(
+            lambda head: (
+                whole(b"x" * 1_000_000) if head.split(b" ")[1] == b"/api/large" else good(head)
+            )
+        )
         async with rig({"s0": box}) as made:
             made.frontend.duty.end(now_ms())
             sock = client(made, request("a", path="/api/large"), 4_096)
-            await until(lambda: any(c._stream._writer is not None for c in made.frontend._connections))
+            await until(
+                lambda: any(c._stream._writer is not None for c in made.frontend._connections)
+            )
             connection = only(made)
             sock.sendall(request("b"))
             await until(lambda: connection._stream.has_input or len(asked(made)) == 2)
             got = b""
             while piece := await read(sock):
                 got += piece
-            assert b"Connection: close" in got and got.endswith(b"x") and got.count(b"HTTP/1.1") == 1
+            assert (
+                b"Connection: close" in got and got.endswith(b"x") and got.count(b"HTTP/1.1") == 1
+            )
             assert asked(made) == [b"/api/large"]
             sock.close()
 
@@ -176,7 +190,9 @@
                     raise RuntimeError("planted")
                 return on_request(now, number, *more)
 
-            monkeypatch.setattr(type(made.node._balancer), "on_request", lambda self, *more: faulty(*more))
+            monkeypatch.setattr(
+                type(made.node._balancer), "on_request", lambda self, *more: faulty(*more)
+            )
             sock = client(made, request("a") + request("b"))
             got = b""
             while got.count(b"HTTP/1.1") < 2:
@@ -206,7 +222,9 @@
 # -- attempts ------------------------------------------------------------------------------------
 
 
-def test_no_byte_of_a_large_body_goes_to_a_server_after_its_grace(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_no_byte_of_a_large_body_goes_to_a_server_after_its_grace(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     # For drains a send counts from its first byte.
     async def test() -> None:
         async with rig({"s0": CacheBox()}) as made, dials_wait(monkeypatch) as come_up:
@@ -221,10 +239,14 @@
             ended = asyncio.Event()
             server = await asyncio.start_server(take, "127.0.0.1", 0)
             made.node.servers["s0"].address = server.sockets[0].getsockname()[:2]
-            head = request("a", "Content-Length: 65500\r\nIdempotency-Key: k\r\n", lane="pay", method="PUT")
+            head = request(
+                "a", "Content-Length: 65500\r\nIdempotency-Key: k\r\n", lane="pay", method="PUT"
+            )
             asking = asyncio.create_task(made.send(head + b"x" * 65_500))
             await until(lambda: bool(made.node._running))
-            made.node.servers["s0"].leaving_ms = now_ms() - 400.0  # its grace of 250 ms is over as the dial comes up
+            made.node.servers["s0"].leaving_ms = (
+                now_ms() - 400.0
+            )  # its grace of 250 ms is over as the dial comes up
             come_up()
             await until(lambda: not made.node._calls)
             assert received == b""
@@ -234,7 +256,9 @@
     play(test)
 
 
-def test_a_repeat_that_waited_for_its_dial_is_not_sent_after_its_window(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_repeat_that_waited_for_its_dial_is_not_sent_after_its_window(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     async def test() -> None:
         options = options_of()
         options["services"] = [{**c, "windowMs": 2_000} for c in options["services"]]
@@ -244,7 +268,11 @@
 
         async with rig({"s0": CacheBox(reset), "s1": CacheBox(reset)}, options=options) as made:
             async with dials_wait(monkeypatch) as come_up:
-                asking = asyncio.create_task(made.ask("a", "Content-Length: 0\r\nIdempotency-Key: k\r\n", lane="pay", method="PUT"))
+                asking = asyncio.create_task(
+                    made.ask(
+                        "a", "Content-Length: 0\r\nIdempotency-Key: k\r\n", lane="pay", method="PUT"
+                    )
+                )
                 await until(lambda: bool(made.node._running))
                 # As if an earlier attempt had gone out: this one is dialed within the window, and comes up when that is over.
                 made.node._calls[1].ran_ms = now_ms() - 2_100.0
--- a/tests/test_path_counts.py
+++ b/tests/test_path_counts.py
@@ -18,7 +18,10 @@
 
 def test_a_risen_count_is_named_with_how_much() -> None:
     now = {"get": {**HELD["get"], "tasks": HELD["get"]["tasks"] + 1.0, "fsync": 1.0}}
-    assert [line.split(",")[0] for line in risen(now, {"get": HELD["get"]})] == ["get: fsync 1", f"get: tasks {now['get']['tasks']:g}"]
+    assert [line.split(",")[0] for line in risen(now, {"get": HELD["get"]})] == [
+        "get: fsync 1",
+        f"get: tasks {now['get']['tasks']:g}",
+    ]
 
 
 def test_the_counts_are_the_same_every_time() -> None:
--- a/tests/test_plain.py
+++ b/tests/test_plain.py
@@ -19,7 +19,11 @@
     b"x", b"", b" ", b"read", b"5", b"0", b"-1", b"+5", b"5, 5", b"65536", b"65537", b"99999999999999", b"chunked", b"close",
     b"Keep-Alive", b"100-continue", b"a\tb", b" padded ", b"\x00", b"caf\xe9", b"a\rb", b"hit", b"1", b"identity",
 ]  # fmt: skip
-FIELD = st.tuples(st.sampled_from(NAMES), st.sampled_from([b":", b": ", b" :", b":\t", b""]), st.sampled_from(VALUES))
+FIELD = st.tuples(
+    st.sampled_from(NAMES),
+    st.sampled_from([b":", b": ", b" :", b":\t", b""]),
+    st.sampled_from(VALUES),
+)
 ENDS = st.sampled_from([b"\r\n", b"\r\n", b"\r\n", b"\n", b"\r\n ", b""])
 STARTS = st.sampled_from(
     [b"GET /api/k HTTP/1.1", b"PUT /api/k?x=1 HTTP/1.1", b"GET  /k HTTP/1.1", b"GET /k HTTP/1.0", b"get /k HTTP/1.1",
@@ -37,8 +41,11 @@
     data = draw(starts) + draw(ENDS) + draw(st.sampled_from([usual, usual, b""]))
     for name, colon, value in draw(st.lists(FIELD, max_size=4)):
         data += name + colon + value + draw(ENDS)
-    return data + draw(st.sampled_from([b"\r\n", b"\r\n", b"\r\n", b"\n", b""])) + draw(st.sampled_from([b"", b"abcde",
-    b"GET / HTTP/1.1\r\n"]))
+    return (
+        data
+        + draw(st.sampled_from([b"\r\n", b"\r\n", b"\r\n", b"\n", b""]))
+        + draw(st.sampled_from([b"", b"abcde", b"GET / HTTP/1.1\r\n"]))
+    )
 
 
 def same(head: Head, event: object, parser: h11.Connection, data: bytes) -> None:
@@ -47,7 +54,10 @@
     assert event.http_version == b"1.1"
     assert parser.trailing_data[0] == data[head.end :]
     told = head.fields.get(b"content-length")
-    assert head.length == (None if told is None else int(told)) and b"transfer-encoding" not in head.fields
+    assert (
+        head.length == (None if told is None else int(told))
+        and b"transfer-encoding" not in head.fields
+    )
     # What h11 takes for the body is what the length says.
     body = b""
     while isinstance(event := parser.next_event(), h11.Data):
@@ -64,7 +74,10 @@
     parser = h11.Connection(h11.SERVER)
     parser.receive_data(data)
     event = parser.next_event()
-    assert isinstance(event, h11.Request) and (event.method, event.target) == (head.method, head.target)
+    assert isinstance(event, h11.Request) and (event.method, event.target) == (
+        head.method,
+        head.target,
+    )
     assert not parser.they_are_waiting_for_100_continue
     same(head, event, parser, data)
 
@@ -93,11 +106,22 @@
     # Guards against a pattern so narrow that nothing goes this way.
     usual = b"GET /api/7f3a?x=1 HTTP/1.1\r\nHost: service.internal\r\nX-Txn: 9b1f\r\nX-Lane: read\r\nX-Remaining-Ms: 480\r\n\r\n"
     head = request_head(usual + b"GET")
-    assert head is not None and head.end == len(usual) and head.fields[b"x-lane"] == b"read" and head.length is None
-    put = request_head(b"PUT /k HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\nConnection: keep-alive\r\n\r\nabc")
+    assert (
+        head is not None
+        and head.end == len(usual)
+        and head.fields[b"x-lane"] == b"read"
+        and head.length is None
+    )
+    put = request_head(
+        b"PUT /k HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\nConnection: keep-alive\r\n\r\nabc"
+    )
     assert put is not None and put.method == b"PUT" and put.length == 3
     answer = response_head(b"HTTP/1.1 200 OK\r\nX-Found: hit\r\nContent-Length: 3\r\n\r\nabc")
-    assert answer is not None and (answer.status, answer.length, answer.fields[b"x-found"]) == (200, 3, b"hit")
+    assert answer is not None and (answer.status, answer.length, answer.fields[b"x-found"]) == (
+        200,
+        3,
+        b"hit",
+    )
 
 
 @pytest.mark.parametrize(
--- a/tests/test_presence.py
+++ b/tests/test_presence.py
@@ -45,7 +45,9 @@
         assert 600.0 <= seen.unread_ms() < 600.0 + 3.0 * PERIOD_MS
         assert seen.present_ms() - before <= PERIOD_MS + LATE_MS
         await asyncio.sleep(0.0)
-        assert seen.unread_ms() >= 600.0  # the loop has turned once, and may not have read everything
+        assert (
+            seen.unread_ms() >= 600.0
+        )  # the loop has turned once, and may not have read everything
         await asyncio.sleep(0.4)
         assert seen.unread_ms() < UNREAD_MS and seen.holds[-2] == 1 and seen.longest_ms > 500.0
         assert seen.stale(looked_ms) and not seen.stale(now_ms())
@@ -97,7 +99,16 @@
 
 def write_drain(made: Rig, name: str) -> None:
     """Discovery writes that a server drains, in this moment, to every watch."""
-    line = json.dumps({"generation": 9, "reset": False, "instances": [entry(name, made.boxes[name].port, "terminating")]}).encode() + b"\n"
+    line = (
+        json.dumps(
+            {
+                "generation": 9,
+                "reset": False,
+                "instances": [entry(name, made.boxes[name].port, "terminating")],
+            }
+        ).encode()
+        + b"\n"
+    )
     for connection in made.registry.watches:
         assert connection.stream.push(b"%x\r\n%b\r\n" % (len(line), line)) > len(line)
 
@@ -110,11 +121,16 @@
             made.presence.start()
             assert status(await made.ask("first")) == 200
             await asyncio.sleep(0.15)
-            asked = [sent(made, request(f"held{budget}", within_ms=budget)) for budget in (400, 5_000)]
+            asked = [
+                sent(made, request(f"held{budget}", within_ms=budget)) for budget in (400, 5_000)
+            ]
             before = len(box.heads)
             hold(0.7)
             assert await asyncio.gather(*map(answered, asked)) == [503, 200]
-            assert made.figures.refused["late"] + made.figures.refused["behind"] == 1 and len(box.heads) == before + 1
+            assert (
+                made.figures.refused["late"] + made.figures.refused["behind"] == 1
+                and len(box.heads) == before + 1
+            )
             told = int(box.heads[-1].partition(b"X-Remaining-Ms: ")[2].split(b"\r\n")[0])
             assert 3_500 < told <= 5_000 - 690
             made.presence.close()
@@ -123,7 +139,9 @@
 
 
 @pytest.mark.parametrize("hold_s", [0.2, 0.4])
-def test_a_drain_that_stands_unread_goes_before_the_requests_that_stand_beside_it(hold_s: float) -> None:
+def test_a_drain_that_stands_unread_goes_before_the_requests_that_stand_beside_it(
+    hold_s: float,
+) -> None:
     # Incident of issue 48: requests went to draining servers whose drain had been written while the node was held up. Its grace counts
     # from when it was written.
     async def test() -> None:
@@ -157,8 +175,12 @@
             def unread() -> bool:
                 nonlocal looks
                 looks += 1
-                if looks == 1:  # what stands unread is a drain that was written long ago; it is read in the next turn
-                    asyncio.get_running_loop().call_soon(setattr, made.node.servers["s0"], "leaving_ms", now_ms() - 1_000.0)
+                if (
+                    looks == 1
+                ):  # what stands unread is a drain that was written long ago; it is read in the next turn
+                    asyncio.get_running_loop().call_soon(
+                        setattr, made.node.servers["s0"], "leaving_ms", now_ms() - 1_000.0
+                    )
                 return looks == 1
 
             made.node.list_unread = unread
@@ -215,7 +237,9 @@
     play(test)
 
 
-def test_holds_are_logged_at_a_bounded_rate(caplog: pytest.LogCaptureFixture, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_holds_are_logged_at_a_bounded_rate(
+    caplog: pytest.LogCaptureFixture, monkeypatch: pytest.MonkeyPatch
+) -> None:
     monkeypatch.setattr(presence, "LOG_MS", 60_000.0)
 
     async def test() -> None:
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -65,9 +65,20 @@
         self.path.write_text(json.dumps(self.config))
 
     async def start(self) -> None:
-        environ = {**os.environ, "PROXY_CONFIG": str(self.path), "PROXY_DISCOVERY": self.config["discovery"], **self.more}
+        environ = {
+            **os.environ,
+            "PROXY_CONFIG": str(self.path),
+            "PROXY_DISCOVERY": self.config["discovery"],
+            **self.more,
+        }
         self.process = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "corkshift", cwd=ROOT, env=environ, stderr=asyncio.subprocess.PIPE, pass_fds=self.descriptors
+            sys.executable,
+            "-m",
+            "corkshift",
+            cwd=ROOT,
+            env=environ,
+            stderr=asyncio.subprocess.PIPE,
+            pass_fds=self.descriptors,
         )
         self.reading = asyncio.create_task(self._read_log())
 
@@ -99,7 +110,11 @@
 
 @asynccontextmanager
 async def running(
-    path: Path, box: CacheBox, more: dict[str, str] | None = None, descriptors: tuple[int, ...] = (), port: int = 0
+    path: Path,
+    box: CacheBox,
+    more: dict[str, str] | None = None,
+    descriptors: tuple[int, ...] = (),
+    port: int = 0,
 ) -> AsyncIterator[tuple[Process, Registry]]:
     box.listen()
     registry = Registry({"s0": box})
@@ -139,7 +154,10 @@
     # Guards against SIGHUP ending the process, and against a list that stays with the old place.
     async def test() -> None:
         held: list[bytes] = []
-        box, fresh = CacheBox(lambda head: held.append(head) if b"/slow" in head else good(head)), CacheBox()
+        box, fresh = (
+            CacheBox(lambda head: held.append(head) if b"/slow" in head else good(head)),
+            CacheBox(),
+        )
         async with running(tmp_path / "config.json", box) as (process, registry):
             slow = asyncio.create_task(process.ask("slow", "/slow"))
             await until(lambda: len(held) == 1)
@@ -163,7 +181,9 @@
 
 
 @pytest.mark.parametrize("text", [None, "{", '{"listen": 5}', "[]"])
-def test_a_reload_of_a_bad_file_changes_nothing_but_the_log(tmp_path: Path, text: str | None) -> None:
+def test_a_reload_of_a_bad_file_changes_nothing_but_the_log(
+    tmp_path: Path, text: str | None
+) -> None:
     # Guards against a slip in the file taking a node out of service.
     async def test() -> None:
         async with running(tmp_path / "config.json", CacheBox()) as (process, registry):
@@ -195,7 +215,9 @@
             slow = asyncio.create_task(process.send(request("slow", path="/slow")))
             await until(lambda: len(heads) == 1)
             process.process.send_signal(signal.SIGTERM)
-            late = await process.send(request("late"))  # still taken, and told that the connection ends
+            late = await process.send(
+                request("late")
+            )  # still taken, and told that the connection ends
             assert status(late) == 200 and b"connection: close" in late.lower()
             release.set()
             assert status(await slow) == 200
@@ -205,13 +227,20 @@
 
 
 @pytest.mark.parametrize("text", [None, "{", '{"listen": "127.0.0.1:0"}', "[]"])
-def test_a_bad_file_at_the_start_ends_the_process_with_one_line(tmp_path: Path, text: str | None) -> None:
+def test_a_bad_file_at_the_start_ends_the_process_with_one_line(
+    tmp_path: Path, text: str | None
+) -> None:
     async def test() -> None:
         path = tmp_path / "config.json"
         if text is not None:
             path.write_text(text)
         process = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "corkshift", cwd=ROOT, env={**os.environ, "PROXY_CONFIG": str(path)}, stderr=asyncio.subprocess.PIPE
+            sys.executable,
+            "-m",
+            "corkshift",
+            cwd=ROOT,
+            env={**os.environ, "PROXY_CONFIG": str(path)},
+            stderr=asyncio.subprocess.PIPE,
         )
         _, errors = await process.communicate()
         assert process.returncode not in (0, None) and errors.count(b"\n") == 1
--- a/tests/test_replay.py
+++ b/tests/test_replay.py
@@ -18,8 +18,24 @@
 
 CLASSES = (
     ClassSpec("read", aim_ms=750, deadline_ms=2500, repeat="safe", worth=3),
-    ClassSpec("cart", aim_ms=800, deadline_ms=2000, repeat="keyed", group="all", repeat_window_ms=4000, worth=5),
-    ClassSpec("cell", aim_ms=800, deadline_ms=2000, repeat="keyed", group="cell", repeat_window_ms=900, worth=5),
+    ClassSpec(
+        "cart",
+        aim_ms=800,
+        deadline_ms=2000,
+        repeat="keyed",
+        group="all",
+        repeat_window_ms=4000,
+        worth=5,
+    ),
+    ClassSpec(
+        "cell",
+        aim_ms=800,
+        deadline_ms=2000,
+        repeat="keyed",
+        group="cell",
+        repeat_window_ms=900,
+        worth=5,
+    ),
     ClassSpec("once", aim_ms=1200, deadline_ms=2500, repeat="unsafe", late_worth=0.2, worth=8),
 )
 STATUSES = ("success", "failure", "overloaded", "timed_out", "unreachable", "broken", "spoilt")
@@ -29,11 +45,22 @@
     """A digest of all actions in a world drawn from a seed, in which this part of the attempts goes well."""
     rng = random.Random(seed)
     balancer = Balancer(
-        Settings(classes=CLASSES, zone="z1", asked=True, may_cancel=True, backoff_max_ms=1200.0, tick_ms=5.0), seed
+        Settings(
+            classes=CLASSES,
+            zone="z1",
+            asked=True,
+            may_cancel=True,
+            backoff_max_ms=1200.0,
+            tick_ms=5.0,
+        ),
+        seed,
     )
     digest, order = blake2b(digest_size=8), count()
     due: list[tuple[float, int, str, tuple[object, ...]]] = []
-    servers = {f"s{n}": Server(f"s{n}", f"z{n % 4}", f"k{n % 2}", n % 3, "in", 0.5 + n % 3) for n in range(14)}
+    servers = {
+        f"s{n}": Server(f"s{n}", f"z{n % 4}", f"k{n % 2}", n % 3, "in", 0.5 + n % 3)
+        for n in range(14)
+    }
     open_requests: dict[int, int] = {}
     now = 1_000.0
 
@@ -45,8 +72,18 @@
                     attempt = open_requests[request]
                     open_requests[request] = attempt + 1
                     status = "success" if rng.random() < calm else rng.choice(STATUSES)
-                    took = within if status == "timed_out" else min(within, rng.expovariate(1 / 120.0))
-                    heappush(due, (now + took, next(order), "outcome", (request, attempt, status, server, took)))
+                    took = (
+                        within if status == "timed_out" else min(within, rng.expovariate(1 / 120.0))
+                    )
+                    heappush(
+                        due,
+                        (
+                            now + took,
+                            next(order),
+                            "outcome",
+                            (request, attempt, status, server, took),
+                        ),
+                    )
                 case ("timer", int(token), float(at)):
                     heappush(due, (max(now, at), next(order), "timer", (token,)))
                 case ("refuse", int(request), _) | ("fail", int(request)):
@@ -68,7 +105,15 @@
             carry(
                 list(
                     balancer.on_request(
-                        now, number, spec.name, key, budget, 90.0, "", spec.name != "read", rng.random() < 0.05
+                        now,
+                        number,
+                        spec.name,
+                        key,
+                        budget,
+                        90.0,
+                        "",
+                        spec.name != "read",
+                        rng.random() < 0.05,
                     )
                 )
             )
@@ -84,7 +129,13 @@
                 open_requests.pop(request, None)
                 gone = True
             note = rng.choice((0, 1, 1, 1, 1, 2, 3)) if status == "success" else 0
-            carry(list(balancer.on_outcome(now, request, attempt, gone, str(status), str(server), took, note)))
+            carry(
+                list(
+                    balancer.on_outcome(
+                        now, request, attempt, gone, str(status), str(server), took, note
+                    )
+                )
+            )
         elif kind == "timer":
             if len(due) > 1 or args[0] == 3:
                 carry(list(balancer.on_timer(now, int(str(args[0])))))
@@ -92,9 +143,17 @@
             name = f"s{rng.randrange(16)}"
             state = rng.choice(("in", "in", "draining", "gone"))
             entry = Server(
-                name, f"z{rng.randrange(4)}", "k0", rng.randrange(3), state, 1.0, now if rng.random() < 0.5 else 0.0
+                name,
+                f"z{rng.randrange(4)}",
+                "k0",
+                rng.randrange(3),
+                state,
+                1.0,
+                now if rng.random() < 0.5 else 0.0,
+            )
+            carry(
+                list(balancer.on_list(now, rng.choice(("changes", "changes", "failed")), [entry]))
             )
-            carry(list(balancer.on_list(now, rng.choice(("changes", "changes", "failed")), [entry])))
     return digest.hexdigest()
 
 
@@ -102,5 +161,7 @@
     ("seed", "calm", "recorded"),
     [(1, 0.97, "371fa7d49c19d7cd"), (2, 0.8, "4d4b13f01e2c8b01"), (3, 0.3, "ca4d26dec1857a4c")],
 )
-def test_actions_on_a_recorded_stream_are_the_same_to_the_byte(seed: int, calm: float, recorded: str) -> None:
+def test_actions_on_a_recorded_stream_are_the_same_to_the_byte(
+    seed: int, calm: float, recorded: str
+) -> None:
     assert stream(seed, calm) == recorded
--- a/tests/test_rooms.py
+++ b/tests/test_rooms.py
@@ -15,7 +15,9 @@
     return ".".join(parts[:-1] if parts[-1] == "__init__" else parts)
 
 
-MODULES = {module_of(path): path for name in PACKAGES for path in sorted((ROOT / name).rglob("*.py"))}
+MODULES = {
+    module_of(path): path for name in PACKAGES for path in sorted((ROOT / name).rglob("*.py"))
+}
 
 
 def imports(path: Path, late: bool) -> set[str]:
@@ -24,7 +26,12 @@
     tree = ast.parse(path.read_text())
     nodes = list(ast.walk(tree))
     if not late:
-        inside = {id(node) for one in nodes if isinstance(one, ast.FunctionDef | ast.AsyncFunctionDef) for node in ast.walk(one)}
+        inside = {
+            id(node)
+            for one in nodes
+            if isinstance(one, ast.FunctionDef | ast.AsyncFunctionDef)
+            for node in ast.walk(one)
+        }
         nodes = [node for node in nodes if id(node) not in inside]
     for node in nodes:
         if isinstance(node, ast.Import):
@@ -65,7 +72,10 @@
 
 def test_no_circles() -> None:
     # A package's __init__ that offers what its modules define is not counted against those modules.
-    graph = {name: {other for other in imports(path, True) if not name.startswith(f"{other}.")} - {name} for name, path in MODULES.items()}
+    graph = {
+        name: {other for other in imports(path, True) if not name.startswith(f"{other}.")} - {name}
+        for name, path in MODULES.items()
+    }
     assert circles(graph) == []
     assert circles({"a": {"b"}, "b": {"c"}, "c": {"a"}, "d": {"a"}}) == [["a", "b", "c"]]
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -19,8 +19,12 @@
 
 CLASSES = (
     ClassSpec("read", aim_ms=300, deadline_ms=1000, repeat="safe"),
-    ClassSpec("keyed", aim_ms=400, deadline_ms=1000, repeat="keyed", group="cell", repeat_window_ms=500),
-    ClassSpec("keyed-all", aim_ms=400, deadline_ms=1000, repeat="keyed", group="all", repeat_window_ms=500),
+    ClassSpec(
+        "keyed", aim_ms=400, deadline_ms=1000, repeat="keyed", group="cell", repeat_window_ms=500
+    ),
+    ClassSpec(
+        "keyed-all", aim_ms=400, deadline_ms=1000, repeat="keyed", group="all", repeat_window_ms=500
+    ),
     ClassSpec("unsafe", aim_ms=300, deadline_ms=1000, repeat="unsafe"),
 )
 STATUSES = ("success", "failure", "overloaded", "timed_out", "unreachable", "broken", "spoilt")
@@ -48,7 +52,9 @@
     def __init__(self, seed: int, balancer: Optional[Balancer] = None) -> None:
         self.random = random.Random(seed)
         self.now = 1000.0
-        self.balancer = balancer or Balancer(Settings(classes=CLASSES, max_attempts=3, backoff_max_ms=500), seed)
+        self.balancer = balancer or Balancer(
+            Settings(classes=CLASSES, max_attempts=3, backoff_max_ms=500), seed
+        )
         self.state = {f"s{i}": "in" for i in range(6)}
         self.told = {name: 0.0 for name in self.state}
         self.requests: dict[int, Track] = {}
@@ -90,7 +96,9 @@
         if track.answered:
             raise BrokenRule("two answers")
         ran = any(status not in NEVER_RAN for _, _, status in track.attempts)
-        binding = track.spec.repeat == "unsafe" or (track.spec.repeat == "keyed" and track.spec.group != "all")
+        binding = track.spec.repeat == "unsafe" or (
+            track.spec.repeat == "keyed" and track.spec.group != "all"
+        )
         if refused and ran and binding:
             raise BrokenRule("refused what may have run")
         if self.now > track.deadline + 20.0:
@@ -119,9 +127,15 @@
         track.attempts[number] = (sent, server, status)
         if status == "success" and not track.answered:
             track.answered = True
-            self.balancer.on_outcome(self.now, request_id, number, True, status, server, self.now - sent, 1)
+            self.balancer.on_outcome(
+                self.now, request_id, number, True, status, server, self.now - sent, 1
+            )
         else:
-            self.carry(self.balancer.on_outcome(self.now, request_id, number, track.answered, status, server, self.now - sent))
+            self.carry(
+                self.balancer.on_outcome(
+                    self.now, request_id, number, track.answered, status, server, self.now - sent
+                )
+            )
 
     def advance(self, until: float) -> None:
         """Move the clock, with every time-out delivered when it is due."""
@@ -142,7 +156,9 @@
     def play(self, steps: int) -> None:
         for _ in range(steps):
             self.advance(self.now + self.random.choice((0.0, 5.0, 40.0)))
-            self.random.choice((self.arrive, self.arrive, self.end_attempt, self.end_attempt, self.change))()
+            self.random.choice(
+                (self.arrive, self.arrive, self.end_attempt, self.end_attempt, self.change)
+            )()
         self.advance(self.now + 5000.0)
         if any(not t.answered for t in self.requests.values()):
             raise BrokenRule("a request was lost")
--- a/tests/test_seam.py
+++ b/tests/test_seam.py
@@ -8,7 +8,10 @@
 import pytest
 
 ROOT = Path(__file__).parent.parent
-REAL_SIDE = {ROOT / "corkshift" / "seam" / "__init__.py", ROOT / "corkshift" / "seam" / "process.py"}
+REAL_SIDE = {
+    ROOT / "corkshift" / "seam" / "__init__.py",
+    ROOT / "corkshift" / "seam" / "process.py",
+}
 # The command line runs before there is a node and outside of any world.
 COMMANDS = ROOT / "corkshift" / "cli"
 BANNED_MODULES = {
@@ -46,10 +49,20 @@
     found = []
     for node in ast.walk(ast.parse(code)):
         if isinstance(node, ast.Import):
-            found += [alias.name for alias in node.names if alias.name.split(".")[0] in BANNED_MODULES - {"signal"}]
-        elif isinstance(node, ast.ImportFrom) and (node.module or "").split(".")[0] in BANNED_MODULES:
+            found += [
+                alias.name
+                for alias in node.names
+                if alias.name.split(".")[0] in BANNED_MODULES - {"signal"}
+            ]
+        elif (
+            isinstance(node, ast.ImportFrom) and (node.module or "").split(".")[0] in BANNED_MODULES
+        ):
             found.append(str(node.module))
-        elif isinstance(node, ast.Attribute) and dotted(node).startswith("signal.") and node.attr not in SIGNAL_NUMBERS:
+        elif (
+            isinstance(node, ast.Attribute)
+            and dotted(node).startswith("signal.")
+            and node.attr not in SIGNAL_NUMBERS
+        ):
             found.append(dotted(node))
         elif isinstance(node, ast.Call):
             name = dotted(node.func)
@@ -66,10 +79,18 @@
 
 
 def test_no_code_of_the_node_goes_past_the_seam() -> None:
-    files = [path for package in ("corkshift", "forkweir") for path in sorted((ROOT / package).rglob("*.py"))]
+    files = [
+        path
+        for package in ("corkshift", "forkweir")
+        for path in sorted((ROOT / package).rglob("*.py"))
+    ]
     assert len(files) > 15
     scanned = [path for path in files if path not in REAL_SIDE and COMMANDS not in path.parents]
-    assert {str(path.relative_to(ROOT)): found for path in scanned if (found := past_the_seam(path.read_text()))} == {}
+    assert {
+        str(path.relative_to(ROOT)): found
+        for path in scanned
+        if (found := past_the_seam(path.read_text()))
+    } == {}
 
 
 @pytest.mark.parametrize(
--- a/tests/test_silence.py
+++ b/tests/test_silence.py
@@ -46,13 +46,17 @@
 
 
 @pytest.mark.parametrize(("lane", "method"), [("brisk", "GET"), ("pay", "PUT")])
-def test_what_may_be_repeated_is_asked_once_more_before_its_time_is_up(lane: str, method: str) -> None:
+def test_what_may_be_repeated_is_asked_once_more_before_its_time_is_up(
+    lane: str, method: str
+) -> None:
     # Guards against an attempt that waits for its whole time on a connection gone silent.
     async def test() -> None:
         script = silent_once()
         async with rig({"s0": CacheBox(script), "s1": CacheBox(script)}) as made:
             settled(made)
-            answer = await made.ask("a", "Idempotency-Key: k\r\nContent-Length: 0\r\n", lane=lane, method=method)
+            answer = await made.ask(
+                "a", "Idempotency-Key: k\r\nContent-Length: 0\r\n", lane=lane, method=method
+            )
             assert status(answer) == 200 and asked(made) == 2
             # The one that has not answered is given up, and nothing of it stays.
             await until(lambda: not made.node._attempts and not made.node._balancer.held)
@@ -67,7 +71,10 @@
         script = silent_once()
         async with rig({"s0": CacheBox(script), "s1": CacheBox(script)}) as made:
             settled(made)
-            assert status(await made.ask("a", "Content-Length: 0\r\n", lane="once", method="PUT")) == 502
+            assert (
+                status(await made.ask("a", "Content-Length: 0\r\n", lane="once", method="PUT"))
+                == 502
+            )
             assert asked(made) == 1
 
     play(test)
@@ -77,13 +84,18 @@
     # Guards against a server that hangs while the list names it, whose keys all wait for their whole time.
     async def test() -> None:
         mute = [True]
-        boxes = {"s0": CacheBox(lambda head: None if mute[0] else good(head)), **{f"s{n}": CacheBox() for n in range(1, 6)}}
+        boxes = {
+            "s0": CacheBox(lambda head: None if mute[0] else good(head)),
+            **{f"s{n}": CacheBox() for n in range(1, 6)},
+        }
         async with rig(boxes) as made:
             settled(made)
             n = 0
             while not out(made, "s0"):
                 keys = range(n, n + 24)
-                answers = await asyncio.gather(*(made.ask(f"a{k}", path=f"/api/{k}", lane="brisk") for k in keys))
+                answers = await asyncio.gather(
+                    *(made.ask(f"a{k}", path=f"/api/{k}", lane="brisk") for k in keys)
+                )
                 assert {status(answer) for answer in answers} <= {200, 503}
                 n += 24
             assert len(boxes["s0"].heads) >= 2 and not any(out(made, f"s{k}") for k in range(1, 6))
@@ -91,7 +103,9 @@
             before = len(boxes["s0"].heads)
             until_ms = member(made, "s0").out_until
             await until(lambda: now_ms() > until_ms)
-            answers = await asyncio.gather(*(made.ask(f"b{k}", path=f"/api/{k}", lane="brisk") for k in range(24)))
+            answers = await asyncio.gather(
+                *(made.ask(f"b{k}", path=f"/api/{k}", lane="brisk") for k in range(24))
+            )
             assert {status(answer) for answer in answers} == {200}
             assert len(boxes["s0"].heads) == before + 1 and out(made, "s0") == 2
             # Once it answers, it is in use again.
@@ -118,7 +132,9 @@
 
             async def batch(name: str) -> int:
                 before = len(boxes["s0"].heads)
-                await asyncio.gather(*(made.ask(f"{name}{k}", path=f"/api/{k}", lane="brisk") for k in range(120)))
+                await asyncio.gather(
+                    *(made.ask(f"{name}{k}", path=f"/api/{k}", lane="brisk") for k in range(120))
+                )
                 return len(boxes["s0"].heads) - before
 
             usual = [await batch(f"good{n}-") for n in range(10)][-1]
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -19,7 +19,13 @@
 from corkshift.seam import now_ms
 from testbed.soak.shim import ACCEPT_ERRORS, Shim, SystemCall, build
 
-LOCAL_CONNECT = (errno.EADDRNOTAVAIL, errno.ENETUNREACH, errno.ENETDOWN, errno.ENOBUFS, errno.ENOMEM)
+LOCAL_CONNECT = (
+    errno.EADDRNOTAVAIL,
+    errno.ENETUNREACH,
+    errno.ENETDOWN,
+    errno.ENOBUFS,
+    errno.ENOMEM,
+)
 REMOTE_CONNECT = (errno.ECONNREFUSED, errno.EHOSTUNREACH, errno.ETIMEDOUT)
 SOCKET = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
 BUFFERS = (errno.ENOBUFS, errno.ENOMEM, errno.EINTR, errno.EAGAIN)
@@ -33,7 +39,9 @@
 
 
 @asynccontextmanager
-async def shimmed(tmp_path: Path, library: Path, box: CacheBox) -> AsyncIterator[tuple[Process, Registry, Shim]]:
+async def shimmed(
+    tmp_path: Path, library: Path, box: CacheBox
+) -> AsyncIterator[tuple[Process, Registry, Shim]]:
     """A node process with the shim, one server, and an operators' address."""
     shim = Shim(library, tmp_path / "control")
     more = {**shim.environment, "PROXY_ADMIN_ADDR": f"127.0.0.1:{free_port()}"}
@@ -51,7 +59,10 @@
     writer.write(b"GET /admin/stats HTTP/1.1\r\nHost: x\r\n\r\n")
     text = (await reader.read()).partition(b"\r\n\r\n")[2].decode()
     writer.close()
-    return {name: int(value) for name, _, value in (line.partition("=") for line in text.splitlines() if "=" in line)}
+    return {
+        name: int(value)
+        for name, _, value in (line.partition("=") for line in text.splitlines() if "=" in line)
+    }
 
 
 async def ask_all(process: Process, name: str, count: int = 12) -> list[int]:
@@ -77,8 +88,15 @@
 @pytest.mark.parametrize("for_s", [0.05, 0.4])
 @pytest.mark.parametrize(
     ("call", "error"),
-    [(SystemCall.CONNECT, error) for error in LOCAL_CONNECT] + [(SystemCall.SOCKET, error) for error in SOCKET],
-    ids=lambda value: value.name if isinstance(value, SystemCall) else errno.errorcode[value] if isinstance(value, int) else str(value),
+    [(SystemCall.CONNECT, error) for error in LOCAL_CONNECT]
+    + [(SystemCall.SOCKET, error) for error in SOCKET],
+    ids=lambda value: (
+        value.name
+        if isinstance(value, SystemCall)
+        else errno.errorcode[value]
+        if isinstance(value, int)
+        else str(value)
+    ),
 )
 def test_a_dial_that_this_machine_can_not_begin_is_tried_again(
     tmp_path: Path, library: Path, call: SystemCall, error: int, for_s: float
@@ -94,13 +112,17 @@
             assert shim.hits(call) > 0
             counts = await figures(process)
             assert counts[f"svc.local_errors.{errno.errorcode[error]}"] > 0
-            assert counts["svc.pool_ejected"] == 0 and not any(counts[f"svc.refused.{cause}"] for cause in ("tries", "gate"))
+            assert counts["svc.pool_ejected"] == 0 and not any(
+                counts[f"svc.refused.{cause}"] for cause in ("tries", "gate")
+            )
 
     play(test)
 
 
 @pytest.mark.parametrize("error", REMOTE_CONNECT, ids=errno.errorcode.get)
-def test_a_server_that_can_not_be_reached_is_refused_with_a_promise_and_comes_back(tmp_path: Path, library: Path, error: int) -> None:
+def test_a_server_that_can_not_be_reached_is_refused_with_a_promise_and_comes_back(
+    tmp_path: Path, library: Path, error: int
+) -> None:
     # There is one server alone: nothing else can be tried. Whoever asks is told that trying again is harmless, and nobody is lost.
     async def test() -> None:
         box = CacheBox()
@@ -116,7 +138,9 @@
 
 @pytest.mark.parametrize("for_s", [0.05, 0.4])
 @pytest.mark.parametrize("error", ACCEPT_ERRORS, ids=errno.errorcode.get)
-def test_accepting_that_fails_for_a_moment_loses_no_client(tmp_path: Path, library: Path, error: int, for_s: float) -> None:
+def test_accepting_that_fails_for_a_moment_loses_no_client(
+    tmp_path: Path, library: Path, error: int, for_s: float
+) -> None:
     async def test() -> None:
         async with shimmed(tmp_path, library, CacheBox()) as (process, _, shim):
             shim.fail(SystemCall.ACCEPT, error)
@@ -128,8 +152,12 @@
 
 
 @pytest.mark.parametrize("error", BUFFERS, ids=errno.errorcode.get)
-@pytest.mark.parametrize("call", [SystemCall.SEND, SystemCall.RECV], ids=lambda call: str(call.name))
-def test_reads_and_writes_without_buffers_go_on_a_moment_later(tmp_path: Path, library: Path, call: SystemCall, error: int) -> None:
+@pytest.mark.parametrize(
+    "call", [SystemCall.SEND, SystemCall.RECV], ids=lambda call: str(call.name)
+)
+def test_reads_and_writes_without_buffers_go_on_a_moment_later(
+    tmp_path: Path, library: Path, call: SystemCall, error: int
+) -> None:
     # Before, ENOBUFS and ENOMEM ended the connection, and a client's whole answer with it.
     async def test() -> None:
         box = CacheBox()
@@ -143,8 +171,12 @@
 
 
 @pytest.mark.parametrize("error", BROKEN, ids=errno.errorcode.get)
-@pytest.mark.parametrize("call", [SystemCall.SEND, SystemCall.RECV], ids=lambda call: str(call.name))
-def test_a_connection_that_breaks_costs_that_connection_alone(tmp_path: Path, library: Path, call: SystemCall, error: int) -> None:
+@pytest.mark.parametrize(
+    "call", [SystemCall.SEND, SystemCall.RECV], ids=lambda call: str(call.name)
+)
+def test_a_connection_that_breaks_costs_that_connection_alone(
+    tmp_path: Path, library: Path, call: SystemCall, error: int
+) -> None:
     # One call fails, whoever's it is: a client's (its connection ends), a server's (another attempt) or discovery's (another watch).
     async def test() -> None:
         async with shimmed(tmp_path, library, CacheBox()) as (process, _, shim):
@@ -154,7 +186,9 @@
                 assert sum(answer != 200 for answer in answers) <= 1
             shim.heal(call)
             assert await ask_all(process, "b") == [200] * 12
-            assert process.process.returncode is None and not any("Traceback" in line for line in process.log)
+            assert process.process.returncode is None and not any(
+                "Traceback" in line for line in process.log
+            )
 
     play(test)
 
@@ -169,7 +203,12 @@
             registry.change(entry("s1", fresh.port))
             assert await ask_all(process, "a") == [200] * 12
             body = b"v" * 3_000
-            put = request("put", f"Connection: close\r\nContent-Length: {len(body)}\r\n", method="PUT") + body
+            put = (
+                request(
+                    "put", f"Connection: close\r\nContent-Length: {len(body)}\r\n", method="PUT"
+                )
+                + body
+            )
             assert status(await process.send(put)) == 200
             assert (box.bodies + fresh.bodies)[-1:] == [body] or body in box.bodies + fresh.bodies
             while not fresh.heads:
@@ -179,7 +218,9 @@
 
 
 @pytest.mark.parametrize("call", list(SystemCall), ids=lambda call: str(call.name))
-def test_calls_that_fail_while_the_node_ends_lose_nothing(tmp_path: Path, library: Path, call: SystemCall) -> None:
+def test_calls_that_fail_while_the_node_ends_lose_nothing(
+    tmp_path: Path, library: Path, call: SystemCall
+) -> None:
     async def test() -> None:
         box = CacheBox(lambda head: slow(head))
         async with shimmed(tmp_path, library, box) as (process, _, shim):
@@ -200,12 +241,16 @@
 
 
 @pytest.mark.parametrize("step_ms", [-HOUR_MS, -5_000, 5_000, HOUR_MS])
-def test_a_wall_clock_that_steps_in_service_changes_no_span(tmp_path: Path, library: Path, step_ms: int) -> None:
+def test_a_wall_clock_that_steps_in_service_changes_no_span(
+    tmp_path: Path, library: Path, step_ms: int
+) -> None:
     # Deadlines, graces, waits and windows are spans of real time: a request out over a step has its whole time and no more.
     async def test() -> None:
         box = CacheBox(lambda head: None if b"/never" in head else good(head))
         async with shimmed(tmp_path, library, box) as (process, registry, shim):
-            data = request("never", "Connection: close\r\n", "/api/never").replace(b"X-Remaining-Ms: 20000", b"X-Remaining-Ms: 900")
+            data = request("never", "Connection: close\r\n", "/api/never").replace(
+                b"X-Remaining-Ms: 20000", b"X-Remaining-Ms: 900"
+            )
             began = now_ms()
             never = asyncio.create_task(process.send(data))
             await until(lambda: any(b"/never" in head for head in box.heads))
@@ -256,7 +301,9 @@
         await asyncio.sleep(0.02)
 
 
-def test_a_node_held_up_before_each_write_tells_no_server_more_than_its_client_has(tmp_path: Path, library: Path) -> None:
+def test_a_node_held_up_before_each_write_tells_no_server_more_than_its_client_has(
+    tmp_path: Path, library: Path
+) -> None:
     # 0.15 s between reading the clock and writing: the deadline told is at most 0.15 s more than is left.
     async def test() -> None:
         arrived: list[tuple[float, float]] = []
@@ -271,7 +318,9 @@
             for n in range(4):
                 shim.stall_writes(150, 1)
                 sent_ms = now_ms()
-                data = request(f"stalled-{n}", "Connection: close\r\n").replace(b"X-Remaining-Ms: 20000", b"X-Remaining-Ms: 1000")
+                data = request(f"stalled-{n}", "Connection: close\r\n").replace(
+                    b"X-Remaining-Ms: 20000", b"X-Remaining-Ms: 1000"
+                )
                 assert status(await process.send(data)) == 200
                 at_ms, told_ms = arrived[-1]
                 assert at_ms - sent_ms >= 140.0
@@ -280,22 +329,33 @@
     play(test)
 
 
-def test_a_request_that_waited_to_be_accepted_has_the_rest_of_its_time(tmp_path: Path, library: Path) -> None:
+def test_a_request_that_waited_to_be_accepted_has_the_rest_of_its_time(
+    tmp_path: Path, library: Path
+) -> None:
     # Its client's time runs from its last byte, which stood in the kernel while accept failed; before, it got its whole deadline anew.
     async def test() -> None:
         arrived: list[tuple[float, float]] = []
 
         def script(head: bytes) -> bytes:
-            arrived.append((now_ms(), float(head.partition(b"X-Remaining-Ms: ")[2].partition(b"\r\n")[0])))
+            arrived.append(
+                (now_ms(), float(head.partition(b"X-Remaining-Ms: ")[2].partition(b"\r\n")[0]))
+            )
             return good(head)
 
         async with shimmed(tmp_path, library, CacheBox(script)) as (process, _, shim):
             arrived.clear()
             shim.fail(SystemCall.ACCEPT, errno.ENFILE)
-            data = request("waits", "Connection: close\r\n").replace(b"X-Remaining-Ms: 20000", b"X-Remaining-Ms: 1500")
-            late = request("late", "Connection: close\r\n").replace(b"X-Remaining-Ms: 20000", b"X-Remaining-Ms: 300")
+            data = request("waits", "Connection: close\r\n").replace(
+                b"X-Remaining-Ms: 20000", b"X-Remaining-Ms: 1500"
+            )
+            late = request("late", "Connection: close\r\n").replace(
+                b"X-Remaining-Ms: 20000", b"X-Remaining-Ms: 300"
+            )
             sent_ms = now_ms()
-            asked = [asyncio.create_task(process.send(data)), asyncio.create_task(process.send(late))]
+            asked = [
+                asyncio.create_task(process.send(data)),
+                asyncio.create_task(process.send(late)),
+            ]
             await until(lambda: shim.hits(SystemCall.ACCEPT) > 0)
             await asyncio.sleep(0.6)
             shim.heal(SystemCall.ACCEPT)
--- a/tests/test_unframed_responses.py
+++ b/tests/test_unframed_responses.py
@@ -24,7 +24,9 @@
 class UnframedServer:
     """Answers each request by a head without a length, a body, and the end of the connection: a FIN or a reset."""
 
-    def __init__(self, body: bytes, reset: bool = False, head: bytes = HEAD, pause_s: float = 0.0) -> None:
+    def __init__(
+        self, body: bytes, reset: bool = False, head: bytes = HEAD, pause_s: float = 0.0
+    ) -> None:
         self.body, self.reset, self.head, self.pause_s = body, reset, head, pause_s
         self.requests = 0
 
@@ -71,9 +73,15 @@
         return answer
 
 
-@pytest.mark.parametrize("head", [HEAD, HEAD + b"Connection: close\r\n", HEAD.replace(b"1.1", b"1.0")], ids=["1.1", "close", "1.0"])
+@pytest.mark.parametrize(
+    "head",
+    [HEAD, HEAD + b"Connection: close\r\n", HEAD.replace(b"1.1", b"1.0")],
+    ids=["1.1", "close", "1.0"],
+)
 @pytest.mark.parametrize("size", [0, 10, LONGEST, 300_000])
-def test_a_response_that_ends_with_its_connection_is_forwarded_whole(size: int, head: bytes) -> None:
+def test_a_response_that_ends_with_its_connection_is_forwarded_whole(
+    size: int, head: bytes
+) -> None:
     body = b"x" * size
     answers: list[bytes] = []
 
@@ -90,12 +98,16 @@
     answers: list[bytes] = []
 
     async def test() -> None:
-        answers.append(await ask_through(UnframedServer(b"x" * size, reset=True, pause_s=0.02), "a"))
+        answers.append(
+            await ask_through(UnframedServer(b"x" * size, reset=True, pause_s=0.02), "a")
+        )
 
     play(test)
     answer = answers[0]
     chunked = b"transfer-encoding: chunked" in answer.lower()
-    assert status(answer) != 200 or (chunked and not answer.endswith(b"\r\n0\r\n\r\n")) or not answer
+    assert (
+        status(answer) != 200 or (chunked and not answer.endswith(b"\r\n0\r\n\r\n")) or not answer
+    )
 
 
 def test_a_node_process_forwards_responses_that_end_with_their_connection(tmp_path: Path) -> None:
@@ -131,7 +143,9 @@
             return HEAD + b"\r\nevil" if len(heads) == 1 else good(head)
 
         async with rig({"s0": CacheBox(script), "s1": CacheBox(script)}) as made:
-            made.node._balancer.usual = HEDGE_LEAST  # as after many quick answers: what is out for long stands out early
+            made.node._balancer.usual = (
+                HEDGE_LEAST  # as after many quick answers: what is out for long stands out early
+            )
             more = "X-Remaining-Ms: 1500\r\n" if lane == "order" else ""
             data = request("a", more + "Connection: close\r\n", lane=lane)
             if more:
@@ -141,6 +155,8 @@
             if lane == "brisk":
                 assert status(answer) == 200 and len(heads) == 2
             else:
-                assert status(answer) in (502, 504) and len(heads) == 1  # it may have run, and may not be repeated
+                assert (
+                    status(answer) in (502, 504) and len(heads) == 1
+                )  # it may have run, and may not be repeated
 
     play(test)
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -83,11 +83,16 @@
             more = {"PROXY_SOCKET_FD": str(listening.fileno()), "PROXY_LISTEN": f"127.0.0.1:{port}"}
             box = CacheBox(script)
             old_more = {**more, "PROXY_ADMIN_ADDR": f"127.0.0.1:{desks[0]}"}
-            async with running(tmp_path / "config.json", box, old_more, (listening.fileno(),), port) as (old, registry):
+            async with running(
+                tmp_path / "config.json", box, old_more, (listening.fileno(),), port
+            ) as (old, registry):
                 load = Load(port)
                 clients = [asyncio.create_task(load.client(f"c{n}")) for n in range(24)]
                 new = Successor(tmp_path / "config.json", registry)
-                new.more, new.descriptors = {**more, "PROXY_ADMIN_ADDR": f"127.0.0.1:{desks[1]}"}, (listening.fileno(),)
+                new.more, new.descriptors = (
+                    {**more, "PROXY_ADMIN_ADDR": f"127.0.0.1:{desks[1]}"},
+                    (listening.fileno(),),
+                )
                 await new.start()
                 try:
                     while await health(desks[1]) != 200:
@@ -108,12 +113,17 @@
     play(test)
 
 
-def test_a_descriptor_that_is_no_listening_socket_ends_the_start_with_one_line(tmp_path: Path) -> None:
+def test_a_descriptor_that_is_no_listening_socket_ends_the_start_with_one_line(
+    tmp_path: Path,
+) -> None:
     async def test() -> None:
         with socket.socket() as sock:
             process = Process(tmp_path / "config.json", None)
             process.write()
-            process.more, process.descriptors = {"PROXY_SOCKET_FD": str(sock.fileno())}, (sock.fileno(),)
+            process.more, process.descriptors = (
+                {"PROXY_SOCKET_FD": str(sock.fileno())},
+                (sock.fileno(),),
+            )
             await process.start()
             assert await process.process.wait() == 1
             await process.reading
@@ -130,7 +140,9 @@
         ({"PROXY_ADMIN_ADDR": "9800"}, "not an address: '9800'"),
     ],
 )
-def test_a_variable_that_can_not_be_ends_the_start_with_one_line(tmp_path: Path, more: dict[str, str], word: str) -> None:
+def test_a_variable_that_can_not_be_ends_the_start_with_one_line(
+    tmp_path: Path, more: dict[str, str], word: str
+) -> None:
     async def test() -> None:
         process = Process(tmp_path / "config.json", None)
         process.write()
@@ -155,5 +167,3 @@
             assert len(process.log) == 1 and process.config["admin_addr"] in process.log[0]
 
     play(test)
-
-
--- a/tests/testbed/test_call_faults.py
+++ b/tests/testbed/test_call_faults.py
@@ -32,7 +32,10 @@
 
 def test_nights_reach_every_call_and_error() -> None:
     drawn = {
-        int(fault.value) for n in range(400) for fault in draw(CALLS_FROM + n).fault if fault.kind == "node_calls"
+        int(fault.value)
+        for n in range(400)
+        for fault in draw(CALLS_FROM + n).fault
+        if fault.kind == "node_calls"
     }
     assert drawn == set(range(len(TABLE)))
 
--- a/tests/testbed/test_fleet.py
+++ b/tests/testbed/test_fleet.py
@@ -12,7 +12,15 @@
 from testbed.nights.traffic import Traffic, counted
 
 SEED = 7  # not one that `python -m benchmarks.fleet` plays
-IN_TIME = {"calm": 0.97, "herd": 0.95, "overbooked": 0.96, "join": 0.95, "zone": 0.94, "half": 0.70, "together": 0.90}
+IN_TIME = {
+    "calm": 0.97,
+    "herd": 0.95,
+    "overbooked": 0.96,
+    "join": 0.95,
+    "zone": 0.94,
+    "half": 0.70,
+    "together": 0.90,
+}
 
 
 @cache
@@ -28,7 +36,9 @@
     assert result.failures == []
     assert figures.in_time >= IN_TIME[name] * figures.asked, figures
     # What is asked again is bounded by what clients ask, over the fleet as at one node.
-    lives = NODES * (2 if name in ("herd", "together") else 1)  # a node that starts anew has savings anew
+    lives = NODES * (
+        2 if name in ("herd", "together") else 1
+    )  # a node that starts anew has savings anew
     assert traffic.again <= (REPEATS + ERRORS) * traffic.requests + 2.0 * BANK * lives
     # Nobody calls discovery in step: in no second more often than each node once, and a node that was killed once more.
     assert traffic.lists_most <= NODES * 1.1
@@ -59,5 +69,11 @@
 """.splitlines()
     got = counted(lines)
     assert (got.requests, got.attempts, got.again, got.refused, got.failed) == (2, 2, 1, 1, 1)
-    assert (got.handshakes, got.lost_dials, got.idle_most, got.lists, got.lists_most) == (1, 1, 1, 3, 2)
+    assert (got.handshakes, got.lost_dials, got.idle_most, got.lists, got.lists_most) == (
+        1,
+        1,
+        1,
+        3,
+        2,
+    )
     assert got.share(got.again) == 0.5
--- a/tests/testbed/test_hard_cases.py
+++ b/tests/testbed/test_hard_cases.py
@@ -131,7 +131,13 @@
         raise AssertionError("the answer is held whole")
 
 
-def beside(loop: VirtualLoop, net: Network, node: Process, program: Callable[[], Coroutine[Any, Any, None]], after_us: int) -> None:
+def beside(
+    loop: VirtualLoop,
+    net: Network,
+    node: Process,
+    program: Callable[[], Coroutine[Any, Any, None]],
+    after_us: int,
+) -> None:
     """Run a program to its end in a node's process, beside a box that answers so many us after a request has come."""
     box, server = Process("box", net, BOX), Exact((BOX, 8001))
     server.after_us = after_us
@@ -225,21 +231,31 @@
     crossed = 0
     for seed in range(1, 9):
         result = run(
-            seed, Script(world=World(seconds=1.5, nodes=1, boxes=3, requests_per_s=150.0, latency_us=2_000)), keep=True
+            seed,
+            Script(
+                world=World(seconds=1.5, nodes=1, boxes=3, requests_per_s=150.0, latency_us=2_000)
+            ),
+            keep=True,
         )
         assert result.failures == []
         left = {line.split()[-1] for line in result.lines if " client leaves " in line}
-        crossed += sum(1 for line in result.lines if " answers " in line and line.split()[-1] in left)
+        crossed += sum(
+            1 for line in result.lines if " answers " in line and line.split()[-1] in left
+        )
     assert crossed > 3
 
 
 def test_a_box_restarted_under_its_own_id_while_a_request_is_on_its_socket() -> None:
     world = World(seconds=1.5, nodes=1, boxes=5, requests_per_s=150.0, cores=1)
-    faults = [Fault(at_ms=at, kind="box_quick_restart", target=n) for n, at in enumerate((300, 301, 302))]
+    faults = [
+        Fault(at_ms=at, kind="box_quick_restart", target=n) for n, at in enumerate((300, 301, 302))
+    ]
     result = good(Script(world=world, fault=faults))
     broken = [line.split()[3] for line in result.lines if " receives " in line]
     twice = {txn for txn in broken if broken.count(txn) > 1}
-    assert twice  # some that were lost with the old process were asked again, where their class allows it
+    assert (
+        twice
+    )  # some that were lost with the old process were asked again, where their class allows it
 
 
 @pytest.mark.parametrize("at_ms", [120.0, 125.0, 130.0, 135.0, 149.9])
@@ -267,5 +283,7 @@
 
 
 def test_no_descriptors_left() -> None:
-    result = good(Script(world=SMALL, fault=[Fault(at_ms=100, kind="node_descriptors", for_ms=200)]))
+    result = good(
+        Script(world=SMALL, fault=[Fault(at_ms=100, kind="node_descriptors", for_ms=200)])
+    )
     assert logged(result, "n0 logs WARNING cannot accept") and result.figures.served > 10
--- a/tests/testbed/test_large_fleet.py
+++ b/tests/testbed/test_large_fleet.py
@@ -4,7 +4,9 @@
 
 from testbed.soak.large_fleet import Scenario, run
 
-FIRST_LIST_S = 3.0  # from when discovery has the first list until a request is served, at a tenth of a core
+FIRST_LIST_S = (
+    3.0  # from when discovery has the first list until a request is served, at a tenth of a core
+)
 
 
 def test_the_first_list_of_3200_servers_breaks_no_rule_at_a_tenth_of_a_core() -> None:
@@ -19,7 +21,9 @@
 
 def test_servers_replaced_faster_than_homes_are_dealt_make_no_decision_fail() -> None:
     # Servers that went undrained count on for 30 s, so that 100 servers grow past the 256 for which ranges are doubled within a second.
-    result = run(Scenario(servers=100, seconds=6.0, replace_every_s=0.07, replaced_part=0.1, drain=False))
+    result = run(
+        Scenario(servers=100, seconds=6.0, replace_every_s=0.07, replaced_part=0.1, drain=False)
+    )
     assert result.decisions_failed == 0
     assert result.violations == []
     assert result.late_attempts == 0
--- a/tests/testbed/test_oracle.py
+++ b/tests/testbed/test_oracle.py
@@ -42,15 +42,24 @@
     assert most == pytest.approx(calm.figures.first_tries)
     assert calm.figures.good_tries > 0.93 * most  # some clients leave
     cold = [Fault(at_ms=300.0, kind="box_quick_restart", target=n) for n in range(2)]
-    hard = run(1, Script(world=World(seconds=4.0, nodes=1, boxes=2, cores=1, requests_per_s=150.0), fault=cold))
+    hard = run(
+        1,
+        Script(
+            world=World(seconds=4.0, nodes=1, boxes=2, cores=1, requests_per_s=150.0), fault=cold
+        ),
+    )
     most = sum(served_at_most(hard.demands, hard.supply).values())
     assert 0.3 * most < hard.figures.good_tries < most < 0.6 * hard.figures.first_tries
 
 
 def test_worth_for_work_prefers_no_cheap_requests_and_knows_the_order_book() -> None:
     heavy = [Demand(0.0, "read", 40.0, 199.0, 3.0, False) for _ in range(10)]
-    best = worth_at_most(heavy + reads(40), steady(1.0, 5))  # 200 ms of work fit, whichever requests they are
-    assert best.total == pytest.approx(3.0 * 200.0) and best.by_lane == pytest.approx({"read": 600.0})
+    best = worth_at_most(
+        heavy + reads(40), steady(1.0, 5)
+    )  # 200 ms of work fit, whichever requests they are
+    assert best.total == pytest.approx(3.0 * 200.0) and best.by_lane == pytest.approx(
+        {"read": 600.0}
+    )
     orders = reads(50, 8.0, "order", True)
     best = worth_at_most(reads(50) + orders, steady(1.0, 5, 0.05))  # ten places of the order book
     assert best.by_lane == pytest.approx({"order": 8.0 * 100.0, "read": 3.0 * 100.0})
--- a/tests/testbed/test_parity.py
+++ b/tests/testbed/test_parity.py
@@ -305,7 +305,9 @@
     kept = []
     for _ in range(4):
         kept.append(seam.stream())
-        seen.append(await named(asyncio.wait_for(seam.connect(kept[-1], listener.getsockname()), 0.3)))
+        seen.append(
+            await named(asyncio.wait_for(seam.connect(kept[-1], listener.getsockname()), 0.3))
+        )
     return seen
 
 
--- a/tests/testbed/test_simulation.py
+++ b/tests/testbed/test_simulation.py
@@ -22,9 +22,14 @@
 MANY = range(1, 201)
 HARD_PLAYED = 40
 LEAVING = range(40_000_001, 40_000_201)  # and on which many clients leave while their requests wait
-ONCE_FAILED = (10_060_276, 10_060_282)  # two calls to discovery and a replaced watch at rest: more timers than were counted on
+ONCE_FAILED = (
+    10_060_276,
+    10_060_282,
+)  # two calls to discovery and a replaced watch at rest: more timers than were counted on
 HARD = range(20_001, 20_201)  # hard nights, of which the first are played,
-TOLD = range(10_000_001, 10_000_201)  # and nights on which discovery spoils what it tells, likewise,
+TOLD = range(
+    10_000_001, 10_000_201
+)  # and nights on which discovery spoils what it tells, likewise,
 PAIRED = range(10_100_001, 10_100_021)  # also on watches that had already lost something
 SOURCED = range(20_000_001, 20_000_031)  # and on which nodes ask DNS too
 
@@ -50,7 +55,10 @@
     "serves-a-short-answer": (21, "one final answer"),
     "drops-what-is-held-at-a-drain": (5, "one final answer"),
     "never-sweeps": (19, "bad clients"),
-    "aborts-a-kept-connection": (40_000_108, "books"),  # two events in one instant: no ordinary night below 1,200 shows it any more
+    "aborts-a-kept-connection": (
+        40_000_108,
+        "books",
+    ),  # two events in one instant: no ordinary night below 1,200 shows it any more
     "has-no-deadline": (91, "one final answer"),
     "pushes-a-cold-server-over": (61, "no cold server pushed over"),
     "forgets-the-allowance-of-a-repeat": (20_004, "no cold server pushed over"),
@@ -64,25 +72,35 @@
 PAUSES = Script(
     world=World(seconds=5.0, nodes=3, boxes=3, cores=1, requests_per_s=200.0, keys=120),
     fault=[
-        *(Fault(at_ms=1_200.0 + 10.0 * box, kind="box_quick_restart", target=box) for box in range(3)),
         *(
-            Fault(at_ms=1_900.0 + 400.0 * turn + 20.0 * node, kind="node_pause", target=node, for_ms=200.0)
+            Fault(at_ms=1_200.0 + 10.0 * box, kind="box_quick_restart", target=box)
+            for box in range(3)
+        ),
+        *(
+            Fault(
+                at_ms=1_900.0 + 400.0 * turn + 20.0 * node,
+                kind="node_pause",
+                target=node,
+                for_ms=200.0,
+            )
             for turn in range(6)
             for node in range(3)
         ),
     ],
 )
-SCRIPTS = {"lets-out-what-a-pause-held": PAUSES}  # nights of defects that no drawn one shows (20,112 did, until strain faded in 5 s)
+SCRIPTS = {
+    "lets-out-what-a-pause-held": PAUSES
+}  # nights of defects that no drawn one shows (20,112 did, until strain faded in 5 s)
 
 
 def start(seeds: range, hash_seed: str) -> subprocess.Popen[str]:
     """A process of its own that prints the digests of seeds' traces, under a value of PYTHONHASHSEED."""
-    code = (
-        f"from testbed.nights.simulation import run\nfor seed in range({seeds.start}, {seeds.stop}): print(run(seed).digest)"
-    )
+    code = f"from testbed.nights.simulation import run\nfor seed in range({seeds.start}, {seeds.stop}): print(run(seed).digest)"
     environ = {**os.environ, "PYTHONHASHSEED": hash_seed}
     command = [sys.executable, "-c", code]
-    return subprocess.Popen(command, cwd=ROOT, env=environ, stdout=subprocess.PIPE, stderr=subprocess.PIPE, text=True)
+    return subprocess.Popen(
+        command, cwd=ROOT, env=environ, stdout=subprocess.PIPE, stderr=subprocess.PIPE, text=True
+    )
 
 
 def test_the_same_seed_is_the_same_trace_in_every_process() -> None:
@@ -102,8 +120,18 @@
 
 
 def test_no_seed_breaks_a_rule() -> None:
-    seeds = [*MANY, *HARD[:HARD_PLAYED], *TOLD[:HARD_PLAYED], *PAIRED, *SOURCED, *LEAVING[:HARD_PLAYED], *ONCE_FAILED]
-    failed = {summary.seed: summary.failures for summary in explore(seeds, JOBS) if summary.failures}
+    seeds = [
+        *MANY,
+        *HARD[:HARD_PLAYED],
+        *TOLD[:HARD_PLAYED],
+        *PAIRED,
+        *SOURCED,
+        *LEAVING[:HARD_PLAYED],
+        *ONCE_FAILED,
+    ]
+    failed = {
+        summary.seed: summary.failures for summary in explore(seeds, JOBS) if summary.failures
+    }
     assert failed == {}
 
 
@@ -125,7 +153,10 @@
 
 def test_a_night_without_faults_serves_everybody() -> None:
     figures = run(3, Script(world=World(seconds=2.0))).figures
-    assert figures.asked > 80 and figures.served + figures.left == figures.asked == figures.in_time + figures.left
+    assert (
+        figures.asked > 80
+        and figures.served + figures.left == figures.asked == figures.in_time + figures.left
+    )
 
 
 def test_shrinking_keeps_the_failure_and_drops_what_does_not_matter() -> None:
@@ -139,7 +170,9 @@
     )
     name = "drops-what-is-held-at-a-drain"
     wanted = kind_of(play(5, name, script).failures[0])
-    small, runs = shrink(5, script, wanted, lambda seed, candidate: play(seed, name, candidate).failures)
+    small, runs = shrink(
+        5, script, wanted, lambda seed, candidate: play(seed, name, candidate).failures
+    )
     assert [fault.kind for fault in small.fault] == ["node_term"] and runs > 3
     assert wanted in {kind_of(failure) for failure in play(5, name, small).failures}
 
@@ -184,6 +217,10 @@
 )
 def test_the_command_line_ends_with_what_came_of_it(arguments: list[str], code: int) -> None:
     done = subprocess.run(
-        [sys.executable, "-m", "corkshift", "sim", *arguments], cwd=ROOT, capture_output=True, timeout=120, check=False
+        [sys.executable, "-m", "corkshift", "sim", *arguments],
+        cwd=ROOT,
+        capture_output=True,
+        timeout=120,
+        check=False,
     )
     assert done.returncode == code and b"Traceback" not in done.stderr
--- a/tests/testbed/test_soak.py
+++ b/tests/testbed/test_soak.py
@@ -25,11 +25,28 @@
         self.now = 1_000_000.0
         monkeypatch.setattr(oracle_module, "now_ms", lambda: self.now)
         self.oracle = Oracle(GRACE_MS)
-        for table in (self.oracle.unreachable, self.oracle.hurt, self.oracle.held_up, self.oracle.deaf):
+        for table in (
+            self.oracle.unreachable,
+            self.oracle.hurt,
+            self.oracle.held_up,
+            self.oracle.deaf,
+        ):
             table["n0"] = Spans()
 
-    def ask(self, repeat: str = "safe", txn: str = "x1", first: bool = True, budget_ms: float = 2_000.0) -> Ask:
-        ask = Ask(txn, KINDS[repeat], "k", "", "n0", b"", sent_ms=self.now, first=first, budget_ms=budget_ms)
+    def ask(
+        self, repeat: str = "safe", txn: str = "x1", first: bool = True, budget_ms: float = 2_000.0
+    ) -> Ask:
+        ask = Ask(
+            txn,
+            KINDS[repeat],
+            "k",
+            "",
+            "n0",
+            b"",
+            sent_ms=self.now,
+            first=first,
+            budget_ms=budget_ms,
+        )
         self.oracle.asked(ask)
         return ask
 
@@ -37,7 +54,9 @@
         self.oracle.changed([{"instanceId": server, "lifecycle": "terminating", "startedAtMs": 0}])
 
     def writes_departure(self, server: str) -> None:
-        self.oracle.notified("n0", [{"instanceId": server, "lifecycle": "terminating", "startedAtMs": 0}])
+        self.oracle.notified(
+            "n0", [{"instanceId": server, "lifecycle": "terminating", "startedAtMs": 0}]
+        )
 
     @property
     def rules(self) -> list[Rule]:
@@ -182,7 +201,11 @@
 def test_spans_of_time() -> None:
     spans = Spans()
     spans.add(1_000.0, 2_000.0)
-    assert spans.overlap(1_500.0, 1_600.0) and spans.overlap(0.0, 1_000.0) and not spans.overlap(2_001.0, 3_000.0)
+    assert (
+        spans.overlap(1_500.0, 1_600.0)
+        and spans.overlap(0.0, 1_000.0)
+        and not spans.overlap(2_001.0, 3_000.0)
+    )
     assert spans.quiet_for(0.0, 500.0) == 500.0  # it ended before that began
     assert spans.quiet_for(0.0, 1_500.0) == 3_500.0
     spans.add(3_000.0, inf)
--- a/tests/tier/test_lending.py
+++ b/tests/tier/test_lending.py
@@ -6,11 +6,24 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from forkweir.tier.lending import HELD, WHOLE, Candidacy, Dealer, Holdings, Ledger, Voter, divide, majority, weight
+from forkweir.tier.lending import (
+    HELD,
+    WHOLE,
+    Candidacy,
+    Dealer,
+    Holdings,
+    Ledger,
+    Voter,
+    divide,
+    majority,
+    weight,
+)
 from testbed.check.lending import Scope, walk
 from testbed.tier.defects import planted
 
-wants = st.dictionaries(st.integers(0, 40), st.one_of(st.floats(0.0, 1e5), st.just(float("inf"))), max_size=12)
+wants = st.dictionaries(
+    st.integers(0, 40), st.one_of(st.floats(0.0, 1e5), st.just(float("inf"))), max_size=12
+)
 
 
 @given(wants)
@@ -20,35 +33,61 @@
     assert sum(dealt.values()) <= WHOLE
     assert dealt.keys() == {slot for slot, amount in want.items() if amount > 0.0}
     for slot, parts in dealt.items():
-        if parts < want[slot] - 1.0:  # whoever has less than it wants has no less than anybody else who wants as much
-            assert all(parts >= other - 1 for other_slot, other in dealt.items() if want[other_slot] >= want[slot]), dealt
-            assert all(parts + 1 >= other for other_slot, other in dealt.items() if other <= want[other_slot]), dealt
+        if (
+            parts < want[slot] - 1.0
+        ):  # whoever has less than it wants has no less than anybody else who wants as much
+            assert all(
+                parts >= other - 1
+                for other_slot, other in dealt.items()
+                if want[other_slot] >= want[slot]
+            ), dealt
+            assert all(
+                parts + 1 >= other
+                for other_slot, other in dealt.items()
+                if other <= want[other_slot]
+            ), dealt
     if dealt:
         assert sum(dealt.values()) > WHOLE - 2 * len(dealt)  # nothing is left over but by rounding
 
 
-@given(st.lists(st.tuples(st.dictionaries(st.integers(0, 4), st.floats(0.0, 90_000.0), max_size=5), st.floats(0.0, 3_000.0)), max_size=25))
+@given(
+    st.lists(
+        st.tuples(
+            st.dictionaries(st.integers(0, 4), st.floats(0.0, 90_000.0), max_size=5),
+            st.floats(0.0, 3_000.0),
+        ),
+        max_size=25,
+    )
+)
 @settings(max_examples=200, deadline=None)
-def test_what_is_out_never_sums_to_more_than_the_whole(rounds: list[tuple[dict[int, float], float]]) -> None:
+def test_what_is_out_never_sums_to_more_than_the_whole(
+    rounds: list[tuple[dict[int, float], float]],
+) -> None:
     """Each holder has, at the worst, the largest of its grants that have not ended: whichever of them came."""
     ledger, now, grants = Ledger(), 0.0, list[tuple[tuple[int, int], int, float]]()
     for want, passed in rounds:
         now += passed
-        for who, parts in ledger.deal(7, {(slot, 1): amount for slot, amount in want.items()}, 1_000.0, now).items():
+        for who, parts in ledger.deal(
+            7, {(slot, 1): amount for slot, amount in want.items()}, 1_000.0, now
+        ).items():
             grants.append((who, parts, now + 1_000.0))
         worst: dict[tuple[int, int], int] = {}
         for who, parts, until in grants:
             if until > now:
                 worst[who] = max(worst.get(who, 0), parts)
         assert sum(worst.values()) <= WHOLE
-        assert {who: parts for who, parts in ledger.holders(7, now).items() if parts} == {who: p for who, p in worst.items() if p}
+        assert {who: parts for who, parts in ledger.holders(7, now).items() if parts} == {
+            who: p for who, p in worst.items() if p
+        }
 
 
 def test_a_vote_is_promised_to_one_and_by_a_new_process_to_nobody() -> None:
     voter = Voter(4_000.0, 100.0)
     assert not voter.ask((1, 5), 1, 4_000.0)  # the process before it may have promised
     assert voter.ask((1, 5), 1, 4_100.0) and voter.ask((1, 5), 3, 5_000.0)
-    assert not voter.ask((2, 6), 1, 8_999.0) and not voter.ask((1, 7), 4, 8_999.0)  # nor to another process of the same node
+    assert not voter.ask((2, 6), 1, 8_999.0) and not voter.ask(
+        (1, 7), 4, 8_999.0
+    )  # nor to another process of the same node
     assert voter.ask((2, 6), 1, 9_000.0)
     voter.release((1, 5), 9, 9_001.0)
     assert not voter.ask((1, 5), 10, 9_001.0)  # what is not promised to it can't be released by it
@@ -67,7 +106,9 @@
     candidacy.called(2, 500.0)
     candidacy.voted(0, 1)
     candidacy.voted(3, 2)
-    assert candidacy.stands_until() == pytest.approx(HELD * 4_000.0)  # both are needed, so the one that ends first ends it
+    assert candidacy.stands_until() == pytest.approx(
+        HELD * 4_000.0
+    )  # both are needed, so the one that ends first ends it
     assert not candidacy.voted(2, 9)  # a call that was never sent
     candidacy.drop()
     assert not candidacy.voted(0, 2) and candidacy.stands_until() < 0.0
@@ -78,14 +119,24 @@
     first = holdings.replies(1_000.0)
     assert holdings.take((0, 9), 5, first, 2_000.0, 3.0, 7, 600, 1_500.0)
     lease = holdings.lease(7, 2_000.0)
-    assert lease is not None and lease.until_ms == pytest.approx(1_000.0 + HELD * 2_000.0) and lease.size == 3.0
-    assert not holdings.take((0, 9), 4, first, 2_000.0, 3.0, 7, 900, 1_600.0)  # an older word of the same keeper
-    assert not holdings.take((0, 9), 6, 99, 2_000.0, 3.0, 7, 900, 1_600.0)  # an answer to nothing that was said
+    assert (
+        lease is not None
+        and lease.until_ms == pytest.approx(1_000.0 + HELD * 2_000.0)
+        and lease.size == 3.0
+    )
+    assert not holdings.take(
+        (0, 9), 4, first, 2_000.0, 3.0, 7, 900, 1_600.0
+    )  # an older word of the same keeper
+    assert not holdings.take(
+        (0, 9), 6, 99, 2_000.0, 3.0, 7, 900, 1_600.0
+    )  # an answer to nothing that was said
     assert not holdings.take((0, 9), 6, first, 2_000.0, 3.0, 7, 900, 3_000.0)  # it came too late
     assert holdings.lease(7, 1_000.0 + HELD * 2_000.0) is None
     dealer = Dealer((1, 44), 3, 4_000.0, 0.0)
     number = dealer.holdings.replies(1_000.0)
-    assert not dealer.granted((0, 9), 43, 5, number, 2_000.0, 1.0, 7, 600, 1_100.0)  # meant for the process before it
+    assert not dealer.granted(
+        (0, 9), 43, 5, number, 2_000.0, 1.0, 7, 600, 1_100.0
+    )  # meant for the process before it
     assert dealer.granted((0, 9), 44, 5, number, 2_000.0, 1.0, 7, 600, 1_100.0)
 
 
--- a/tests/tier/test_lines.py
+++ b/tests/tier/test_lines.py
@@ -10,7 +10,19 @@
 from forkweir.choice import Balancer
 from forkweir.line import Line, equal_cuts, position_of
 from forkweir.settings import ClassSpec, Server, Settings
-from forkweir.tier.lines import BUCKETS, MOST_SHARES, PAGES, STALE_MS, WINDOW, Lines, Sketch, cuts_of, merged, packed, unpacked
+from forkweir.tier.lines import (
+    BUCKETS,
+    MOST_SHARES,
+    PAGES,
+    STALE_MS,
+    WINDOW,
+    Lines,
+    Sketch,
+    cuts_of,
+    merged,
+    packed,
+    unpacked,
+)
 from forkweir.tier.options import Options
 from forkweir.tier.seat import Seat
 from forkweir.tier.tier import Tier
@@ -31,11 +43,15 @@
     heavy = dict(sketch.heavy())
     total = sum(WEIGHTS)
     for n in range(20):
-        assert heavy[int(position_of(KEYS[n]) * BUCKETS)] == pytest.approx(8_000 * WEIGHTS[n] / total / WINDOW, rel=0.35)
+        assert heavy[int(position_of(KEYS[n]) * BUCKETS)] == pytest.approx(
+            8_000 * WEIGHTS[n] / total / WINDOW, rel=0.35
+        )
     assert sum(heavy.values()) <= 8_000 / WINDOW and len(heavy) <= MOST_SHARES
     for _ in range(2 * WINDOW):
         sketch.arrive(0.5)
-    assert sketch.weight < WINDOW and sketch.heavy()[0][1] > 0.4  # it forgets by halves, and is never more than its window
+    assert (
+        sketch.weight < WINDOW and sketch.heavy()[0][1] > 0.4
+    )  # it forgets by halves, and is never more than its window
     assert Sketch().heavy() == []
 
 
@@ -47,11 +63,22 @@
     assert unpacked(b"\x01\x02") == [] and len(unpacked(bytes(10))) == 3
 
 
-def test_a_merge_lays_windows_together_and_one_that_tells_too_much_moves_its_own_part_alone() -> None:
-    told = {0: (0.3, {5: 0.2}), 1: (0.1, {5: 0.05, 9: 0.02}), 2: (0.0, {}), 3: (1e9, {77: 300.0, 5: 100.0})}
+def test_a_merge_lays_windows_together_and_one_that_tells_too_much_moves_its_own_part_alone() -> (
+    None
+):
+    told = {
+        0: (0.3, {5: 0.2}),
+        1: (0.1, {5: 0.05, 9: 0.02}),
+        2: (0.0, {}),
+        3: (1e9, {77: 300.0, 5: 100.0}),
+    }
     filled, shares = merged(told)
     assert filled == pytest.approx((0.3 + 0.1 + 0.0 + 1.0) / 4)
-    assert dict(shares) == {5: pytest.approx((0.2 + 0.05 + 0.25) / 4), 9: pytest.approx(0.02 / 4), 77: pytest.approx(0.75 / 4)}
+    assert dict(shares) == {
+        5: pytest.approx((0.2 + 0.05 + 0.25) / 4),
+        9: pytest.approx(0.02 / 4),
+        77: pytest.approx(0.75 / 4),
+    }
     assert merged({}) == (0.0, [])
 
 
@@ -62,7 +89,9 @@
     cuts = cuts_of(shares, RANGES)
     assert len(cuts) == RANGES - 1 and cuts == sorted(cuts)
     position = 20_000.5 / BUCKETS
-    assert sum(abs(cut - position) < 1e-9 for cut in cuts) == pytest.approx(0.05 * RANGES, abs=2)  # it fills so many ranges
+    assert sum(abs(cut - position) < 1e-9 for cut in cuts) == pytest.approx(
+        0.05 * RANGES, abs=2
+    )  # it fills so many ranges
     far = [n for n, cut in enumerate(even) if 0.4 < cut < 0.9]
     assert [cuts[n] for n in far] == [even[n] for n in far]  # and moves none that are far away
     assert cuts == equal_cuts(sorted([*cuts_points(shares)]), RANGES)
@@ -112,12 +141,16 @@
                 ]  # fmt: skip
 
 
-def test_nodes_that_hear_one_another_cut_alike_and_one_that_hears_nobody_by_its_own_window() -> None:
+def test_nodes_that_hear_one_another_cut_alike_and_one_that_hears_nobody_by_its_own_window() -> (
+    None
+):
     balancers, tiers = nodes(5)
     played(balancers, tiers, 30_000.0, deaf=4)
     cuts = [balancer.line.cuts for balancer in balancers]
     homes = [[balancer.line.range_of(position_of(key)) for key in KEYS] for balancer in balancers]
-    apart = [sum(a != b for a, b in zip(homes[0], other, strict=True)) / len(KEYS) for other in homes[1:]]
+    apart = [
+        sum(a != b for a, b in zip(homes[0], other, strict=True)) / len(KEYS) for other in homes[1:]
+    ]
     assert max(apart[:3]) == 0.0, apart  # those that hear one another
     assert apart[3] > 0.005, apart  # the deaf one, as all were before
     assert balancers[4].line.shared is None and balancers[0].line.shared is not None
@@ -134,8 +167,12 @@
     assert lines.page(5, 2, 1, 2, 0.2, packed([(8, 0.05)]), 13.0)
     table = lines.table(RANGES, 20.0)
     assert table is not None and table is lines.table(RANGES, 30.0)
-    assert table.share(9.5 / BUCKETS) == pytest.approx(0.1 / 0.2, rel=0.03)  # of what is asked for, a half
-    assert not lines.page(5, 4, 0, 2, 0.2, b"", 31.0) and lines.table(RANGES, 32.0) is table  # half of a newer one
+    assert table.share(9.5 / BUCKETS) == pytest.approx(
+        0.1 / 0.2, rel=0.03
+    )  # of what is asked for, a half
+    assert (
+        not lines.page(5, 4, 0, 2, 0.2, b"", 31.0) and lines.table(RANGES, 32.0) is table
+    )  # half of a newer one
     other = lines.table(4_096, 33.0)
     assert other is not None and len(other.cuts) == 4_095
     assert lines.table(RANGES, 13.0 + STALE_MS + 1.0) is None
--- a/tests/tier/test_model.py
+++ b/tests/tier/test_model.py
@@ -18,7 +18,11 @@
     assert held > 120  # in most of them something is dealt
 
 
-RARE = ("any-process", "late-word", "outlasts-its-majority")  # the first two are held by test_lending, the third here below
+RARE = (
+    "any-process",
+    "late-word",
+    "outlasts-its-majority",
+)  # the first two are held by test_lending, the third here below
 
 
 @pytest.mark.parametrize("defect", [name for name in DEFECTS if name not in RARE])
@@ -30,7 +34,9 @@
 def test_a_keeper_that_outlasts_its_majority_is_found_when_it_is_cut_off_with_one_other() -> None:
     def failures() -> list[str]:
         pairs = ((0, 1), (1, 2), (2, 3), (3, 4), (4, 0))
-        scripts = [Script(5, 25.0, troubles=[Trouble(8_000.0, "cut", pair, 15_000.0)]) for pair in pairs]
+        scripts = [
+            Script(5, 25.0, troubles=[Trouble(8_000.0, "cut", pair, 15_000.0)]) for pair in pairs
+        ]
         return [failure for script in scripts for failure in Night(script, 1).run().failures]
 
     assert failures() == []
@@ -56,9 +62,15 @@
     night.run(19_900.0)
     rest = [[node.holds(bound) for node in night.alive()] for bound in BOUNDS]
     left = count - count // 2
-    assert all(min(parts) > 0.9 * WHOLE / left for parts in rest) if count % 2 else all(max(parts) == 0 for parts in rest), rest
+    assert (
+        all(min(parts) > 0.9 * WHOLE / left for parts in rest)
+        if count % 2
+        else all(max(parts) == 0 for parts in rest)
+    ), rest
     night.run()
-    assert all(min(node.holds(bound) for node in night.alive()) > 0.9 * WHOLE / count for bound in BOUNDS)
+    assert all(
+        min(node.holds(bound) for node in night.alive()) > 0.9 * WHOLE / count for bound in BOUNDS
+    )
     assert night.failures == []
 
 
@@ -88,14 +100,18 @@
             night._do_kill(Trouble(0.0, "kill", ten, 0.0))
         night.run(night.now + 15_000.0)
         held = [node.holds(bound) for bound in BOUNDS for node in night.alive()]
-        expected.append((len(night.alive()), min(held) > 0.9 * WHOLE / alive if alive > 12 else max(held) == 0))
+        expected.append(
+            (len(night.alive()), min(held) > 0.9 * WHOLE / alive if alive > 12 else max(held) == 0)
+        )
     assert expected == [(4, True), (14, True), (24, True), (14, True), (4, True)]
     assert night.failures == []
 
 
 def test_a_minute_and_a_half_of_a_cut_one_way_and_the_end_of_it() -> None:
     """What n0 and n1 send reaches nobody, and they hear all: they ask and are answered in vain, and hold nothing that counts twice."""
-    script = Script(5, 130.0, skewed=True, troubles=[Trouble(10_000.0, "one_way", (0, 1), 90_000.0)])
+    script = Script(
+        5, 130.0, skewed=True, troubles=[Trouble(10_000.0, "one_way", (0, 1), 90_000.0)]
+    )
     night = Night(script, 8).run(95_000.0)
     others = [node.holds(0) for node in night.nodes[2:]]
     assert min(others) > 0.9 * WHOLE / 3 and [node.holds(0) for node in night.nodes[:2]] == [0, 0]
@@ -104,7 +120,9 @@
 
 
 def test_one_that_comes_between_two_beats_is_called_at_once() -> None:
-    night = Night(Script(5, 30.0, skewed=False, troubles=[Trouble(8_000.0, "kill", (4,), 0.0)]), 6).run(16_000.0)
+    night = Night(
+        Script(5, 30.0, skewed=False, troubles=[Trouble(8_000.0, "kill", (4,), 0.0)]), 6
+    ).run(16_000.0)
     keeper = next(node for node in night.nodes if node.tier.keeps(node.now))
     night._revive(4)
     while 4 not in keeper.tier.members.there():
--- a/tests/tier/test_processes.py
+++ b/tests/tier/test_processes.py
@@ -34,7 +34,9 @@
 """
 COLD = b'[[fault]]\nat_ms = %d\nkind = "box_quick_restart"\ntarget = %d\n'
 CROWD = COLD % (100, 0) + COLD % (150, 1) + COLD % (5_000, 2)
-MIXED = CROWD + b"""
+MIXED = (
+    CROWD
+    + b"""
 [[fault]]
 at_ms = 6000
 kind = "node_kill"
@@ -60,6 +62,7 @@
 for_ms = 2000
 value = 0.3
 """
+)
 
 
 def script(faults: bytes) -> Script:
@@ -72,18 +75,26 @@
     assert report["leases"] > 50 and len(report["cold"]) == 3
     assert 0.9 * WHOLE < max(report["most_held"].values()) <= WHOLE
     assert report["requests"]["served"] > 800
-    assert {name for name, view in report["datagrams"].items() if view["malformed"] and view["stranger"]} == {"n1"}
+    assert {
+        name for name, view in report["datagrams"].items() if view["malformed"] and view["stranger"]
+    } == {"n1"}
     assert all(view["in"] > 50 for view in report["datagrams"].values())
-    assert len(report["held"]) == report["leases"] and {row[2] for row in report["held"]} == {f"n{n}" for n in range(5)}
+    assert len(report["held"]) == report["leases"] and {row[2] for row in report["held"]} == {
+        f"n{n}" for n in range(5)
+    }
 
 
-def test_the_same_script_on_the_virtual_clock_and_a_planted_lease_that_never_ends_is_found() -> None:
+def test_the_same_script_on_the_virtual_clock_and_a_planted_lease_that_never_ends_is_found() -> (
+    None
+):
     report = run_virtual(script(MIXED), 1)
     assert report["failures"] == [] and report["leases"] > 50
     assert 0.9 * WHOLE < max(report["most_held"].values()) <= WHOLE
     assert sorted(report["members"]) == [f"n{n}" for n in range(5)] and len(report["keepers"]) == 1
     with planted("never-given-back"):
-        assert any("shares add up" in failure for failure in run_virtual(script(MIXED), 1)["failures"])
+        assert any(
+            "shares add up" in failure for failure in run_virtual(script(MIXED), 1)["failures"]
+        )
 
 
 def test_while_two_configurations_of_peers_run_nothing_is_dealt_and_afterwards_it_is() -> None:
@@ -110,7 +121,10 @@
         (b'[[fault]]\nat_ms = 1\nkind = "peer_cut"\nfor_ms = 5', "needs the nodes of one side"),
         (b'[[fault]]\nat_ms = 1\nkind = "peer_loss"\nfor_ms = 5', "a share over 0"),
         (b'[[fault]]\nat_ms = 1\nkind = "peer_cut"\nnodes = [0]', "must end"),
-        (b'[[fault]]\nat_ms = 1\nkind = "node_kill"\nnodes = [0, 7]', "nodes[1]: the world has only 5"),
+        (
+            b'[[fault]]\nat_ms = 1\nkind = "node_kill"\nnodes = [0, 7]',
+            "nodes[1]: the world has only 5",
+        ),
     ],
 )
 def test_a_script_that_makes_no_sense_is_told_so(fault: bytes, what: str) -> None:
@@ -118,25 +132,42 @@
         script(fault)
 
 
-def test_what_real_processes_cannot_be_given_is_refused_before_anything_starts(tmp_path: Path) -> None:
+def test_what_real_processes_cannot_be_given_is_refused_before_anything_starts(
+    tmp_path: Path,
+) -> None:
     with pytest.raises(Unplayable, match="clock_jump"):
         Rig(script(b'[[fault]]\nat_ms = 1\nkind = "clock_jump"'), 1, tmp_path)
     path = tmp_path / "night.toml"
-    path.write_bytes(NIGHT.replace(b'tier = "on"', b"") % b'[[fault]]\nat_ms = 1\nkind = "peer_junk"')
-    done = subprocess.run([sys.executable, "-m", "corkshift", "tier", "run", str(path)], cwd=ROOT, capture_output=True, text=True)
+    path.write_bytes(
+        NIGHT.replace(b'tier = "on"', b"") % b'[[fault]]\nat_ms = 1\nkind = "peer_junk"'
+    )
+    done = subprocess.run(
+        [sys.executable, "-m", "corkshift", "tier", "run", str(path)],
+        cwd=ROOT,
+        capture_output=True,
+        text=True,
+    )
     assert done.returncode == 2 and 'tier = "on"' in done.stderr
 
 
-def test_a_rig_that_is_killed_leaves_no_node_behind_and_tier_show_reads_one_while_it_runs(tmp_path: Path) -> None:
+def test_a_rig_that_is_killed_leaves_no_node_behind_and_tier_show_reads_one_while_it_runs(
+    tmp_path: Path,
+) -> None:
     path, logs = tmp_path / "night.toml", tmp_path / "logs"
     path.write_bytes(NIGHT % b"")
-    rig = subprocess.Popen([sys.executable, "-m", "corkshift", "tier", "run", str(path), "--logs", str(logs)], cwd=ROOT)
+    rig = subprocess.Popen(
+        [sys.executable, "-m", "corkshift", "tier", "run", str(path), "--logs", str(logs)], cwd=ROOT
+    )
     try:
         admin = _until(lambda: json.loads((logs / "n4.json").read_text())["admin_addr"])
 
         def show() -> dict[str, Any]:
             done = subprocess.run(
-                [sys.executable, "-m", "corkshift", "tier", "show", "--json", admin], cwd=ROOT, capture_output=True, text=True, check=True
+                [sys.executable, "-m", "corkshift", "tier", "show", "--json", admin],
+                cwd=ROOT,
+                capture_output=True,
+                text=True,
+                check=True,
             )
             view: dict[str, Any] = json.loads(done.stdout)["nodes"][admin]
             assert [m["slot"] for m in view["members"] if m["state"] == "alive"] == list(range(5))
@@ -164,7 +195,13 @@
     while True:
         try:
             return attempt()
-        except (OSError, ValueError, AssertionError, ArithmeticError, subprocess.CalledProcessError):
+        except (
+            OSError,
+            ValueError,
+            AssertionError,
+            ArithmeticError,
+            subprocess.CalledProcessError,
+        ):
             if time.monotonic() > end:
                 raise
             time.sleep(0.05)
@@ -181,12 +218,29 @@
         allowed = {"allowed": {"peers": True}, "services": [{"name": "r"}]}
         port = free.getsockname()[1]
         free.close()
-        config = {"listen": f"127.0.0.1:{port}", "discovery": "127.0.0.1:1", "settings": allowed, "peer_listen": place, "peers": [place]}
+        config = {
+            "listen": f"127.0.0.1:{port}",
+            "discovery": "127.0.0.1:1",
+            "settings": allowed,
+            "peer_listen": place,
+            "peers": [place],
+        }
         path = tmp_path / "config.json"
         path.write_text(json.dumps(config))
         environ = {**os.environ, "PROXY_CONFIG": str(path)}
-        done = subprocess.run([sys.executable, "-m", "corkshift"], cwd=ROOT, env=environ, capture_output=True, text=True, timeout=30)
-    assert done.returncode == 1 and done.stderr.strip().splitlines()[-1] == f"corkshift: cannot listen: {place}: Address already in use"
+        done = subprocess.run(
+            [sys.executable, "-m", "corkshift"],
+            cwd=ROOT,
+            env=environ,
+            capture_output=True,
+            text=True,
+            timeout=30,
+        )
+    assert (
+        done.returncode == 1
+        and done.stderr.strip().splitlines()[-1]
+        == f"corkshift: cannot listen: {place}: Address already in use"
+    )
 
 
 @pytest.mark.parametrize(
@@ -198,16 +252,36 @@
         ({"peer_listen": "127.0.0.1"}, "peer_listen: an IPv4 address"),
     ],
 )
-def test_check_names_what_is_wrong_of_peers(tmp_path: Path, change: dict[str, Any], why: str) -> None:
-    options = {"allowed": {"peers": True}, "services": [{"name": "r"}], "slotNo": change.pop("slot", 0)}
-    places = {"listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "peer_listen": "127.0.0.1:3", "peers": ["127.0.0.1:3"]}
+def test_check_names_what_is_wrong_of_peers(
+    tmp_path: Path, change: dict[str, Any], why: str
+) -> None:
+    options = {
+        "allowed": {"peers": True},
+        "services": [{"name": "r"}],
+        "slotNo": change.pop("slot", 0),
+    }
+    places = {
+        "listen": "127.0.0.1:1",
+        "discovery": "127.0.0.1:2",
+        "peer_listen": "127.0.0.1:3",
+        "peers": ["127.0.0.1:3"],
+    }
     config = {**places, "settings": options}
     path = tmp_path / "config.json"
     path.write_text(json.dumps({**config, **change}))
-    done = subprocess.run([sys.executable, "-m", "corkshift", "check", str(path)], cwd=ROOT, capture_output=True, text=True)
+    done = subprocess.run(
+        [sys.executable, "-m", "corkshift", "check", str(path)],
+        cwd=ROOT,
+        capture_output=True,
+        text=True,
+    )
     assert done.returncode == 1 and why in done.stderr
     started = subprocess.run(
-        [sys.executable, "-m", "corkshift"], cwd=ROOT, env={**os.environ, "PROXY_CONFIG": str(path)}, capture_output=True, text=True
+        [sys.executable, "-m", "corkshift"],
+        cwd=ROOT,
+        env={**os.environ, "PROXY_CONFIG": str(path)},
+        capture_output=True,
+        text=True,
     )
     assert started.returncode == 2 and len(started.stderr.strip().splitlines()) == 1
 
@@ -238,17 +312,27 @@
     from forkweir.adapter import Adapter
 
     adapter = Adapter()
-    settings = {"services": [{"name": "r"}], "allowed": {"peers": True}, "balancers": 3, "slotNo": 0}
+    settings = {
+        "services": [{"name": "r"}],
+        "allowed": {"peers": True},
+        "balancers": 3,
+        "slotNo": 0,
+    }
     said: list[Any] = []
     for i in range(3):
-        said += [(i, action) for action in adapter.event(0.0, ["INIT", i, 40 + i, {**settings, "slotNo": i}])[1]]
+        said += [
+            (i, action)
+            for action in adapter.event(0.0, ["INIT", i, 40 + i, {**settings, "slotNo": i}])[1]
+        ]
     now, timers = 0.0, dict.fromkeys(range(3), 0.0)
     while now < 8_000.0:
         following: list[Any] = []
         for i, action in said:
             if action[0] == "publish":
                 assert len(action[2]) <= 512
-                following += [(action[1], a) for a in adapter.event(now, ["PEER", action[1], i, action[2]])[1]]
+                following += [
+                    (action[1], a) for a in adapter.event(now, ["PEER", action[1], i, action[2]])[1]
+                ]
             else:
                 timers[i] = action[2]
         said = following
@@ -263,11 +347,24 @@
 
 
 def test_books_sum_what_was_held_at_once() -> None:
-    first = spans_of(0, 5, [(7, 100, 0.0, 50.0), (7, 40, 30.0, 90.0), (8, 9, 0.0, 5.0)], float("inf"))
-    assert first == [Span(0, 5, 7, 100, 0.0, 30.0), Span(0, 5, 7, 40, 30.0, 90.0), Span(0, 5, 8, 9, 0.0, 5.0)]
+    first = spans_of(
+        0, 5, [(7, 100, 0.0, 50.0), (7, 40, 30.0, 90.0), (8, 9, 0.0, 5.0)], float("inf")
+    )
+    assert first == [
+        Span(0, 5, 7, 100, 0.0, 30.0),
+        Span(0, 5, 7, 40, 30.0, 90.0),
+        Span(0, 5, 8, 9, 0.0, 5.0),
+    ]
     killed = spans_of(1, 6, [(7, 60, 20.0, 80.0)], 35.0)
     assert most_held([*first, *killed]) == {7: (160, 20.0), 8: (9, 0.0)}
     assert at_time([*first, *killed], 7, 32.0) == {0: 40, 1: 60} and at_time(first, 7, 95.0) == {}
-    box = ColdBox("s", 0.1, 20_000.0, 2.0, 0.0, [(10.0, 500.0, "n0"), (1_900.0, 1_700.0, "n1"), (4_000.0, 10.0, "n0")])
+    box = ColdBox(
+        "s",
+        0.1,
+        20_000.0,
+        2.0,
+        0.0,
+        [(10.0, 500.0, "n0"), (1_900.0, 1_700.0, "n1"), (4_000.0, 10.0, "n0")],
+    )
     assert box.worst() == pytest.approx(2_200.0 / (4.0 * (0.1 + 0.9 * 0.095) * 2.0 * 2_000.0 * 1.3))
     assert box.by_node() == {"n0": 510.0, "n1": 1_700.0}
--- a/tests/tier/test_tier_members.py
+++ b/tests/tier/test_tier_members.py
@@ -43,7 +43,9 @@
     assert m.incarnation == 5_001
 
 
-def test_one_that_does_not_answer_is_asked_for_by_others_then_suspect_then_dead_and_told_of_it() -> None:
+def test_one_that_does_not_answer_is_asked_for_by_others_then_suspect_then_dead_and_told_of_it() -> (
+    None
+):
     m = members(3)
     m.told(((1, 5, ALIVE), (2, 5, ALIVE)), 0.0)
     asked, relayed, now = set[int](), set[int](), 0.0
@@ -57,7 +59,9 @@
         now += 125.0
         assert now < 12_000.0
     assert asked == {1, 2} and relayed == {1} and m.state(2) == "alive"
-    assert any(question.to == 1 for n in range(40) for question in m.tick(now + 125.0 * n))  # it is asked now and then all the same
+    assert any(
+        question.to == 1 for n in range(40) for question in m.tick(now + 125.0 * n)
+    )  # it is asked now and then all the same
 
 
 def test_a_node_that_stood_still_holds_its_own_pause_against_nobody() -> None:
@@ -73,7 +77,11 @@
 
 def test_a_death_is_known_everywhere_soon_and_a_pause_of_a_second_and_a_half_is_none() -> None:
     """Of 37 nodes: the bounds of docs/tier.md, on one night."""
-    script = Script(37, 30.0, troubles=[Trouble(10_000.0, "kill", (5,), 0.0), Trouble(20_000.0, "pause", (9,), 1_500.0)])
+    script = Script(
+        37,
+        30.0,
+        troubles=[Trouble(10_000.0, "kill", (5,), 0.0), Trouble(20_000.0, "pause", (9,), 1_500.0)],
+    )
     night = Night(script, 1)
     known: dict[tuple[int, str], list[float]] = {}
     night.on_change = lambda by, slot, state: known.setdefault((slot, state), []).append(night.now)
--- a/tests/tier/test_wire.py
+++ b/tests/tier/test_wire.py
@@ -45,7 +45,9 @@
 def test_twenty_thousand_mutations_bring_the_one_error_or_a_message() -> None:
     rng = random.Random(5)
     tier = Tier(0, 4, 1, 1, 0.0)
-    seeds = [wire.encode(message) for message in LARGEST] + [data for _, data in Tier(1, 4, 2, 9, 0.0).tick(0.0)]
+    seeds = [wire.encode(message) for message in LARGEST] + [
+        data for _, data in Tier(1, 4, 2, 9, 0.0).tick(0.0)
+    ]
     good = 0
     for _ in range(20_000):
         data = bytearray(rng.choice(seeds))
@@ -65,17 +67,29 @@
 
 def test_amounts_travel_within_four_in_a_thousand_and_nothing_is_endless() -> None:
     for amount in (1e-5, 0.003, 0.7, 12.0, 5e4, 3e6):
-        assert wire.unscaled(wire.scaled(amount)) == pytest.approx(amount, rel=0.05 if amount < 1e-4 else 0.004)
+        assert wire.unscaled(wire.scaled(amount)) == pytest.approx(
+            amount, rel=0.05 if amount < 1e-4 else 0.004
+        )
     assert wire.scaled(float("inf")) == wire.scaled(1e300) == wire.LARGEST
     assert wire.scaled(float("nan")) == wire.scaled(-1.0) == wire.scaled(0.0) == 0
 
 
 def test_a_tier_that_counts_otherwise_is_told_apart_and_stops_the_dealing() -> None:
     tier = Tier(0, 4, 1, 1, 0.0)
-    for other in (Tier(1, 5, 2, 1, 0.0), Tier(1, 4, 2, 1, 0.0, Options(floor=0.25)), Tier(1, 4, 2, 1, 0.0, tier=1)):
+    for other in (
+        Tier(1, 5, 2, 1, 0.0),
+        Tier(1, 4, 2, 1, 0.0, Options(floor=0.25)),
+        Tier(1, 4, 2, 1, 0.0, tier=1),
+    ):
         tier.receive(1, other.tick(0.0)[0][1], 10.0)
-    assert tier.counts["foreign"] == 3 and tier.disagrees(20.0) and not tier.disagrees(20.0 + tier.vote_ms)
-    tier.receive(2, Tier(1, 4, 2, 1, 0.0).tick(0.0)[0][1], 9_000.0)  # from an address that is another's by our list
+    assert (
+        tier.counts["foreign"] == 3
+        and tier.disagrees(20.0)
+        and not tier.disagrees(20.0 + tier.vote_ms)
+    )
+    tier.receive(
+        2, Tier(1, 4, 2, 1, 0.0).tick(0.0)[0][1], 9_000.0
+    )  # from an address that is another's by our list
     assert tier.counts["impostor"] == 1 and tier.disagrees(9_001.0)
 
 
@@ -84,10 +98,14 @@
     return Claims(floor, holdings), holdings
 
 
-def test_a_node_that_hears_nobody_has_its_floor_and_with_a_lease_its_part_of_the_whole_tier() -> None:
+def test_a_node_that_hears_nobody_has_its_floor_and_with_a_lease_its_part_of_the_whole_tier() -> (
+    None
+):
     c, holdings = claims()
     c.wants_work("box-1", 40.0, 0.0)
-    assert c.work("box-1", 0.8, 0.0) == pytest.approx(0.4) and c.fetches(20.0, 0.0) == pytest.approx(10.0)
+    assert c.work("box-1", 0.8, 0.0) == pytest.approx(0.4) and c.fetches(
+        20.0, 0.0
+    ) == pytest.approx(10.0)
     number = holdings.replies(0.0)
     holdings.take((3, 1), 1, number, 2_000.0, 4.0, id_of("box-1"), WHOLE // 4, 10.0)
     holdings.take((3, 1), 2, number, 2_000.0, 80.0, FETCHES, WHOLE // 2, 10.0)
