--- a/benchmarks/path_counts.py
+++ b/benchmarks/path_counts.py
@@ -128,9 +128,9 @@
         self._count("callbacks", context)
         return super().call_soon(callback, *args, context=context)
 
-    def call_at(
+    def call_at(  # type: ignore[override]
         self, when: float, callback: Any, *args: Any, context: Optional[Context] = None
-    ) -> Any:  # type: ignore[override]
+    ) -> Any:
         periodic = isinstance(getattr(callback, "__self__", None), Presence)
         self._count("periodic timers" if periodic else "timers", context)
         return super().call_at(when, callback, *args, context=context)
--- a/testbed/tier/relay.py
+++ b/testbed/tier/relay.py
@@ -55,8 +55,9 @@
         loop = asyncio.get_running_loop()
         for a, b in self.links:
             transport, _ = await loop.create_datagram_endpoint(
-                lambda a=a, b=b: _Wire(self, a, b), local_addr=("127.0.0.1", 0)
-            )  # type: ignore[misc]
+                lambda a=a, b=b: _Wire(self, a, b),  # type: ignore[misc]
+                local_addr=("127.0.0.1", 0),
+            )
             self._wires[a, b] = transport
 
     def close(self) -> None:
