--- a/corkshift/address_book.py
+++ b/corkshift/address_book.py
@@ -405,7 +405,7 @@
             return
         if server.leaving_ms is None:
             server.leaving_ms = min(now_ms(), self.written_ms)
-        self._pool.forget(server)
+        self._pool.close_idle_of(server)
         if gone:
             del self._node.servers[name]
             self._known.pop(name, None)
--- a/corkshift/admin/server.py
+++ b/corkshift/admin/server.py
@@ -11,7 +11,7 @@
 from corkshift.admin.status import Status
 from corkshift.listener import Listener
 from corkshift.seam import Address, Socket, now_ms
-from corkshift.stream import KERNEL_BUFFER, Stream
+from corkshift.stream import KERNEL_BUFFER_BYTES, Stream
 
 log = logging.getLogger(__name__)
 
@@ -28,7 +28,9 @@
     def __init__(self, status: Status, address: Address) -> None:
         self._status = status
         self._connections: dict[asyncio.Task[None], tuple[float, Stream]] = {}  # oldest first
-        self._listener = Listener(seam.listen(address, KERNEL_BUFFER), self._has_room, self._take)
+        self._listener = Listener(
+            seam.listen(address, KERNEL_BUFFER_BYTES), self._has_room, self._take
+        )
         self._calls: dict[str, tuple[str, Callable[[], tuple[int, str]]]] = {
             "/admin/health": ("GET", self._health),
             "/admin/stats": ("GET", self._stats),
@@ -90,7 +92,7 @@
                 except BadCall as error:
                     reply = answer(error.status, f"{error.why}\n")
                 await stream.write(reply)
-                await stream.finish()
+                await stream.close_gracefully()
         except (OSError, TimeoutError):
             pass
         finally:
--- a/corkshift/admin/status.py
+++ b/corkshift/admin/status.py
@@ -5,8 +5,8 @@
 from dataclasses import dataclass
 
 from corkshift.discovery import Discovery
-from corkshift.figures import KINDS, Figures
 from corkshift.frontend import Frontend
+from corkshift.metrics import KINDS, Metrics
 from corkshift.node import Node
 from corkshift.presence import HOLDS_MS
 from corkshift.seam import now_ms
@@ -21,11 +21,11 @@
     node: Node
     frontend: Frontend
     discovery: Discovery
-    figures: Figures
+    figures: Metrics
 
     def can_serve(self) -> bool:
         """Whether this process has begun to serve: it accepts, and has known of a cache server."""
-        return self.frontend.started and self.node.informed
+        return self.frontend.started and self.node.servers_known
 
     def quiesce(self) -> bool:
         """Drain; whether that is so now."""
@@ -39,36 +39,37 @@
         """The figures, one a line: requests by class and kind, refusals by cause, attempts, what is open, servers by health."""
         rows = [
             f"{PREFIX}.responses.{lane}.{kind}={count}"
-            for lane, counts in self.figures.answers.items()
+            for lane, counts in self.figures.responses.items()
             for kind, count in zip(KINDS, counts, strict=True)
         ]
         rows += [
-            f"{PREFIX}.refused.{cause}={count}" for cause, count in self.figures.refused.items()
+            f"{PREFIX}.refused.{cause}={count}" for cause, count in self.figures.refusals.items()
         ]
         rows += [
-            f"{PREFIX}.tries={self.figures.tries}",
+            f"{PREFIX}.tries={self.figures.attempts_sent}",
             f"{PREFIX}.active={self.node.open}",
             f"{PREFIX}.pool_size={len(self.node.servers)}",
-            f"{PREFIX}.pool_ejected={self.node.avoided()}",
+            f"{PREFIX}.pool_ejected={self.node.ejected_count()}",
         ]
         figures, guard = self.figures, self.node.guard
         rows += [
             f"{PREFIX}.attempts.{status}={count}"
-            for status, count in sorted(figures.attempts.items())
+            for status, count in sorted(figures.attempt_outcomes.items())
         ]
         rows += [
             f"{PREFIX}.local_errors.{cause}={count}"
-            for cause, count in sorted(figures.local.items())
+            for cause, count in sorted(figures.local_errors.items())
         ]
         rows += [
-            f"{PREFIX}.closed.{cause}={count}" for cause, count in sorted(figures.closed.items())
+            f"{PREFIX}.closed.{cause}={count}"
+            for cause, count in sorted(figures.closed_connections.items())
         ]
         rows += [f"{PREFIX}.denied.{cause}={count}" for cause, count in guard.denied.items()]
         rows += [
             f"{PREFIX}.violations.{cause}={count}" for cause, count in guard.violations.items()
         ]
         rows += [f"{PREFIX}.pool.{state}={count}" for state, count in self.node.health().items()]
-        presence = self.frontend.presence
+        presence = self.frontend.loop_lag
         bounds = [f"{most:g}" for most in HOLDS_MS] + ["more"]
         rows += [
             f"{PREFIX}.loop.late_ms.{bound}={count}"
--- a/corkshift/budget.py
+++ b/corkshift/budget.py
@@ -2,13 +2,15 @@
 
 from __future__ import annotations
 
-LONGEST = 65_536  # bytes of the longest body that is held whole, in either direction,
-PIECES = 1_024  # and the pieces it may come in, unless they are of a fair size
-FAIR_PIECE = 16  # bytes, on average (guards against one-byte chunks, each of which costs a turn of the parser)
-BULK = 1 << 25  # bytes of the longest body that is passed on in pieces
+MAX_BUFFERED_BODY_BYTES = (
+    65_536  # bytes of the longest body that is held whole, in either direction,
+)
+MAX_SMALL_PIECES = 1_024  # and the pieces it may come in, unless they are of a fair size
+MIN_AVERAGE_PIECE_BYTES = 16  # bytes, on average (guards against one-byte chunks, each of which costs a turn of the parser)
+MAX_BODY_BYTES = 1 << 25  # bytes of the longest body that is passed on in pieces
 
 
-class PieceCount:
+class PieceCounter:
     """The pieces that one body came in, of those that shared a read with another one.
 
     Guards against one-byte chunks, of which one read holds thousands, each a turn of the parser. A piece that is all that one read
@@ -28,7 +30,9 @@
         if reads == self._reads:
             self._pieces += 1
         self._reads = reads
-        return self._pieces > PIECES and self._pieces * FAIR_PIECE > self._size
+        return (
+            self._pieces > MAX_SMALL_PIECES and self._pieces * MIN_AVERAGE_PIECE_BYTES > self._size
+        )
 
 
 class BodyBudget:
@@ -42,13 +46,13 @@
         self._limit = limit
         self.used = 0
 
-    def take(self, more: int) -> bool:
+    def reserve(self, more: int) -> bool:
         """Whether there is room for this much more; it is taken if so."""
         if self.used + more > self._limit:
             return False
         self.used += more
         return True
 
-    def give(self, held: int) -> None:
+    def release(self, held: int) -> None:
         """A body is let go."""
         self.used -= held
--- a/corkshift/discovery.py
+++ b/corkshift/discovery.py
@@ -190,7 +190,7 @@
                 async with self.presence.timeout(PAUSE_S if pausing else None):
                     return await watch.data()
             except TimeoutError:
-                if watch.stream is not None and not watch.stream.quiet:
+                if watch.stream is not None and not watch.stream.no_input:
                     continue  # it has spoken while this node stood still
                 if pausing:
                     self._heed_text(watch.lines.rest())
--- a/corkshift/frontend.py
+++ b/corkshift/frontend.py
@@ -13,37 +13,37 @@
 
 import h11
 
-from corkshift.budget import BULK, LONGEST, BodyBudget, PieceCount
+from corkshift.budget import MAX_BODY_BYTES, MAX_BUFFERED_BODY_BYTES, BodyBudget, PieceCounter
 from corkshift.listener import Listener
-from corkshift.messages import Answer, Call
+from corkshift.messages import ClientRequest, Response
 from corkshift.node import Node
-from corkshift.plain import WHOLE, Whole, request_head
+from corkshift.plain import COMPLETE_REQUEST, CompleteRequest, request_head
 from corkshift.presence import Presence
 from corkshift.relay import Relay
 from corkshift.seam import Address, Socket, now_ms
-from corkshift.stream import CHUNK, Stream
+from corkshift.stream import READ_BYTES, Stream
 from forkweir.limits.duty import LONGEST_MS, Duty, Leave
 
 log = logging.getLogger(__name__)
 
-MAX_HEAD = 16_384  # bytes of a request's head, of a chunk's header or of trailers
-PIPELINE = 4  # requests written ahead on one connection that are worked on at once
-WRITE_STALL_S = 5.0  # a client that takes nothing of its answer for this long is given up
-SILENT_MS = 2_000.0  # a new connection that has sent nothing for this long is closed,
-PART_MS = 2_400.0  # one whose head is not whole by then is answered 408 (the first one's time runs from connecting),
-PROGRESS = 16_384  # or whose body does not bring so many bytes in this time,
-IDLE_MS = 10_000.0  # and one on which nothing more is asked for this long is closed
-REST_SHARE = (
+MAX_HEAD_BYTES = 16_384  # bytes of a request's head, of a chunk's header or of trailers
+MAX_PIPELINED_REQUESTS = 4  # requests written ahead on one connection that are worked on at once
+WRITE_TIMEOUT_S = 5.0  # a client that takes nothing of its answer for this long is given up
+FIRST_BYTE_TIMEOUT_MS = 2_000.0  # a new connection that has sent nothing for this long is closed,
+REQUEST_TIMEOUT_MS = 2_400.0  # one whose head is not whole by then is answered 408 (the first one's time runs from connecting),
+MIN_PROGRESS_BYTES = 16_384  # or whose body does not bring so many bytes in this time,
+IDLE_TIMEOUT_MS = 10_000.0  # and one on which nothing more is asked for this long is closed
+MAX_IDLE_SHARE = (
     1 / 3
 )  # of the places for clients may be held by connections on which nothing more is asked
-SWEEP_S = 0.2  # between two looks at who has had its time
-SHY_MS = (
+SWEEP_INTERVAL_S = 0.2  # between two looks at who has had its time
+EVICTION_GRACE_MS = (
     100.0  # where room is short, a new connection that has sent nothing for this long makes way
 )
-SAY_S = 0.02  # what the last connections to be taken have to say shows by then
+LAST_READ_DELAY_S = 0.02  # what the last connections to be taken have to say shows by then
 
-ID_FORM = re.compile(rb"[!-~]{1,128}")
-SINGLE = {
+REQUEST_ID_PATTERN = re.compile(rb"[!-~]{1,128}")
+SINGLETON_HEADERS = {
     b"x-txn",
     b"x-lane",
     b"x-org",
@@ -53,12 +53,18 @@
     b"idempotency-key",
     b"host",
 }
-KEPT = {200, 500, 502, 503, 504}  # answers to whole requests after which the connection goes on
-REASONS = {status.value: status.phrase.encode() for status in HTTPStatus}
-OTHER_METHODS = {b"HEAD", b"POST", b"DELETE", b"OPTIONS", b"PATCH", b"TRACE", b"CONNECT"}
+KEEP_ALIVE_STATUSES = {
+    200,
+    500,
+    502,
+    503,
+    504,
+}  # answers to whole requests after which the connection goes on
+REASON_PHRASES = {status.value: status.phrase.encode() for status in HTTPStatus}
+UNSUPPORTED_METHODS = {b"HEAD", b"POST", b"DELETE", b"OPTIONS", b"PATCH", b"TRACE", b"CONNECT"}
 
 
-Parser = h11.Connection | Whole
+Parser = h11.Connection | CompleteRequest
 
 
 class Rejected(Exception):
@@ -81,43 +87,49 @@
         )  # of its rest, or of the start of the request that is not whole yet
         self.partial = False  # a part of a request has come
         self.served = False  # an answer has been given
-        self.over = False  # the last answer has been given; the client's end is awaited, briefly
-        self._queue: asyncio.Queue[Optional[tuple[Parser, asyncio.Future[Answer]]]] = asyncio.Queue(
-            PIPELINE
+        self.lingering = (
+            False  # the last answer has been given; the client's end is awaited, briefly
         )
-        self._calls: dict[asyncio.Future[Answer], Call] = {}
+        self._queue: asyncio.Queue[Optional[tuple[Parser, asyncio.Future[Response]]]] = (
+            asyncio.Queue(MAX_PIPELINED_REQUESTS)
+        )
+        self._requests: dict[asyncio.Future[Response], ClientRequest] = {}
         self._pending = 0
         self._reads = 0  # of bodies
-        self._pumping: Optional[h11.Connection] = (
+        self._large_body_parser: Optional[h11.Connection] = (
             None  # a request whose body is still being handed on, or read past
         )
         self._stream = Stream(sock)
-        self._stream.notice = self._noticed
+        self._stream.on_input = self._on_input
         self._reader: Optional[asyncio.Task[None]] = None
         self._task = asyncio.create_task(self._serve())
 
     @property
-    def resting(self) -> bool:
+    def idle(self) -> bool:
         """Whether nothing is asked, begun or owed here."""
-        return not (self._pending or self.partial or self._pumping or self._stream.has_input)
+        return not (
+            self._pending or self.partial or self._large_body_parser or self._stream.has_input
+        )
 
     @property
-    def deaf(self) -> bool:
+    def reading_paused(self) -> bool:
         """Whether an end would not be heard: the buffer is full."""
         return not self._stream.reading
 
-    def close_if_unread(self, cause: str) -> bool:
+    def close_if_no_input(self, cause: str) -> bool:
         """Close between requests, or in the middle of one, unless more has come meanwhile: the kernel is asked too.
 
         Guards against a request that is closed on with its rest in the socket's buffer: once its last byte is written it is taken.
         And against a last answer that is reset on its way, as a close over unread input does; its lingering is short.
         """
-        if (not self.over and (self._pending or self._pumping)) or not self._stream.quiet:
+        if (
+            not self.lingering and (self._pending or self._large_body_parser)
+        ) or not self._stream.no_input:
             return False
         self._stream.close()
         self._task.cancel()
-        self._frontend.node.figures.closed[cause] += 1
-        self._frontend.gone(self)
+        self._frontend.node.metrics.closed_connections[cause] += 1
+        self._frontend.remove(self)
         return True
 
     def expire(self) -> None:
@@ -129,24 +141,24 @@
         self._stream.abort()
         self._task.cancel()
 
-    def _noticed(self) -> None:
+    def _on_input(self) -> None:
         # A client that ends its side has gone away; so have its requests, before anything else of them goes out (guards against
         # an attempt that was begun in the same turn of the loop in which the end came, as after any time the node stood still).
         if self._stream.ended:
-            self._depart()
+            self._cancel_requests()
             self._task.cancel()
 
-    def _depart(self) -> None:
+    def _cancel_requests(self) -> None:
         """Nobody waits for what is open here."""
-        for call in list(self._calls.values()):
-            self._frontend.node.depart(call)
-        self._calls.clear()
+        for request in list(self._requests.values()):
+            self._frontend.node.cancel_request(request)
+        self._requests.clear()
 
-    def look(self) -> None:
+    def check_departure(self) -> None:
         """Find out whether the client has left, where word of that has not been read: the node stood still, or its buffer is full."""
         stream = self._stream
-        if self._calls and not (stream.reading and stream.quiet) and stream.abandoned:
-            self._depart()
+        if self._requests and not (stream.reading and stream.no_input) and stream.peer_left:
+            self._cancel_requests()
             self.abort()
 
     async def _serve(self) -> None:
@@ -154,35 +166,35 @@
         try:
             while (item := await self._queue.get()) is not None:
                 parser, future = item
-                answer = await future
-                keep = await self._send(parser, answer)
-                self._calls.pop(future, None)
+                response = await future
+                keep = await self._send(parser, response)
+                self._requests.pop(future, None)
                 self._pending -= 1
                 self.served = True
                 if not keep:
                     break
-                self._rest()
+                self._mark_idle()
             reader.cancel()
             await asyncio.gather(reader, return_exceptions=True)
-            self._stream.notice = None
-            self._depart()  # none is left but by a fault, and what is left must not be worked on while the connection lingers
-            self.over = True
-            self._frontend.rests(self)
-            await self._stream.finish()
+            self._stream.on_input = None
+            self._cancel_requests()  # none is left but by a fault, and what is left must not be worked on while the connection lingers
+            self.lingering = True
+            self._frontend.mark_idle(self)
+            await self._stream.close_gracefully()
         except (OSError, asyncio.CancelledError):
             pass
         except Exception:
             log.exception("a client connection failed")
         finally:
             reader.cancel()
-            self._depart()
+            self._cancel_requests()
             self._stream.abort()
-            self._frontend.gone(self)
+            self._frontend.remove(self)
 
-    def _rest(self) -> None:
-        if self.resting and self.served:
+    def _mark_idle(self) -> None:
+        if self.idle and self.served:
             self.since_ms = now_ms()
-            self._frontend.rests(self)
+            self._frontend.mark_idle(self)
 
     # -- requests ------------------------------------------------------------------------
 
@@ -193,39 +205,39 @@
             while ahead is not None:
                 ahead = await self._read_request(ahead)
         except (Rejected, h11.RemoteProtocolError, TimeoutError) as error:
-            status = _status_of(error)
+            status = _error_status(error)
         except OSError:
             pass
         except Exception:
             log.exception("a request could not be read")
             status = 500
         if status:
-            answer = self._frontend.node.busy if status == 503 else Answer(status)
+            response = self._frontend.node.busy if status == 503 else Response(status)
             await self._enqueue(
-                h11.Connection(h11.SERVER), _done(answer)
+                h11.Connection(h11.SERVER), _completed(response)
             )  # not whole, so that the connection ends
         await self._queue.put(None)
 
-    async def _enqueue(self, parser: Parser, future: asyncio.Future[Answer]) -> None:
+    async def _enqueue(self, parser: Parser, future: asyncio.Future[Response]) -> None:
         self._pending += 1
         self.partial = False
-        self._stream.spare()
-        self._frontend.works(self)
+        self._stream.clear_expired()
+        self._frontend.mark_busy(self)
         await self._queue.put((parser, future))
 
     async def _read_request(self, ahead: bytes) -> Optional[bytes]:
         """Read one request and hand it on; what has come of the next one, or None where none may follow."""
         while not (ahead := ahead.lstrip(b"\r\n")):  # empty lines before a request are allowed
-            self._rest()
+            self._mark_idle()
             if not (ahead := await self._stream.read()):
                 return None
-        if (rest := await self._read_plain(ahead)) is not None:
+        if (rest := await self._read_simple(ahead)) is not None:
             return rest
         self.partial = True
         if self.served or self._pending:
             self.since_ms = now_ms()
-        self._frontend.stirs(self)
-        parser = h11.Connection(h11.SERVER, max_incomplete_event_size=MAX_HEAD)
+        self._frontend.mark_partial(self)
+        parser = h11.Connection(h11.SERVER, max_incomplete_event_size=MAX_HEAD_BYTES)
         parser.receive_data(ahead)
         while (event := parser.next_event()) is h11.NEED_DATA:
             if not (ahead := await self._stream.read()):
@@ -237,7 +249,7 @@
             return None
         return parser.trailing_data[0]
 
-    async def _read_plain(self, data: bytes) -> Optional[bytes]:
+    async def _read_simple(self, data: bytes) -> Optional[bytes]:
         """Hand on the request that stands whole and in plain form at the start of these bytes; what follows it.
 
         None where none does: h11 reads it then. It spares nearly all requests the larger part of their cost.
@@ -248,93 +260,95 @@
         end = head.end + (head.length or 0)
         if len(data) < end:
             return None
-        call = _call_of(head.method, head.target, head.fields, self._frontend.node.knows)
+        request = _parse_request(
+            head.method, head.target, head.fields, self._frontend.node.has_class
+        )
         held = end - head.end
         if held:
-            self._take_room(call, held)
-            call.body.append(bytearray(data[head.end : end]))
-        await self._enqueue(WHOLE, self._admit(call, held))
+            self._reserve_body(request, held)
+            request.body.append(bytearray(data[head.end : end]))
+        await self._enqueue(COMPLETE_REQUEST, self._admit(request, held))
         return data[end:]
 
-    def _take_room(self, call: Optional[Call], size: int) -> None:
+    def _reserve_body(self, request: Optional[ClientRequest], size: int) -> None:
         """Take room for so many bytes of a body, or turn its request away."""
-        if not self._frontend.budget.take(size):
-            if call is not None:
-                self._frontend.node.turned_away(call.lane, "no-room")
+        if not self._frontend.budget.reserve(size):
+            if request is not None:
+                self._frontend.node.count_unadmitted(request.class_name, "no-room")
             raise Rejected(503)
 
-    async def _read_body(self, parser: h11.Connection, request: h11.Request) -> bool:
-        call = None
-        if _origin_form(request.target) != b"/up":
-            call = _call_of(
-                request.method, request.target, dict(request.headers), self._frontend.node.knows
+    async def _read_body(self, parser: h11.Connection, head: h11.Request) -> bool:
+        request = None
+        if _origin_form(head.target) != b"/up":
+            request = _parse_request(
+                head.method, head.target, dict(head.headers), self._frontend.node.has_class
             )
-        if call is None and request.method != b"GET":
+        if request is None and head.method != b"GET":
             raise Rejected(405)
         self.since_ms = now_ms()  # the body has a time of its own
         budget, held = self._frontend.budget, 0
         try:
-            pieces, marked, rest = PieceCount(), 0, b""
+            pieces, marked, rest = PieceCounter(), 0, b""
             while not isinstance(event := await self._event(parser), h11.EndOfMessage):
                 if not isinstance(event, h11.Data) or pieces.too_small(
                     len(event.data), self._reads
                 ):
                     raise Rejected(400)
                 more = len(event.data)
-                if held + more > LONGEST:
-                    if call is None or call.method != b"PUT":
+                if held + more > MAX_BUFFERED_BODY_BYTES:
+                    if request is None or request.method != b"PUT":
                         raise Rejected(413)
                     rest = bytes(event.data)
                     break
-                self._take_room(call, more)
+                self._reserve_body(request, more)
                 held += more
-                if held - marked >= PROGRESS:
+                if held - marked >= MIN_PROGRESS_BYTES:
                     marked, self.since_ms = held, now_ms()
-                if call is not None:
-                    _append(call.body, event.data)
+                if request is not None:
+                    _append_body(request.body, event.data)
         except BaseException:
-            budget.give(held)
+            budget.release(held)
             raise
-        if call is None:
-            budget.give(held)
+        if request is None:
+            budget.release(held)
             await self._enqueue(
                 parser,
-                _done(
-                    Answer(200, b"ok\n")
+                _completed(
+                    Response(200, b"ok\n")
                     if self._frontend.duty.welcome
-                    else Answer(503, b"draining\n")
+                    else Response(503, b"draining\n")
                 ),
             )
         elif rest:
-            return await self._pump(parser, call, held, rest)
+            return await self._read_large_body(parser, request, held, rest)
         else:
-            await self._enqueue(parser, self._admit(call, held))
+            await self._enqueue(parser, self._admit(request, held))
         return True
 
-    def _admit(self, call: Call, held: int) -> asyncio.Future[Answer]:
+    def _admit(self, request: ClientRequest, held: int) -> asyncio.Future[Response]:
         """Hand a request on, of whose body so many bytes are held; what answers it."""
         budget = self._frontend.budget
-        if self._frontend.node.used(call.txn):
-            budget.give(held)
+        if self._frontend.node.is_recent_id(request.txn):
+            budget.release(held)
             raise Rejected(409)
         if self._frontend.node.full:
-            budget.give(held)
-            self._frontend.node.turned_away(call.lane, "full")
-            return _done(self._frontend.node.busy)
+            budget.release(held)
+            self._frontend.node.count_unadmitted(request.class_name, "full")
+            return _completed(self._frontend.node.busy)
         # A connection that waited in the backlog may have been given up by now, its end right behind its request (guards
         # against work for clients who have left, when accepting had stopped for want of descriptors). It costs one look at the
         # socket for each new connection. Harm: none, a client that ends its side has gone away.
         # Where more bytes stand before that end than were read, the kernel alone knows of it.
         stream, new = self._stream, not (self.served or self._pending)
-        if (stream.crowded or (new and not stream.quiet)) and stream.abandoned:
-            budget.give(held)
+        if (stream.last_read_full or (new and not stream.no_input)) and stream.peer_left:
+            budget.release(held)
             raise ConnectionAbortedError("the client has left")
         if held:  # nearly all requests have no body, and nothing to give back
-            call.answer.add_done_callback(lambda _: self._let_go(call, held))
-        self._calls[call.answer] = call
-        call.look = self.look
-        self._frontend.node.submit(call, self._waited_ms())
-        return call.answer
+            request.response.add_done_callback(lambda _: self._release_body(request, held))
+        self._requests[request.response] = request
+        request.check_departure = self.check_departure
+        self._frontend.node.submit(request, self._waited_ms())
+        return request.response
 
     def _waited_ms(self) -> float:
         """How long a request stood in the kernel before it was read, because the loop was held up or accepting had stopped.
@@ -346,29 +360,31 @@
             self._queued_ms,
             0.0,
         )  # only the first request of a connection can have waited to be accepted
-        bound_ms = max(queued_ms, self._frontend.presence.unread_ms())
+        bound_ms = max(queued_ms, self._frontend.loop_lag.unread_ms())
         if not bound_ms:
             return 0.0
         unread_ms = self._stream.unread_ms
         return bound_ms if unread_ms is None else min(bound_ms, unread_ms)
 
-    async def _pump(self, parser: h11.Connection, call: Call, held: int, piece: bytes) -> bool:
+    async def _read_large_body(
+        self, parser: h11.Connection, request: ClientRequest, held: int, piece: bytes
+    ) -> bool:
         """Hand on a request too large to hold by its beginning, and then the rest as it comes; what nobody wants is read past.
 
         Guards against memory filled by bodies, and against a client that is answered early and never gets to read it, as its
         connection is reset under what it still sends. Harm: reading past a large body costs its transfer.
         """
-        feed = call.feed = Relay()
-        answer = self._admit(call, held)
-        if answer is not call.answer:
-            feed.close()  # it was not let in
-        self._pumping = parser
-        await self._enqueue(parser, answer)
-        size, pieces, marked = held + len(piece), PieceCount(), 0
+        body_rest = request.body_rest = Relay()
+        response = self._admit(request, held)
+        if response is not request.response:
+            body_rest.close()  # it was not let in
+        self._large_body_parser = parser
+        await self._enqueue(parser, response)
+        size, pieces, marked = held + len(piece), PieceCounter(), 0
         loop = asyncio.get_running_loop()
-        due = loop.time() + PART_MS / 1000.0
+        due = loop.time() + REQUEST_TIMEOUT_MS / 1000.0
         try:
-            await feed.put(piece)
+            await body_rest.put(piece)
             async with asyncio.timeout_at(due) as limit:
                 while not isinstance(event := await self._event(parser), h11.EndOfMessage):
                     if not isinstance(event, h11.Data) or pieces.too_small(
@@ -376,25 +392,25 @@
                     ):
                         raise Rejected(400)
                     size += len(event.data)
-                    if size > BULK:
+                    if size > MAX_BODY_BYTES:
                         raise Rejected(413)
                     limit.reschedule(None)
-                    await feed.put(bytes(event.data))
-                    if size - marked >= PROGRESS:
-                        marked, due = size, loop.time() + PART_MS / 1000.0
+                    await body_rest.put(bytes(event.data))
+                    if size - marked >= MIN_PROGRESS_BYTES:
+                        marked, due = size, loop.time() + REQUEST_TIMEOUT_MS / 1000.0
                     limit.reschedule(due)
-            feed.end()
-            self._pumping = None
-            self._rest()
+            body_rest.end()
+            self._large_body_parser = None
+            self._mark_idle()
             return True
         except (Rejected, h11.RemoteProtocolError, TimeoutError) as error:
-            feed.fail()
-            self._frontend.node.end(call, Answer(_status_of(error)))
+            body_rest.fail()
+            self._frontend.node.end(request, Response(_error_status(error)))
             return False
 
-    def _let_go(self, call: Call, held: int) -> None:
-        call.body.clear()
-        self._frontend.budget.give(held)
+    def _release_body(self, request: ClientRequest, held: int) -> None:
+        request.body.clear()
+        self._frontend.budget.release(held)
 
     async def _event(self, parser: h11.Connection) -> object:
         if parser.they_are_waiting_for_100_continue and not self._pending:
@@ -410,7 +426,7 @@
 
     # -- answers -------------------------------------------------------------------------
 
-    async def _send(self, parser: Parser, answer: Answer) -> bool:
+    async def _send(self, parser: Parser, response: Response) -> bool:
         """Write one answer; whether the connection goes on after it."""
         last = (
             not self._frontend.duty.lasting
@@ -418,17 +434,17 @@
             and not self.partial
             and not self._stream.has_input
         )
-        whole = parser.their_state is h11.DONE or parser is self._pumping
-        keep = whole and answer.status in KEPT and not last
+        whole = parser.their_state is h11.DONE or parser is self._large_body_parser
+        keep = whole and response.status in KEEP_ALIVE_STATUSES and not last
         if not keep and self._reader is not None:
             # Settled before a write that may take a while: what comes now is left unread, and its client sends it elsewhere
             # (guards against a request that is taken, sent on and then dropped with the connection).
             self._reader.cancel()
-        if answer.rest is not None:
-            return await self._send_bulk(parser, answer, answer.rest, keep)
-        data = _head_of(answer, keep) + answer.body
+        if response.body_rest is not None:
+            return await self._send_large(parser, response, response.body_rest, keep)
+        data = _response_head(response, keep) + response.body
         try:
-            sent = self._stream.push(data)
+            sent = self._stream.write_now(data)
             if sent < len(data):
                 await self._write(data[sent:])
         except BaseException:
@@ -439,16 +455,18 @@
 
     async def _write(self, data: bytes) -> None:
         """Give the client bytes; TimeoutError where it takes too long over them."""
-        async with asyncio.timeout(WRITE_STALL_S):
+        async with asyncio.timeout(WRITE_TIMEOUT_S):
             await self._stream.write(data)
 
-    async def _send_bulk(self, parser: Parser, answer: Answer, rest: Relay, keep: bool) -> bool:
+    async def _send_large(
+        self, parser: Parser, response: Response, rest: Relay, keep: bool
+    ) -> bool:
         """Write an answer too large to hold as it comes; whether the connection goes on after it."""
         # A client of HTTP/1.0 knows no chunks: where the length is not known the connection's end tells it.
-        chunked = answer.length is None and parser.their_http_version != b"1.0"
-        keep = keep and (chunked or answer.length is not None)
-        piece: Optional[bytes] = answer.body
-        head = _head_of(answer, keep, chunked)
+        chunked = response.length is None and parser.their_http_version != b"1.0"
+        keep = keep and (chunked or response.length is not None)
+        piece: Optional[bytes] = response.body
+        head = _response_head(response, keep, chunked)
         try:
             while piece is not None:
                 data = b"%x\r\n%b\r\n" % (len(piece), piece) if chunked and piece else piece
@@ -471,10 +489,10 @@
 
     def __init__(
         self, node: Node, listener: Socket, limit: int, body_bytes: int, shared: bool = False, leave: Optional[Leave] = None,
-        presence: Optional[Presence] = None,
+        loop_lag: Optional[Presence] = None,
     ) -> None:  # fmt: skip
         self.node = node
-        self.presence = presence or Presence()
+        self.loop_lag = loop_lag or Presence()
         self._leave = leave or Leave(LONGEST_MS)
         self.budget = BodyBudget(body_bytes)
         self.duty = Duty()
@@ -483,11 +501,11 @@
         self._limit = limit
         self._connections: dict[ClientConnection, None] = {}  # oldest first
         # Connections on which no request is open, longest wait first: nothing asked yet, a part of a request, nothing more asked.
-        self._silent: dict[ClientConnection, None] = {}
+        self._unused: dict[ClientConnection, None] = {}
         self._partial: dict[ClientConnection, None] = {}
-        self._resting: dict[ClientConnection, None] = {}
+        self._idle: dict[ClientConnection, None] = {}
         self._empty = asyncio.Event()
-        self._listener = Listener(listener, self._has_room, self._take)
+        self._listener = Listener(listener, self._has_capacity, self._accept)
 
     @property
     def address(self) -> Address:
@@ -515,20 +533,20 @@
             # What the kernel has accepted may hold requests that count as taken: all of it is taken in, as room comes.
             with suppress(TimeoutError):
                 async with asyncio.timeout_at(begun + leave.answer / 1000.0):
-                    await self._listener.emptied()
+                    await self._listener.accept_queued()
             self._listener.close()
-        await asyncio.sleep(SAY_S)
+        await asyncio.sleep(LAST_READ_DELAY_S)
         # A part of a request may become a whole one: it has its time, as ever, and is answered 408 after that.
         for connection in list(self._connections):
             if not connection.partial:
-                connection.close_if_unread("ending")
-        await self._left(begun + leave.answer / 1000.0)
-        self.node.give_up()
-        await self._left(begun + leave.exit / 1000.0)
+                connection.close_if_no_input("ending")
+        await self._wait_until_closed(begun + leave.answer / 1000.0)
+        self.node.fail_open_requests()
+        await self._wait_until_closed(begun + leave.exit / 1000.0)
         for connection in list(self._connections):
             connection.abort()
 
-    async def _left(self, end: float) -> None:
+    async def _wait_until_closed(self, end: float) -> None:
         """Until no connection is there, or until then."""
         with suppress(TimeoutError):
             async with asyncio.timeout_at(end):
@@ -538,24 +556,24 @@
 
     # -- bookkeeping ---------------------------------------------------------------------
 
-    def rests(self, connection: ClientConnection) -> None:
+    def mark_idle(self, connection: ClientConnection) -> None:
         """A connection has nothing to do now."""
-        self.works(connection)
-        self._resting[connection] = None
+        self.mark_busy(connection)
+        self._idle[connection] = None
 
-    def stirs(self, connection: ClientConnection) -> None:
+    def mark_partial(self, connection: ClientConnection) -> None:
         """A request has begun on a connection."""
-        self.works(connection)
+        self.mark_busy(connection)
         self._partial[connection] = None
 
-    def works(self, connection: ClientConnection) -> None:
+    def mark_busy(self, connection: ClientConnection) -> None:
         """A connection owes an answer, and is in nobody's way."""
-        for waiting in (self._silent, self._partial, self._resting):
+        for waiting in (self._unused, self._partial, self._idle):
             waiting.pop(connection, None)
 
-    def gone(self, connection: ClientConnection) -> None:
+    def remove(self, connection: ClientConnection) -> None:
         """A connection has ended."""
-        self.works(connection)
+        self.mark_busy(connection)
         self._connections.pop(connection, None)
         if not self._connections:
             self._empty.set()
@@ -563,21 +581,21 @@
 
     # -- accepting -----------------------------------------------------------------------
 
-    def _has_room(self) -> bool:
-        return len(self._connections) < self._limit or self._make_room()
+    def _has_capacity(self) -> bool:
+        return len(self._connections) < self._limit or self._evict_one()
 
-    def _take(self, sock: Socket) -> None:
+    def _accept(self, sock: Socket) -> None:
         connection = ClientConnection(self, sock, self._listener.queued_ms)
-        self._connections[connection] = self._silent[connection] = None
+        self._connections[connection] = self._unused[connection] = None
 
-    def _make_room(self) -> bool:
+    def _evict_one(self) -> bool:
         """Close the connection that matters least, if any may be closed: what rests, or has had a while to say something."""
-        shy = now_ms() - SHY_MS
-        for waiting in (self._resting, self._silent, self._partial):
+        before_ms = now_ms() - EVICTION_GRACE_MS
+        for waiting in (self._idle, self._unused, self._partial):
             for connection in list(waiting):
-                if waiting is not self._resting and connection.since_ms > shy:
+                if waiting is not self._idle and connection.since_ms > before_ms:
                     break
-                if connection.close_if_unread("room"):
+                if connection.close_if_no_input("room"):
                     return True
         return False
 
@@ -589,83 +607,83 @@
         """
         now = now_ms()
         for waiting, limit, cause in (
-            (self._silent, SILENT_MS, "silent"),
-            (self._resting, IDLE_MS, "idle"),
+            (self._unused, FIRST_BYTE_TIMEOUT_MS, "silent"),
+            (self._idle, IDLE_TIMEOUT_MS, "idle"),
         ):
             for connection in list(waiting):
                 if now - connection.since_ms <= limit:
                     break
-                connection.close_if_unread(cause)
-        self._thin(now)
-        for connection in [c for c in self._connections if c.deaf]:
-            connection.look()
+                connection.close_if_no_input(cause)
+        self._close_surplus(now)
+        for connection in [c for c in self._connections if c.reading_paused]:
+            connection.check_departure()
         for connection in list(self._partial):
-            if now - connection.since_ms > PART_MS:
+            if now - connection.since_ms > REQUEST_TIMEOUT_MS:
                 del self._partial[connection]
                 connection.expire()
-        asyncio.get_running_loop().call_later(SWEEP_S, self._sweep)
+        asyncio.get_running_loop().call_later(SWEEP_INTERVAL_S, self._sweep)
 
-    def _thin(self, now: float) -> None:
+    def _close_surplus(self, now: float) -> None:
         """Close what rests beyond its share of the places, longest rest first.
 
         Guards against connections that asked once and are kept for good: they hold places, here and at the clients, that those
         who ask need, long before any has rested its time. It should also keep sockets few after a burst. Harm: a client with
         more connections than it uses dials again; what has rested only a moment is spared.
         """
-        kept = [connection for connection in self._resting if not connection.over]
-        for connection in kept[: max(0, len(kept) - int(self._limit * REST_SHARE))]:
-            if now - connection.since_ms <= SHY_MS:
+        kept = [connection for connection in self._idle if not connection.lingering]
+        for connection in kept[: max(0, len(kept) - int(self._limit * MAX_IDLE_SHARE))]:
+            if now - connection.since_ms <= EVICTION_GRACE_MS:
                 break
-            connection.close_if_unread("share")
-        if part := self.duty.due(now, SWEEP_S * 1000.0):
+            connection.close_if_no_input("share")
+        if part := self.duty.due(now, SWEEP_INTERVAL_S * 1000.0):
             for connection in kept[: ceil(part * len(kept))]:
-                connection.close_if_unread("draining")
+                connection.close_if_no_input("draining")
         if self.duty.shed(now):
-            for connection in [c for c in self._silent if now - c.since_ms > SHY_MS]:
-                connection.close_if_unread("draining")
+            for connection in [c for c in self._unused if now - c.since_ms > EVICTION_GRACE_MS]:
+                connection.close_if_no_input("draining")
 
 
-def _head_of(answer: Answer, keep: bool, chunked: bool = False) -> bytes:
+def _response_head(response: Response, keep: bool, chunked: bool = False) -> bytes:
     """An answer's head. All of it is our own words, so it needs no check (one by the parser costs as much as reading a request)."""
-    retry = b"Retry-After: %g\r\n" % answer.retry_after_s if answer.retry_after_s else b""
+    retry = b"Retry-After: %g\r\n" % response.retry_after_s if response.retry_after_s else b""
     close = b"" if keep else b"Connection: close\r\n"
-    if answer.rest is None:
-        length = b"Content-Length: %d\r\n" % len(answer.body)
-    elif answer.length is not None:
-        length = b"Content-Length: %d\r\n" % answer.length
+    if response.body_rest is None:
+        length = b"Content-Length: %d\r\n" % len(response.body)
+    elif response.length is not None:
+        length = b"Content-Length: %d\r\n" % response.length
     else:
         length = b"Transfer-Encoding: chunked\r\n" if chunked else b""
     return b"HTTP/1.1 %d %s\r\n%s%s%s\r\n" % (
-        answer.status,
-        REASONS[answer.status],
+        response.status,
+        REASON_PHRASES[response.status],
         length,
         retry,
         close,
     )
 
 
-def _status_of(error: Exception) -> int:
+def _error_status(error: Exception) -> int:
     """What a request is answered that could not be read."""
     if isinstance(error, Rejected):
         return error.status
     return error.error_status_hint if isinstance(error, h11.RemoteProtocolError) else 408
 
 
-def _done(answer: Answer) -> asyncio.Future[Answer]:
-    future: asyncio.Future[Answer] = asyncio.get_running_loop().create_future()
-    future.set_result(answer)
+def _completed(response: Response) -> asyncio.Future[Response]:
+    future: asyncio.Future[Response] = asyncio.get_running_loop().create_future()
+    future.set_result(response)
     return future
 
 
-def _append(body: list[bytearray], data: bytes) -> None:
+def _append_body(body: list[bytearray], data: bytes) -> None:
     """Add to a body in parts of a fair size (guards against one object for each tiny piece)."""
-    if body and len(body[-1]) + len(data) <= CHUNK:
+    if body and len(body[-1]) + len(data) <= READ_BYTES:
         body[-1] += data
     else:
         body.append(bytearray(data))
 
 
-def _number(value: bytes) -> float:
+def _parse_number(value: bytes) -> float:
     """A header's number: digits, with a fraction perhaps."""
     whole, _, part = value.partition(b".")
     if not (whole.isdigit() and (part.isdigit() or not part) and len(value) <= 18):
@@ -673,22 +691,24 @@
     return float(value)
 
 
-def _check_framing(request: h11.Request) -> None:
+def _check_framing(head: h11.Request) -> None:
     """Turn away a head whose meaning is open.
 
     Guards against a request hidden in the body of another, which the next reader takes for one of its own, and against a
     header given twice of which two readers believe different ones. Harm: a client that repeats a header by mistake is told so.
     """
-    headers = dict(request.headers)
+    headers = dict(head.headers)
     if b"transfer-encoding" in headers and (
-        b"content-length" in headers or request.http_version != b"1.1"
+        b"content-length" in headers or head.http_version != b"1.1"
     ):
         raise Rejected(400)
-    if len(headers) < len(request.headers):
-        names = [name for name, _ in request.headers]
-        if any(names.count(name) > 1 for name in SINGLE):
+    if len(headers) < len(head.headers):
+        names = [name for name, _ in head.headers]
+        if any(names.count(name) > 1 for name in SINGLETON_HEADERS):
             raise Rejected(400)
-    if int(headers.get(b"content-length", b"0")) > (BULK if request.method == b"PUT" else LONGEST):
+    if int(headers.get(b"content-length", b"0")) > (
+        MAX_BODY_BYTES if head.method == b"PUT" else MAX_BUFFERED_BODY_BYTES
+    ):
         raise Rejected(413)
 
 
@@ -700,29 +720,29 @@
     return slash + path if slash else b"/"
 
 
-def _call_of(
+def _parse_request(
     method: bytes, target: bytes, headers: dict[bytes, bytes], knows: Callable[[str], bool]
-) -> Call:
+) -> ClientRequest:
     """The request that a head describes, of a class that the node knows."""
     if method not in (b"GET", b"PUT"):
-        raise Rejected(405 if method in OTHER_METHODS else 501)
-    txn, lane = headers.get(b"x-txn", b""), headers.get(b"x-lane", b"").decode("latin-1")
+        raise Rejected(405 if method in UNSUPPORTED_METHODS else 501)
+    txn, class_name = headers.get(b"x-txn", b""), headers.get(b"x-lane", b"").decode("latin-1")
     target = _origin_form(target)
     if not target.startswith(b"/"):
         raise Rejected(404)
-    if not ID_FORM.fullmatch(txn) or not knows(lane):
+    if not REQUEST_ID_PATTERN.fullmatch(txn) or not knows(class_name):
         raise Rejected(400)
     budget = headers.get(b"x-remaining-ms")
-    return Call(
+    return ClientRequest(
         method=method,
         target=target,
         txn=txn,
         idempotency_key=headers.get(b"idempotency-key"),
-        lane=lane,
+        class_name=class_name,
         org=headers.get(b"x-org", b"").decode("latin-1"),
         key=target.partition(b"?")[0].rpartition(b"/")[2].decode("latin-1") or None,
-        budget_ms=None if budget is None else _number(budget),
-        work_ms=_number(headers.get(b"x-estimate", b"0")) / 1000.0,
+        budget_ms=None if budget is None else _parse_number(budget),
+        work_ms=_parse_number(headers.get(b"x-estimate", b"0")) / 1000.0,
         repeated=headers.get(b"x-resent") == b"1",
         length=int(headers[b"content-length"]) if b"content-length" in headers else None,
     )
--- a/corkshift/listener.py
+++ b/corkshift/listener.py
@@ -12,27 +12,31 @@
 log = logging.getLogger(__name__)
 
 BACKLOG = 4096
-ACCEPTS = 64  # in one turn of the loop
-MOST_ABORTED = 16  # connections in one turn that ended before they were accepted; then accepting pauses (guards against a spin)
-RETRY_S = 0.05  # until accepting is tried again where room is short
+MAX_ACCEPTS_PER_TURN = 64  # in one turn of the loop
+MAX_ABORTED_PER_TURN = 16  # connections in one turn that ended before they were accepted; then accepting pauses (guards against a spin)
+ACCEPT_RETRY_S = 0.05  # until accepting is tried again where room is short
 
 
 class Listener:
     """A listening socket on the running loop. `room` tells whether one more may come in, `take` gets its socket."""
 
-    def __init__(self, sock: Socket, room: Callable[[], bool], take: Callable[[Any], None]) -> None:
+    def __init__(
+        self, sock: Socket, has_capacity: Callable[[], bool], on_accept: Callable[[Any], None]
+    ) -> None:
         self._sock = sock
-        self._room = room
-        self._take = take
+        self._has_capacity = has_capacity
+        self._on_accept = on_accept
         self._accepting = False
-        self._blocked_ms: Optional[float] = (
+        self._blocked_since_ms: Optional[float] = (
             None  # since when connections have had to wait in the queue
         )
 
     @property
     def queued_ms(self) -> float:
         """The longest that a connection taken now can have waited in the queue because nothing was accepted."""
-        return 0.0 if self._blocked_ms is None else max(0.0, now_ms() - self._blocked_ms)
+        return (
+            0.0 if self._blocked_since_ms is None else max(0.0, now_ms() - self._blocked_since_ms)
+        )
 
     @property
     def address(self) -> Address:
@@ -50,35 +54,35 @@
         self.pause()
         self._sock.close()
 
-    async def emptied(self) -> None:
+    async def accept_queued(self) -> None:
         """Take in all that waits, as room comes."""
         while not self.accept(BACKLOG):
-            await asyncio.sleep(RETRY_S / 5.0)
+            await asyncio.sleep(ACCEPT_RETRY_S / 5.0)
 
-    def accept(self, most: int = ACCEPTS) -> bool:
+    def accept(self, most: int = MAX_ACCEPTS_PER_TURN) -> bool:
         """Take in what waits, as far as there is room; whether nothing is left."""
         aborted = 0
         for _ in range(most):
-            if not self._room():
-                self._wait()
+            if not self._has_capacity():
+                self._pause_and_retry()
                 return False
             try:
                 sock, _ = self._sock.accept()
             except (BlockingIOError, InterruptedError):
-                self._blocked_ms = None  # the queue is empty
+                self._blocked_since_ms = None  # the queue is empty
                 return True
             except ConnectionError:
                 aborted += 1
-                if aborted >= MOST_ABORTED:
-                    self._wait()
+                if aborted >= MAX_ABORTED_PER_TURN:
+                    self._pause_and_retry()
                     return False
                 continue
             except OSError as error:
                 log.warning("cannot accept: %s", error)
-                self._wait()
+                self._pause_and_retry()
                 return False
             try:
-                self._take(sock)
+                self._on_accept(sock)
             except OSError:
                 sock.close()  # reset before it was looked at
         return False
@@ -95,8 +99,8 @@
             self._accepting = False
             asyncio.get_running_loop().remove_reader(self._sock)
 
-    def _wait(self) -> None:
-        if self._blocked_ms is None:
-            self._blocked_ms = now_ms()
+    def _pause_and_retry(self) -> None:
+        if self._blocked_since_ms is None:
+            self._blocked_since_ms = now_ms()
         self.pause()
-        asyncio.get_running_loop().call_later(RETRY_S, self.resume)
+        asyncio.get_running_loop().call_later(ACCEPT_RETRY_S, self.resume)
--- a/corkshift/plain.py
+++ b/corkshift/plain.py
@@ -13,14 +13,14 @@
 
 import h11
 
-MOST_HEAD = 4_096  # bytes; a longer head is not plain
-MOST_BODY = 65_536
+MAX_SIMPLE_HEAD_BYTES = 4_096  # bytes; a longer head is not plain
+MAX_SIMPLE_BODY_BYTES = 65_536
 
 _FIELDS = rb"((?:[A-Za-z0-9-]++:[ -~]*+\r\n)*+)\r\n"  # possessive: no head makes it look twice
 _REQUEST = re.compile(rb"(GET|PUT) (/[!-~]*+) HTTP/1\.1\r\n" + _FIELDS)
 _RESPONSE = re.compile(rb"HTTP/1\.1 (200|500|503|504) [ -~]*+\r\n" + _FIELDS)
 _LENGTH = re.compile(rb"[0-9]{1,7}")
-_APART = frozenset(
+_FRAMING_HEADERS = frozenset(
     {
         b"transfer-encoding",
         b"expect",
@@ -35,18 +35,18 @@
 Fields = dict[bytes, bytes]
 
 
-class Whole:
+class CompleteRequest:
     """Stands for h11's parser of a request that was read here: it is whole, and its connection may go on."""
 
     their_state = h11.DONE
     their_http_version = b"1.1"
 
 
-WHOLE = Whole()
+COMPLETE_REQUEST = CompleteRequest()
 
 
 @dataclass(frozen=True, slots=True)
-class Head:
+class SimpleHead:
     """A plain head; `end` is where it ends in the bytes that it was read from, `length` of what follows it in bytes."""
 
     method: bytes  # of a request
@@ -57,9 +57,9 @@
     end: int
 
 
-def request_head(data: bytes) -> Optional[Head]:
+def request_head(data: bytes) -> Optional[SimpleHead]:
     """The request whose head stands whole and plain at the start of these bytes."""
-    match = _REQUEST.match(data, 0, MOST_HEAD)
+    match = _REQUEST.match(data, 0, MAX_SIMPLE_HEAD_BYTES)
     if match is None:
         return None
     fields = _fields(match[3])
@@ -68,12 +68,12 @@
     length = _length(fields)
     if length is not None and length < 0:
         return None
-    return Head(match[1], match[2], 0, fields, length, match.end())
+    return SimpleHead(match[1], match[2], 0, fields, length, match.end())
 
 
-def response_head(data: bytes) -> Optional[Head]:
+def response_head(data: bytes) -> Optional[SimpleHead]:
     """The answer whose head stands whole and plain, with its length, at the start of these bytes."""
-    match = _RESPONSE.match(data, 0, MOST_HEAD)
+    match = _RESPONSE.match(data, 0, MAX_SIMPLE_HEAD_BYTES)
     if match is None:
         return None
     fields = _fields(match[2])
@@ -82,7 +82,7 @@
     length = _length(fields)
     if length is None or length < 0:
         return None
-    return Head(b"", b"", int(match[1]), fields, length, match.end())
+    return SimpleHead(b"", b"", int(match[1]), fields, length, match.end())
 
 
 def _fields(lines: bytes) -> Optional[Fields]:
@@ -92,7 +92,7 @@
     for line in rows[:-1]:
         name, _, value = line.partition(b":")
         fields[name.lower()] = value.strip(b" ")
-    if len(fields) < len(rows) - 1 or not _APART.isdisjoint(fields):
+    if len(fields) < len(rows) - 1 or not _FRAMING_HEADERS.isdisjoint(fields):
         return None
     if fields.get(b"connection", b"keep-alive").lower() != b"keep-alive":
         return None
@@ -104,4 +104,4 @@
     told = fields.get(b"content-length")
     if told is None:
         return None
-    return int(told) if _LENGTH.fullmatch(told) and int(told) <= MOST_BODY else -1
+    return int(told) if _LENGTH.fullmatch(told) and int(told) <= MAX_SIMPLE_BODY_BYTES else -1
--- a/corkshift/service.py
+++ b/corkshift/service.py
@@ -11,11 +11,11 @@
 from corkshift import seam
 from corkshift.config import BadConfig, Config, load
 from corkshift.discovery import Discovery
-from corkshift.figures import Figures
 from corkshift.frontend import Frontend
+from corkshift.metrics import Metrics
 from corkshift.node import Node
 from corkshift.presence import Presence
-from corkshift.stream import KERNEL_BUFFER
+from corkshift.stream import KERNEL_BUFFER_BYTES
 from corkshift.upstream import Pool
 from forkweir.limits.duty import Leave
 
@@ -49,7 +49,7 @@
         sockets = max(16, config.sockets - min(24, config.sockets // 4))
         upstream = sockets * 7 // 16
         self.config = config
-        self.figures = Figures(spec.name for spec in config.settings.classes)
+        self.figures = Metrics(spec.name for spec in config.settings.classes)
         self.presence = Presence()
         self.pool = Pool(
             upstream, config.dial_timeout_ms, config.conn_idle_ms, self.figures, self.presence
@@ -104,8 +104,8 @@
     def _listener(self) -> seam.Socket:
         """The clients' listening socket: the platform's, or one of our own. OSError where there is none to be had."""
         if self.config.socket_fd is not None:
-            return seam.inherited(self.config.socket_fd, KERNEL_BUFFER)
-        return seam.listen(self.config.listen, KERNEL_BUFFER)
+            return seam.inherited(self.config.socket_fd, KERNEL_BUFFER_BYTES)
+        return seam.listen(self.config.listen, KERNEL_BUFFER_BYTES)
 
     async def run(self) -> None:
         """Serve until SIGTERM or SIGINT, then drain."""
--- a/corkshift/sources/hub.py
+++ b/corkshift/sources/hub.py
@@ -159,7 +159,7 @@
     def _leave(self, server: CacheServer, now: float) -> None:
         if server.leaving_ms is None:
             server.leaving_ms = now
-        self._pool.forget(server)
+        self._pool.close_idle_of(server)
 
     def _look_again(self, now: float, groups: bool) -> None:
         """A timer for when the merge may change by itself, or a group may no longer serve."""
--- a/corkshift/stream.py
+++ b/corkshift/stream.py
@@ -14,17 +14,17 @@
 from corkshift.seam import Socket
 from corkshift.seam.errors import NO_BUFFERS
 
-CHUNK = 65_536  # bytes of one read, and of input held before reading pauses
-KERNEL_BUFFER = (
+READ_BYTES = 65_536  # bytes of one read, and of input held before reading pauses
+KERNEL_BUFFER_BYTES = (
     65_536  # asked of the kernel for each direction; it doubles this for its own overhead
 )
-NO_BUFFERS_S = 0.01  # until a read or write for which the kernel had no memory is tried again
-LINGER_S = 1.0  # how long a closing connection waits for its peer's end,
-LINGER_BYTES = 262_144  # and how much it throws away meanwhile
+NO_BUFFERS_RETRY_S = 0.01  # until a read or write for which the kernel had no memory is tried again
+LINGER_TIMEOUT_S = 1.0  # how long a closing connection waits for its peer's end,
+MAX_LINGER_BYTES = 262_144  # and how much it throws away meanwhile
 
 _RESET = struct.pack("ii", 1, 0)
 _SCRATCH = memoryview(
-    bytearray(CHUNK)
+    bytearray(READ_BYTES)
 )  # all reads land here first (guards against a large block allocated for each small read)
 
 
@@ -32,25 +32,25 @@
     """One connection. Reads go on by themselves until the buffer is full; writes end when the kernel has the bytes."""
 
     __slots__ = (
-        "_loop", "_sock", "_in", "_held", "_reading", "_reader", "_writer", "ended", "error", "closed", "notice", "most", "crowded",
-        "_overdue",
+        "_loop", "_sock", "_in", "_buffered_bytes", "_reading", "_reader", "_writer", "ended",
+        "error", "closed", "on_input", "read_limit", "last_read_full", "_expired",
     )  # fmt: skip
 
     def __init__(self, sock: Socket) -> None:
         self._loop = asyncio.get_running_loop()
         self._sock = sock
         self._in: deque[bytes] = deque()
-        self._held = 0
+        self._buffered_bytes = 0
         self._reading = False
         self._reader: Optional[asyncio.Future[None]] = None
         self._writer: Optional[asyncio.Future[None]] = None
         self.ended = False  # the peer sends nothing more
         self.error: Optional[OSError] = None
         self.closed = False
-        self._overdue = False
-        self.crowded = False  # the last read took as much as it could: more may stand behind it, and the peer's end behind that
-        self.most = CHUNK  # bytes of one read, and of input held before reading pauses
-        self.notice: Optional[Callable[[], None]] = None  # called when input comes or ends
+        self._expired = False
+        self.last_read_full = False  # the last read took as much as it could: more may stand behind it, and the peer's end behind that
+        self.read_limit = READ_BYTES  # bytes of one read, and of input held before reading pauses
+        self.on_input: Optional[Callable[[], None]] = None  # called when input comes or ends
         sock.setblocking(False)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         self._resume()
@@ -61,7 +61,7 @@
         return self._reading
 
     @property
-    def abandoned(self) -> bool:
+    def peer_left(self) -> bool:
         """Whether the peer has ended its side or reset the connection, also where bytes that nobody has read stand before that end."""
         return not self.closed and (self.ended or seam.abandoned(self._sock))
 
@@ -76,7 +76,7 @@
         return bool(self._in)
 
     @property
-    def quiet(self) -> bool:
+    def no_input(self) -> bool:
         """Whether nothing has come, as it should be on an idle connection; asks the kernel too."""
         if not (self.closed or self.ended or self._in):
             self._readable()
@@ -87,8 +87,8 @@
         while not self._in:
             if self.error is not None:
                 raise self.error
-            if self._overdue:
-                self._overdue = False
+            if self._expired:
+                self._expired = False
                 raise TimeoutError("the peer is too slow")
             if self.ended:
                 return b""
@@ -100,8 +100,8 @@
             finally:
                 self._reader = None
         data = self._in.popleft()
-        self._held -= len(data)
-        if self._held < self.most:
+        self._buffered_bytes -= len(data)
+        if self._buffered_bytes < self.read_limit:
             self._resume()
         return data
 
@@ -110,16 +110,16 @@
 
         What stands in the kernel's buffer has come in time (guards against a request that is whole there and nobody has looked).
         """
-        self._overdue = True
+        self._expired = True
         if not (self.closed or self.ended) and self._reading:
             self._readable()
         self._wake()
 
-    def spare(self) -> None:
+    def clear_expired(self) -> None:
         """Hold nothing of that time against the peer any more: what was awaited has come after all."""
-        self._overdue = False
+        self._expired = False
 
-    def push(self, data: bytes) -> int:
+    def write_now(self, data: bytes) -> int:
         """Give the kernel what it takes at once; how much that was."""
         if self.closed or self.error is not None:
             raise self.error or ConnectionAbortedError("closed")
@@ -151,7 +151,7 @@
             except OSError as error:
                 if error.errno in NO_BUFFERS:
                     await asyncio.sleep(
-                        NO_BUFFERS_S
+                        NO_BUFFERS_RETRY_S
                     )  # the socket may well count as writable meanwhile
                     continue
                 self._end(error)
@@ -176,15 +176,15 @@
             self._loop.remove_writer(self._sock)
         self._sock.close()
         self._in.clear()
-        self._held = 0
+        self._buffered_bytes = 0
         self._wake()
 
-    async def finish(self) -> None:
+    async def close_gracefully(self) -> None:
         """End our side and wait briefly for the peer's end (a close over unread input would reset the answer)."""
         try:
             self._sock.shutdown(socket.SHUT_WR)
-            left = LINGER_BYTES
-            async with asyncio.timeout(LINGER_S):
+            left = MAX_LINGER_BYTES
+            async with asyncio.timeout(LINGER_TIMEOUT_S):
                 while left > 0 and (data := await self.read()):
                     left -= len(data)
         except OSError:
@@ -203,35 +203,37 @@
 
     def _readable(self) -> None:
         try:
-            size = self._sock.recv_into(_SCRATCH if self.most == CHUNK else _SCRATCH[: self.most])
+            size = self._sock.recv_into(
+                _SCRATCH if self.read_limit == READ_BYTES else _SCRATCH[: self.read_limit]
+            )
         except (BlockingIOError, InterruptedError):
             return
         except OSError as error:
             if error.errno in NO_BUFFERS:
                 self._pause()  # what stands in the kernel is read a little later
-                self._loop.call_later(NO_BUFFERS_S, self._resume)
+                self._loop.call_later(NO_BUFFERS_RETRY_S, self._resume)
                 return
             self._end(error)
             return
         if not size:
             self._end(None)
             return
-        self.crowded = size == self.most
+        self.last_read_full = size == self.read_limit
         self._in.append(bytes(_SCRATCH[:size]))
-        self._held += size
-        if self._held >= self.most:
+        self._buffered_bytes += size
+        if self._buffered_bytes >= self.read_limit:
             self._pause()
         self._wake()
-        if self.notice is not None:
-            self.notice()
+        if self.on_input is not None:
+            self.on_input()
 
     def _end(self, error: Optional[OSError]) -> None:
         self.ended = True
         self.error = error
         self._pause()
         self._wake()
-        if self.notice is not None:
-            self.notice()
+        if self.on_input is not None:
+            self.on_input()
 
     def _wake(self) -> None:
         for waiter in (self._reader, self._writer):
--- a/corkshift/watch.py
+++ b/corkshift/watch.py
@@ -128,7 +128,7 @@
             self.begun
             and stream is not None
             and not stream.closed
-            and not stream.quiet
+            and not stream.no_input
             and stream.has_input
         )
 
--- a/testbed/nights/defects.py
+++ b/testbed/nights/defects.py
@@ -13,7 +13,7 @@
 from corkshift.budget import BodyBudget
 from corkshift.discovery import Discovery
 from corkshift.frontend import ClientConnection, Frontend
-from corkshift.messages import Answer, Call
+from corkshift.messages import ClientRequest, Response
 from corkshift.node import Node
 from corkshift.sources import message, resolver
 from corkshift.stream import Stream
@@ -108,14 +108,14 @@
 
     # Either guard alone is enough: what stood unread is looked at once more before it is sent on.
     return [
-        (ClientConnection, "_noticed", noticed),
+        (ClientConnection, "_on_input", noticed),
         (ClientConnection, "_waited_ms", lambda self: 0.0),
     ]
 
 
 @defect("what has waited is not looked at again before it is sent on")
 def never_looks_again() -> list[Patch]:
-    return [(ClientConnection, "look", lambda self: None)]
+    return [(ClientConnection, "check_departure", lambda self: None)]
 
 
 @defect("the grace after a drain is not looked at before the last byte")
@@ -158,10 +158,10 @@
 
 @defect("an attempt goes on after its request is over")
 def sends_after_a_cancel() -> list[Patch]:
-    def depart(self: Any, call: Call) -> None:
+    def depart(self: Any, call: ClientRequest) -> None:
         return None
 
-    return [(Node, "depart", depart)]
+    return [(Node, "cancel_request", depart)]
 
 
 @defect("attempts that are out are not ended with their request")
@@ -171,7 +171,7 @@
 
 @defect("the timer of a request's deadline is not cancelled")
 def forgets_a_timer() -> list[Patch]:
-    def close(self: Any, call: Call) -> None:
+    def close(self: Any, call: ClientRequest) -> None:
         for n in range(self._tries.pop(call.id, 0)):
             self._end_attempt((call.id, n))
 
@@ -180,14 +180,14 @@
 
 @defect("the room of a body is not given back")
 def keeps_a_bodys_room() -> list[Patch]:
-    return [(BodyBudget, "give", lambda self, held: None)]
+    return [(BodyBudget, "release", lambda self, held: None)]
 
 
 @defect("an answer is written twice")
 def answers_twice() -> list[Patch]:
     send = ClientConnection._send
 
-    async def twice(self: Any, parser: Any, answer: Answer) -> bool:
+    async def twice(self: Any, parser: Any, answer: Response) -> bool:
         keep = await send(self, parser, answer)
         if keep and answer.status == 503:
             await send(self, parser, answer)
@@ -219,8 +219,8 @@
 
     return [
         (Attempt, "_release", release),
-        (Stream, "quiet", property(lambda self: not (self.closed or self.ended))),
-        (upstream, "REST_MS", 0.0),
+        (Stream, "no_input", property(lambda self: not (self.closed or self.ended))),
+        (upstream, "MIN_IDLE_MS", 0.0),
     ]
 
 
--- a/testbed/nights/rules.py
+++ b/testbed/nights/rules.py
@@ -200,7 +200,7 @@
             txn = ask.txn.encode()
             if any(call.txn == txn for call in service.node._calls.values()):
                 self.broken("nothing after the end", f"{process.name} still holds {ask.txn}")
-            if any(attempt.call.txn == txn for attempt in service.node._running.values()):
+            if any(attempt.request.txn == txn for attempt in service.node._running.values()):
                 self.broken(
                     "nothing after the end",
                     f"an attempt of {process.name} for {ask.txn} is still out",
@@ -360,7 +360,7 @@
     def never_empty(self) -> None:
         """Rule 7, of every node that has further sources and has begun."""
         for process, service in self.services.items():
-            if service.sources is None or not process.running or not service.node.informed:
+            if service.sources is None or not process.running or not service.node.servers_known:
                 continue
             if any(server.leaving_ms is None for server in service.node.servers.values()):
                 self._empty.pop(process, None)
@@ -550,7 +550,7 @@
                     - min(FADING_MOST, len(service.discovery._fading))
                     - more,
                 ),
-                "connections in use": service.pool.open - len(service.pool._resting),
+                "connections in use": service.pool.open - len(service.pool._idle),
             }
             for what, count in left.items():
                 if count:
--- a/testbed/soak/large_fleet.py
+++ b/testbed/soak/large_fleet.py
@@ -28,7 +28,7 @@
 
 from corkshift import seam
 from corkshift.seam import Address, now_ms
-from corkshift.stream import KERNEL_BUFFER
+from corkshift.stream import KERNEL_BUFFER_BYTES
 from testbed.soak.__main__ import seeds_of
 from testbed.soak.discovery import Entry, ListOfServers, Place, started_entry
 from testbed.soak.oracle import Oracle, Rule, Spans
@@ -159,7 +159,7 @@
         """Begin to accept, from this machine alone."""
         sock = seam.stream()
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_BINDTODEVICE, LOOPBACK_DEVICE)
-        seam.bound_buffers(sock, KERNEL_BUFFER)
+        seam.bound_buffers(sock, KERNEL_BUFFER_BYTES)
         sock.bind(self.address)
         sock.listen(self._backlog)
         self.address = (self.address[0], sock.getsockname()[1])
--- a/testbed/systems/dns.py
+++ b/testbed/systems/dns.py
@@ -20,7 +20,7 @@
 
 from corkshift import seam
 from corkshift.seam import Address
-from corkshift.stream import KERNEL_BUFFER, Stream
+from corkshift.stream import KERNEL_BUFFER_BYTES, Stream
 from testbed.systems.serving import Program
 
 SERVICE = "_menu._tcp.cache.example.org."
@@ -83,7 +83,7 @@
     def listen(self) -> None:
         """Begin to answer, at one port for both ways. OSError where it is taken."""
         loop = asyncio.get_running_loop()
-        self._tcp = seam.listen(self.address, KERNEL_BUFFER)
+        self._tcp = seam.listen(self.address, KERNEL_BUFFER_BYTES)
         self._tcp.listen(64)
         self.address = self._tcp.getsockname()[:2]
         self._udp = seam.datagram()
@@ -161,7 +161,7 @@
                 await asyncio.sleep(30.0)
             for answer in self.answers(data[2:], True):
                 await stream.write(len(answer).to_bytes(2, "big") + answer)
-            await stream.finish()
+            await stream.close_gracefully()
         except OSError:
             pass
         finally:
--- a/testbed/systems/serving.py
+++ b/testbed/systems/serving.py
@@ -12,7 +12,7 @@
 
 from corkshift import seam
 from corkshift.seam import Address, Socket
-from corkshift.stream import KERNEL_BUFFER, Stream
+from corkshift.stream import KERNEL_BUFFER_BYTES, Stream
 
 MOST_BODY = 1 << 25
 
@@ -50,7 +50,7 @@
     @property
     def clean(self) -> bool:
         """Whether nothing has come that nobody asked for."""
-        return not self._ahead and self.stream.quiet
+        return not self._ahead and self.stream.no_input
 
     def renew(self) -> None:
         """Begin the next exchange."""
@@ -128,7 +128,7 @@
     """A connection to a server; OSError (TimeoutError among them) where it does not come up."""
     sock = seam.stream()
     try:
-        seam.bound_buffers(sock, KERNEL_BUFFER)
+        seam.bound_buffers(sock, KERNEL_BUFFER_BYTES)
         async with asyncio.timeout(within_s):
             await seam.connect(sock, address)
         return Connection(Stream(sock), h11.CLIENT)
@@ -186,7 +186,7 @@
 
     def listen(self) -> None:
         """Begin to accept. OSError where the address is taken."""
-        self._listener = seam.listen(self.address, KERNEL_BUFFER)
+        self._listener = seam.listen(self.address, KERNEL_BUFFER_BYTES)
         self._listener.listen(self._backlog)
         host, port = self._listener.getsockname()
         self.address = (host, port)
@@ -251,7 +251,7 @@
         if stream.ended:
             work.cancel()
 
-    before, stream.notice = stream.notice, noticed
+    before, stream.on_input = stream.on_input, noticed
     try:
         if stream.ended:
             work.cancel()
@@ -262,4 +262,4 @@
             raise Ended("given up") from None
         raise
     finally:
-        stream.notice = before
+        stream.on_input = before
--- a/tests/admin/test_admin.py
+++ b/tests/admin/test_admin.py
@@ -20,7 +20,7 @@
     def __init__(self, node: Rig) -> None:
         self.rig = node
         self.admin = Admin(
-            Status(node.node, node.frontend, node.discovery, node.figures), ("127.0.0.1", 0)
+            Status(node.node, node.frontend, node.discovery, node.metrics), ("127.0.0.1", 0)
         )
         self.admin.start()
 
@@ -59,8 +59,8 @@
         async with desk({"s1": CacheBox(script)}) as made:
             for n in range(3):
                 assert status(await made.rig.ask(f"ok-{n}")) == 200
-            assert status(await made.rig.ask("bad", path="/api/bad", lane="order")) == 502
-            assert status(await made.rig.ask("full", path="/api/full", lane="order")) == 503
+            assert status(await made.rig.ask("bad", path="/api/bad", class_name="order")) == 502
+            assert status(await made.rig.ask("full", path="/api/full", class_name="order")) == 503
             seen = await made.figures()
             assert (
                 seen["svc.responses.read.ok"],
@@ -97,7 +97,7 @@
         box, dead = CacheBox(slow), CacheBox()
         async with desk({"s1": box, "s2": dead}) as made:
             asks = [
-                asyncio.create_task(made.rig.ask(f"t{n}", path=f"/api/k{n}", lane="order"))
+                asyncio.create_task(made.rig.ask(f"t{n}", path=f"/api/k{n}", class_name="order"))
                 for n in range(8)
             ]
             await until(
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -10,11 +10,11 @@
 from corkshift import seam
 from corkshift.config import Config
 from corkshift.discovery import Discovery
-from corkshift.figures import Figures
 from corkshift.frontend import Frontend
+from corkshift.metrics import Metrics
 from corkshift.node import Node
 from corkshift.presence import Presence
-from corkshift.stream import KERNEL_BUFFER
+from corkshift.stream import KERNEL_BUFFER_BYTES
 from corkshift.upstream import Pool
 from forkweir.adapter import settings_of
 from forkweir.limits.duty import Leave
@@ -39,7 +39,7 @@
     "whole",
 ]
 
-PATIENCE_S = 30.0  # generous: what is waited for comes at once on an idle machine
+TEST_TIMEOUT_S = 30.0  # generous: what is waited for comes at once on an idle machine
 OPTIONS: dict[str, Any] = {
     "services": [
         {
@@ -96,7 +96,7 @@
     """Run a test on a loop of its own, within a generous time."""
 
     async def bounded() -> None:
-        async with asyncio.timeout(PATIENCE_S):
+        async with asyncio.timeout(TEST_TIMEOUT_S):
             await test()
 
     asyncio.run(bounded())
@@ -184,17 +184,17 @@
         )
         self.boxes = boxes
         self.registry = registry
-        self.figures = Figures(spec.name for spec in config.settings.classes)
-        self.presence = Presence()  # always present until a test starts it
+        self.metrics = Metrics(spec.name for spec in config.settings.classes)
+        self.loop_lag = Presence()  # always present until a test starts it
         self.pool = Pool(
-            sockets // 2, config.dial_timeout_ms, config.conn_idle_ms, self.figures, self.presence
+            sockets // 2, config.dial_timeout_ms, config.conn_idle_ms, self.metrics, self.loop_lag
         )
         self.node = Node(config, self.pool, sockets)
-        listener = seam.listen(config.listen, KERNEL_BUFFER)
+        listener = seam.listen(config.listen, KERNEL_BUFFER_BYTES)
         self.frontend = Frontend(
-            self.node, listener, clients, 1 << 20, leave=leave, presence=self.presence
+            self.node, listener, clients, 1 << 20, leave=leave, loop_lag=self.loop_lag
         )
-        self.discovery = Discovery(self.node, self.pool, config.discovery, presence=self.presence)
+        self.discovery = Discovery(self.node, self.pool, config.discovery, presence=self.loop_lag)
         self.node.follow = self.discovery.follow
         self.node.list_unread = self.discovery.unread
 
@@ -207,20 +207,20 @@
         return await send_to(("127.0.0.1", self.port), data)
 
     async def ask(
-        self, txn: str, more: str = "", path: str = "/api/k", lane: str = "read", method: str = "GET", body: bytes = b"",
+        self, txn: str, more: str = "", path: str = "/api/k", class_name: str = "read", method: str = "GET", body: bytes = b"",
         within_ms: int = 20_000,
     ) -> bytes:  # fmt: skip
         """One good request on a connection of its own; the whole answer."""
         return await self.send(
-            request(txn, more + "Connection: close\r\n", path, lane, method, within_ms) + body
+            request(txn, more + "Connection: close\r\n", path, class_name, method, within_ms) + body
         )
 
 
 def request(
-    txn: str, more: str = "", path: str = "/api/k", lane: str = "read", method: str = "GET", within_ms: int = 20_000
+    txn: str, more: str = "", path: str = "/api/k", class_name: str = "read", method: str = "GET", within_ms: int = 20_000
 ) -> bytes:  # fmt: skip
     """within_ms: how long its client waits."""
-    head = f"{method} {path} HTTP/1.1\r\nHost: x\r\nX-Txn: {txn}\r\nX-Lane: {lane}\r\nX-Remaining-Ms: {within_ms}\r\n"
+    head = f"{method} {path} HTTP/1.1\r\nHost: x\r\nX-Txn: {txn}\r\nX-Lane: {class_name}\r\nX-Remaining-Ms: {within_ms}\r\n"
     return f"{head}{more}\r\n".encode()
 
 
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -8,7 +8,7 @@
 from loopback import CacheBox, good, path_of, play, rig, status, until, whole
 
 from corkshift.seam import now_ms
-from corkshift.upstream import REST_MS
+from corkshift.upstream import MIN_IDLE_MS
 
 CHUNKED = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n"
 SPOILT = {
@@ -59,7 +59,7 @@
         box = CacheBox(lambda head: SPOILT["noise"])
         async with rig({"s0": box, "s1": CacheBox(lambda head: SPOILT["noise"])}) as made:
             answer = await made.ask(
-                "a", "Content-Length: 2\r\n", lane="order", method="PUT", body=b"hi"
+                "a", "Content-Length: 2\r\n", class_name="order", method="PUT", body=b"hi"
             )
             assert status(answer) == 502
             assert sum(len(each.heads) for each in made.boxes.values()) == 1
@@ -129,7 +129,7 @@
             pool.keep(server, first)
             server.idle[:] = [(now_ms() + 60_000.0, first)]  # as if it had only just come to rest
             assert await pool.connect(server) is not first
-            server.idle[:] = [(now_ms() - REST_MS, first)]
+            server.idle[:] = [(now_ms() - MIN_IDLE_MS, first)]
             assert await pool.connect(server) is first
 
     play(test)
--- a/tests/test_bulk.py
+++ b/tests/test_bulk.py
@@ -8,8 +8,8 @@
 import pytest
 from loopback import CacheBox, Rig, good, play, request, rig, status, until, whole
 
-from corkshift.budget import BULK, LONGEST
-from corkshift.relay import Broken, Relay
+from corkshift.budget import MAX_BODY_BYTES, MAX_BUFFERED_BODY_BYTES
+from corkshift.relay import BodyAborted, Relay
 from testbed.systems.serving import Connection, Message
 
 BODY = random.Random(1).randbytes(1 << 20)
@@ -68,7 +68,7 @@
 
 
 def head_of(txn: str, more: str, lane: str = "order") -> bytes:
-    return request(txn, more, lane=lane, method="PUT")
+    return request(txn, more, class_name=lane, method="PUT")
 
 
 async def answer_on(reader: asyncio.StreamReader) -> tuple[int, bytes]:
@@ -99,7 +99,7 @@
             body = early + await reader.read(-1)
             assert (body if form is sized else unchunked(body)) == BODY
             await at_rest(made)
-            assert made.figures.answers["read"] == [1, 0, 0] and made.figures.tries == 1
+            assert made.metrics.responses["read"] == [1, 0, 0] and made.metrics.attempts_sent == 1
             writer.transport.abort()
 
     play(test)
@@ -123,7 +123,9 @@
             answer = await asked
             assert len(answer.partition(b"\r\n\r\n")[2]) < len(BODY)
             await at_rest(made)
-            assert sum(len(each.heads) for each in boxes) == 1 and made.figures.answers["read"] == [
+            assert sum(len(each.heads) for each in boxes) == 1 and made.metrics.responses[
+                "read"
+            ] == [
                 0,
                 0,
                 1,
@@ -178,14 +180,14 @@
         chunk = b"10000\r\n" + bytes(65_536) + b"\r\n"
         box = Tap(
             b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-            + chunk * (BULK // 65_536 + 20),
+            + chunk * (MAX_BODY_BYTES // 65_536 + 20),
             b"",
         )
         async with rig({"s0": box}) as made:
             answer = await made.ask("a")
-            assert not answer.endswith(b"0\r\n\r\n") and len(answer) < BULK + 400_000
+            assert not answer.endswith(b"0\r\n\r\n") and len(answer) < MAX_BODY_BYTES + 400_000
             await at_rest(made)
-            assert made.figures.answers["read"] == [0, 0, 1]
+            assert made.metrics.responses["read"] == [0, 0, 1]
 
     play(test)
 
@@ -222,7 +224,7 @@
             for n in range(4):
                 answer = await made.ask(f"a{n}", more, f"/api/k{n}", "order", "PUT", BODY)
                 assert status(answer) == 200
-            assert boxes["s1"].bodies == [BODY] * 4 and made.figures.tries == 4
+            assert boxes["s1"].bodies == [BODY] * 4 and made.metrics.attempts_sent == 4
 
     play(test)
 
@@ -246,7 +248,7 @@
             )  # the rest was read past: the connection goes on
             assert await answer_on(reader) == (200, b"ok\n")
             await at_rest(made)
-            assert made.figures.tries == 0
+            assert made.metrics.attempts_sent == 0
             writer.transport.abort()
 
     play(test)
@@ -260,7 +262,11 @@
         async with rig({"s0": CacheBox(bad), "s1": CacheBox(bad)}) as made:
             assert status(
                 await made.ask(
-                    "a", f"Content-Length: {len(BODY)}\r\n", lane="pay", method="PUT", body=BODY
+                    "a",
+                    f"Content-Length: {len(BODY)}\r\n",
+                    class_name="pay",
+                    method="PUT",
+                    body=BODY,
                 )
             ) in (502, 503)
             assert (
@@ -268,7 +274,7 @@
                     await made.ask(
                         "b",
                         f"Content-Length: {len(BODY)}\r\n",
-                        lane="order",
+                        class_name="order",
                         method="PUT",
                         body=BODY,
                     )
@@ -276,7 +282,8 @@
                 == 502
             )
             assert (
-                made.figures.tries == 2 and sum(len(box.bodies) for box in made.boxes.values()) == 2
+                made.metrics.attempts_sent == 2
+                and sum(len(box.bodies) for box in made.boxes.values()) == 2
             )
 
     play(test)
@@ -290,7 +297,8 @@
         async with rig({"s0": CacheBox()}) as made:
             began = asyncio.get_running_loop().time()
             answer = await made.send(
-                head_of("a", f"Content-Length: {len(BODY)}\r\n") + BODY[: 3 * LONGEST]
+                head_of("a", f"Content-Length: {len(BODY)}\r\n")
+                + BODY[: 3 * MAX_BUFFERED_BODY_BYTES]
             )
             assert status(answer) == 408 and asyncio.get_running_loop().time() - began < 3.0
             await at_rest(made)
@@ -304,15 +312,15 @@
     async def test() -> None:
         async with rig({"s0": CacheBox()}) as made:
             reader, writer = await asyncio.open_connection("127.0.0.1", made.port)
-            data = head_of("a", f"Content-Length: {2 * LONGEST}\r\n")
+            data = head_of("a", f"Content-Length: {2 * MAX_BUFFERED_BODY_BYTES}\r\n")
             for part in (data[:20], data[20:50], data[50:]):
                 writer.write(part)
                 await asyncio.sleep(0.7)
-            for at in range(0, 2 * LONGEST, 16_384):
+            for at in range(0, 2 * MAX_BUFFERED_BODY_BYTES, 16_384):
                 writer.write(BODY[at : at + 16_384])
                 await asyncio.sleep(0.25)
             assert (await answer_on(reader))[0] == 200 and made.boxes["s0"].bodies == [
-                BODY[: 2 * LONGEST]
+                BODY[: 2 * MAX_BUFFERED_BODY_BYTES]
             ]
             writer.transport.abort()
 
@@ -322,16 +330,20 @@
 @pytest.mark.parametrize(
     ("more", "body", "expected"),
     [
-        (f"Content-Length: {BULK + 1}\r\n", b"", 413),
-        ("Transfer-Encoding: chunked\r\n", chunks(bytes(3 * LONGEST))[:-5] + b"zz\r\n", 400),
+        (f"Content-Length: {MAX_BODY_BYTES + 1}\r\n", b"", 413),
         (
             "Transfer-Encoding: chunked\r\n",
-            (b"10000\r\n" + bytes(65_536) + b"\r\n") * (BULK // 65_536 + 1),
+            chunks(bytes(3 * MAX_BUFFERED_BODY_BYTES))[:-5] + b"zz\r\n",
+            400,
+        ),
+        (
+            "Transfer-Encoding: chunked\r\n",
+            (b"10000\r\n" + bytes(65_536) + b"\r\n") * (MAX_BODY_BYTES // 65_536 + 1),
             413,
         ),
         (
             "Transfer-Encoding: chunked\r\n",
-            chunks(bytes(LONGEST + 1))[:-5] + b"1\r\nx\r\n" * 20_000,
+            chunks(bytes(MAX_BUFFERED_BODY_BYTES + 1))[:-5] + b"1\r\nx\r\n" * 20_000,
             400,
         ),
     ],
@@ -353,11 +365,14 @@
     async def test() -> None:
         async with rig({"s0": CacheBox()}) as made:
             reader, writer = await asyncio.open_connection("127.0.0.1", made.port)
-            writer.write(head_of("a", f"Content-Length: {len(BODY)}\r\n") + BODY[: 2 * LONGEST])
+            writer.write(
+                head_of("a", f"Content-Length: {len(BODY)}\r\n")
+                + BODY[: 2 * MAX_BUFFERED_BODY_BYTES]
+            )
             await until(lambda: made.node.open == 1)
-            made.node._ids.clear()  # as if it had been under way for longer than ids are remembered
+            made.node._recent_ids.clear()  # as if it had been under way for longer than ids are remembered
             assert status(await made.ask("a")) == 409
-            writer.write(BODY[2 * LONGEST :])
+            writer.write(BODY[2 * MAX_BUFFERED_BODY_BYTES :])
             assert (await answer_on(reader))[0] == 200
             writer.transport.abort()
 
@@ -429,7 +444,7 @@
             assert (
                 wrote is True
                 and taken == given
-                and (isinstance(got, Broken) if end == "fail" else got is True)
+                and (isinstance(got, BodyAborted) if end == "fail" else got is True)
             )
 
     play(test)
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -7,7 +7,7 @@
 import pytest
 from loopback import CacheBox, good, play, request, rig, status, until
 
-from corkshift.frontend import IDLE_MS, REST_SHARE
+from corkshift.frontend import IDLE_TIMEOUT_MS, MAX_IDLE_SHARE
 
 HIDDEN = request("hidden")
 BAD = {
@@ -38,7 +38,7 @@
     + b"0\r\n\r\n",
     "a chunk that can't be read": request("a", "Transfer-Encoding: chunked\r\n", method="PUT")
     + b"zz\r\nhello\r\n",
-    "an unknown class": request("a", lane="nothing"),
+    "an unknown class": request("a", class_name="nothing"),
     "no class": request("a").replace(b"X-Lane: read\r\n", b""),
     "no id": request("a").replace(b"X-Txn: a\r\n", b""),
     "an id of blanks": request("a b"),
@@ -172,7 +172,7 @@
                 or node._balancer.held
                 or frontend.budget.used
             )
-            assert not (frontend._silent or frontend._partial or frontend._resting)
+            assert not (frontend._unused or frontend._partial or frontend._idle)
             made.pool.close()
             assert made.pool.open == 0
             await until(lambda: slow.open == 0)
@@ -190,11 +190,11 @@
             for n, (reader, writer) in enumerate(kept):
                 writer.write(request(f"a{n}"))
                 assert status(await reader.readuntil(b"for /api/k")) == 200
-            share = int(32 * REST_SHARE)
+            share = int(32 * MAX_IDLE_SHARE)
             assert share < len(kept)
             for reader, _ in kept[:-share]:
                 assert await reader.read() == b""
-            assert loop.time() - begun < IDLE_MS / 1000.0 * 0.8
+            assert loop.time() - begun < IDLE_TIMEOUT_MS / 1000.0 * 0.8
             # Those that asked last are as good as before.
             for n, (reader, writer) in enumerate(kept[-share:]):
                 writer.write(request(f"b{n}"))
--- a/tests/test_customers.py
+++ b/tests/test_customers.py
@@ -29,10 +29,10 @@
 from test_process import free_port
 
 from corkshift.config import Config, config_of, load
-from corkshift.figures import Figures
+from corkshift.metrics import Metrics
 from corkshift.node import Node
 from corkshift.service import Service
-from corkshift.upstream import IDLE_SHARE, Pool
+from corkshift.upstream import IDLE_TIMEOUT_SHARE, Pool
 from forkweir import Balancer
 from forkweir.adapter import settings_of
 from forkweir.limits.duty import Leave
@@ -154,14 +154,16 @@
         config.memory_mb,
     ) == (300, 90)
     # And what is made of them.
-    figures = Figures(classes)
+    figures = Metrics(classes)
     pool = Pool(64, config.dial_timeout_ms, config.conn_idle_ms, figures)
     node = Node(config, pool, 64)
     longest = max(c["deadlineMs"] for c in classes.values())
-    assert all(node.knows(name) for name in classes) and not any(node.knows(name) for name in ACCRA)
+    assert all(node.has_class(name) for name in classes) and not any(
+        node.has_class(name) for name in ACCRA
+    )
     assert (
         pool._dial_s == allowed["dialTimeoutMs"] / 1000.0
-        and pool._idle_ms == IDLE_SHARE * allowed["connIdleMs"]
+        and pool._idle_ms == IDLE_TIMEOUT_SHARE * allowed["connIdleMs"]
     )
     assert node._id_memory_ms > longest
     assert set(node._windows) == {
@@ -259,10 +261,10 @@
             {"s0": CacheBox(lambda head: None), "s1": CacheBox(lambda head: None)}, options=options
         ) as made:
             balancer = made.node._balancer
-            asking = asyncio.create_task(made.ask("a", lane="brisk"))
+            asking = asyncio.create_task(made.ask("a", class_name="brisk"))
             await until(lambda: sum(len(box.heads) for box in made.boxes.values()) == 1)
             balancer.usual, balancer.waits[:] = 0.5, [(0.0, 1)]
-            made.node._due(3)  # it has been out for long
+            made.node._on_timer(3)  # it has been out for long
             assert len(made.node._running) == copies
             asking.cancel()
 
@@ -410,7 +412,7 @@
         async with rig({"s0": CacheBox(lambda head: None)}) as made:
             asking = asyncio.create_task(made.send(request("a")))
             await until(lambda: bool(made.boxes["s0"].heads))
-            made.node._ids[b"a"] -= 60_000.0  # or pushed out by thousands of others
+            made.node._recent_ids[b"a"] -= 60_000.0  # or pushed out by thousands of others
             assert status(await made.ask("a")) == 409
             asking.cancel()
 
--- a/tests/test_departures.py
+++ b/tests/test_departures.py
@@ -19,7 +19,7 @@
 from corkshift import seam
 from corkshift.frontend import ClientConnection
 from corkshift.seam import now_ms
-from corkshift.upstream import REST_MS
+from corkshift.upstream import MIN_IDLE_MS
 from forkweir.choice import HEDGE_LEAST
 
 HOWS = ["end", "reset"]
@@ -55,7 +55,7 @@
         made.pool.keep(server, await made.pool.connect(server))
     await until(
         lambda: all(
-            now_ms() - since_ms > REST_MS
+            now_ms() - since_ms > MIN_IDLE_MS
             for s in made.node.servers.values()
             for since_ms, _ in s.idle
         )
@@ -259,14 +259,14 @@
             await warmed(made)
             balancer = made.node._balancer
             balancer.usual = HEDGE_LEAST
-            sock = client(made, request("a", lane="brisk"))
+            sock = client(made, request("a", class_name="brisk"))
             await until(lambda: bool(asked(made)))
             await warmed(made)
             call = made.node._calls[1]
             call.since_ms -= 400.0
             balancer.waits[:] = [(0.0, call.id)]
             leave(sock, how)
-            made.node._due(3)
+            made.node._on_timer(3)
             assert len(made.node._running) == 2  # the module has asked for it
             await settled(made)
             assert len(asked(made)) == 1
@@ -322,7 +322,7 @@
             await until(lambda: len(made.node._running) >= 5)
             (connection,) = made.frontend._connections
             sock.sendall(b"\r\n" * 45_000)
-            await until(lambda: connection.deaf)
+            await until(lambda: connection.reading_paused)
             leave(sock, how)
             await until(lambda: not made.node._calls)  # the sweep looks
             come_up()
@@ -338,7 +338,10 @@
     async def test() -> None:
         async with rig({"s0": CacheBox()}) as made:
             head = request(
-                "a", f"Content-Length: {size}\r\nIdempotency-Key: k\r\n", lane="pay", method="PUT"
+                "a",
+                f"Content-Length: {size}\r\nIdempotency-Key: k\r\n",
+                class_name="pay",
+                method="PUT",
             )
             sock = client(made, head + b"x" * (size - 1))
             await until(lambda: bool(made.frontend._connections))
@@ -355,7 +358,10 @@
     async def test() -> None:
         async with rig({"s0": CacheBox()}) as made, dials_wait(monkeypatch) as come_up:
             head = request(
-                "a", "Content-Length: 200000\r\nIdempotency-Key: k\r\n", lane="pay", method="PUT"
+                "a",
+                "Content-Length: 200000\r\nIdempotency-Key: k\r\n",
+                class_name="pay",
+                method="PUT",
             )
             sock = client(made, head + b"x" * 150_000)
             await until(lambda: bool(made.node._running))
@@ -384,12 +390,14 @@
     # Its id is not served again while it may still run.
     async def test() -> None:
         async with rig({"s0": CacheBox(lambda head: None)}) as made:
-            sock = client(made, request("a", "Content-Length: 0\r\n", lane="order", method="PUT"))
+            sock = client(
+                made, request("a", "Content-Length: 0\r\n", class_name="order", method="PUT")
+            )
             await until(lambda: bool(asked(made)))
             leave(sock, "end")
             await settled(made)
             assert b"409" in await made.ask(
-                "a", "Content-Length: 0\r\n", lane="order", method="PUT"
+                "a", "Content-Length: 0\r\n", class_name="order", method="PUT"
             )
             assert len(asked(made)) == 1
 
@@ -403,7 +411,7 @@
             sock = client(made, request("a") + b"GET /api/later HTTP/1.1\r\n")
             assert b"200" in await read(sock)
             (connection,) = made.frontend._connections
-            assert isinstance(connection, ClientConnection) and not connection._stream.abandoned
+            assert isinstance(connection, ClientConnection) and not connection._stream.peer_left
             sock.close()
 
     play(test)
--- a/tests/test_narrow_moments.py
+++ b/tests/test_narrow_moments.py
@@ -46,7 +46,7 @@
             sock, rest = await half_asked(made)
             only(made).since_ms -= 1_000.0
             sock.sendall(rest)
-            assert not made.frontend._make_room()
+            assert not made.frontend._evict_one()
             assert status(await read(sock)) == 200
             sock.close()
 
@@ -89,9 +89,11 @@
     async def test() -> None:
         async with rig({"s0": CacheBox()}) as made:
             sock = client(made, b"BREW /pot HTTP/1.1\r\nHost: x\r\n\r\n")
-            await until(lambda: any(connection.over for connection in made.frontend._connections))
+            await until(
+                lambda: any(connection.lingering for connection in made.frontend._connections)
+            )
             sock.sendall(b"more of it")
-            assert not only(made).close_if_unread("room")
+            assert not only(made).close_if_no_input("room")
             assert status(await read(sock)) == 501
             assert await read(sock) == b""  # an end, and no reset
             sock.close()
@@ -240,7 +242,10 @@
             server = await asyncio.start_server(take, "127.0.0.1", 0)
             made.node.servers["s0"].address = server.sockets[0].getsockname()[:2]
             head = request(
-                "a", "Content-Length: 65500\r\nIdempotency-Key: k\r\n", lane="pay", method="PUT"
+                "a",
+                "Content-Length: 65500\r\nIdempotency-Key: k\r\n",
+                class_name="pay",
+                method="PUT",
             )
             asking = asyncio.create_task(made.send(head + b"x" * 65_500))
             await until(lambda: bool(made.node._running))
@@ -270,12 +275,15 @@
             async with dials_wait(monkeypatch) as come_up:
                 asking = asyncio.create_task(
                     made.ask(
-                        "a", "Content-Length: 0\r\nIdempotency-Key: k\r\n", lane="pay", method="PUT"
+                        "a",
+                        "Content-Length: 0\r\nIdempotency-Key: k\r\n",
+                        class_name="pay",
+                        method="PUT",
                     )
                 )
                 await until(lambda: bool(made.node._running))
                 # As if an earlier attempt had gone out: this one is dialed within the window, and comes up when that is over.
-                made.node._calls[1].ran_ms = now_ms() - 2_100.0
+                made.node._calls[1].first_sent_ms = now_ms() - 2_100.0
                 come_up()
                 await asking
             assert asked(made) == []
@@ -288,7 +296,7 @@
         box = CacheBox()
         async with rig({"s0": box}) as made:
             assert status(await made.ask("a")) == 200
-            (stream,) = made.pool._resting
+            (stream,) = made.pool._idle
             server = made.node.servers["s0"]
             server.idle[:] = [(now_ms() - made.pool._idle_ms - 1.0, stream)]
             assert status(await made.ask("b")) == 200
--- a/tests/test_plain.py
+++ b/tests/test_plain.py
@@ -7,7 +7,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from corkshift.plain import MOST_BODY, Head, request_head, response_head
+from corkshift.plain import MAX_SIMPLE_BODY_BYTES, SimpleHead, request_head, response_head
 
 NAMES = [
     b"Host", b"host", b"X-Txn", b"X-Lane", b"X-Org", b"X-Remaining-Ms", b"Accept", b"Content-Length",
@@ -48,7 +48,7 @@
     )
 
 
-def same(head: Head, event: object, parser: h11.Connection, data: bytes) -> None:
+def same(head: SimpleHead, event: object, parser: h11.Connection, data: bytes) -> None:
     assert isinstance(event, (h11.Request, h11.Response))
     assert dict(event.headers) == head.fields and len(event.headers) == len(head.fields)
     assert event.http_version == b"1.1"
@@ -128,7 +128,7 @@
     "more",
     [b"Content-Length: 4\r\nTransfer-Encoding: chunked\r\n", b"X-Txn: a\r\nx-txn: b\r\n", b"Expect: 100-continue\r\n",
      b"Connection: close\r\n",
-         b"Content-Length: %d\r\n" % (MOST_BODY + 1), b"Content-Length: 04x\r\n", b"Host: b\r\n",
+         b"Content-Length: %d\r\n" % (MAX_SIMPLE_BODY_BYTES + 1), b"Content-Length: 04x\r\n", b"Host: b\r\n",
          b"X: " + b"y" * 5_000 + b"\r\n", b"X: a\r\n b\r\n"],
 )  # fmt: skip
 def test_what_could_mean_two_things_is_left_to_h11(more: bytes) -> None:
--- a/tests/test_presence.py
+++ b/tests/test_presence.py
@@ -110,7 +110,7 @@
         + b"\n"
     )
     for connection in made.registry.watches:
-        assert connection.stream.push(b"%x\r\n%b\r\n" % (len(line), line)) > len(line)
+        assert connection.stream.write_now(b"%x\r\n%b\r\n" % (len(line), line)) > len(line)
 
 
 def test_the_time_that_a_request_stood_unread_is_taken_from_its_budget() -> None:
@@ -118,7 +118,7 @@
     async def test() -> None:
         box = CacheBox(good)
         async with rig({"s0": box}) as made:
-            made.presence.start()
+            made.loop_lag.start()
             assert status(await made.ask("first")) == 200
             await asyncio.sleep(0.15)
             asked = [
@@ -128,12 +128,12 @@
             hold(0.7)
             assert await asyncio.gather(*map(answered, asked)) == [503, 200]
             assert (
-                made.figures.refused["late"] + made.figures.refused["behind"] == 1
+                made.metrics.refusals["late"] + made.metrics.refusals["behind"] == 1
                 and len(box.heads) == before + 1
             )
             told = int(box.heads[-1].partition(b"X-Remaining-Ms: ")[2].split(b"\r\n")[0])
             assert 3_500 < told <= 5_000 - 690
-            made.presence.close()
+            made.loop_lag.close()
 
     play(test)
 
@@ -147,7 +147,7 @@
     async def test() -> None:
         boxes = {f"s{n}": CacheBox(good) for n in range(2)}
         async with rig(boxes) as made:
-            made.presence.start()
+            made.loop_lag.start()
             for n in range(20):
                 assert status(await made.ask(f"warm{n}", path=f"/api/{n}")) == 200
             await asyncio.sleep(0.2)
@@ -161,7 +161,7 @@
             leaving_ms = made.node.servers["s0"].leaving_ms
             assert leaving_ms is not None and leaving_ms <= written_ms
             assert len(boxes["s0"].heads) == before
-            made.presence.close()
+            made.loop_lag.close()
 
     play(test)
 
@@ -193,7 +193,7 @@
 def test_only_after_a_hold_is_discovery_looked_at_once_more() -> None:
     async def test() -> None:
         async with rig({"s0": CacheBox(good)}) as made:
-            made.presence.start()
+            made.loop_lag.start()
             await asyncio.sleep(0.2)
             write_drain(made, "s0")
             assert not made.discovery.unread()  # the loop is there to read it
@@ -202,7 +202,7 @@
             await until(lambda: made.node.servers["s0"].leaving_ms is not None)
             await asyncio.sleep(0.2)
             assert not made.discovery.unread()
-            made.presence.close()
+            made.loop_lag.close()
 
     play(test)
 
@@ -211,10 +211,10 @@
     async def test() -> None:
         box = CacheBox(good)
         async with rig({"s0": box}) as made:
-            made.presence.turn_ms = 100.0
+            made.loop_lag.turn_ms = 100.0
             assert status(await made.ask("short", within_ms=400)) == 503
             assert status(await made.ask("long", within_ms=5_000)) == 200
-            assert made.figures.refused["behind"] == 1 and len(box.heads) == 1
+            assert made.metrics.refusals["behind"] == 1 and len(box.heads) == 1
 
     play(test)
 
@@ -223,7 +223,7 @@
     async def test() -> None:
         box = CacheBox(good)
         async with rig({"s0": box}) as made:
-            made.presence.start()
+            made.loop_lag.start()
             await asyncio.sleep(0.1)
             asked = asyncio.create_task(made.ask("held"))
             while not made.node._running:
@@ -232,7 +232,7 @@
             hold(0.6)
             assert attempt.elapsed_ms < 200.0
             assert status(await asked) == 200
-            made.presence.close()
+            made.loop_lag.close()
 
     play(test)
 
--- a/tests/test_silence.py
+++ b/tests/test_silence.py
@@ -55,7 +55,7 @@
         async with rig({"s0": CacheBox(script), "s1": CacheBox(script)}) as made:
             settled(made)
             answer = await made.ask(
-                "a", "Idempotency-Key: k\r\nContent-Length: 0\r\n", lane=lane, method=method
+                "a", "Idempotency-Key: k\r\nContent-Length: 0\r\n", class_name=lane, method=method
             )
             assert status(answer) == 200 and asked(made) == 2
             # The one that has not answered is given up, and nothing of it stays.
@@ -72,7 +72,9 @@
         async with rig({"s0": CacheBox(script), "s1": CacheBox(script)}) as made:
             settled(made)
             assert (
-                status(await made.ask("a", "Content-Length: 0\r\n", lane="once", method="PUT"))
+                status(
+                    await made.ask("a", "Content-Length: 0\r\n", class_name="once", method="PUT")
+                )
                 == 502
             )
             assert asked(made) == 1
@@ -94,7 +96,7 @@
             while not out(made, "s0"):
                 keys = range(n, n + 24)
                 answers = await asyncio.gather(
-                    *(made.ask(f"a{k}", path=f"/api/{k}", lane="brisk") for k in keys)
+                    *(made.ask(f"a{k}", path=f"/api/{k}", class_name="brisk") for k in keys)
                 )
                 assert {status(answer) for answer in answers} <= {200, 503}
                 n += 24
@@ -104,7 +106,7 @@
             until_ms = member(made, "s0").out_until
             await until(lambda: now_ms() > until_ms)
             answers = await asyncio.gather(
-                *(made.ask(f"b{k}", path=f"/api/{k}", lane="brisk") for k in range(24))
+                *(made.ask(f"b{k}", path=f"/api/{k}", class_name="brisk") for k in range(24))
             )
             assert {status(answer) for answer in answers} == {200}
             assert len(boxes["s0"].heads) == before + 1 and out(made, "s0") == 2
@@ -113,7 +115,7 @@
             n = 0
             while out(made, "s0"):
                 n += 1
-                await made.ask(f"c{n}", path=f"/api/{n}", lane="brisk")
+                await made.ask(f"c{n}", path=f"/api/{n}", class_name="brisk")
                 await asyncio.sleep(0.01)
             assert member(made, "s0").out_until == 0.0
 
@@ -133,7 +135,10 @@
             async def batch(name: str) -> int:
                 before = len(boxes["s0"].heads)
                 await asyncio.gather(
-                    *(made.ask(f"{name}{k}", path=f"/api/{k}", lane="brisk") for k in range(120))
+                    *(
+                        made.ask(f"{name}{k}", path=f"/api/{k}", class_name="brisk")
+                        for k in range(120)
+                    )
                 )
                 return len(boxes["s0"].heads) - before
 
--- a/tests/test_unframed_responses.py
+++ b/tests/test_unframed_responses.py
@@ -14,7 +14,7 @@
 from loopback import CacheBox, good, play, request, rig, status
 from test_process import running
 
-from corkshift.budget import LONGEST
+from corkshift.budget import MAX_BUFFERED_BODY_BYTES
 from forkweir.choice import HEDGE_LEAST
 
 HEAD = b"HTTP/1.1 200 OK\r\nX-Found: hit\r\n"
@@ -68,7 +68,7 @@
         await server.start()
         box.close()
         made.node.servers["s0"].address = ("127.0.0.1", server.port)
-        answer = await made.ask(txn, lane=lane)
+        answer = await made.ask(txn, class_name=lane)
         server.server.close()
         return answer
 
@@ -78,7 +78,7 @@
     [HEAD, HEAD + b"Connection: close\r\n", HEAD.replace(b"1.1", b"1.0")],
     ids=["1.1", "close", "1.0"],
 )
-@pytest.mark.parametrize("size", [0, 10, LONGEST, 300_000])
+@pytest.mark.parametrize("size", [0, 10, MAX_BUFFERED_BODY_BYTES, 300_000])
 def test_a_response_that_ends_with_its_connection_is_forwarded_whole(
     size: int, head: bytes
 ) -> None:
@@ -147,7 +147,7 @@
                 HEDGE_LEAST  # as after many quick answers: what is out for long stands out early
             )
             more = "X-Remaining-Ms: 1500\r\n" if lane == "order" else ""
-            data = request("a", more + "Connection: close\r\n", lane=lane)
+            data = request("a", more + "Connection: close\r\n", class_name=lane)
             if more:
                 data = data.replace(b"X-Remaining-Ms: 20000\r\n", b"")
             answer = await made.send(data)
--- a/tests/testbed/test_hard_cases.py
+++ b/tests/testbed/test_hard_cases.py
@@ -8,8 +8,8 @@
 
 import pytest
 
-from corkshift.figures import Figures
-from corkshift.messages import Answer, Call
+from corkshift.messages import ClientRequest, Response
+from corkshift.metrics import Metrics
 from corkshift.upstream import Attempt, CacheServer, Outcome, Pool
 from forkweir.send_guard import Denial
 from testbed.machine.loop import Deadlock, Livelock, VirtualLoop
@@ -113,21 +113,21 @@
 class Bystander:
     """Who has an attempt made and need not hear of it."""
 
-    def may_send(self, call: Call, server: CacheServer, told_ms: int) -> Denial | None:
+    def may_send(self, call: ClientRequest, server: CacheServer, told_ms: int) -> Denial | None:
         return None
 
     def list_unread(self) -> bool:
         return False
 
-    def went_out(self, call: Call, server: CacheServer, told_ms: int) -> None:
+    def on_last_byte_written(self, call: ClientRequest, server: CacheServer, told_ms: int) -> None:
         pass
 
-    def spent(self, call: Call) -> None:
+    def on_body_consumed(self, call: ClientRequest) -> None:
         raise AssertionError("the body is held whole")
 
-    sent = spent
+    on_fully_sent = on_body_consumed
 
-    def begun(self, attempt: Attempt, answer: Answer, note: int) -> bool:
+    def on_response_started(self, attempt: Attempt, answer: Response, note: int) -> bool:
         raise AssertionError("the answer is held whole")
 
 
@@ -164,8 +164,8 @@
     pool: list[Pool] = []
 
     async def program() -> None:
-        pool.append(Pool(8, 250.0, 10_000.0, Figures([])))
-        call = Call(b"GET", b"/api/k", b"t", None, "read", "", "k", None, 0.0, False)
+        pool.append(Pool(8, 250.0, 10_000.0, Metrics([])))
+        call = ClientRequest(b"GET", b"/api/k", b"t", None, "read", "", "k", None, 0.0, False)
         attempt = Attempt(pool[0], CacheServer("box", (BOX, 8001)), call, within_ms, Bystander())
         outcomes.append(await asyncio.get_running_loop().create_task(attempt.run()))
         pool[0].close()
@@ -193,8 +193,8 @@
     seen: list[object] = []
 
     async def program() -> None:
-        pool, server = Pool(8, 250.0, 10_000.0, Figures([])), CacheServer("box", (BOX, 8001))
-        call = Call(b"GET", b"/api/k", b"t", None, "read", "", "k", None, 0.0, False)
+        pool, server = Pool(8, 250.0, 10_000.0, Metrics([])), CacheServer("box", (BOX, 8001))
+        call = ClientRequest(b"GET", b"/api/k", b"t", None, "read", "", "k", None, 0.0, False)
         attempt = Attempt(pool, server, call, 100.0, Bystander())
         seen.append((await attempt.run()).status)
         attempt.abort()
--- a/tests/testbed/test_parity.py
+++ b/tests/testbed/test_parity.py
@@ -19,7 +19,7 @@
 
 from corkshift import seam
 from corkshift.seam import Socket
-from corkshift.stream import KERNEL_BUFFER, Stream
+from corkshift.stream import KERNEL_BUFFER_BYTES, Stream
 from testbed.machine.loop import VirtualLoop
 from testbed.machine.net import Network
 from testbed.machine.process import Process
@@ -102,10 +102,10 @@
 
 async def raw_pair() -> tuple[Socket, Socket]:
     """A connection: the dialing end and the accepted one."""
-    listener = seam.listen((HOST, 0), KERNEL_BUFFER)
+    listener = seam.listen((HOST, 0), KERNEL_BUFFER_BYTES)
     listener.listen(8)
     dialing = seam.stream()
-    seam.bound_buffers(dialing, KERNEL_BUFFER)
+    seam.bound_buffers(dialing, KERNEL_BUFFER_BYTES)
     await seam.connect(dialing, listener.getsockname())
     accepted = await accept(listener)
     listener.close()
@@ -179,7 +179,7 @@
     a, b = await pair()
     job = asyncio.create_task(a.write(bytes(1_000_000)))
     await asyncio.sleep(0.2)
-    held = b._held
+    held = b._buffered_bytes
     job.cancel()
     return [65_536 <= held < 3 * 65_536]
 
@@ -217,7 +217,7 @@
 async def no_linger_is_a_reset() -> Seen:
     a, b = await pair()
     a.abort()
-    return [await all_of(b), called(lambda: b.push(b"x"))]
+    return [await all_of(b), called(lambda: b.write_now(b"x"))]
 
 
 @scenario
@@ -264,14 +264,14 @@
     a, b = await pair()
     b.close()
     await until(lambda: a.ended)
-    seen: Seen = [a.error is None, await named(a.read()), called(lambda: a.push(b"first"))]
+    seen: Seen = [a.error is None, await named(a.read()), called(lambda: a.write_now(b"first"))]
     await asyncio.sleep(0.05)
-    return [*seen, called(lambda: a.push(b"second")), a.closed, type(a.error).__name__]
+    return [*seen, called(lambda: a.write_now(b"second")), a.closed, type(a.error).__name__]
 
 
 @scenario
 async def a_dial_that_is_refused() -> Seen:
-    listener = seam.listen((HOST, 0), KERNEL_BUFFER)
+    listener = seam.listen((HOST, 0), KERNEL_BUFFER_BYTES)
     address = listener.getsockname()
     listener.close()
     return [await named(seam.connect(seam.stream(), address))]
@@ -279,13 +279,13 @@
 
 @scenario
 async def a_bound_socket_that_does_not_listen_refuses() -> Seen:
-    listener = seam.listen((HOST, 0), KERNEL_BUFFER)
+    listener = seam.listen((HOST, 0), KERNEL_BUFFER_BYTES)
     return [await named(seam.connect(seam.stream(), listener.getsockname()))]
 
 
 @scenario
 async def a_backlog_holds_connections_until_they_are_accepted() -> Seen:
-    listener = seam.listen((HOST, 0), KERNEL_BUFFER)
+    listener = seam.listen((HOST, 0), KERNEL_BUFFER_BYTES)
     listener.listen(8)
     dials = [seam.stream() for _ in range(4)]
     for n, dial in enumerate(dials):
@@ -299,7 +299,7 @@
 
 @scenario
 async def a_full_backlog_leaves_a_dial_without_answer() -> Seen:
-    listener = seam.listen((HOST, 0), KERNEL_BUFFER)
+    listener = seam.listen((HOST, 0), KERNEL_BUFFER_BYTES)
     listener.listen(1)
     seen: Seen = []
     kept = []
@@ -313,7 +313,7 @@
 
 @scenario
 async def a_connection_reset_before_it_is_accepted() -> Seen:
-    listener = seam.listen((HOST, 0), KERNEL_BUFFER)
+    listener = seam.listen((HOST, 0), KERNEL_BUFFER_BYTES)
     listener.listen(8)
     dial = seam.stream()
     await seam.connect(dial, listener.getsockname())
@@ -325,7 +325,7 @@
 
 @scenario
 async def a_listener_that_closes_resets_what_waits() -> Seen:
-    listener = seam.listen((HOST, 0), KERNEL_BUFFER)
+    listener = seam.listen((HOST, 0), KERNEL_BUFFER_BYTES)
     listener.listen(8)
     dial = seam.stream()
     await seam.connect(dial, listener.getsockname())
@@ -335,15 +335,15 @@
 
 @scenario
 async def an_address_that_is_taken() -> Seen:
-    listener = seam.listen((HOST, 0), KERNEL_BUFFER)
+    listener = seam.listen((HOST, 0), KERNEL_BUFFER_BYTES)
     listener.listen(8)
-    return [called(lambda: seam.listen(listener.getsockname(), KERNEL_BUFFER).listen(8))]
+    return [called(lambda: seam.listen(listener.getsockname(), KERNEL_BUFFER_BYTES).listen(8))]
 
 
 @scenario
 async def a_silent_peer_is_a_timeout_and_nothing_else() -> Seen:
     a, b = await pair()
-    seen: Seen = [await named(asyncio.wait_for(a.read(), 0.05)), a.ended, a.quiet]
+    seen: Seen = [await named(asyncio.wait_for(a.read(), 0.05)), a.ended, a.no_input]
     a.expire()
     return [*seen, await named(a.read()), await b.write(b"late"), await a.read()]
 
@@ -352,7 +352,7 @@
 async def a_finish_waits_for_the_peers_end() -> Seen:
     a, b = await pair()
     await a.write(b"answer")
-    job = asyncio.create_task(a.finish())
+    job = asyncio.create_task(a.close_gracefully())
     seen: Seen = [await b.read(), await b.read(), job.done()]
     b.close()
     await job
@@ -408,7 +408,7 @@
 
 @scenario
 async def a_dial_given_up_leaves_nothing() -> Seen:
-    listener = seam.listen((HOST, 0), KERNEL_BUFFER)
+    listener = seam.listen((HOST, 0), KERNEL_BUFFER_BYTES)
     listener.listen(8)
     dial = seam.stream()
     job = asyncio.create_task(seam.connect(dial, listener.getsockname()))
