--- a/corkshift/messages.py
+++ b/corkshift/messages.py
@@ -50,7 +50,7 @@
     since_ms: float = 0.0  # from when its time counts
     deadline_ms: float = 0.0
     fully_sent: bool = False  # of one too large to hold: its last byte has gone out
-    first_sent_ms: Optional[float] = (
+    first_attempt_sent_ms: Optional[float] = (
         None  # when the last byte of its first attempt began to go out: from then on it may have run
     )
     backstop: Optional[asyncio.TimerHandle] = None
--- a/corkshift/node.py
+++ b/corkshift/node.py
@@ -372,10 +372,10 @@
         return SendState(
             wanted=request.open,
             leaving_ms=server.leaving_ms,
-            first_sent_ms=request.first_sent_ms,
+            first_sent_ms=request.first_attempt_sent_ms,
             repeat_window_ms=self._windows.get(request.class_name),
             deadline_ms=inf if flowing else request.deadline_ms,
-            announced_ms=announced_ms,
+            told_ms=announced_ms,
         )
 
     def _on_attempt_done(
--- a/corkshift/upstream.py
+++ b/corkshift/upstream.py
@@ -89,7 +89,7 @@
         self._idle_ms = conn_idle_ms * IDLE_TIMEOUT_SHARE
         self._open = 0
         self._idle: dict[Stream, CacheServer] = {}  # longest rest first
-        self._sweeper: Optional[asyncio.TimerHandle] = None
+        self._sweep_timer: Optional[asyncio.TimerHandle] = None
 
     async def connect(self, server: CacheServer, until_s: float = 0.0) -> Stream:
         """A connection to a server: the one that rested least, but long enough, or a new one.
@@ -146,8 +146,8 @@
         server.idle.append((now_ms(), stream))
         self._idle[stream] = server
         stream.on_input = lambda: self._close_idle(stream)
-        if self._sweeper is None:
-            self._sweeper = asyncio.get_running_loop().call_later(SWEEP_INTERVAL_S, self._sweep)
+        if self._sweep_timer is None:
+            self._sweep_timer = asyncio.get_running_loop().call_later(SWEEP_INTERVAL_S, self._sweep)
 
     def drop(self, stream: Stream) -> None:
         """Close a connection that no attempt uses any more."""
@@ -182,7 +182,7 @@
 
     def _sweep(self) -> None:
         """Close what has rested too long (guards against a request written as its server closes the connection)."""
-        self._sweeper = None
+        self._sweep_timer = None
         before = now_ms() - self._idle_ms
         for stream, server in list(self._idle.items()):
             if server.idle[0][0] > before:
@@ -190,7 +190,7 @@
             self._remove_idle(stream)
             self.drop(stream)
         if self._idle:
-            self._sweeper = asyncio.get_running_loop().call_later(SWEEP_INTERVAL_S, self._sweep)
+            self._sweep_timer = asyncio.get_running_loop().call_later(SWEEP_INTERVAL_S, self._sweep)
 
 
 class AttemptOwner(Protocol):
@@ -238,7 +238,7 @@
         self.request = request
         self._within_ms = within_ms
         self._owner = owner
-        self._limit = asyncio.timeout(within_ms / 1000.0)
+        self._timeout = asyncio.timeout(within_ms / 1000.0)
         self._relay: Optional[Relay] = None  # what carries an answer too large to hold
         self._stream: Optional[Stream] = None
         self._parser: Optional[h11.Connection] = (
@@ -270,7 +270,7 @@
         """Send the request and read the whole answer."""
         outcome, cause = Outcome("withdrawn"), "given up"
         try:
-            async with self._limit:
+            async with self._timeout:
                 outcome, cause = await self._exchange(), ""
         except (NotSent, BodyAborted) as error:
             outcome, cause = (
@@ -327,7 +327,7 @@
 
     def _left_ms(self) -> float:
         """How long this attempt will still wait."""
-        when = self._limit.when()
+        when = self._timeout.when()
         return (
             self._within_ms if when is None else 1000.0 * (when - asyncio.get_running_loop().time())
         )
@@ -388,7 +388,7 @@
         """
         request, body_rest = self.request, self.request.body_rest
         assert body_rest is not None
-        self._limit.reschedule(None)
+        self._timeout.reschedule(None)
         parser = self._parser = h11.Connection(h11.CLIENT, max_incomplete_event_size=MAX_HEAD_BYTES)
         parts = [self._head(parser, request.length)]
         for kept in request.body:
@@ -414,7 +414,7 @@
             return False
         self._started_ms = self._pool.loop_lag.present_ms()
         self._owner.on_fully_sent(request)
-        self._limit.reschedule(asyncio.get_running_loop().time() + self._within_ms / 1000.0)
+        self._timeout.reschedule(asyncio.get_running_loop().time() + self._within_ms / 1000.0)
         return True
 
     def _check_may_send(self) -> None:
@@ -436,8 +436,8 @@
     async def _send_last(self, stream: Stream, piece: bytes | bytearray, until_input: bool) -> bool:
         await self._let_discovery_read()
         self._check_may_send()
-        if self.request.first_sent_ms is None:
-            self.request.first_sent_ms = now_ms()
+        if self.request.first_attempt_sent_ms is None:
+            self.request.first_attempt_sent_ms = now_ms()
         self._any_sent = True
         if not await stream.write(piece, until_input=until_input):
             return False
@@ -518,7 +518,7 @@
         ):
             raise NotSent("no longer wanted")
         self._relay = relay
-        self._limit.reschedule(None)
+        self._timeout.reschedule(None)
         self._stream.read_limit = LARGE_BODY_READ_BYTES
         size, pieces = len(body), PieceCounter()
         while True:
--- a/tests/admin/test_admin.py
+++ b/tests/admin/test_admin.py
@@ -7,7 +7,7 @@
 from contextlib import asynccontextmanager
 
 import pytest
-from loopback import CacheBox, Rig, good, play, request, rig, send_to, status, until
+from loopback import CacheBox, Rig, good, request, rig, run_async, send_to, status, until
 
 from corkshift.admin import Admin, Status
 from corkshift.admin.server import MOST
@@ -83,7 +83,7 @@
             }
             assert len(refused) == 10 and refused["svc.refused.tries"] == sum(refused.values()) == 1
 
-    play(test)
+    run_async(test)
 
 
 def test_the_figures_tell_what_is_open_and_which_servers_are_avoided() -> None:
@@ -125,7 +125,7 @@
                 seen["svc.pool.draining"],
             ) == (1, 1, 0)
 
-    play(test)
+    run_async(test)
 
 
 def test_health_says_no_until_a_cache_server_is_known() -> None:
@@ -135,7 +135,7 @@
         async with desk({"s1": CacheBox()}) as made:
             assert await made.call("/admin/health") == 200
 
-    play(test)
+    run_async(test)
 
 
 @pytest.mark.parametrize(
@@ -164,7 +164,7 @@
             assert made.rig.frontend.duty.welcome
             assert await made.call("/admin/health") == 200
 
-    play(test)
+    run_async(test)
 
 
 def test_a_caller_that_sends_its_call_with_a_body_is_answered() -> None:
@@ -178,7 +178,7 @@
             assert status(await reader.read()) == 200 and not made.rig.frontend.duty.welcome
             writer.transport.abort()
 
-    play(test)
+    run_async(test)
 
 
 def test_callers_that_say_nothing_shut_nobody_out() -> None:
@@ -190,7 +190,7 @@
             for _, writer in silent:
                 writer.transport.abort()
 
-    play(test)
+    run_async(test)
 
 
 def test_a_drain_ends_every_connection_within_two_seconds_and_resume_takes_clients_again() -> None:
@@ -239,4 +239,4 @@
                 each.transport.abort()
             busy.transport.abort()
 
-    play(test)
+    run_async(test)
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -30,7 +30,7 @@
     "entry",
     "good",
     "path_of",
-    "play",
+    "run_async",
     "request",
     "rig",
     "send_to",
@@ -92,7 +92,7 @@
 }
 
 
-def play(test: Callable[[], Coroutine[Any, Any, None]]) -> None:
+def run_async(test: Callable[[], Coroutine[Any, Any, None]]) -> None:
     """Run a test on a loop of its own, within a generous time."""
 
     async def bounded() -> None:
--- a/tests/sources/test_members.py
+++ b/tests/sources/test_members.py
@@ -9,7 +9,7 @@
 import sys
 from pathlib import Path
 
-from loopback import CacheBox, play, until
+from loopback import CacheBox, run_async, until
 from test_process import ROOT, running
 from virtual import SERVICE
 
@@ -73,4 +73,4 @@
         assert code == 1 and "REFUSED" in errors and "dns" in out
         server.close()
 
-    play(test)
+    run_async(test)
--- a/tests/test_address_book.py
+++ b/tests/test_address_book.py
@@ -11,7 +11,7 @@
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from loopback import CacheBox, entry, play, rig, until
+from loopback import CacheBox, entry, rig, run_async, until
 
 from corkshift import address_book
 from corkshift.address_book import AddressBook
@@ -153,7 +153,7 @@
             assert sliced.node.view() == at_once.node.view()
             assert sliced.book._hearsay.held == at_once.book._hearsay.held
 
-    play(test)
+    run_async(test)
 
 
 def test_a_whole_list_that_has_not_changed_tells_nothing() -> None:
@@ -223,4 +223,4 @@
             await asyncio.sleep(0)
             assert not made.node._balancer.fleet.members["s0"].present
 
-    play(test)
+    run_async(test)
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -5,13 +5,13 @@
 import asyncio
 
 import pytest
-from loopback import CacheBox, good, path_of, play, rig, status, until, whole
+from loopback import CacheBox, good, path_of, rig, run_async, status, until, whole
 
 from corkshift.seam import now_ms
 from corkshift.upstream import MIN_IDLE_MS
 
 CHUNKED = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n"
-SPOILT = {
+MALFORMED = {
     "noise": bytes(range(128, 256)) * 3,
     "a status that is no number": b"HTTP/1.1 2x0 OK\r\nContent-Length: 4\r\n\r\nevil",
     "a line that is no header": b"HTTP/1.1 200 OK\r\nno colon here\r\nContent-Length: 4\r\n\r\nevil",
@@ -29,7 +29,7 @@
     "chunks of one byte": CHUNKED + b"\r\n" + b"1\r\nx\r\n" * 3000 + b"0\r\n\r\n",
     "1xx without end": b"HTTP/1.1 103 Early Hints\r\n\r\n" * 100,
 }
-SURPLUS = {
+EXTRA_BYTES = {
     "1xx ahead": b"HTTP/1.1 103 Early Hints\r\n\r\n" + whole(b"fine"),
     "a second copy behind": whole(b"fine") * 2,
     "noise behind": whole(b"fine") + bytes(range(256)),
@@ -37,12 +37,12 @@
 }
 
 
-@pytest.mark.parametrize("name", SPOILT)
-def test_a_spoilt_answer_is_a_failed_attempt_and_its_server_stays_in_use(name: str) -> None:
+@pytest.mark.parametrize("name", MALFORMED)
+def test_a_malformed_response_fails_the_attempt_and_its_server_stays_in_use(name: str) -> None:
     async def test() -> None:
         # Guards against spoilt bytes in an answer, and against a good server put out of use for one of them.
-        spoil = iter([SPOILT[name]])
-        box = CacheBox(lambda head: next(spoil, None) or good(head))
+        malformed = iter([MALFORMED[name]])
+        box = CacheBox(lambda head: next(malformed, None) or good(head))
         async with rig({"s0": box}) as made:
             assert (await made.ask("a", path="/api/one")).endswith(b"for /api/one")
             assert len(box.heads) == 2
@@ -50,63 +50,63 @@
             assert not (member.strikes or member.out_until or member.warm_ms)
             assert (await made.ask("b", path="/api/two")).endswith(b"for /api/two")
 
-    play(test)
+    run_async(test)
 
 
-def test_a_spoilt_answer_to_a_request_that_may_not_be_repeated_ends_it() -> None:
+def test_a_malformed_response_ends_a_request_that_may_not_be_repeated() -> None:
     # A spoilt answer may have run (guards against one effect twice, and against a refusal, which promises that it has not).
     async def test() -> None:
-        box = CacheBox(lambda head: SPOILT["noise"])
-        async with rig({"s0": box, "s1": CacheBox(lambda head: SPOILT["noise"])}) as made:
+        box = CacheBox(lambda head: MALFORMED["noise"])
+        async with rig({"s0": box, "s1": CacheBox(lambda head: MALFORMED["noise"])}) as made:
             answer = await made.ask(
                 "a", "Content-Length: 2\r\n", class_name="order", method="PUT", body=b"hi"
             )
             assert status(answer) == 502
             assert sum(len(each.heads) for each in made.boxes.values()) == 1
 
-    play(test)
+    run_async(test)
 
 
-def test_a_server_that_speaks_nothing_but_noise_is_put_out_of_use() -> None:
+def test_a_server_that_sends_only_noise_is_ejected() -> None:
     async def test() -> None:
-        box = CacheBox(lambda head: SPOILT["noise"])
+        box = CacheBox(lambda head: MALFORMED["noise"])
         async with rig({"s0": box}) as made:
             for n in range(3):
                 assert status(await made.ask(f"a{n}")) == 503
             assert made.node._balancer.fleet.members["s0"].strikes > 0
 
-    play(test)
+    run_async(test)
 
 
-@pytest.mark.parametrize("name", SURPLUS)
-def test_what_comes_beside_a_good_answer_does_not_spoil_it_or_the_next_one(name: str) -> None:
+@pytest.mark.parametrize("name", EXTRA_BYTES)
+def test_extra_bytes_around_a_good_response_affect_neither_it_nor_the_next_one(name: str) -> None:
     async def test() -> None:
         # Guards against surplus bytes taken for the answer to the next request on that connection.
-        box = CacheBox(lambda head: good(head) if b"/next" in path_of(head) else SURPLUS[name])
+        box = CacheBox(lambda head: good(head) if b"/next" in path_of(head) else EXTRA_BYTES[name])
         async with rig({"s0": box}) as made:
             assert (await made.ask("a")).endswith(b"fine")
             assert (await made.ask("b", path="/next")).endswith(b"for /next")
             assert made.node._balancer.fleet.members["s0"].faults == 0 and len(box.heads) == 2
 
-    play(test)
+    run_async(test)
 
 
-def test_no_connection_to_a_server_is_left_after_spoilt_answers() -> None:
+def test_no_connection_to_a_server_is_left_after_malformed_responses() -> None:
     async def test() -> None:
-        spoil = iter(list(SPOILT.values()))
-        box = CacheBox(lambda head: next(spoil, None) or good(head))
+        malformed = iter(list(MALFORMED.values()))
+        box = CacheBox(lambda head: next(malformed, None) or good(head))
         async with rig({"s0": box}) as made:
-            for n in range(2 * len(SPOILT)):
+            for n in range(2 * len(MALFORMED)):
                 await made.ask(f"a{n}")
             await until(lambda: not made.node._attempts)
             made.pool.close()
             assert made.pool.open == 0
             await until(lambda: box.open == 0)
 
-    play(test)
+    run_async(test)
 
 
-def test_an_answer_that_stops_part_way_is_given_up_in_time() -> None:
+def test_an_incomplete_response_is_given_up_when_its_client_leaves() -> None:
     # Guards against a request held for an answer that never ends: the client's own time bounds it.
     async def test() -> None:
         box = CacheBox(lambda head: b"HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\nhalf")
@@ -117,10 +117,10 @@
             await until(lambda: not made.node._attempts and not made.frontend._connections)
             assert made.pool.open == 0 and not made.node._balancer.held
 
-    play(test)
+    run_async(test)
 
 
-def test_a_connection_rests_before_it_is_used_again() -> None:
+def test_a_connection_is_idle_for_a_minimum_time_before_reuse() -> None:
     # Guards against a second copy that comes just behind an answer, on a connection that already waits for the next one.
     async def test() -> None:
         async with rig({"s0": CacheBox()}) as made:
@@ -132,10 +132,10 @@
             server.idle[:] = [(now_ms() - MIN_IDLE_MS, first)]
             assert await pool.connect(server) is first
 
-    play(test)
+    run_async(test)
 
 
-def test_connections_that_break_now_and_then_do_not_put_a_good_server_out() -> None:
+def test_occasional_connection_resets_do_not_eject_a_good_server() -> None:
     # Guards against a live server ejected, and then taken for a cold one, for resets that the network or a proxy makes.
     async def test() -> None:
         turn = 0
@@ -156,4 +156,4 @@
                 assert not (member.strikes or member.out_until or member.warm_ms)
             assert turn > 40
 
-    play(test)
+    run_async(test)
--- a/tests/test_bulk.py
+++ b/tests/test_bulk.py
@@ -6,7 +6,7 @@
 import random
 
 import pytest
-from loopback import CacheBox, Rig, good, play, request, rig, status, until, whole
+from loopback import CacheBox, Rig, good, request, rig, run_async, status, until, whole
 
 from corkshift.budget import MAX_BODY_BYTES, MAX_BUFFERED_BODY_BYTES
 from corkshift.relay import BodyAborted, Relay
@@ -15,7 +15,7 @@
 BODY = random.Random(1).randbytes(1 << 20)
 
 
-class Tap(CacheBox):
+class TwoPartServer(CacheBox):
     """A box that writes its answer in two parts, the second once it is told to; `written` counts what left it."""
 
     def __init__(self, first: bytes, second: bytes) -> None:
@@ -67,8 +67,8 @@
     return body
 
 
-def head_of(txn: str, more: str, lane: str = "order") -> bytes:
-    return request(txn, more, class_name=lane, method="PUT")
+def put_head(txn: str, more: str, class_name: str = "order") -> bytes:
+    return request(txn, more, class_name=class_name, method="PUT")
 
 
 async def answer_on(reader: asyncio.StreamReader) -> tuple[int, bytes]:
@@ -77,7 +77,7 @@
     return status(head), await reader.readexactly(length)
 
 
-async def at_rest(made: Rig) -> None:
+async def until_idle(made: Rig) -> None:
     await until(
         lambda: not made.node._attempts and not made.node.open and not made.frontend.budget.used
     )
@@ -88,7 +88,7 @@
     # Guards against an answer held until it is whole: its first bytes are what its client waits for.
     async def test() -> None:
         data = sized(BODY) if form is sized else chunked(BODY)
-        box = Tap(data[:200_000], data[200_000:])
+        box = TwoPartServer(data[:200_000], data[200_000:])
         async with rig({"s0": box}) as made:
             reader, writer = await asyncio.open_connection("127.0.0.1", made.port)
             writer.write(request("a", "Connection: close\r\n"))
@@ -98,17 +98,17 @@
             box.go.set()
             body = early + await reader.read(-1)
             assert (body if form is sized else unchunked(body)) == BODY
-            await at_rest(made)
+            await until_idle(made)
             assert made.metrics.responses["read"] == [1, 0, 0] and made.metrics.attempts_sent == 1
             writer.transport.abort()
 
-    play(test)
+    run_async(test)
 
 
 def test_a_large_answer_that_breaks_off_is_seen_to_be_cut_and_is_not_repeated() -> None:
     async def test() -> None:
-        box = Tap(sized(BODY)[:300_000], b"")
-        async with rig({"s0": box, "s1": Tap(sized(BODY)[:300_000], b"")}) as made:
+        box = TwoPartServer(sized(BODY)[:300_000], b"")
+        async with rig({"s0": box, "s1": TwoPartServer(sized(BODY)[:300_000], b"")}) as made:
             asked = asyncio.create_task(made.ask("a"))
             boxes = list(made.boxes.values())
             await until(
@@ -122,7 +122,7 @@
                 each.close()
             answer = await asked
             assert len(answer.partition(b"\r\n\r\n")[2]) < len(BODY)
-            await at_rest(made)
+            await until_idle(made)
             assert sum(len(each.heads) for each in boxes) == 1 and made.metrics.responses[
                 "read"
             ] == [
@@ -131,14 +131,14 @@
                 1,
             ]
 
-    play(test)
+    run_async(test)
 
 
 def test_a_client_that_reads_slowly_holds_its_server_back_and_no_memory() -> None:
     # Guards against answers piled up in memory between a fast server and a slow client.
     async def test() -> None:
         data = sized(bytes(8 << 20))
-        box = Tap(data, b"")
+        box = TwoPartServer(data, b"")
         box.go.set()
         async with rig({"s0": box}) as made:
             reader, writer = await asyncio.open_connection("127.0.0.1", made.port, limit=4_096)
@@ -153,32 +153,32 @@
             while size < 8 << 20:
                 size += len(await reader.read(1 << 16))
             assert size == 8 << 20
-            await at_rest(made)
+            await until_idle(made)
             writer.transport.abort()
 
-    play(test)
+    run_async(test)
 
 
 def test_a_client_that_leaves_half_way_ends_the_work_for_it() -> None:
     async def test() -> None:
         data = sized(bytes(8 << 20))
-        box = Tap(data, b"")
+        box = TwoPartServer(data, b"")
         async with rig({"s0": box}) as made:
             reader, writer = await asyncio.open_connection("127.0.0.1", made.port)
             writer.write(request("a"))
             await reader.readuntil(b"\r\n\r\n")
             writer.transport.abort()
             await box.left.wait()
-            await at_rest(made)
+            await until_idle(made)
             assert made.pool.open == 0
 
-    play(test)
+    run_async(test)
 
 
 def test_an_answer_without_end_is_cut_at_the_longest_that_any_may_be() -> None:
     async def test() -> None:
         chunk = b"10000\r\n" + bytes(65_536) + b"\r\n"
-        box = Tap(
+        box = TwoPartServer(
             b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
             + chunk * (MAX_BODY_BYTES // 65_536 + 20),
             b"",
@@ -186,10 +186,10 @@
         async with rig({"s0": box}) as made:
             answer = await made.ask("a")
             assert not answer.endswith(b"0\r\n\r\n") and len(answer) < MAX_BODY_BYTES + 400_000
-            await at_rest(made)
+            await until_idle(made)
             assert made.metrics.responses["read"] == [0, 0, 1]
 
-    play(test)
+    run_async(test)
 
 
 @pytest.mark.parametrize("form", ["sized", "chunked"])
@@ -202,16 +202,16 @@
                 if form == "sized"
                 else "Transfer-Encoding: chunked\r\n"
             )
-            data = head_of("a", more) + (BODY if form == "sized" else chunks(BODY)) + request("b")
+            data = put_head("a", more) + (BODY if form == "sized" else chunks(BODY)) + request("b")
             for at in range(0, len(data), 50_001):
                 writer.write(data[at : at + 50_001])
                 await writer.drain()
             assert (await answer_on(reader))[0] == 200 and (await answer_on(reader))[0] == 200
             assert sorted(made.boxes["s0"].bodies) == [b"", BODY]
-            await at_rest(made)
+            await until_idle(made)
             writer.transport.abort()
 
-    play(test)
+    run_async(test)
 
 
 def test_a_large_body_goes_to_another_server_where_the_first_refuses_connections() -> None:
@@ -226,7 +226,7 @@
                 assert status(answer) == 200
             assert boxes["s1"].bodies == [BODY] * 4 and made.metrics.attempts_sent == 4
 
-    play(test)
+    run_async(test)
 
 
 def test_a_server_that_breaks_in_the_middle_of_a_large_body_never_ran_it_and_the_client_is_told_so() -> (
@@ -241,17 +241,17 @@
     async def test() -> None:
         async with rig({"s0": Breaker(), "s1": Breaker()}) as made:
             reader, writer = await asyncio.open_connection("127.0.0.1", made.port)
-            writer.write(head_of("a", f"Content-Length: {len(BODY)}\r\n") + BODY)
+            writer.write(put_head("a", f"Content-Length: {len(BODY)}\r\n") + BODY)
             assert (await answer_on(reader))[0] == 503
             writer.write(
                 b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n"
             )  # the rest was read past: the connection goes on
             assert await answer_on(reader) == (200, b"ok\n")
-            await at_rest(made)
+            await until_idle(made)
             assert made.metrics.attempts_sent == 0
             writer.transport.abort()
 
-    play(test)
+    run_async(test)
 
 
 def test_a_server_that_fails_after_a_large_body_may_have_run_it_and_it_is_not_sent_twice() -> None:
@@ -286,7 +286,7 @@
                 and sum(len(box.bodies) for box in made.boxes.values()) == 2
             )
 
-    play(test)
+    run_async(test)
 
 
 def test_a_client_that_stops_in_the_middle_of_a_large_body_is_answered_within_three_seconds() -> (
@@ -297,14 +297,14 @@
         async with rig({"s0": CacheBox()}) as made:
             began = asyncio.get_running_loop().time()
             answer = await made.send(
-                head_of("a", f"Content-Length: {len(BODY)}\r\n")
+                put_head("a", f"Content-Length: {len(BODY)}\r\n")
                 + BODY[: 3 * MAX_BUFFERED_BODY_BYTES]
             )
             assert status(answer) == 408 and asyncio.get_running_loop().time() - began < 3.0
-            await at_rest(made)
+            await until_idle(made)
             assert made.boxes["s0"].bodies == [] and made.pool.open == 0
 
-    play(test)
+    run_async(test)
 
 
 def test_a_client_that_takes_its_time_within_bounds_is_served() -> None:
@@ -312,7 +312,7 @@
     async def test() -> None:
         async with rig({"s0": CacheBox()}) as made:
             reader, writer = await asyncio.open_connection("127.0.0.1", made.port)
-            data = head_of("a", f"Content-Length: {2 * MAX_BUFFERED_BODY_BYTES}\r\n")
+            data = put_head("a", f"Content-Length: {2 * MAX_BUFFERED_BODY_BYTES}\r\n")
             for part in (data[:20], data[20:50], data[50:]):
                 writer.write(part)
                 await asyncio.sleep(0.7)
@@ -324,7 +324,7 @@
             ]
             writer.transport.abort()
 
-    play(test)
+    run_async(test)
 
 
 @pytest.mark.parametrize(
@@ -353,12 +353,12 @@
 ) -> None:
     async def test() -> None:
         async with rig({"s0": CacheBox()}) as made:
-            assert status(await made.send(head_of("a", more) + body)) in (expected, 0)
-            await at_rest(made)
+            assert status(await made.send(put_head("a", more) + body)) in (expected, 0)
+            await until_idle(made)
             assert made.boxes["s0"].bodies == [] and made.boxes["s0"].heads == []
             assert status(await made.ask("b")) == 200
 
-    play(test)
+    run_async(test)
 
 
 def test_the_id_of_a_large_body_under_way_is_not_served_to_another() -> None:
@@ -366,7 +366,7 @@
         async with rig({"s0": CacheBox()}) as made:
             reader, writer = await asyncio.open_connection("127.0.0.1", made.port)
             writer.write(
-                head_of("a", f"Content-Length: {len(BODY)}\r\n")
+                put_head("a", f"Content-Length: {len(BODY)}\r\n")
                 + BODY[: 2 * MAX_BUFFERED_BODY_BYTES]
             )
             await until(lambda: made.node.open == 1)
@@ -376,7 +376,7 @@
             assert (await answer_on(reader))[0] == 200
             writer.transport.abort()
 
-    play(test)
+    run_async(test)
 
 
 def test_a_target_in_absolute_form_is_sent_on_by_its_path() -> None:
@@ -393,7 +393,7 @@
                 == 200
             )
 
-    play(test)
+    run_async(test)
 
 
 def test_a_small_answer_is_checked_whole_before_any_of_it_goes_out() -> None:
@@ -407,7 +407,7 @@
                 connection.stream.close()
             assert (await asked).endswith(b"for /api/k") and len(box.heads) == 2
 
-    play(test)
+    run_async(test)
 
 
 @pytest.mark.parametrize("seed", range(40))
@@ -447,4 +447,4 @@
                 and (isinstance(got, BodyAborted) if end == "fail" else got is True)
             )
 
-    play(test)
+    run_async(test)
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -5,7 +5,7 @@
 import asyncio
 
 import pytest
-from loopback import CacheBox, good, play, request, rig, status, until
+from loopback import CacheBox, good, request, rig, run_async, status, until
 
 from corkshift.frontend import IDLE_TIMEOUT_MS, MAX_IDLE_SHARE
 
@@ -64,13 +64,13 @@
             assert [b"X-Txn: fine" in head for head in box.heads] == [True]
             assert made.frontend.budget.used == 0
 
-    play(test)
+    run_async(test)
 
 
 @pytest.mark.parametrize(
     "part", [b"", b"GET /api/k HT", request("a", "Content-Length: 10\r\n", method="PUT") + b"half"]
 )
-def test_a_client_that_stops_is_let_go_within_three_seconds(part: bytes) -> None:
+def test_a_client_that_stops_sending_is_closed_within_three_seconds(part: bytes) -> None:
     # Guards against descriptors held by clients that say nothing, or half of what they have to.
     async def test() -> None:
         async with rig({"s0": CacheBox()}) as made:
@@ -80,10 +80,10 @@
             assert loop.time() - begun < 3.0
             assert status(answer) == (408 if part else 0)
 
-    play(test)
+    run_async(test)
 
 
-def test_a_client_that_drips_is_let_go_too() -> None:
+def test_a_client_that_sends_single_bytes_slowly_is_closed_too() -> None:
     # Guards against a time limit that each byte starts anew.
     async def test() -> None:
         async with rig({"s0": CacheBox()}) as made:
@@ -99,7 +99,7 @@
             assert status(await answer) in (0, 408) and loop.time() - begun < 4.0
             writer.transport.abort()
 
-    play(test)
+    run_async(test)
 
 
 def test_the_id_of_an_open_request_is_not_served_again() -> None:
@@ -114,7 +114,7 @@
             first.cancel()
             await until(lambda: not made.frontend._connections)
 
-    play(test)
+    run_async(test)
 
 
 def test_a_body_of_the_longest_length_goes_through_unchanged() -> None:
@@ -131,10 +131,10 @@
             assert box.bodies == [body]
             await until(lambda: made.frontend.budget.used == 0)
 
-    play(test)
+    run_async(test)
 
 
-def test_silent_clients_make_way_for_one_that_asks() -> None:
+def test_silent_clients_are_evicted_for_one_that_sends_a_request() -> None:
     # Guards against a crowd that connects and says nothing, and fills every place.
     async def test() -> None:
         async with rig({"s0": CacheBox()}) as made:
@@ -143,10 +143,10 @@
             for _, writer in crowd:
                 writer.transport.abort()
 
-    play(test)
+    run_async(test)
 
 
-def test_sockets_and_state_go_back_to_where_they_were_after_churn() -> None:
+def test_sockets_and_state_are_released_after_churn() -> None:
     # Guards against anything that is kept for each request, connection or id and never let go.
     async def test() -> None:
         slow = CacheBox(lambda head: None if b"/never" in head else good(head))
@@ -177,10 +177,10 @@
             assert made.pool.open == 0
             await until(lambda: slow.open == 0)
 
-    play(test)
+    run_async(test)
 
 
-def test_connections_kept_after_one_request_make_way_long_before_their_rest_is_over() -> None:
+def test_idle_connections_beyond_their_share_are_closed_before_the_idle_timeout() -> None:
     # Guards against places held by clients that ask once and stay, here and among the connections that a client may have.
     async def test() -> None:
         async with rig({"s0": CacheBox()}) as made:
@@ -202,4 +202,4 @@
             for _, writer in kept:
                 writer.transport.abort()
 
-    play(test)
+    run_async(test)
--- a/tests/test_customers.py
+++ b/tests/test_customers.py
@@ -19,9 +19,9 @@
     Registry,
     entry,
     options_of,
-    play,
     request,
     rig,
+    run_async,
     send_to,
     status,
     until,
@@ -54,12 +54,12 @@
 )
 
 
-def least(value: Any) -> float:
+def lowest(value: Any) -> float:
     """A figure of a site file, or the lower end of its range."""
     return float(value[0] if isinstance(value, list) else value)
 
 
-def told(site: dict[str, Any]) -> dict[str, Any]:
+def node_settings(site: dict[str, Any]) -> dict[str, Any]:
     """What a node of a site is told at its start (`settings` of its configuration), drawn at the lower ends of the site's ranges."""
     allow, tier, rules = site["allow"], site["tier"][0], site["rules"]
     return {
@@ -78,7 +78,7 @@
         "projects": [{"name": t["name"], "share": t["share"], "quotaRps": 50.0} for t in site.get("tenant", [])],
         "contract": {
             "stopSendingWithinMs": rules["drain_grace_ms"], "fallMultiple": rules["fall_multiple"], "overloadForMs": rules["fall_ms"],
-            "coldFrom": least(tier["kind"][0]["cold_from"]), "coldMs": 1000.0 * least(tier["kind"][0]["cold_s"]), "mustAskInMs": 10_000.0,
+            "coldFrom": lowest(tier["kind"][0]["cold_from"]), "coldMs": 1000.0 * lowest(tier["kind"][0]["cold_s"]), "mustAskInMs": 10_000.0,
         },
         "allowed": {
             "mostTries": allow["max_attempts"], "mayCancel": allow["cancel"], "probes": allow["probes"], "peers": allow["peers"],
@@ -105,7 +105,7 @@
 @pytest.mark.parametrize("path", SITES, ids=lambda path: path.stem)
 def test_a_site_is_in_force_as_it_is_stated(path: Path) -> None:
     site = tomllib.loads(path.read_text())
-    options = told(site)
+    options = node_settings(site)
     config = configured(options, limits={"cores": 1.0, "memory_mb": 90, "sockets": 300})
     settings, allowed, classes = (
         config.settings,
@@ -268,11 +268,11 @@
             assert len(made.node._running) == copies
             asking.cancel()
 
-    play(lambda: test(False, 1))
-    play(lambda: test(True, 2))
+    run_async(lambda: test(False, 1))
+    run_async(lambda: test(True, 2))
 
 
-def pushed(registry: Registry, known: list[dict[str, object]]) -> Service:
+def push_service(registry: Registry, known: list[dict[str, object]]) -> Service:
     options = {**OPTIONS, "discovery": "automatic"}
     return Service(
         config_of(
@@ -305,7 +305,7 @@
             "s0", boxes["s0"].port, "terminating"
         )  # which the node's list does not know
         registry.silent = True
-        service = pushed(registry, known)
+        service = push_service(registry, known)
         running = asyncio.create_task(service.run())
         await until(lambda: bool(registry.asked))
         assert not service.frontend.started
@@ -336,7 +336,7 @@
         for box in boxes.values():
             box.close()
 
-    play(test)
+    run_async(test)
 
 
 def test_an_agent_is_called_again_at_once_but_not_without_end() -> None:
@@ -353,7 +353,7 @@
         registry = Registry({})
         registry.start()
         registry.silent = True
-        service = pushed(registry, [])
+        service = push_service(registry, [])
         running = asyncio.create_task(service.run())
         await until(lambda: bool(registry.asked))
         service.reload()  # a SIGHUP before it is ready changes nothing of that
@@ -363,7 +363,7 @@
         registry.silent = False
         await registry.stop()
 
-    play(test)
+    run_async(test)
 
 
 def test_an_agent_that_is_silent_does_not_keep_a_node_from_serving(
@@ -377,7 +377,7 @@
         registry = Registry({"s0": box})
         registry.start()
         registry.silent = True
-        service = pushed(registry, [entry("s0", box.port)])
+        service = push_service(registry, [entry("s0", box.port)])
         running = asyncio.create_task(service.run())
         await until(lambda: service.frontend.started)
         assert (
@@ -390,7 +390,7 @@
         await registry.stop()
         box.close()
 
-    play(test)
+    run_async(test)
 
 
 def test_what_outlives_a_planned_restart_is_answered_before_its_end() -> None:
@@ -404,7 +404,7 @@
             await made.frontend.drain()
             assert status(await asking) == 504
 
-    play(test)
+    run_async(test)
 
 
 def test_an_open_requests_id_is_not_served_however_long_it_is_open() -> None:
@@ -416,7 +416,7 @@
             assert status(await made.ask("a")) == 409
             asking.cancel()
 
-    play(test)
+    run_async(test)
 
 
 def test_settings_load_without_any_of_the_optional_parts() -> None:
@@ -449,4 +449,4 @@
         for registry in (old, new):
             await registry.stop()
 
-    play(test)
+    run_async(test)
--- a/tests/test_departures.py
+++ b/tests/test_departures.py
@@ -14,7 +14,7 @@
 from typing import Any
 
 import pytest
-from loopback import CacheBox, Rig, good, play, request, rig, until, whole
+from loopback import CacheBox, Rig, good, request, rig, run_async, until, whole
 
 from corkshift import seam
 from corkshift.frontend import ClientConnection
@@ -114,7 +114,7 @@
             await settled(made)
             assert asked(made) == []
 
-    play(test)
+    run_async(test)
 
 
 def test_behind_a_slow_dial_that_comes_up_in_the_moment_of_the_leaving(
@@ -131,7 +131,7 @@
             await settled(made)
             assert asked(made) == []
 
-    play(test)
+    run_async(test)
 
 
 @pytest.mark.parametrize("how", HOWS)
@@ -146,7 +146,7 @@
             await settled(made)
             assert asked(made) == []
 
-    play(test)
+    run_async(test)
 
 
 @pytest.mark.parametrize("how", HOWS)
@@ -166,7 +166,7 @@
             await settled(made)
             assert asked(made) == []
 
-    play(test)
+    run_async(test)
 
 
 @pytest.mark.parametrize(
@@ -185,7 +185,7 @@
             await until(lambda: not made.frontend._connections)
             assert asked(made) == []
 
-    play(test)
+    run_async(test)
 
 
 @pytest.mark.parametrize(
@@ -215,7 +215,7 @@
             assert b"200" in await read(after)
             assert asked(made) == [b"/api/first", b"/api/after"]
 
-    play(test)
+    run_async(test)
 
 
 @pytest.mark.parametrize("how", HOWS)
@@ -246,7 +246,7 @@
             box.close()
             listener.close()
 
-    play(test)
+    run_async(test)
 
 
 @pytest.mark.parametrize("how", HOWS)
@@ -271,7 +271,7 @@
             await settled(made)
             assert len(asked(made)) == 1
 
-    play(test)
+    run_async(test)
 
 
 @pytest.mark.parametrize("how", HOWS)
@@ -286,7 +286,7 @@
             await settled(made)
             assert asked(made) == before and len(before) < 20
 
-    play(test)
+    run_async(test)
 
 
 @pytest.mark.parametrize("how", HOWS)
@@ -308,7 +308,7 @@
             await settled(made)
             assert asked(made) == [b"/api/large"]
 
-    play(test)
+    run_async(test)
 
 
 @pytest.mark.parametrize("how", HOWS)
@@ -329,7 +329,7 @@
             await settled(made)
             assert asked(made) == []
 
-    play(test)
+    run_async(test)
 
 
 @pytest.mark.parametrize("how", HOWS)
@@ -350,7 +350,7 @@
             await settled(made)
             assert asked(made) == []
 
-    play(test)
+    run_async(test)
 
 
 @pytest.mark.parametrize("how", HOWS)
@@ -371,7 +371,7 @@
             await settled(made)
             assert asked(made) == []
 
-    play(test)
+    run_async(test)
 
 
 def test_no_socket_left_is_answered_at_once_and_waits_nowhere() -> None:
@@ -383,7 +383,7 @@
             for sock in socks:
                 leave(sock, "end")
 
-    play(test)
+    run_async(test)
 
 
 def test_what_was_sent_stays_known_after_its_client_left() -> None:
@@ -401,7 +401,7 @@
             )
             assert len(asked(made)) == 1
 
-    play(test)
+    run_async(test)
 
 
 def test_a_client_that_is_there_is_looked_at_and_served() -> None:
@@ -414,4 +414,4 @@
             assert isinstance(connection, ClientConnection) and not connection._stream.peer_left
             sock.close()
 
-    play(test)
+    run_async(test)
--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -12,7 +12,7 @@
 from pathlib import Path
 
 import pytest
-from loopback import CacheBox, Registry, play, until
+from loopback import CacheBox, Registry, run_async, until
 from test_process import ROOT, Process, free_port
 
 DEPLOY = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
@@ -44,7 +44,7 @@
         out, _ = await process.communicate(b"x")
         assert (out, process.returncode) == (b"alive", 0)
 
-    play(test)
+    run_async(test)
 
 
 def test_the_interpreter_is_linked_dynamically() -> None:
@@ -109,4 +109,4 @@
             await registry.stop()
             box.close()
 
-    play(test)
+    run_async(test)
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 import pytest
-from loopback import CacheBox, entry, play, rig, status, until
+from loopback import CacheBox, entry, rig, run_async, status, until
 
 from corkshift import discovery
 from forkweir.choice import Balancer
@@ -27,7 +27,7 @@
             assert len(old.heads) == 1 and len(new.heads) == 1
             await until(lambda: old.open == 0)  # what rested there is closed
 
-    play(test)
+    run_async(test)
 
 
 def test_an_address_that_goes_to_another_id_is_no_longer_the_old_ones() -> None:
@@ -45,7 +45,7 @@
             assert "s1" in made.node.servers  # one that leaves takes nobody's place
             assert status(await made.ask("a")) == 200
 
-    play(test)
+    run_async(test)
 
 
 def test_an_entry_of_no_use_does_not_cost_the_rest_of_the_list() -> None:
@@ -75,7 +75,7 @@
             info = made.node._balancer.fleet.members["s1"].info
             assert info.weight <= 1000.0 and info.started_ms < 9e15
 
-    play(test)
+    run_async(test)
 
 
 def test_a_draining_server_that_a_whole_list_leaves_out_is_forgotten() -> None:
@@ -152,7 +152,7 @@
         for task in asking._calls.values():
             task.cancel()
 
-    play(test)
+    run_async(test)
 
 
 def test_a_list_that_comes_indented_is_read_as_one() -> None:
@@ -185,4 +185,4 @@
             made.registry.tell_raw(json.dumps(last, indent=1).encode() + b"\n")
             await until(lambda: made.node.servers["x1"].leaving_ms is not None)
 
-    play(test)
+    run_async(test)
--- a/tests/test_list_freshness.py
+++ b/tests/test_list_freshness.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 import pytest
-from loopback import OPTIONS, CacheBox, Registry, entry, play
+from loopback import OPTIONS, CacheBox, Registry, entry, run_async
 from test_process import Process, running
 
 from corkshift.seam import now_ms
@@ -94,7 +94,7 @@
             assert latest_ms <= drained_ms + NOTIFIED_MS + GRACE_MS
             assert len(moved.calls_ms) > 1
 
-    play(test)
+    run_async(test)
 
 
 @pytest.mark.parametrize("delay_s", [0.0, 3.0, 4.0])
@@ -122,7 +122,7 @@
             latest_ms = await keep_asking(process, leaving, lambda: now_ms() > end_ms)
             assert latest_ms <= silent_ms + NOTIFIED_MS + GRACE_MS
 
-    play(test)
+    run_async(test)
 
 
 def test_a_stale_list_after_a_reload_does_not_release_a_draining_server(tmp_path: Path) -> None:
@@ -148,4 +148,4 @@
             await keep_asking(process, leaving, lambda: now_ms() > end_ms)
             assert len(leaving.heads) == before
 
-    play(test)
+    run_async(test)
--- a/tests/test_lost_lines.py
+++ b/tests/test_lost_lines.py
@@ -6,7 +6,7 @@
 import json
 
 import pytest
-from loopback import CacheBox, Registry, Rig, entry, play, rig, status, until
+from loopback import CacheBox, Registry, Rig, entry, rig, run_async, status, until
 
 from corkshift import address_book, discovery, watch
 from corkshift.seam import now_ms
@@ -70,7 +70,7 @@
             assert bool(fresh.heads) == answers
             fresh.close()
 
-    play(test)
+    run_async(test)
 
 
 def test_the_next_call_goes_out_at_once_and_the_old_watch_stays_until_it_is_answered() -> None:
@@ -96,7 +96,7 @@
             await until(lambda: "s2" in serving(made))
             await until(lambda: len(made.registry.watches) == 1 and not made.discovery._fading)
 
-    play(test)
+    run_async(test)
 
 
 def test_a_server_that_a_broken_entry_names_is_held_back_for_a_while_alone(
@@ -114,7 +114,7 @@
             await until(lambda: serving(made) == {"s0", "s1", "s2", "s3"})
             await until(lambda: serving(made) == set(NAMES))
 
-    play(test)
+    run_async(test)
 
 
 def test_the_last_server_is_not_taken_by_a_line_that_can_not_be_read() -> None:
@@ -129,7 +129,7 @@
             made.discovery.move(("127.0.0.1", made.registry.port))  # which knows of no drain
             await until(lambda: serving(made) == set(NAMES))
 
-    play(test)
+    run_async(test)
 
 
 def test_what_the_old_place_takes_away_is_heeded_until_the_new_one_answers() -> None:
@@ -145,7 +145,7 @@
             assert "s9" not in made.node.servers and len(made.registry.watches) == 1
             await new.stop()
 
-    play(test)
+    run_async(test)
 
 
 def test_a_service_that_spoils_every_line_is_not_asked_faster_for_it() -> None:
@@ -168,7 +168,7 @@
             spoiling.cancel()
             await until(lambda: len(made.discovery._fading) <= discovery.FADING_MOST)
 
-    play(test)
+    run_async(test)
 
 
 # What a watch has been through, as (ms before a drain is told without framing, what comes then), on the virtual clock.
@@ -227,7 +227,7 @@
             )  # the next whole list has come
             assert serving(made) == last and status(await made.ask("a")) == 200
 
-    play(test)
+    run_async(test)
 
 
 def test_a_server_out_by_a_departure_alone_comes_back_once_that_has_lapsed(
@@ -253,4 +253,4 @@
             assert now_ms() - at > 300.0 and not made.discovery.book._overruled
             await behind.stop()
 
-    play(test)
+    run_async(test)
--- a/tests/test_narrow_moments.py
+++ b/tests/test_narrow_moments.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 import pytest
-from loopback import CacheBox, Rig, good, options_of, play, request, rig, status, until, whole
+from loopback import CacheBox, Rig, good, options_of, request, rig, run_async, status, until, whole
 from test_departures import asked, client, dials_wait, read
 
 from corkshift.frontend import ClientConnection
@@ -50,7 +50,7 @@
             assert status(await read(sock)) == 200
             sock.close()
 
-    play(test)
+    run_async(test)
 
 
 def test_a_request_whose_rest_is_in_the_kernel_is_not_given_up() -> None:
@@ -68,7 +68,7 @@
             assert status(await read(sock)) == 200
             sock.close()
 
-    play(test)
+    run_async(test)
 
 
 def test_a_request_that_does_not_get_whole_is_given_up_though_it_goes_on() -> None:
@@ -82,7 +82,7 @@
             assert status(await read(sock)) == 408
             sock.close()
 
-    play(test)
+    run_async(test)
 
 
 def test_a_last_answer_is_not_reset_by_a_close_over_unread_input() -> None:
@@ -98,7 +98,7 @@
             assert await read(sock) == b""  # an end, and no reset
             sock.close()
 
-    play(test)
+    run_async(test)
 
 
 # -- told to end ---------------------------------------------------------------------------------
@@ -118,7 +118,7 @@
             assert status(await read(sock)) == 200
             await draining
 
-    play(test)
+    run_async(test)
 
 
 def test_what_waits_for_a_place_when_the_drain_begins_is_taken() -> None:
@@ -145,7 +145,7 @@
                 sock.close()
             await draining
 
-    play(test)
+    run_async(test)
 
 
 def test_what_comes_behind_the_last_answer_is_not_taken_any_more() -> None:
@@ -175,7 +175,7 @@
             assert asked(made) == [b"/api/large"]
             sock.close()
 
-    play(test)
+    run_async(test)
 
 
 # -- faults of the module, and in what it asks for -----------------------------------------------
@@ -203,7 +203,7 @@
             assert [int(part[:3]) for part in got.split(b"HTTP/1.1 ")[1:]] == [500, 200]
             sock.close()
 
-    play(test)
+    run_async(test)
 
 
 def test_an_action_that_fails_costs_no_other() -> None:
@@ -218,7 +218,7 @@
             assert status(await read(sock)) == 500
             sock.close()
 
-    play(test)
+    run_async(test)
 
 
 # -- attempts ------------------------------------------------------------------------------------
@@ -258,7 +258,7 @@
             asking.cancel()
             server.close()
 
-    play(test)
+    run_async(test)
 
 
 def test_a_repeat_that_waited_for_its_dial_is_not_sent_after_its_window(
@@ -283,12 +283,12 @@
                 )
                 await until(lambda: bool(made.node._running))
                 # As if an earlier attempt had gone out: this one is dialed within the window, and comes up when that is over.
-                made.node._calls[1].first_sent_ms = now_ms() - 2_100.0
+                made.node._calls[1].first_attempt_sent_ms = now_ms() - 2_100.0
                 come_up()
                 await asking
             assert asked(made) == []
 
-    play(test)
+    run_async(test)
 
 
 def test_a_connection_that_has_been_idle_for_too_long_is_not_used_though_nobody_swept() -> None:
@@ -302,4 +302,4 @@
             assert status(await made.ask("b")) == 200
             assert stream.closed
 
-    play(test)
+    run_async(test)
--- a/tests/test_presence.py
+++ b/tests/test_presence.py
@@ -8,7 +8,7 @@
 import time
 
 import pytest
-from loopback import CacheBox, Rig, entry, good, play, request, rig, status, until
+from loopback import CacheBox, Rig, entry, good, request, rig, run_async, status, until
 
 from corkshift import presence
 from corkshift.presence import LATE_MS, PERIOD_MS, UNREAD_MS, Presence
@@ -31,7 +31,7 @@
         assert sum(seen.holds) == 0 and seen.unread_ms() < UNREAD_MS and not seen.stale(began)
         seen.close()
 
-    play(test)
+    run_async(test)
 
 
 def test_a_hold_is_no_present_time_and_may_have_left_input_unread() -> None:
@@ -53,7 +53,7 @@
         assert seen.stale(looked_ms) and not seen.stale(now_ms())
         seen.close()
 
-    play(test)
+    run_async(test)
 
 
 def test_a_timeout_in_present_time_outlasts_a_hold_and_no_more() -> None:
@@ -80,7 +80,7 @@
         assert len(called) == 1
         seen.close()
 
-    play(test)
+    run_async(test)
 
 
 def sent(made: Rig, data: bytes) -> socket.socket:
@@ -135,7 +135,7 @@
             assert 3_500 < told <= 5_000 - 690
             made.loop_lag.close()
 
-    play(test)
+    run_async(test)
 
 
 @pytest.mark.parametrize("hold_s", [0.2, 0.4])
@@ -163,7 +163,7 @@
             assert len(boxes["s0"].heads) == before
             made.loop_lag.close()
 
-    play(test)
+    run_async(test)
 
 
 def test_an_attempt_lets_what_discovery_wrote_be_read_first_and_is_asked_about_after_that() -> None:
@@ -187,7 +187,7 @@
             assert status(await made.ask("held")) == 503
             assert looks > 1 and not box.heads
 
-    play(test)
+    run_async(test)
 
 
 def test_only_after_a_hold_is_discovery_looked_at_once_more() -> None:
@@ -204,7 +204,7 @@
             assert not made.discovery.unread()
             made.loop_lag.close()
 
-    play(test)
+    run_async(test)
 
 
 def test_a_node_that_turns_too_slowly_refuses_what_it_could_only_fail() -> None:
@@ -216,7 +216,7 @@
             assert status(await made.ask("long", within_ms=5_000)) == 200
             assert made.metrics.refusals["behind"] == 1 and len(box.heads) == 1
 
-    play(test)
+    run_async(test)
 
 
 def test_a_server_is_not_judged_by_the_time_that_the_node_was_held_up() -> None:
@@ -234,7 +234,7 @@
             assert status(await asked) == 200
             made.loop_lag.close()
 
-    play(test)
+    run_async(test)
 
 
 def test_holds_are_logged_at_a_bounded_rate(
@@ -252,5 +252,5 @@
         seen.close()
 
     with caplog.at_level("INFO"):
-        play(test)
+        run_async(test)
     assert sum("held up for up to" in record.message for record in caplog.records) == 1
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -14,7 +14,7 @@
 from typing import Any
 
 import pytest
-from loopback import OPTIONS, CacheBox, Registry, good, play, request, status, until
+from loopback import OPTIONS, CacheBox, Registry, good, request, run_async, status, until
 
 ROOT = Path(__file__).parent.parent
 STOPS = 40
@@ -147,7 +147,7 @@
             assert cpu_s(pid) - before < 0.005 * STOPS
             assert status(await process.ask("after")) == 200
 
-    play(test)
+    run_async(test)
 
 
 def test_sighup_moves_discovery_and_keeps_what_is_open(tmp_path: Path) -> None:
@@ -177,7 +177,7 @@
             assert not slow.done() and process.process.returncode is None
             slow.cancel()
 
-    play(test)
+    run_async(test)
 
 
 @pytest.mark.parametrize("text", [None, "{", '{"listen": 5}', "[]"])
@@ -195,7 +195,7 @@
             assert len(process.log) == before + 1 and "stays in force" in process.log[-1]
             assert len(registry.asked) == 1
 
-    play(test)
+    run_async(test)
 
 
 def test_sigterm_answers_what_is_open_and_ends_with_zero(tmp_path: Path) -> None:
@@ -223,7 +223,7 @@
             assert status(await slow) == 200
             assert await process.process.wait() == 0
 
-    play(test)
+    run_async(test)
 
 
 @pytest.mark.parametrize("text", [None, "{", '{"listen": "127.0.0.1:0"}', "[]"])
@@ -245,4 +245,4 @@
         _, errors = await process.communicate()
         assert process.returncode not in (0, None) and errors.count(b"\n") == 1
 
-    play(test)
+    run_async(test)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -35,7 +35,7 @@
     """A rule was broken by an action."""
 
 
-class Track:
+class RequestState:
     """What the outside knows of one request."""
 
     def __init__(self, spec: ClassSpec, deadline: float) -> None:
@@ -56,15 +56,15 @@
             Settings(classes=CLASSES, max_attempts=3, backoff_max_ms=500), seed
         )
         self.state = {f"s{i}": "in" for i in range(6)}
-        self.told = {name: 0.0 for name in self.state}
-        self.requests: dict[int, Track] = {}
+        self.notified_ms = {name: 0.0 for name in self.state}
+        self.requests: dict[int, RequestState] = {}
         self.next_id = 1
-        self.carry(self.balancer.on_list(self.now, "saved", [self.entry(n) for n in self.state]))
+        self.apply(self.balancer.on_list(self.now, "saved", [self.entry(n) for n in self.state]))
 
     def entry(self, name: str) -> Server:
         return Server(name, zone="a", cell=int(name[1:]) % 2, state=self.state[name])
 
-    def carry(self, actions: list[Action]) -> None:
+    def apply(self, actions: list[Action]) -> None:
         for action in actions:
             if action[0] == "attempt":
                 self.attempt(action[1], action[2], action[3])
@@ -75,7 +75,7 @@
         track = self.requests[request_id]
         if track.answered:
             raise BrokenRule("attempt after the end")
-        if self.state[server] != "in" and self.now > self.told[server] + GRACE_MS:
+        if self.state[server] != "in" and self.now > self.notified_ms[server] + GRACE_MS:
             raise BrokenRule("attempt at a drained server")
         if any(status == "" for _, _, status in track.attempts):
             raise BrokenRule("two attempts out")
@@ -108,9 +108,9 @@
     def arrive(self) -> None:
         request_id, self.next_id = self.next_id, self.next_id + 1
         spec = self.random.choice(CLASSES)
-        self.requests[request_id] = Track(spec, self.now + 1000.0)
+        self.requests[request_id] = RequestState(spec, self.now + 1000.0)
         key = None if self.random.random() < 0.1 else f"k{self.random.randrange(20)}"
-        self.carry(self.balancer.on_request(self.now, request_id, spec.name, key, 1000.0))
+        self.apply(self.balancer.on_request(self.now, request_id, spec.name, key, 1000.0))
 
     def end_attempt(self) -> None:
         waiting = self.waiting()
@@ -131,7 +131,7 @@
                 self.now, request_id, number, True, status, server, self.now - sent, 1
             )
         else:
-            self.carry(
+            self.apply(
                 self.balancer.on_outcome(
                     self.now, request_id, number, track.answered, status, server, self.now - sent
                 )
@@ -150,10 +150,10 @@
     def change(self) -> None:
         name = self.random.choice(sorted(self.state))
         self.state[name] = self.random.choice(("in", "draining", "gone"))
-        self.told[name] = self.now
-        self.carry(self.balancer.on_list(self.now, "changes", [self.entry(name)]))
+        self.notified_ms[name] = self.now
+        self.apply(self.balancer.on_list(self.now, "changes", [self.entry(name)]))
 
-    def play(self, steps: int) -> None:
+    def run(self, steps: int) -> None:
         for _ in range(steps):
             self.advance(self.now + self.random.choice((0.0, 5.0, 40.0)))
             self.random.choice(
@@ -167,7 +167,7 @@
 @settings(max_examples=60, deadline=None, derandomize=True)
 @given(st.integers(0, 2**32))
 def test_random_legal_sequences_keep_the_rules(seed: int) -> None:
-    World(seed).play(150)
+    World(seed).run(150)
 
 
 def always(value: bool) -> Callable[..., bool]:
@@ -178,7 +178,7 @@
     monkeypatch.setattr(Balancer, "_may_repeat", always(True))
     with pytest.raises(BrokenRule):
         for seed in range(40):
-            World(seed).play(150)
+            World(seed).run(150)
 
 
 def test_checker_sees_a_refusal_that_is_not_allowed(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -190,14 +190,14 @@
     monkeypatch.setattr(Balancer, "_end", refuse)
     with pytest.raises(BrokenRule, match="refused"):
         for seed in range(40):
-            World(seed).play(150)
+            World(seed).run(150)
 
 
 def test_checker_sees_a_lost_request(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(Balancer, "_end", lambda self, request, now: ("log", "dropped"))
     with pytest.raises(BrokenRule, match="lost"):
         for seed in range(40):
-            World(seed).play(150)
+            World(seed).run(150)
 
 
 def test_checker_sees_a_drain_ignored() -> None:
@@ -205,7 +205,7 @@
     for name in world.state:
         world.state[name] = "draining"  # the balancer is not told, so it goes on sending
     with pytest.raises(BrokenRule, match="drained"):
-        world.play(60)
+        world.run(60)
 
 
 def test_all_drained_list_gets_a_refusal() -> None:
--- a/tests/test_silence.py
+++ b/tests/test_silence.py
@@ -8,7 +8,7 @@
 from typing import Optional
 
 import pytest
-from loopback import OPTIONS, CacheBox, Rig, good, play, rig, status, until
+from loopback import OPTIONS, CacheBox, Rig, good, rig, run_async, status, until
 
 from corkshift.seam import now_ms
 from forkweir.adapter import settings_of
@@ -62,7 +62,7 @@
             await until(lambda: not made.node._attempts and not made.node._balancer.held)
             await until(lambda: sum(box.open for box in made.boxes.values()) == 1)
 
-    play(test)
+    run_async(test)
 
 
 def test_what_may_not_be_repeated_is_asked_once() -> None:
@@ -79,7 +79,7 @@
             )
             assert asked(made) == 1
 
-    play(test)
+    run_async(test)
 
 
 def test_a_server_gone_silent_is_put_out_and_tried_with_one_request_at_a_time() -> None:
@@ -119,7 +119,7 @@
                 await asyncio.sleep(0.01)
             assert member(made, "s0").out_until == 0.0
 
-    play(test)
+    run_async(test)
 
 
 def test_a_server_that_turns_bad_does_not_live_on_its_good_name() -> None:
@@ -151,7 +151,7 @@
             await until(lambda: now_ms() > until_ms)
             assert 0 < await batch("late") < usual
 
-    play(test)
+    run_async(test)
 
 
 def test_the_time_after_which_more_is_asked_follows_what_is_usual() -> None:
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -13,7 +13,7 @@
 from pathlib import Path
 
 import pytest
-from loopback import CacheBox, Registry, entry, good, play, request, status, until
+from loopback import CacheBox, Registry, entry, good, request, run_async, status, until
 from test_process import Process, free_port, running
 
 from corkshift.seam import now_ms
@@ -116,7 +116,7 @@
                 counts[f"svc.refused.{cause}"] for cause in ("tries", "gate")
             )
 
-    play(test)
+    run_async(test)
 
 
 @pytest.mark.parametrize("error", REMOTE_CONNECT, ids=errno.errorcode.get)
@@ -133,7 +133,7 @@
             shim.heal(SystemCall.CONNECT)
             await process.served("again")
 
-    play(test)
+    run_async(test)
 
 
 @pytest.mark.parametrize("for_s", [0.05, 0.4])
@@ -148,7 +148,7 @@
             assert await ask_all(process, "a") == [200] * 12
             assert shim.hits(SystemCall.ACCEPT) > 0
 
-    play(test)
+    run_async(test)
 
 
 @pytest.mark.parametrize("error", BUFFERS, ids=errno.errorcode.get)
@@ -167,7 +167,7 @@
             assert await ask_all(process, "a") == [200] * 12
             assert shim.hits(call) > 0 and len(box.heads) >= 12
 
-    play(test)
+    run_async(test)
 
 
 @pytest.mark.parametrize("error", BROKEN, ids=errno.errorcode.get)
@@ -190,7 +190,7 @@
                 "Traceback" in line for line in process.log
             )
 
-    play(test)
+    run_async(test)
 
 
 def test_single_bytes_in_every_read_and_write_change_nothing(tmp_path: Path, library: Path) -> None:
@@ -214,7 +214,7 @@
             while not fresh.heads:
                 await ask_all(process, "b")
 
-    play(test)
+    run_async(test)
 
 
 @pytest.mark.parametrize("call", list(SystemCall), ids=lambda call: str(call.name))
@@ -237,7 +237,7 @@
             await asyncio.sleep(0.1)
         return good(head)
 
-    play(test)
+    run_async(test)
 
 
 @pytest.mark.parametrize("step_ms", [-HOUR_MS, -5_000, 5_000, HOUR_MS])
@@ -266,7 +266,7 @@
             assert len(box.heads) == before  # the drain is kept
             assert status(await never) in (502, 503, 504) and 800.0 < now_ms() - began < 1_500.0
 
-    play(test)
+    run_async(test)
 
 
 @pytest.mark.parametrize("step_ms", [-HOUR_MS, HOUR_MS])
@@ -293,7 +293,7 @@
             assert (counts["svc.pool.in_service"], counts["svc.pool.cold"]) == (1, 1)
         shim.close()
 
-    play(test)
+    run_async(test)
 
 
 async def until_figures(process: Process, true: Callable[[dict[str, int]], bool]) -> None:
@@ -326,7 +326,7 @@
                 assert at_ms - sent_ms >= 140.0
                 assert told_ms <= 1_000.0 - (at_ms - sent_ms) + 150.0 + 10.0
 
-    play(test)
+    run_async(test)
 
 
 def test_a_request_that_waited_to_be_accepted_has_the_rest_of_its_time(
@@ -365,4 +365,4 @@
             assert told_ms <= 1_500.0 - (at_ms - sent_ms) + 150.0
             assert (await figures(process))["svc.refused.late"] == 1
 
-    play(test)
+    run_async(test)
--- a/tests/test_unframed_responses.py
+++ b/tests/test_unframed_responses.py
@@ -11,7 +11,7 @@
 from pathlib import Path
 
 import pytest
-from loopback import CacheBox, good, play, request, rig, status
+from loopback import CacheBox, good, request, rig, run_async, status
 from test_process import running
 
 from corkshift.budget import MAX_BUFFERED_BODY_BYTES
@@ -61,14 +61,14 @@
     return whole
 
 
-async def ask_through(server: UnframedServer, txn: str, lane: str = "order") -> bytes:
+async def ask_through(server: UnframedServer, txn: str, class_name: str = "order") -> bytes:
     """What a node answers to one request that goes to this server."""
     box = CacheBox()
     async with rig({"s0": box}) as made:
         await server.start()
         box.close()
         made.node.servers["s0"].address = ("127.0.0.1", server.port)
-        answer = await made.ask(txn, class_name=lane)
+        answer = await made.ask(txn, class_name=class_name)
         server.server.close()
         return answer
 
@@ -88,7 +88,7 @@
     async def test() -> None:
         answers.append(await ask_through(UnframedServer(body, head=head, pause_s=0.02), "a"))
 
-    play(test)
+    run_async(test)
     assert status(answers[0]) == 200
     assert body_of(answers[0]) == body
 
@@ -102,7 +102,7 @@
             await ask_through(UnframedServer(b"x" * size, reset=True, pause_s=0.02), "a")
         )
 
-    play(test)
+    run_async(test)
     answer = answers[0]
     chunked = b"transfer-encoding: chunked" in answer.lower()
     assert (
@@ -128,11 +128,11 @@
             assert [status(answer) for answer in answers] == [200] * 20
             assert all(body_of(answer) == b"whole" for answer in answers)
 
-    play(test)
+    run_async(test)
 
 
-@pytest.mark.parametrize("lane", ["brisk", "order"])
-def test_a_response_whose_connection_stays_open_is_never_taken_for_whole(lane: str) -> None:
+@pytest.mark.parametrize("class_name", ["brisk", "order"])
+def test_a_response_whose_connection_stays_open_is_never_taken_for_whole(class_name: str) -> None:
     # It was among the spoilt answers of tests/test_answers.py, rejected at its head; it may still become whole, and never does here.
     # A class that may be repeated is asked again at another server and served there, well before its time is up.
     async def test() -> None:
@@ -146,17 +146,17 @@
             made.node._balancer.usual = (
                 HEDGE_LEAST  # as after many quick answers: what is out for long stands out early
             )
-            more = "X-Remaining-Ms: 1500\r\n" if lane == "order" else ""
-            data = request("a", more + "Connection: close\r\n", class_name=lane)
+            more = "X-Remaining-Ms: 1500\r\n" if class_name == "order" else ""
+            data = request("a", more + "Connection: close\r\n", class_name=class_name)
             if more:
                 data = data.replace(b"X-Remaining-Ms: 20000\r\n", b"")
             answer = await made.send(data)
             assert b"evil" not in answer
-            if lane == "brisk":
+            if class_name == "brisk":
                 assert status(answer) == 200 and len(heads) == 2
             else:
                 assert (
                     status(answer) in (502, 504) and len(heads) == 1
                 )  # it may have run, and may not be repeated
 
-    play(test)
+    run_async(test)
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 
 import pytest
-from loopback import CacheBox, good, play, request, status
+from loopback import CacheBox, good, request, run_async, status
 from test_process import Process, free_port, running
 
 
@@ -110,7 +110,7 @@
                 finally:
                     await new.stop()
 
-    play(test)
+    run_async(test)
 
 
 def test_a_descriptor_that_is_no_listening_socket_ends_the_start_with_one_line(
@@ -129,7 +129,7 @@
             await process.reading
             assert len(process.log) == 1 and "no listening TCP socket" in process.log[0]
 
-    play(test)
+    run_async(test)
 
 
 @pytest.mark.parametrize(
@@ -152,7 +152,7 @@
         await process.reading
         assert len(process.log) == 1 and word in process.log[0]
 
-    play(test)
+    run_async(test)
 
 
 def test_an_operators_address_that_is_taken_is_named(tmp_path: Path) -> None:
@@ -166,4 +166,4 @@
             await process.reading
             assert len(process.log) == 1 and process.config["admin_addr"] in process.log[0]
 
-    play(test)
+    run_async(test)
