--- a/corkshift/frontend.py
+++ b/corkshift/frontend.py
@@ -1,4 +1,4 @@
-"""The client side: the accept loop, client connections, and the drain at a planned restart."""
+"""Client side of the node: client connections, their limits, and the drain at a planned restart."""
 
 from __future__ import annotations
 
@@ -26,21 +26,28 @@
 
 log = logging.getLogger(__name__)
 
-MAX_HEAD_BYTES = 16_384  # bytes of a request's head, of a chunk's header or of trailers
-MAX_PIPELINED_REQUESTS = 4  # requests written ahead on one connection that are worked on at once
-WRITE_TIMEOUT_S = 5.0  # a client that takes nothing of its answer for this long is given up
-FIRST_BYTE_TIMEOUT_MS = 2_000.0  # a new connection that has sent nothing for this long is closed,
-REQUEST_TIMEOUT_MS = 2_400.0  # one whose head is not whole by then is answered 408 (the first one's time runs from connecting),
-MIN_PROGRESS_BYTES = 16_384  # or whose body does not bring so many bytes in this time,
-IDLE_TIMEOUT_MS = 10_000.0  # and one on which nothing more is asked for this long is closed
-MAX_IDLE_SHARE = (
-    1 / 3
-)  # of the places for clients may be held by connections on which nothing more is asked
-SWEEP_INTERVAL_S = 0.2  # between two looks at who has had its time
-EVICTION_GRACE_MS = (
-    100.0  # where room is short, a new connection that has sent nothing for this long makes way
-)
-LAST_READ_DELAY_S = 0.02  # what the last connections to be taken have to say shows by then
+# Limit of a request's head, of a chunk's header and of trailers.
+MAX_HEAD_BYTES = 16_384
+# Pipelined requests of one connection that are handled at once.
+MAX_PIPELINED_REQUESTS = 4
+# A client that reads nothing of its response for this long is disconnected.
+WRITE_TIMEOUT_S = 5.0
+# A new connection that has sent nothing for this long is closed.
+FIRST_BYTE_TIMEOUT_MS = 2_000.0
+# A request whose head is not complete in this time gets status 408. For the first request of a
+# connection the time runs from the accept. The same limit holds for each MIN_PROGRESS_BYTES of a
+# body.
+REQUEST_TIMEOUT_MS = 2_400.0
+MIN_PROGRESS_BYTES = 16_384
+# A connection that stays idle after a response for this long is closed.
+IDLE_TIMEOUT_MS = 10_000.0
+# Largest share of the client connection limit that idle connections may hold.
+MAX_IDLE_SHARE = 1 / 3
+SWEEP_INTERVAL_S = 0.2
+# At the connection limit, a new connection that has sent nothing for this long may be evicted.
+EVICTION_GRACE_MS = 100.0
+# Wait during a drain in which the connections accepted last deliver their first bytes.
+LAST_READ_DELAY_S = 0.02
 
 REQUEST_ID_PATTERN = re.compile(rb"[!-~]{1,128}")
 SINGLETON_HEADERS = {
@@ -53,13 +60,8 @@
     b"idempotency-key",
     b"host",
 }
-KEEP_ALIVE_STATUSES = {
-    200,
-    500,
-    502,
-    503,
-    504,
-}  # answers to whole requests after which the connection goes on
+# A connection is kept after these responses if the request was read completely.
+KEEP_ALIVE_STATUSES = {200, 500, 502, 503, 504}
 REASON_PHRASES = {status.value: status.phrase.encode() for status in HTTPStatus}
 UNSUPPORTED_METHODS = {b"HEAD", b"POST", b"DELETE", b"OPTIONS", b"PATCH", b"TRACE", b"CONNECT"}
 
@@ -68,7 +70,7 @@
 
 
 class Rejected(Exception):
-    """A request that is answered here, and whose connection ends after that."""
+    """A request that the node answers with an error status before closing its connection."""
 
     def __init__(self, status: int) -> None:
         super().__init__(status)
@@ -76,29 +78,26 @@
 
 
 class ClientConnection:
-    """One client: requests are read ahead and answered in their order."""
+    """One client connection: reads pipelined requests ahead and answers them in order."""
 
     def __init__(self, frontend: Frontend, sock: Socket, queued_ms: float = 0.0) -> None:
-        """queued_ms: the longest that the connection can have waited to be accepted."""
+        """queued_ms: upper bound of the time that the connection waited to be accepted."""
         self._frontend = frontend
         self._queued_ms = queued_ms
-        self.since_ms = (
-            now_ms()
-        )  # of its rest, or of the start of the request that is not whole yet
-        self.partial = False  # a part of a request has come
-        self.served = False  # an answer has been given
-        self.lingering = (
-            False  # the last answer has been given; the client's end is awaited, briefly
-        )
+        # When the connection became idle, or when the request that is being read began.
+        self.since_ms = now_ms()
+        self.partial = False  # a request has been read in part
+        self.served = False  # a response has been written
+        # The last response has been written; the node waits briefly for the client's FIN.
+        self.lingering = False
         self._queue: asyncio.Queue[Optional[tuple[Parser, asyncio.Future[Response]]]] = (
             asyncio.Queue(MAX_PIPELINED_REQUESTS)
         )
         self._requests: dict[asyncio.Future[Response], ClientRequest] = {}
         self._pending = 0
-        self._reads = 0  # of bodies
-        self._large_body_parser: Optional[h11.Connection] = (
-            None  # a request whose body is still being handed on, or read past
-        )
+        self._reads = 0  # socket reads made for bodies
+        # Parser of a large request whose body is still being forwarded or discarded.
+        self._large_body_parser: Optional[h11.Connection] = None
         self._stream = Stream(sock)
         self._stream.on_input = self._on_input
         self._reader: Optional[asyncio.Task[None]] = None
@@ -106,21 +105,23 @@
 
     @property
     def idle(self) -> bool:
-        """Whether nothing is asked, begun or owed here."""
+        """Whether no request is open or partly read, and no input waits."""
         return not (
             self._pending or self.partial or self._large_body_parser or self._stream.has_input
         )
 
     @property
     def reading_paused(self) -> bool:
-        """Whether an end would not be heard: the buffer is full."""
+        """Whether the read buffer is full, so that the client's FIN would go unnoticed."""
         return not self._stream.reading
 
     def close_if_no_input(self, cause: str) -> bool:
-        """Close between requests, or in the middle of one, unless more has come meanwhile: the kernel is asked too.
+        """Close the connection, also with a request partly read, if the kernel has no input for it.
 
-        Guards against a request that is closed on with its rest in the socket's buffer: once its last byte is written it is taken.
-        And against a last answer that is reset on its way, as a close over unread input does; its lingering is short.
+        Without this check a request could be dropped whose remaining bytes are already in the
+        socket buffer: a request counts as accepted once its client has written its last byte.
+        Closing over unread input would also reset the last response on its way; the time that
+        the connection lingers for it is short.
         """
         if (
             not self.lingering and (self._pending or self._large_body_parser)
@@ -133,29 +134,33 @@
         return True
 
     def expire(self) -> None:
-        """Give up a request that is not whole by now; what has come of it and was not read yet is read first."""
+        """Time out a partly read request, after reading what has already arrived."""
         self._stream.expire()
 
     def abort(self) -> None:
-        """End now, whatever is under way."""
+        """Reset the connection at once, with any request that is open."""
         self._stream.abort()
         self._task.cancel()
 
     def _on_input(self) -> None:
-        # A client that ends its side has gone away; so have its requests, before anything else of them goes out (guards against
-        # an attempt that was begun in the same turn of the loop in which the end came, as after any time the node stood still).
+        # A client that closes its side has left, so its requests are cancelled at once. Otherwise
+        # an attempt started in the same turn of the event loop, as happens after a pause of the
+        # process, would still go out.
         if self._stream.ended:
             self._cancel_requests()
             self._task.cancel()
 
     def _cancel_requests(self) -> None:
-        """Nobody waits for what is open here."""
+        """Cancel all open requests: their client has left."""
         for request in list(self._requests.values()):
             self._frontend.node.cancel_request(request)
         self._requests.clear()
 
     def check_departure(self) -> None:
-        """Find out whether the client has left, where word of that has not been read: the node stood still, or its buffer is full."""
+        """Cancel the requests if the client has left and its FIN has not been read yet.
+
+        A FIN stays unread while the process was paused or while the read buffer is full.
+        """
         stream = self._stream
         if self._requests and not (stream.reading and stream.no_input) and stream.peer_left:
             self._cancel_requests()
@@ -177,14 +182,15 @@
             reader.cancel()
             await asyncio.gather(reader, return_exceptions=True)
             self._stream.on_input = None
-            self._cancel_requests()  # none is left but by a fault, and what is left must not be worked on while the connection lingers
+            # Only a fault leaves requests here; they must not go on while the connection lingers.
+            self._cancel_requests()
             self.lingering = True
             self._frontend.mark_idle(self)
             await self._stream.close_gracefully()
         except (OSError, asyncio.CancelledError):
             pass
         except Exception:
-            log.exception("a client connection failed")
+            log.exception("client connection failed; closing it")
         finally:
             reader.cancel()
             self._cancel_requests()
@@ -209,13 +215,12 @@
         except OSError:
             pass
         except Exception:
-            log.exception("a request could not be read")
+            log.exception("cannot read a client request; answering it with status 500")
             status = 500
         if status:
             response = self._frontend.node.busy if status == 503 else Response(status)
-            await self._enqueue(
-                h11.Connection(h11.SERVER), _completed(response)
-            )  # not whole, so that the connection ends
+            # The new parser counts as incomplete, so that the connection closes after the response.
+            await self._enqueue(h11.Connection(h11.SERVER), _completed(response))
         await self._queue.put(None)
 
     async def _enqueue(self, parser: Parser, future: asyncio.Future[Response]) -> None:
@@ -226,8 +231,12 @@
         await self._queue.put((parser, future))
 
     async def _read_request(self, ahead: bytes) -> Optional[bytes]:
-        """Read one request and hand it on; what has come of the next one, or None where none may follow."""
-        while not (ahead := ahead.lstrip(b"\r\n")):  # empty lines before a request are allowed
+        """Read one request and submit it.
+
+        Returns the bytes read of the next request, or None if no other request may follow.
+        """
+        # Empty lines ahead of a request are allowed (RFC 9112, 2.2).
+        while not (ahead := ahead.lstrip(b"\r\n")):
             self._mark_idle()
             if not (ahead := await self._stream.read()):
                 return None
@@ -250,9 +259,10 @@
         return parser.trailing_data[0]
 
     async def _read_simple(self, data: bytes) -> Optional[bytes]:
-        """Hand on the request that stands whole and in plain form at the start of these bytes; what follows it.
+        """Submit the complete request in simple form at the start of `data`; return what follows.
 
-        None where none does: h11 reads it then. It spares nearly all requests the larger part of their cost.
+        Returns None if there is none; then h11 parses the request. Nearly all requests take this
+        path, which saves most of the cost of parsing.
         """
         head = request_head(data)
         if head is None or head.target == b"/up":
@@ -271,7 +281,7 @@
         return data[end:]
 
     def _reserve_body(self, request: Optional[ClientRequest], size: int) -> None:
-        """Take room for so many bytes of a body, or turn its request away."""
+        """Reserve `size` bytes of the body budget, or reject the request with status 503."""
         if not self._frontend.budget.reserve(size):
             if request is not None:
                 self._frontend.node.count_unadmitted(request.class_name, "no-room")
@@ -285,7 +295,7 @@
             )
         if request is None and head.method != b"GET":
             raise Rejected(405)
-        self.since_ms = now_ms()  # the body has a time of its own
+        self.since_ms = now_ms()  # the body has a time limit of its own
         budget, held = self._frontend.budget, 0
         try:
             pieces, marked, rest = PieceCounter(), 0, b""
@@ -326,7 +336,7 @@
         return True
 
     def _admit(self, request: ClientRequest, held: int) -> asyncio.Future[Response]:
-        """Hand a request on, of whose body so many bytes are held; what answers it."""
+        """Submit a request with `held` bytes of buffered body; return its response's future."""
         budget = self._frontend.budget
         if self._frontend.node.is_recent_id(request.txn):
             budget.release(held)
@@ -335,15 +345,16 @@
             budget.release(held)
             self._frontend.node.count_unadmitted(request.class_name, "full")
             return _completed(self._frontend.node.busy)
-        # A connection that waited in the backlog may have been given up by now, its end right behind its request (guards
-        # against work for clients who have left, when accepting had stopped for want of descriptors). It costs one look at the
-        # socket for each new connection. Harm: none, a client that ends its side has gone away.
-        # Where more bytes stand before that end than were read, the kernel alone knows of it.
+        # A client may have left while its connection waited in the backlog, as happens when the
+        # node cannot accept for lack of descriptors: its FIN follows its request directly. The
+        # check costs one socket read for each new connection and keeps the node from working for
+        # clients that have left. If more bytes precede the FIN than were read, only the kernel
+        # knows of it.
         stream, new = self._stream, not (self.served or self._pending)
         if (stream.last_read_full or (new and not stream.no_input)) and stream.peer_left:
             budget.release(held)
             raise ConnectionAbortedError("the client has left")
-        if held:  # nearly all requests have no body, and nothing to give back
+        if held:  # nearly all requests have no body, so nothing to release
             request.response.add_done_callback(lambda _: self._release_body(request, held))
         self._requests[request.response] = request
         request.check_departure = self.check_departure
@@ -351,15 +362,15 @@
         return request.response
 
     def _waited_ms(self) -> float:
-        """How long a request stood in the kernel before it was read, because the loop was held up or accepting had stopped.
+        """Return how long the request waited in the kernel.
 
-        Guards against a whole deadline given to a request of which a part is over: its client's time runs. Harm: none; both figures are
-        bounds from above, and the smaller one counts.
+        It waits there while the event loop lags or accepting is paused.
+
+        The client's time ran meanwhile, so the request must not get its full deadline. Both
+        values are upper bounds; the smaller one counts.
         """
-        queued_ms, self._queued_ms = (
-            self._queued_ms,
-            0.0,
-        )  # only the first request of a connection can have waited to be accepted
+        # Only the first request of a connection can have waited for the accept.
+        queued_ms, self._queued_ms = self._queued_ms, 0.0
         bound_ms = max(queued_ms, self._frontend.loop_lag.unread_ms())
         if not bound_ms:
             return 0.0
@@ -369,15 +380,16 @@
     async def _read_large_body(
         self, parser: h11.Connection, request: ClientRequest, held: int, piece: bytes
     ) -> bool:
-        """Hand on a request too large to hold by its beginning, and then the rest as it comes; what nobody wants is read past.
+        """Submit a request too large to buffer with its first bytes, then forward the rest.
 
-        Guards against memory filled by bodies, and against a client that is answered early and never gets to read it, as its
-        connection is reset under what it still sends. Harm: reading past a large body costs its transfer.
+        Forwarding bounds the memory that bodies take. Once no server wants the rest, it is read
+        and discarded: a close over unread input would reset the connection before the client has
+        read an early response. The cost is the transfer of the whole body.
         """
         body_rest = request.body_rest = Relay()
         response = self._admit(request, held)
         if response is not request.response:
-            body_rest.close()  # it was not let in
+            body_rest.close()  # the request was refused
         self._large_body_parser = parser
         await self._enqueue(parser, response)
         size, pieces, marked = held + len(piece), PieceCounter(), 0
@@ -424,10 +436,10 @@
             self._reads += 1
         return event
 
-    # -- answers -------------------------------------------------------------------------
+    # -- responses -----------------------------------------------------------------------
 
     async def _send(self, parser: Parser, response: Response) -> bool:
-        """Write one answer; whether the connection goes on after it."""
+        """Write one response; return whether the connection is kept after it."""
         last = (
             not self._frontend.duty.lasting
             and self._pending == 1
@@ -437,8 +449,9 @@
         whole = parser.their_state is h11.DONE or parser is self._large_body_parser
         keep = whole and response.status in KEEP_ALIVE_STATUSES and not last
         if not keep and self._reader is not None:
-            # Settled before a write that may take a while: what comes now is left unread, and its client sends it elsewhere
-            # (guards against a request that is taken, sent on and then dropped with the connection).
+            # Reading stops before the write, which may take a while. A request that arrives from
+            # now on stays unread, so its client can send it elsewhere; otherwise it could be
+            # accepted, forwarded and then dropped with the connection.
             self._reader.cancel()
         if response.body_rest is not None:
             return await self._send_large(parser, response, response.body_rest, keep)
@@ -448,21 +461,21 @@
             if sent < len(data):
                 await self._write(data[sent:])
         except BaseException:
-            # An answer that stops short must not look whole.
+            # A response that is cut off must not look complete.
             self._stream.abort()
             raise
         return keep
 
     async def _write(self, data: bytes) -> None:
-        """Give the client bytes; TimeoutError where it takes too long over them."""
+        """Write bytes to the client; raise TimeoutError after WRITE_TIMEOUT_S."""
         async with asyncio.timeout(WRITE_TIMEOUT_S):
             await self._stream.write(data)
 
     async def _send_large(
         self, parser: Parser, response: Response, rest: Relay, keep: bool
     ) -> bool:
-        """Write an answer too large to hold as it comes; whether the connection goes on after it."""
-        # A client of HTTP/1.0 knows no chunks: where the length is not known the connection's end tells it.
+        """Stream a response too large to buffer; return whether the connection is kept after it."""
+        # HTTP/1.0 has no chunked coding: there a body of unknown length ends with its connection.
         chunked = response.length is None and parser.their_http_version != b"1.0"
         keep = keep and (chunked or response.length is not None)
         piece: Optional[bytes] = response.body
@@ -476,7 +489,7 @@
             if chunked:
                 await self._write(b"0\r\n\r\n")
         except BaseException:
-            # Broken among them: the client must be able to tell.
+            # This includes BodyAborted: the client must be able to see that the body is incomplete.
             self._stream.abort()
             raise
         finally:
@@ -485,7 +498,7 @@
 
 
 class Frontend:
-    """All client connections, within one budget of sockets."""
+    """All client connections, limited in number to `limit`."""
 
     def __init__(
         self, node: Node, listener: Socket, limit: int, body_bytes: int, shared: bool = False, leave: Optional[Leave] = None,
@@ -500,43 +513,48 @@
         self._shared = shared
         self._limit = limit
         self._connections: dict[ClientConnection, None] = {}  # oldest first
-        # Connections on which no request is open, longest wait first: nothing asked yet, a part of a request, nothing more asked.
-        self._unused: dict[ClientConnection, None] = {}
-        self._partial: dict[ClientConnection, None] = {}
-        self._idle: dict[ClientConnection, None] = {}
+        # Connections without an open request, longest wait first.
+        self._unused: dict[ClientConnection, None] = {}  # nothing received yet
+        self._partial: dict[ClientConnection, None] = {}  # a request read in part
+        self._idle: dict[ClientConnection, None] = {}  # idle after a response
         self._empty = asyncio.Event()
         self._listener = Listener(listener, self._has_capacity, self._accept)
 
     @property
     def address(self) -> Address:
-        """Where the node listens."""
+        """The address on which the node listens."""
         return self._listener.address
 
     def start(self) -> None:
-        """Listen."""
+        """Start to accept connections and to enforce their time limits."""
         self._listener.start()
         self.started = True
         self._sweep()
 
     async def drain(self) -> None:
-        """Take what still comes for a while, finish what is held, and end."""
+        """Drain: accept for a while longer, finish the open requests, then close all connections.
+
+        The phases end at the times of `Leave`. Requests that are still open at its `answer` time
+        get an error response, and connections that remain at its `exit` time are reset.
+        """
         begun, leave = asyncio.get_running_loop().time(), self._leave
         self.duty.end(now_ms())
         if not self.started:
-            self._listener.close()  # nobody has been let in yet
+            self._listener.close()  # no connection has been accepted yet
             return
         if self._shared:
-            # What waits in the queue is the next process's to take.
+            # The next process accepts what waits in the shared queue.
             self._listener.close()
         await asyncio.sleep(leave.take / 1000.0)
         if not self._shared:
-            # What the kernel has accepted may hold requests that count as taken: all of it is taken in, as room comes.
+            # Connections in the kernel's queue may hold requests that count as accepted, so all
+            # of them are accepted as capacity allows.
             with suppress(TimeoutError):
                 async with asyncio.timeout_at(begun + leave.answer / 1000.0):
                     await self._listener.accept_queued()
             self._listener.close()
         await asyncio.sleep(LAST_READ_DELAY_S)
-        # A part of a request may become a whole one: it has its time, as ever, and is answered 408 after that.
+        # A partly read request may still be completed; its usual time limit and status 408 apply.
         for connection in list(self._connections):
             if not connection.partial:
                 connection.close_if_no_input("ending")
@@ -547,7 +565,7 @@
             connection.abort()
 
     async def _wait_until_closed(self, end: float) -> None:
-        """Until no connection is there, or until then."""
+        """Wait until all connections are closed, at most until `end` on the loop's clock."""
         with suppress(TimeoutError):
             async with asyncio.timeout_at(end):
                 while self._connections:
@@ -557,22 +575,22 @@
     # -- bookkeeping ---------------------------------------------------------------------
 
     def mark_idle(self, connection: ClientConnection) -> None:
-        """A connection has nothing to do now."""
+        """Record that a connection has become idle."""
         self.mark_busy(connection)
         self._idle[connection] = None
 
     def mark_partial(self, connection: ClientConnection) -> None:
-        """A request has begun on a connection."""
+        """Record that a request has been read in part."""
         self.mark_busy(connection)
         self._partial[connection] = None
 
     def mark_busy(self, connection: ClientConnection) -> None:
-        """A connection owes an answer, and is in nobody's way."""
+        """Record that a connection has an open request, which exempts it from eviction."""
         for waiting in (self._unused, self._partial, self._idle):
             waiting.pop(connection, None)
 
     def remove(self, connection: ClientConnection) -> None:
-        """A connection has ended."""
+        """Remove a closed connection and resume accepting."""
         self.mark_busy(connection)
         self._connections.pop(connection, None)
         if not self._connections:
@@ -589,7 +607,10 @@
         self._connections[connection] = self._unused[connection] = None
 
     def _evict_one(self) -> bool:
-        """Close the connection that matters least, if any may be closed: what rests, or has had a while to say something."""
+        """Close one connection without an open request; return whether there was one.
+
+        Idle connections go first, then new and partly read ones older than EVICTION_GRACE_MS.
+        """
         before_ms = now_ms() - EVICTION_GRACE_MS
         for waiting in (self._idle, self._unused, self._partial):
             for connection in list(waiting):
@@ -600,10 +621,11 @@
         return False
 
     def _sweep(self) -> None:
-        """End what has had its time (guards against clients that say nothing, never come to an end, or stay for good).
+        """Enforce the time limits of connections without an open request.
 
-        It should catch any connection that holds a descriptor with no request open. Harm: a client behind a link so slow that
-        its request takes longer than this is answered 408.
+        Otherwise clients that send nothing, never complete a request or never disconnect would
+        hold descriptors. A client behind a link so slow that its request takes longer than
+        REQUEST_TIMEOUT_MS gets status 408.
         """
         now = now_ms()
         for waiting, limit, cause in (
@@ -624,11 +646,13 @@
         asyncio.get_running_loop().call_later(SWEEP_INTERVAL_S, self._sweep)
 
     def _close_surplus(self, now: float) -> None:
-        """Close what rests beyond its share of the places, longest rest first.
+        """Close idle connections beyond MAX_IDLE_SHARE, longest idle first.
 
-        Guards against connections that asked once and are kept for good: they hold places, here and at the clients, that those
-        who ask need, long before any has rested its time. It should also keep sockets few after a burst. Harm: a client with
-        more connections than it uses dials again; what has rested only a moment is spared.
+        Connections kept after a single request hold places, at the node and at the clients, that
+        active clients need long before IDLE_TIMEOUT_MS is over. This also releases sockets after a
+        burst. A client with more connections than it uses has to reconnect; connections that have
+        only just become idle are kept. During a drain, idle and unused connections are closed
+        step by step.
         """
         kept = [connection for connection in self._idle if not connection.lingering]
         for connection in kept[: max(0, len(kept) - int(self._limit * MAX_IDLE_SHARE))]:
@@ -644,7 +668,11 @@
 
 
 def _response_head(response: Response, keep: bool, chunked: bool = False) -> bytes:
-    """An answer's head. All of it is our own words, so it needs no check (one by the parser costs as much as reading a request)."""
+    """Return the head of a response.
+
+    The node produces all of it, so it is not checked by h11, which would cost as much as parsing
+    a request.
+    """
     retry = b"Retry-After: %g\r\n" % response.retry_after_s if response.retry_after_s else b""
     close = b"" if keep else b"Connection: close\r\n"
     if response.body_rest is None:
@@ -663,7 +691,7 @@
 
 
 def _error_status(error: Exception) -> int:
-    """What a request is answered that could not be read."""
+    """Return the status for a request that could not be read."""
     if isinstance(error, Rejected):
         return error.status
     return error.error_status_hint if isinstance(error, h11.RemoteProtocolError) else 408
@@ -676,7 +704,7 @@
 
 
 def _append_body(body: list[bytearray], data: bytes) -> None:
-    """Add to a body in parts of a fair size (guards against one object for each tiny piece)."""
+    """Append to a body, merging small pieces so that each does not cost an object."""
     if body and len(body[-1]) + len(data) <= READ_BYTES:
         body[-1] += data
     else:
@@ -684,7 +712,7 @@
 
 
 def _parse_number(value: bytes) -> float:
-    """A header's number: digits, with a fraction perhaps."""
+    """Parse a header's decimal number, with an optional fraction."""
     whole, _, part = value.partition(b".")
     if not (whole.isdigit() and (part.isdigit() or not part) and len(value) <= 18):
         raise Rejected(400)
@@ -692,10 +720,11 @@
 
 
 def _check_framing(head: h11.Request) -> None:
-    """Turn away a head whose meaning is open.
+    """Reject a head whose framing is ambiguous (request smuggling; RFC 9112, 6.1 and 11.2).
 
-    Guards against a request hidden in the body of another, which the next reader takes for one of its own, and against a
-    header given twice of which two readers believe different ones. Harm: a client that repeats a header by mistake is told so.
+    Otherwise the next parser could take a part of one request's body for another request, or two
+    parsers could use different values of a repeated header. A client that repeats a header by
+    mistake is rejected too.
     """
     headers = dict(head.headers)
     if b"transfer-encoding" in headers and (
@@ -713,7 +742,7 @@
 
 
 def _origin_form(target: bytes) -> bytes:
-    """A request's target as servers take it: of the absolute form (RFC 9112, 3.2.2) what follows the authority."""
+    """Convert a target in absolute form to origin form (RFC 9112, 3.2.1 and 3.2.2)."""
     if target[:7].lower() != b"http://":
         return target
     _, slash, path = target[7:].partition(b"/")
@@ -723,7 +752,7 @@
 def _parse_request(
     method: bytes, target: bytes, headers: dict[bytes, bytes], knows: Callable[[str], bool]
 ) -> ClientRequest:
-    """The request that a head describes, of a class that the node knows."""
+    """Return the request that a head describes; raise Rejected if the node does not support it."""
     if method not in (b"GET", b"PUT"):
         raise Rejected(405 if method in UNSUPPORTED_METHODS else 501)
     txn, class_name = headers.get(b"x-txn", b""), headers.get(b"x-lane", b"").decode("latin-1")
--- a/corkshift/node.py
+++ b/corkshift/node.py
@@ -1,4 +1,4 @@
-"""The node: turns what happens on sockets into the module's events, and carries out its actions."""
+"""The node: translates socket events into calls of the balancer and performs its actions."""
 
 from __future__ import annotations
 
@@ -22,24 +22,31 @@
 
 log = logging.getLogger(__name__)
 
-MIN_ID_MEMORY_MS = 5_000.0  # at the least, and ID_MORE_MS longer than any request is open
+# Request ids are remembered for ID_MEMORY_MARGIN_MS beyond the longest deadline, but at least this
+# long.
+MIN_ID_MEMORY_MS = 5_000.0
 ID_MEMORY_MARGIN_MS = 1_000.0
-MAX_REMEMBERED_IDS = 8_192  # far more than come in that time
-REFUSAL_LOG_INTERVAL_MS = 5_000.0  # between two lines in the log on refusals
-# a request that is sent on within this has not waited; its client's end is heard in the turn in which it comes
+# Far more than arrive in that time.
+MAX_REMEMBERED_IDS = 8_192
+# Minimum time between two log lines about refusals.
+REFUSAL_LOG_INTERVAL_MS = 5_000.0
+# A request sent on within this time has not waited: its client's FIN would be seen in the turn of
+# the event loop in which it arrives.
 DEPARTURE_CHECK_AFTER_MS = 20.0
-# of the loop that a request takes from when it is read to its answer: dial, write, read, and what waits in between
+# Turns of the event loop from reading a request to its response: connect, write, read, and the
+# waits in between.
 LOOP_TURNS_PER_REQUEST = 6
-BACKSTOP_MARGIN_MS = 15.0  # past the deadline, well within the slack that the rules grant
+# Time past a request's deadline until the node fails it; lies well within the permitted slack.
+BACKSTOP_MARGIN_MS = 15.0
 
 
 class Node:
-    """Owns the open requests, their attempts and the timers. Every decision is the module's."""
+    """Owns the open requests, their attempts and the timers; the balancer makes all decisions."""
 
     def __init__(self, config: Config, pool: Pool, max_open: int) -> None:
         self._config = config
         self.metrics = pool.metrics
-        self.servers_known = False  # whether a cache server has been known
+        self.servers_known = False  # whether any cache server has ever been known
         self._pool = pool
         self._loop_lag = pool.loop_lag
         self._max_open = max_open
@@ -55,62 +62,62 @@
             MIN_ID_MEMORY_MS, max(self._deadlines.values(), default=0.0) + ID_MEMORY_MARGIN_MS
         )
         self._calls: dict[int, ClientRequest] = {}
-        self._recent_ids: dict[bytes, float] = {}  # of late requests: when each came, oldest first
+        self._recent_ids: dict[bytes, float] = {}  # arrival time by request id, oldest first
         self.busy = Response(503, retry_after_s=config.settings.backoff_max_ms / 1000.0)
         self._attempts: dict[tuple[int, int], asyncio.Task[Outcome]] = {}
         self._running: dict[tuple[int, int], Attempt] = {}
         self._tries: dict[int, int] = {}
-        self._streams: dict[
-            int, ClientRequest
-        ] = {}  # whose answers have begun and not ended: nothing is left to decide about them
-        self._open_ids: set[bytes] = set()  # of open requests, whatever is remembered of late ones
+        # Requests whose response is being streamed: the balancer has nothing more to decide.
+        self._streams: dict[int, ClientRequest] = {}
+        self._open_ids: set[bytes] = set()  # ids of all open requests, however old
         self._last_id = 0
-        self._logged_refusals: dict[str, int] = {}  # refusals by cause as the log last had them,
-        self._logged_ms = 0.0  # and when
+        self._logged_refusals: dict[str, int] = {}  # refusals by cause at the last log line
+        self._logged_ms = 0.0  # time of the last log line about refusals
         self.servers: dict[str, CacheServer] = {}
         self.follow: Callable[[], None] = lambda: None
-        self.list_unread: Callable[[], bool] = lambda: False  # see Owner
+        self.list_unread: Callable[[], bool] = lambda: False  # see AttemptOwner
 
     @property
     def full(self) -> bool:
-        """Whether as many requests are open as the node may hold."""
+        """Whether the limit of open requests is reached."""
         return self.open >= self._max_open
 
     @property
     def open(self) -> int:
-        """How many requests have been taken and have no final answer yet."""
+        """The number of accepted requests without a complete response."""
         return len(self._calls) + len(self._streams)
 
     def join(self, tier: Tier) -> None:
-        """From now on this node has its parts of the bounds of a tier."""
+        """Apply this node's shares of the tier-wide limits from now on."""
         from forkweir.tier.seat import Seat
 
         Seat(self._balancer, tier)
 
     def ejected_count(self) -> int:
-        """How many of the listed cache servers get nothing now because of how they did."""
+        """Return how many listed cache servers outlier detection currently keeps out of use."""
         return self._balancer.fleet.avoided(now_ms())
 
     def usable(self, name: str) -> bool:
-        """Whether a cache server may get requests as far as its health goes; one that is not known may."""
+        """Whether a cache server's health permits requests to it; true for an unknown server."""
         fleet = self._balancer.fleet
         member = fleet.members.get(name)
         return member is None or fleet.usable(member, now_ms())
 
     def health(self) -> dict[str, int]:
-        """How many cache servers are in each state of health (forkweir/known/health.py has the table)."""
+        """Return the number of cache servers by health state (see forkweir/known/health.py)."""
         return {str(state): count for state, count in self._balancer.fleet.states(now_ms()).items()}
 
     # -- events --------------------------------------------------------------------------
 
     def has_class(self, class_name: str) -> bool:
-        """Whether the settings have this class of requests."""
+        """Whether the settings define this request class."""
         return class_name in self._deadlines
 
     def is_recent_id(self, txn: bytes) -> bool:
-        """Whether a request with this id is open, or was a short while ago (ids are new with every request).
+        """Whether a request with this id is open or arrived recently.
 
-        Guards against two requests that share an id, whose answers and repeats nobody could tell apart.
+        Clients use a new id for every request. Responses and retries of two requests with the
+        same id could not be told apart.
         """
         before = now_ms() - self._id_memory_ms
         while self._recent_ids and (
@@ -121,16 +128,17 @@
         return txn in self._recent_ids or txn in self._open_ids
 
     def submit(self, request: ClientRequest, waited_ms: float = 0.0) -> None:
-        """A whole request has come, or the beginning of one too large to hold; its final answer is owed from now on.
+        """Accept a request, complete or with only the first part of a large body.
 
-        waited_ms: for so long it has stood unread.
+        From now on the node owes it exactly one response. waited_ms: how long it waited unread.
         """
         now = now_ms()
         self._recent_ids[request.txn] = now
         self._open_ids.add(request.txn)
         self._last_id += 1
         request.id = self._last_id
-        # No client waits longer than its class allows (guards against requests that are held for days).
+        # The class's deadline bounds what the client announces; otherwise a request could be held
+        # for days.
         longest = self._deadlines[request.class_name]
         budget = longest if request.budget_ms is None else min(request.budget_ms, longest)
         if request.body_rest is None:
@@ -141,9 +149,9 @@
         if budget <= 0.0 or (
             request.body_rest is None and self._loop_lag.turn_ms * LOOP_TURNS_PER_REQUEST > budget
         ):
-            # Its client has gone, or will have before this node could serve it (guards against a node that can't keep up with what
-            # comes, and works on requests that it can only fail). Harm: where the loop was held up a moment ago, some are refused that
-            # might have been served.
+            # Its client has given up, or will before this node could serve it. Under overload the
+            # node would otherwise work on requests that it can only fail. After a brief pause of
+            # the event loop, some are refused that might have been served.
             self.count_refusal("late" if budget <= 0.0 else "behind")
             self._respond(request, self.busy)
             return
@@ -165,7 +173,7 @@
         )
 
     def cancel_request(self, request: ClientRequest) -> None:
-        """The client has gone: nothing more is sent for its request."""
+        """Cancel a request whose client has left; nothing more is sent for it."""
         if request.open:
             request.response.cancel()
         if self._calls.pop(request.id, None) is not None:
@@ -175,34 +183,35 @@
             self._close(request)
 
     def fail_open_requests(self) -> None:
-        """Fail whatever is still open: this process is about to be ended (guards against requests with more time than it has left).
+        """Answer all open requests with status 504: the process is about to end.
 
-        Harm: none of them would get an answer otherwise; a refusal instead would say that none has run.
+        Requests with more time left than the process would otherwise get no response. A refusal
+        (503) would state that they have not run, which is unknown.
         """
         for request in list(self._calls.values()):
             self.end(request, Response(504))
 
     def end(self, request: ClientRequest, response: Response) -> None:
-        """A request is answered without the module: it came to no good end, or its time is over."""
+        """Answer a request without a decision of the balancer: it failed, or its time is over."""
         self._respond(request, response)
         self._decide(None, lambda: self._balancer.on_departure(now_ms(), request.id))
 
     def _set_backstop(self, request: ClientRequest, budget_ms: float) -> None:
-        """Guards against a request left without its answer, whatever goes wrong."""
+        """Schedule the timer that fails a request left without a response by any fault."""
         request.backstop = asyncio.get_running_loop().call_later(
             (budget_ms + BACKSTOP_MARGIN_MS) / 1000.0, self._on_backstop, request
         )
 
     def on_list(self, form: str, entries: Iterable[Server]) -> None:
-        """Discovery told of the cache servers, or failed to."""
+        """Pass a change of the server list, or a failure to read it, to the balancer."""
         self.servers_known = self.servers_known or bool(self.servers)
         self._decide(None, lambda: self._balancer.on_list(now_ms(), form, entries))
 
     def overheard(self, places: list[Address], whole: bool) -> None:
-        """Servers that the list never named drain or are gone: nothing to do where it is the one source."""
+        """Ignore departures of servers that the list never named: there is no other source here."""
 
     def _on_backstop(self, request: ClientRequest) -> None:
-        log.warning("request %d had no answer by its deadline", request.id)
+        log.warning("request %d had no answer by its deadline; answering with 504", request.id)
         self.end(request, Response(504))
 
     def _on_timer(self, token: int) -> None:
@@ -211,10 +220,11 @@
     # -- actions -------------------------------------------------------------------------
 
     def _decide(self, request: Optional[ClientRequest], event: Callable[[], list[Action]]) -> None:
-        """Give the module an event and do what it says. A fault in it ends neither the process nor another request.
+        """Pass an event to the balancer and perform the actions that it returns.
 
-        Nor does one in carrying out an action cost the actions behind it (they may be other requests' attempts, or a timer on which
-        the module waits).
+        An exception in the balancer affects neither the process nor other requests. An exception
+        in one action doesn't keep the next ones from being performed: these may be attempts of
+        other requests, or a timer that the balancer needs.
         """
         try:
             actions = event()
@@ -226,7 +236,7 @@
             try:
                 self._perform(action)
             except Exception:
-                log.exception("an action failed: %s", action[0])
+                log.exception("action %r of the balancer failed", action[0])
                 self._fail_after_error(
                     self._calls.get(action[1])
                     if action[0] in ("attempt", "refuse", "fail")
@@ -234,7 +244,7 @@
                 )
 
     def _fail_after_error(self, request: Optional[ClientRequest]) -> None:
-        """A request about which something here failed is failed."""
+        """Answer a request with status 500 after an exception in handling it."""
         if request is not None:
             self._respond(request, Response(500))
             with suppress(Exception):
@@ -255,21 +265,25 @@
         elif action[0] == "timer":
             wait_ms = max(0.0, action[2] - now_ms())
             if action[1] == REBUILD_TIMER:
-                # Work in the background takes every other turn (guards against requests that wait for a slice in each of their turns).
+                # Background work runs at most in every other turn of the event loop, so that a
+                # request doesn't wait for a slice of it in each of its turns.
                 wait_ms = max(wait_ms, self._loop_lag.turn_ms)
             asyncio.get_running_loop().call_later(wait_ms / 1000.0, self._on_timer, action[1])
         elif action[0] == "follow":
             self.follow()
         else:
-            log.warning("the module asks for %s, which this site does not have", action[0])
+            log.warning("ignoring action %r of the balancer: not supported by this node", action[0])
 
     def count_unadmitted(self, class_name: str, cause: str) -> None:
-        """A request of a class was refused before it was taken: count it."""
+        """Count a request that was refused before it was accepted."""
         self.count_refusal(cause)
         self.metrics.count_response(class_name, 503)
 
     def count_refusal(self, cause: str) -> None:
-        """Count a refusal by its cause, and tell of them in the log: of the first at once, then of all that came in TELL_MS."""
+        """Count a refusal by its cause and log the counts.
+
+        The first refusal is logged at once, later ones together every REFUSAL_LOG_INTERVAL_MS.
+        """
         refused = self.metrics.refusals
         refused[cause] += 1
         now = now_ms()
@@ -278,13 +292,13 @@
                 name: count - self._logged_refusals.get(name, 0) for name, count in refused.items()
             }
             parts = ", ".join(f"{name} {count}" for name, count in since.items() if count)
-            log.info("refused since it was last told: %s", parts)
+            log.info("requests refused since the last report: %s", parts)
             if causes := self.metrics.take_failure_causes():
-                log.info("attempts that failed since then: %s", causes)
+                log.info("attempts failed since the last report: %s", causes)
             self._logged_refusals, self._logged_ms = dict(refused), now
 
     def _respond(self, request: Optional[ClientRequest], response: Response) -> None:
-        """Give the final answer; the first one counts."""
+        """Give a request its response, unless it has one."""
         if request is not None and self._calls.pop(request.id, None) is not None:
             self.metrics.count_response(request.class_name, response.status)
             if request.open:
@@ -292,7 +306,7 @@
             self._close(request)
 
     def _close(self, request: ClientRequest) -> None:
-        """A request is over: what is still out for it ends."""
+        """Release what a finished request holds, and end its running attempts."""
         if request.backstop is not None:
             request.backstop.cancel()
         self._open_ids.discard(request.txn)
@@ -304,7 +318,8 @@
     def _end_attempt(self, which: tuple[int, int]) -> None:
         attempt, task = self._running.get(which), self._attempts.get(which)
         if attempt is not None and task is not None:
-            attempt.abort()  # at once: the task ends a moment later, perhaps after a successor was sent
+            # The task ends a moment later, perhaps after the next attempt was sent.
+            attempt.abort()
             task.cancel()
 
     # -- attempts ------------------------------------------------------------------------
@@ -322,7 +337,7 @@
             else request.deadline_ms - request.since_ms
         )
         within_ms = min(within_ms, left_ms) if within_ms else left_ms
-        # Two attempts can't read one body that is not kept, nor can a second one once it flows.
+        # A body that is not buffered can be read by one attempt only, and only once.
         twice = request.body_rest is not None and (
             request.body_consumed
             or any((request_id, earlier) in self._running for earlier in range(n))
@@ -340,10 +355,11 @@
     def may_send(
         self, request: ClientRequest, server: CacheServer, announced_ms: int
     ) -> Optional[Denial]:
-        """See Owner. Why a request may not go out to a server now: asked before its first byte and before its last one.
+        """See AttemptOwner. Called before the first and before the last byte of a request is sent.
 
-        What has waited (for a dial, a connection, an earlier attempt, or for the node, which stood still) is looked at once more: its
-        client's end may stand unread in the kernel, as timers come before sockets.
+        For a request that has waited (to connect, for an earlier attempt, or while the process was
+        paused) the socket of its client is checked again: the FIN may be unread in the kernel,
+        since the event loop runs timers before it reads sockets.
         """
         if now_ms() - request.since_ms > DEPARTURE_CHECK_AFTER_MS:
             request.check_departure()
@@ -352,7 +368,7 @@
     def on_last_byte_written(
         self, request: ClientRequest, server: CacheServer, announced_ms: int
     ) -> None:
-        """See Owner. Count and log what went out although its bound was over: each is a defect of this node."""
+        """See AttemptOwner. Counts and logs requests sent after a limit: each is a node defect."""
         violation = self.guard.violated(self._send_state(request, server, announced_ms), now_ms())
         if violation is not None:
             log.error(
@@ -366,9 +382,8 @@
     def _send_state(
         self, request: ClientRequest, server: CacheServer, announced_ms: int
     ) -> SendState:
-        flowing = (
-            request.body_rest is not None and not request.fully_sent
-        )  # its time runs from its last byte
+        # The deadline of a large request runs from its last byte.
+        flowing = request.body_rest is not None and not request.fully_sent
         return SendState(
             wanted=request.open,
             leaving_ms=server.leaving_ms,
@@ -381,15 +396,15 @@
     def _on_attempt_done(
         self, request: ClientRequest, n: int, attempt: Attempt, task: asyncio.Task[Outcome]
     ) -> None:
-        """An attempt's task has ended, in whatever way; this is called even for one that was cancelled before it began.
+        """Handle the end of an attempt's task, also of one cancelled before it started.
 
-        Guards against attempts that the node, and requests that the module, would hold for ever.
+        Otherwise the node would keep the attempt, and the balancer the request, forever.
         """
         del self._running[request.id, n], self._attempts[request.id, n]
         if task.cancelled():
             outcome = Outcome("withdrawn")
         elif (error := task.exception()) is not None:
-            log.error("an attempt failed", exc_info=error)
+            log.error("attempt failed with an unexpected exception", exc_info=error)
             attempt.abort()
             outcome = Outcome("broken")
         else:
@@ -397,7 +412,7 @@
         if not attempt.response_started:
             self._report_outcome(request, n, attempt.server.name, attempt.elapsed_ms, outcome)
         elif self._streams.pop(request.id, None) is not None:
-            # An answer that had begun is whole, or broke off; the module has heard of it.
+            # The streamed response is complete or was cut off; the balancer has its outcome.
             self._close(request)
             self.metrics.count_response(
                 request.class_name, 200 if outcome.status == "success" else 502
@@ -405,11 +420,11 @@
         attempt.abort_response()
 
     def on_body_consumed(self, request: ClientRequest) -> None:
-        """See Owner."""
+        """See AttemptOwner."""
         self._decide(request, lambda: self._balancer.on_spent(now_ms(), request.id))
 
     def on_fully_sent(self, request: ClientRequest) -> None:
-        """See Owner."""
+        """See AttemptOwner. Restarts the request's deadline and its timer."""
         if request.id in self._calls:
             budget = request.deadline_ms - request.since_ms
             request.since_ms, request.fully_sent = now_ms(), True
@@ -417,7 +432,7 @@
             self._set_backstop(request, budget)
 
     def on_response_started(self, attempt: Attempt, response: Response, note: int) -> bool:
-        """See Owner. The module hears of a success; other attempts end, and what is left is only to carry."""
+        """See AttemptOwner. Reports a success to the balancer and ends the other attempts."""
         request = attempt.request
         if not request.open or self._calls.pop(request.id, None) is None:
             return False
