--- a/corkshift/messages.py
+++ b/corkshift/messages.py
@@ -1,4 +1,4 @@
-"""What passes between the client side, the node and the cache server side."""
+"""Requests and responses as they pass between client side, node and cache server side."""
 
 from __future__ import annotations
 
@@ -12,20 +12,20 @@
 
 @dataclass(frozen=True, slots=True)
 class Response:
-    """The final answer to a request."""
+    """The final response to a request."""
 
     status: int
     body: bytes = b""
     retry_after_s: float = 0.0
-    body_rest: Optional[Relay] = (
-        None  # of the body, where it is too large to hold: `body` is its beginning,
-    )
-    length: Optional[int] = None  # and this its whole length, if that is known
+    # Source of the remaining body if it is too large to buffer; `body` is then its first part.
+    body_rest: Optional[Relay] = None
+    # Length in bytes of the whole body where `body_rest` is set, None if unknown.
+    length: Optional[int] = None
 
 
 @dataclass(eq=False, slots=True)
 class ClientRequest:
-    """One request of a client, whole."""
+    """A client's request, complete but for the rest of a large body."""
 
     method: bytes
     target: bytes
@@ -38,27 +38,27 @@
     work_ms: float
     repeated: bool
     body: list[bytearray] = field(default_factory=list)
-    body_rest: Optional[Relay] = (
-        None  # the rest of a body too large to hold: `body` is its beginning,
-    )
-    length: Optional[int] = None  # and this its whole length, if that is known
-    body_consumed: bool = False  # the rest has begun to flow: the request can't be sent again
+    # Source of the remaining body if it is too large to buffer; `body` is then its first part.
+    body_rest: Optional[Relay] = None
+    # Content-Length of the request, None if it has none.
+    length: Optional[int] = None
+    # Bytes of `body_rest` have been consumed: the request can't be sent again.
+    body_consumed: bool = False
     response: asyncio.Future[Response] = field(
         default_factory=lambda: asyncio.get_running_loop().create_future()
     )
     id: int = 0
-    since_ms: float = 0.0  # from when its time counts
+    since_ms: float = 0.0  # start of its deadline, on the node's clock
     deadline_ms: float = 0.0
-    fully_sent: bool = False  # of one too large to hold: its last byte has gone out
-    first_attempt_sent_ms: Optional[float] = (
-        None  # when the last byte of its first attempt began to go out: from then on it may have run
-    )
+    fully_sent: bool = False  # the last byte of a large body has been written
+    # When the last byte of its first attempt was written: from then on it may have run.
+    first_attempt_sent_ms: Optional[float] = None
+    # Timer that fails the request some time after its deadline.
     backstop: Optional[asyncio.TimerHandle] = None
-    check_departure: Callable[[], None] = lambda: (
-        None
-    )  # asks the system whether the client is still there; one that has left is departed at once
+    # Checks with the kernel whether the client is connected, and cancels the request if not.
+    check_departure: Callable[[], None] = lambda: None
 
     @property
     def open(self) -> bool:
-        """Whether the final answer is still owed."""
+        """Whether the final response is still outstanding."""
         return not self.response.done()
--- a/corkshift/stream.py
+++ b/corkshift/stream.py
@@ -1,4 +1,4 @@
-"""A socket with a bounded read buffer, an exact account of what was sent, and an abort that acts at once."""
+"""A TCP connection with a bounded read buffer, unbuffered writes and an immediate abort."""
 
 from __future__ import annotations
 
@@ -14,22 +14,27 @@
 from corkshift.seam import Socket
 from corkshift.seam.errors import NO_BUFFERS
 
-READ_BYTES = 65_536  # bytes of one read, and of input held before reading pauses
-KERNEL_BUFFER_BYTES = (
-    65_536  # asked of the kernel for each direction; it doubles this for its own overhead
-)
-NO_BUFFERS_RETRY_S = 0.01  # until a read or write for which the kernel had no memory is tried again
-LINGER_TIMEOUT_S = 1.0  # how long a closing connection waits for its peer's end,
-MAX_LINGER_BYTES = 262_144  # and how much it throws away meanwhile
+# Limit of one read, and of buffered input at which reading pauses.
+READ_BYTES = 65_536
+# Socket buffer size requested per direction; Linux doubles it for its own overhead.
+KERNEL_BUFFER_BYTES = 65_536
+# Delay until a read or write is retried after the kernel had no memory for it.
+NO_BUFFERS_RETRY_S = 0.01
+# Time that a closing connection waits for its peer's FIN, and input discarded meanwhile.
+LINGER_TIMEOUT_S = 1.0
+MAX_LINGER_BYTES = 262_144
 
+# Value of SO_LINGER with which close() sends a reset.
 _RESET = struct.pack("ii", 1, 0)
-_SCRATCH = memoryview(
-    bytearray(READ_BYTES)
-)  # all reads land here first (guards against a large block allocated for each small read)
+# Buffer shared by all reads, so that a small read doesn't allocate a large block.
+_SCRATCH = memoryview(bytearray(READ_BYTES))
 
 
 class Stream:
-    """One connection. Reads go on by themselves until the buffer is full; writes end when the kernel has the bytes."""
+    """One connection.
+
+    It reads by itself until the buffer is full. A write returns when the kernel has all its bytes.
+    """
 
     __slots__ = (
         "_loop", "_sock", "_in", "_buffered_bytes", "_reading", "_reader", "_writer", "ended",
@@ -44,56 +49,60 @@
         self._reading = False
         self._reader: Optional[asyncio.Future[None]] = None
         self._writer: Optional[asyncio.Future[None]] = None
-        self.ended = False  # the peer sends nothing more
+        self.ended = False  # FIN or reset received, or a socket error
         self.error: Optional[OSError] = None
         self.closed = False
         self._expired = False
-        self.last_read_full = False  # the last read took as much as it could: more may stand behind it, and the peer's end behind that
-        self.read_limit = READ_BYTES  # bytes of one read, and of input held before reading pauses
-        self.on_input: Optional[Callable[[], None]] = None  # called when input comes or ends
+        # The last read reached its limit: more input, and the peer's FIN, may be unread.
+        self.last_read_full = False
+        self.read_limit = READ_BYTES
+        self.on_input: Optional[Callable[[], None]] = None  # called when input arrives or ends
         sock.setblocking(False)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         self._resume()
 
     @property
     def reading(self) -> bool:
-        """Whether the peer's end would be heard; it is not while the buffer is full."""
+        """Whether input and the peer's FIN are noticed; they are not while the buffer is full."""
         return self._reading
 
     @property
     def peer_left(self) -> bool:
-        """Whether the peer has ended its side or reset the connection, also where bytes that nobody has read stand before that end."""
+        """Whether the peer has closed its side or reset the connection, also behind unread bytes."""
         return not self.closed and (self.ended or seam.abandoned(self._sock))
 
     @property
     def unread_ms(self) -> Optional[float]:
-        """How long ago the peer's last bytes came in; None where the system can't tell."""
+        """Time in ms since the peer's last bytes arrived; None if the system can't tell."""
         return None if self.closed else seam.unread_ms(self._sock)
 
     @property
     def has_input(self) -> bool:
-        """Whether bytes wait to be read."""
+        """Whether the buffer holds input."""
         return bool(self._in)
 
     @property
     def no_input(self) -> bool:
-        """Whether nothing has come, as it should be on an idle connection; asks the kernel too."""
+        """Whether the connection is open without any input, in the kernel's buffer either."""
         if not (self.closed or self.ended or self._in):
             self._readable()
         return not (self.closed or self.ended or self._in)
 
     async def read(self) -> bytes:
-        """The next bytes; none at the end. A reset raises."""
+        """Return the next bytes, b"" after the peer's FIN.
+
+        Raises OSError after a reset and TimeoutError after `expire`.
+        """
         while not self._in:
             if self.error is not None:
                 raise self.error
             if self._expired:
                 self._expired = False
-                raise TimeoutError("the peer is too slow")
+                raise TimeoutError("peer did not send in time")
             if self.ended:
                 return b""
             if self.closed:
-                raise ConnectionAbortedError("closed")
+                raise ConnectionAbortedError("connection is closed")
             self._reader = self._loop.create_future()
             try:
                 await self._reader
@@ -106,9 +115,10 @@
         return data
 
     def expire(self) -> None:
-        """Let the read that waits, or else the next one that would wait, fail: the peer has had its time.
+        """Time out the read that is waiting, or the next one that would wait.
 
-        What stands in the kernel's buffer has come in time (guards against a request that is whole there and nobody has looked).
+        Bytes in the kernel's buffer arrived in time and are read first: they may complete a
+        request.
         """
         self._expired = True
         if not (self.closed or self.ended) and self._reading:
@@ -116,13 +126,13 @@
         self._wake()
 
     def clear_expired(self) -> None:
-        """Hold nothing of that time against the peer any more: what was awaited has come after all."""
+        """Withdraw `expire`: the expected bytes have arrived."""
         self._expired = False
 
     def write_now(self, data: bytes) -> int:
-        """Give the kernel what it takes at once; how much that was."""
+        """Write what the kernel takes without waiting; return the number of bytes."""
         if self.closed or self.error is not None:
-            raise self.error or ConnectionAbortedError("closed")
+            raise self.error or ConnectionAbortedError("connection is closed")
         try:
             return self._sock.send(data)
         except (BlockingIOError, InterruptedError):
@@ -134,13 +144,16 @@
             raise
 
     async def write(self, data: bytes | bytearray, until_input: bool = False) -> bool:
-        """Give all bytes to the kernel. With until_input, stop early (False) when the peer speaks first."""
+        """Write all bytes to the kernel.
+
+        With `until_input`, stops and returns False when the peer sends or closes first.
+        """
         view = memoryview(data)
         while view:
             if self.error is not None:
                 raise self.error
             if self.closed:
-                raise ConnectionAbortedError("closed")
+                raise ConnectionAbortedError("connection is closed")
             if until_input and (self._in or self.ended):
                 return False
             try:
@@ -150,9 +163,8 @@
                 continue
             except OSError as error:
                 if error.errno in NO_BUFFERS:
-                    await asyncio.sleep(
-                        NO_BUFFERS_RETRY_S
-                    )  # the socket may well count as writable meanwhile
+                    # The socket may count as writable meanwhile, so waiting for that is no help.
+                    await asyncio.sleep(NO_BUFFERS_RETRY_S)
                     continue
                 self._end(error)
                 raise
@@ -160,14 +172,14 @@
         return True
 
     def abort(self) -> None:
-        """Reset the connection now: what the kernel still holds must not go out after it was given up."""
+        """Reset the connection now, so that the kernel discards bytes it has not sent."""
         if not self.closed:
             with suppress(OSError):
                 self._sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _RESET)
         self.close()
 
     def close(self) -> None:
-        """Close at once; bytes that the kernel has still go out."""
+        """Close at once; the kernel still sends the bytes that it has."""
         if self.closed:
             return
         self.closed = True
@@ -180,7 +192,10 @@
         self._wake()
 
     async def close_gracefully(self) -> None:
-        """End our side and wait briefly for the peer's end (a close over unread input would reset the answer)."""
+        """Send FIN and wait briefly for the peer's.
+
+        Closing over unread input would reset the connection and could destroy the last response.
+        """
         try:
             self._sock.shutdown(socket.SHUT_WR)
             left = MAX_LINGER_BYTES
@@ -210,7 +225,7 @@
             return
         except OSError as error:
             if error.errno in NO_BUFFERS:
-                self._pause()  # what stands in the kernel is read a little later
+                self._pause()  # the kernel keeps the input until the retry
                 self._loop.call_later(NO_BUFFERS_RETRY_S, self._resume)
                 return
             self._end(error)
--- a/corkshift/upstream.py
+++ b/corkshift/upstream.py
@@ -1,4 +1,4 @@
-"""The cache server side: kept connections, and the exchange of one attempt."""
+"""Cache server side of the node: the connection pool and the exchange of one attempt."""
 
 from __future__ import annotations
 
@@ -21,50 +21,56 @@
 from corkshift.stream import KERNEL_BUFFER_BYTES, READ_BYTES, Stream
 from forkweir.send_guard import Denial, deadline_told_ms
 
-MAX_HEAD_BYTES = 16_384  # bytes of an answer's head, of a chunk's header or of trailers
-MAX_INFORMATIONAL_RESPONSES = 8  # 1xx answers ahead of the final one
-LARGE_BODY_READ_BYTES = 32_768  # bytes read at once of an answer too large to hold
-STALL_TIMEOUT_S = (
-    10.0  # a server that gives or takes nothing of a large body for this long is given up
-)
+# Limit of a response's head, of a chunk's header and of trailers.
+MAX_HEAD_BYTES = 16_384
+# 1xx responses permitted ahead of the final one.
+MAX_INFORMATIONAL_RESPONSES = 8
+# Bytes read at once of a response too large to buffer.
+LARGE_BODY_READ_BYTES = 32_768
+# A server that sends or reads nothing of a large body for this long fails the attempt.
+STALL_TIMEOUT_S = 10.0
 VERSION_PREFIX = b"HTTP/1."
-IDLE_TIMEOUT_SHARE = (
-    0.7  # of the stated idle time; a connection that rested longer is not used again
-)
-MIN_IDLE_MS = 2.0  # before a connection is used again: what comes behind an answer, and is not the next one's, shows by then
+# A connection is not reused after this share of the servers' idle timeout.
+IDLE_TIMEOUT_SHARE = 0.7
+# Idle time before a connection is reused: surplus bytes behind a response arrive by then, and are
+# not taken for the next response.
+MIN_IDLE_MS = 2.0
 SWEEP_INTERVAL_S = 0.5
-LOCAL_RETRY_DELAY_S = (
-    0.01  # before a dial that this machine could not begin is tried again, doubled each time,
-)
-MAX_LOCAL_RETRY_DELAY_S = 0.08  # up to this
-MAX_DISCOVERY_TURNS = 8  # of the loop, in which an attempt lets discovery's bytes go first: a chunk of them is read in each
-LOCAL_RETRY_SHARE = (
-    0.7  # of an attempt's time may pass so; then another attempt may have better luck
-)
+# First delay before connecting again after a shortage on this machine; doubles up to the maximum.
+LOCAL_RETRY_DELAY_S = 0.01
+MAX_LOCAL_RETRY_DELAY_S = 0.08
+# Turns of the event loop for which an attempt lets unread bytes from discovery be read first; each
+# turn reads one chunk.
+MAX_DISCOVERY_TURNS = 8
+# Share of an attempt's time for such retries; the rest is left for another attempt.
+LOCAL_RETRY_SHARE = 0.7
+# Values of the X-Found header, as the balancer counts them; 0 stands for unknown.
 CACHE_RESULTS = {b"hit": 1, b"miss": 2, b"pending": 3}
 
 
 class MalformedResponse(Exception):
-    """An answer that can't be taken for the one to its request. The request may have run."""
+    """A response that violates HTTP or the node's limits. The request may have run."""
 
 
 class NotSent(Exception):
-    """Nothing went out, and the cache server is not to blame."""
+    """The request was not sent, for a reason other than a fault of the cache server."""
 
 
 @dataclass(eq=False, slots=True)
 class CacheServer:
-    """A cache server as discovery told of it, and the connections to it that rest."""
+    """A cache server as listed by discovery, and its idle connections."""
 
     name: str
     address: Address
-    leaving_ms: Optional[float] = None  # when this node was told that it drains or is gone
-    idle: list[tuple[float, Stream]] = field(default_factory=list)  # oldest first
+    # When this node was notified that the server drains or was removed.
+    leaving_ms: Optional[float] = None
+    # Idle connections and the time from which each is idle, oldest first.
+    idle: list[tuple[float, Stream]] = field(default_factory=list)
 
 
 @dataclass(frozen=True, slots=True)
 class Outcome:
-    """How an attempt ended, in the words of the module."""
+    """How an attempt ended: `status` as the balancer takes it, `note` a value of CACHE_RESULTS."""
 
     status: str
     note: int = 0
@@ -72,7 +78,7 @@
 
 
 class Pool:
-    """Connections to all cache servers within one budget of sockets."""
+    """Connections to all cache servers, at most `limit` at once."""
 
     def __init__(
         self,
@@ -88,13 +94,15 @@
         self._dial_s = dial_timeout_ms / 1000.0
         self._idle_ms = conn_idle_ms * IDLE_TIMEOUT_SHARE
         self._open = 0
-        self._idle: dict[Stream, CacheServer] = {}  # longest rest first
+        self._idle: dict[Stream, CacheServer] = {}  # longest idle first
         self._sweep_timer: Optional[asyncio.TimerHandle] = None
 
     async def connect(self, server: CacheServer, until_s: float = 0.0) -> Stream:
-        """A connection to a server: the one that rested least, but long enough, or a new one.
+        """Return the most recently used idle connection to a server, or a new one.
 
-        Where this machine has no port, buffer, descriptor or route for one, it is tried again until then (on the loop's clock).
+        A connection that became idle less than MIN_IDLE_MS ago is skipped. If this machine has no
+        port, buffer, descriptor or route for a new one, it retries until `until_s` (on the loop's
+        clock) and then raises NotSent.
         """
         now = now_ms()
         rested, old = now - MIN_IDLE_MS, now - self._idle_ms
@@ -102,7 +110,7 @@
             if since_ms > rested:
                 continue
             self._remove_idle(stream)
-            # The sweep comes seldom, for settings with short idle times too seldom.
+            # With short idle timeouts the periodic sweep alone would be too late.
             if since_ms >= old and stream.no_input:
                 return stream
             self.drop(stream)
@@ -115,14 +123,14 @@
                     raise
                 self.metrics.count_local_error(name_of(error))
                 if asyncio.get_running_loop().time() + pause_s > until_s:
-                    raise NotSent(f"no connection for want of {name_of(error)}") from None
+                    raise NotSent(f"cannot connect from this machine: {name_of(error)}") from None
             await asyncio.sleep(pause_s)
             pause_s = min(2.0 * pause_s, MAX_LOCAL_RETRY_DELAY_S)
 
     async def _dial(self, server: CacheServer) -> Stream:
         if self._open >= self._limit:
             if not self._idle:
-                raise NotSent("every socket for cache servers is in use")
+                raise NotSent("all sockets for cache servers are in use")
             oldest = next(iter(self._idle))
             self._remove_idle(oldest)
             self.drop(oldest)
@@ -139,7 +147,7 @@
             raise
 
     def keep(self, server: CacheServer, stream: Stream) -> None:
-        """Let a connection rest for the next attempt; drop it when the server speaks or ends."""
+        """Keep a connection idle for the next attempt; close it if the server sends or closes."""
         if server.leaving_ms is not None or not stream.no_input:
             self.drop(stream)
             return
@@ -157,16 +165,16 @@
 
     @property
     def open(self) -> int:
-        """How many connections there are."""
+        """The number of open connections."""
         return self._open
 
     def close(self) -> None:
-        """Close all that rests."""
+        """Close all idle connections."""
         for stream in list(self._idle):
             self._close_idle(stream)
 
     def close_idle_of(self, server: CacheServer) -> None:
-        """Close what rests of a server that drains, is gone or has moved."""
+        """Close the idle connections to a server that drains, was removed or has a new address."""
         for _, stream in list(server.idle):
             self._remove_idle(stream)
             self.drop(stream)
@@ -181,7 +189,10 @@
         stream.on_input = None
 
     def _sweep(self) -> None:
-        """Close what has rested too long (guards against a request written as its server closes the connection)."""
+        """Close connections near the servers' idle timeout.
+
+        Otherwise a request could be written just as its server closes the connection.
+        """
         self._sweep_timer = None
         before = now_ms() - self._idle_ms
         for stream, server in list(self._idle.items()):
@@ -194,33 +205,36 @@
 
 
 class AttemptOwner(Protocol):
-    """Who has an attempt made, as far as it must hear of it before its end."""
+    """The owner of an attempt, with the calls that an attempt makes to it before its end."""
 
     def may_send(
         self, request: ClientRequest, server: CacheServer, announced_ms: int
     ) -> Optional[Denial]:
-        """Why a request may not go out to a server now; None where it may. told_ms: what its head tells of its deadline."""
+        """Return why a request may not be sent to a server now, or None if it may.
+
+        announced_ms: the remaining time that the request's head announces, 0 before it is written.
+        """
 
     def list_unread(self) -> bool:
-        """Whether what discovery wrote may stand unread, because this node was held up: a drain may be among it."""
+        """Whether bytes from discovery, perhaps a drain, may be unread after event loop lag."""
 
     def on_last_byte_written(
         self, request: ClientRequest, server: CacheServer, announced_ms: int
     ) -> None:
-        """The last byte of a request has been written."""
+        """Called when the last byte of a request has been written."""
 
     def on_body_consumed(self, request: ClientRequest) -> None:
-        """The request's body has begun to flow past: it can't be sent again."""
+        """Called when bytes of an unbuffered body are consumed: it can't be sent again."""
 
     def on_fully_sent(self, request: ClientRequest) -> None:
-        """The last byte of a request too large to hold has gone out: its time runs from now on."""
+        """Called when the last byte of a large request is written; its deadline runs from now."""
 
     def on_response_started(self, attempt: Attempt, response: Response, note: int) -> bool:
-        """An answer too large to hold has begun; whether its client still wants it."""
+        """Called when a response too large to buffer begins; returns whether it is still wanted."""
 
 
 class Attempt:
-    """One exchange with a cache server. It ends in exactly one outcome, and nothing is ever sent again."""
+    """One exchange with a cache server, with exactly one outcome. It never resends anything."""
 
     def __init__(
         self,
@@ -231,60 +245,59 @@
         owner: AttemptOwner,
     ) -> None:
         self.server = server
-        self._started_ms = (
-            pool.loop_lag.present_ms()
-        )  # or, of a request too large to hold, when its last byte went out
+        # For a request too large to buffer, set again when its last byte is written.
+        self._started_ms = pool.loop_lag.present_ms()
         self._pool = pool
         self.request = request
         self._within_ms = within_ms
         self._owner = owner
         self._timeout = asyncio.timeout(within_ms / 1000.0)
-        self._relay: Optional[Relay] = None  # what carries an answer too large to hold
+        self._relay: Optional[Relay] = None  # passes on a response too large to buffer
         self._stream: Optional[Stream] = None
-        self._parser: Optional[h11.Connection] = (
-            None  # made where an exchange leaves the plain form
-        )
-        self._until_close = False  # the answer has neither a length nor chunks: the end of its connection completes it
-        self._reads = 0  # of an answer that is not plain
-        self._announced_ms = 0  # how long the server was told that this node waits
-        self._response_complete = False  # the plain answer is whole, and nothing has come behind it
-        self._any_sent = False  # a byte may have gone out
-        self._all_sent = False  # all of them have
+        # Created only if the response is not in simple form.
+        self._parser: Optional[h11.Connection] = None
+        # The response has neither a length nor chunks: the end of its connection completes it.
+        self._until_close = False
+        self._reads = 0  # socket reads of a response that h11 parses
+        self._announced_ms = 0  # remaining time announced to the server
+        # The simple response is complete, with no bytes behind it.
+        self._response_complete = False
+        self._any_sent = False  # a byte of the request may have been sent
+        self._all_sent = False  # all of its bytes have been written
 
     @property
     def response_started(self) -> bool:
-        """Whether an answer too large to hold has begun to be passed on."""
+        """Whether a response too large to buffer has begun to be passed on."""
         return self._relay is not None
 
     @property
     def elapsed_ms(self) -> float:
-        """How long it has been out, less what this node itself was held up: that says nothing of the server."""
+        """The attempt's duration less event loop lag, which says nothing about the server."""
         return self._pool.loop_lag.present_ms() - self._started_ms
 
     def abort_response(self) -> None:
-        """Let the client see that its answer breaks off here, unless it is whole."""
+        """Let the client see that a streamed response is incomplete, unless it has ended."""
         if self._relay is not None:
             self._relay.fail()
 
     async def run(self) -> Outcome:
-        """Send the request and read the whole answer."""
-        outcome, cause = Outcome("withdrawn"), "given up"
+        """Send the request and read the whole response."""
+        outcome, cause = Outcome("withdrawn"), "cancelled"
         try:
             async with self._timeout:
                 outcome, cause = await self._exchange(), ""
         except (NotSent, BodyAborted) as error:
-            outcome, cause = (
-                Outcome("void"),
-                str(error),
-            )  # Broken: the client gave up before its last byte, so it never ran
+            # BodyAborted: the client left before the last byte of its body, so the request never
+            # ran.
+            outcome, cause = Outcome("void"), str(error)
         except TimeoutError as error:
-            # Until its last byte has left our buffer a request cannot have run.
+            # Until its last byte has been written, a request cannot have run.
             outcome, cause = (
                 Outcome("timed_out" if self._all_sent else "unreachable"),
-                str(error) or "time-out",
+                str(error) or "timeout",
             )
         except (h11.RemoteProtocolError, MalformedResponse) as error:
-            # The server is there and speaks: the module tells this from a connection that broke.
+            # The server responds, which the balancer distinguishes from a broken connection.
             outcome, cause = Outcome("spoilt" if self._all_sent else "unreachable"), str(error)
         except OSError as error:
             outcome, cause = Outcome("broken" if self._all_sent else "unreachable"), name_of(error)
@@ -294,7 +307,7 @@
         return outcome
 
     def abort(self) -> None:
-        """Give the attempt up now, so that nothing of it goes out any more."""
+        """Reset the connection now, so that nothing more of the request is sent."""
         if self._stream is not None:
             self._pool.drop(self._stream)
 
@@ -308,9 +321,9 @@
         return await self._receive(early)
 
     def _headers(self, size: Optional[int]) -> list[tuple[bytes, bytes]]:
-        """The request's headers; its body has so many bytes, or an unknown number."""
+        """Return the request's headers; `size` is its body's length, None if unknown."""
         request = self.request
-        if not self._announced_ms:  # worded once, as the head is written
+        if not self._announced_ms:  # computed once, when the head is written
             self._announced_ms = deadline_told_ms(self._left_ms(), self._client_left_ms())
         headers = [
             (b"Host", b"%s:%d" % (self.server.address[0].encode(), self.server.address[1])),
@@ -326,21 +339,21 @@
         return headers
 
     def _left_ms(self) -> float:
-        """How long this attempt will still wait."""
+        """Return how long this attempt will still wait."""
         when = self._timeout.when()
         return (
             self._within_ms if when is None else 1000.0 * (when - asyncio.get_running_loop().time())
         )
 
     def _client_left_ms(self) -> float:
-        """How long the client will still wait; of a body too large to hold that time runs from its last byte."""
+        """Return how long the client will still wait; for a large body from its last byte."""
         request = self.request
         if request.body_rest is not None and not request.fully_sent:
             return request.deadline_ms - request.since_ms
         return request.deadline_ms - now_ms()
 
     def _head(self, parser: h11.Connection, size: Optional[int]) -> bytes:
-        """The request's head by the parser."""
+        """Serialize the request's head with h11."""
         return (
             parser.send(
                 h11.Request(
@@ -353,7 +366,7 @@
         )
 
     def _make_parser(self) -> h11.Connection:
-        """The parser, for a request that has been sent already."""
+        """Create the h11 connection for a request that has already been sent without it."""
         parser = self._parser = h11.Connection(h11.CLIENT, max_incomplete_event_size=MAX_HEAD_BYTES)
         self._head(parser, sum(map(len, self.request.body)))
         for part in self.request.body:
@@ -362,18 +375,18 @@
         return parser
 
     async def _send(self, stream: Stream) -> bool:
-        """Write the request; False when the server answered before all of it was out."""
+        """Write the request; return False if the server responded before its last byte."""
         request = self.request
         size = sum(map(len, request.body))
-        # All of it is our own words or was checked as it came in, so it needs no second check by the parser.
+        # The node made or has checked all of it, so it needs no check by h11.
         fields = b"".join([b"%b: %b\r\n" % field for field in self._headers(size)])
         head = b"%b %b HTTP/1.1\r\n%b\r\n" % (request.method, request.target, fields)
         pieces: list[bytes | bytearray] = [head, *request.body]
         if len(head) + size <= READ_BYTES:
             pieces = [b"".join(pieces)]
         else:
-            self._check_may_send()  # for drains its first byte counts
-            # The last byte goes alone, so that it has not left while others still wait to.
+            self._check_may_send()  # for a drain, the time of the first byte counts
+            # The last byte is sent separately, so that it is not sent before the final check.
             pieces[-1:] = [pieces[-1][:-1], pieces[-1][-1:]]
         for piece in pieces[:-1]:
             self._any_sent = True
@@ -382,9 +395,10 @@
         return await self._send_last(stream, pieces[-1], len(pieces) > 1)
 
     async def _send_large(self, stream: Stream) -> bool:
-        """Write a request too large to hold as its body comes; False as above. Broken where the client gives up.
+        """Stream a request too large to buffer; return False as `_send` does.
 
-        Its time runs from its last byte: until then only standing still ends it, here or on the client's side.
+        Raises BodyAborted if the client leaves. The attempt's time limit runs from the last byte;
+        until then only a stall, at the server or at the client, ends it.
         """
         request, body_rest = self.request, self.request.body_rest
         assert body_rest is not None
@@ -418,15 +432,19 @@
         return True
 
     def _check_may_send(self) -> None:
-        """A slow dial or a long body takes time: the client may have left, the server may drain. NotSent where it is so."""
+        """Raise NotSent if the client has left or the server drains.
+
+        Either may have happened during a slow connect or a long body.
+        """
         denial = self._owner.may_send(self.request, self.server, self._announced_ms)
         if denial is not None:
             raise NotSent(denial)
 
     async def _let_discovery_read(self) -> None:
-        """After a hold, let what discovery wrote meanwhile be read first (guards against a request to a server whose drain stands unread).
+        """After event loop lag, let pending bytes from discovery be read first.
 
-        Bounded, as discovery may go on writing: what it writes later counts from later.
+        Otherwise the request could go to a server whose drain is still unread. The number of turns
+        is bounded, as discovery may go on writing; a notification received later counts from then.
         """
         for _ in range(MAX_DISCOVERY_TURNS):
             if not self._owner.list_unread():
@@ -458,23 +476,24 @@
                 break
             response = await self._event()
         if not isinstance(response, h11.Response):
-            raise MalformedResponse("notices without end")
+            raise MalformedResponse("too many 1xx responses")
         headers = dict(response.headers)
         length = _content_length(headers)
         self._until_close = length is None and b"transfer-encoding" not in headers
         if response.status_code != 200:
-            if not self._until_close:  # the head says it all, and its connection can't be kept
+            # The status alone decides; the body is read only to keep the connection.
+            if not self._until_close:
                 await self._read_error_body()
             return _error_outcome(response.status_code, headers)
         if early:
-            raise ConnectionResetError("served before the request was whole")
+            raise ConnectionResetError("response with status 200 before the request was complete")
         note = _cache_result(headers)
         half_ms = now_ms() + self._within_ms / 2.0
         body, pieces = bytearray(), PieceCounter()
         while isinstance(event := await self._event(), h11.Data):
             body += event.data
             if pieces.too_small(len(event.data), self._reads):
-                raise MalformedResponse("in too small pieces")
+                raise MalformedResponse("body in too small pieces")
             if (
                 len(body) > MAX_BUFFERED_BODY_BYTES
                 or (length is not None and length > MAX_BUFFERED_BODY_BYTES)
@@ -484,13 +503,13 @@
         return Outcome("success", note, bytes(body))
 
     async def _receive_simple(self, data: bytes) -> Optional[Outcome]:
-        """The outcome of an answer in plain form that is short enough to be held; None leaves what has come to the parser."""
+        """Return the outcome of a short response in simple form; None leaves `data` to h11."""
         head = response_head(data)
         if head is None or head.length is None:
             return None
         body, left = data[head.end :], head.length - (len(data) - head.end)
         if left > 0 and head.status != 200:
-            return None  # its head says it all, whatever becomes of the rest
+            return None  # the status alone decides, whatever becomes of the body
         if left > 0:
             parts = [body]
             while left > 0:
@@ -503,20 +522,26 @@
         return Outcome("success", _cache_result(head.fields), body[: head.length] if left else body)
 
     async def _read(self, may_end: bool = False) -> bytes:
-        """The next bytes; none at the connection's end, which is one before the answer's unless that may end so."""
+        """Return the next bytes, b"" at the end of the connection.
+
+        Raises ConnectionResetError there unless `may_end`: the response is incomplete.
+        """
         assert self._stream is not None
         if not (data := await self._stream.read()) and not may_end:
-            raise ConnectionResetError("ended before its answer did")
+            raise ConnectionResetError("connection closed before the end of the response")
         return data
 
     async def _stream_response(self, body: bytes, length: Optional[int], note: int) -> Outcome:
-        """Give the client what has come, and the rest as it comes. From here on the answer can only be whole or broken off."""
+        """Pass on what has been read, then the rest as it arrives.
+
+        From here on the response can only be completed or cut off, never replaced.
+        """
         assert self._stream is not None
         relay = Relay()
         if not self._owner.on_response_started(
             self, Response(200, body, body_rest=relay, length=length), note
         ):
-            raise NotSent("no longer wanted")
+            raise NotSent("response no longer wanted")
         self._relay = relay
         self._timeout.reschedule(None)
         self._stream.read_limit = LARGE_BODY_READ_BYTES
@@ -528,14 +553,17 @@
                 break
             size += len(event.data)
             if size > MAX_BODY_BYTES or pieces.too_small(len(event.data), self._reads):
-                raise MalformedResponse("longer than any body may be, or in too small pieces")
+                raise MalformedResponse("body over the size limit or in too small pieces")
             if not await relay.put(bytes(event.data)):
                 raise ConnectionAbortedError("the client has left")
         relay.end()
         return Outcome("success", note)
 
     async def _read_error_body(self) -> None:
-        """Read a short answer to its end, to keep the connection; a long or broken one says no more than its head."""
+        """Read a short error response to its end, so that the connection can be kept.
+
+        A long or incomplete one is given up: its status alone decides.
+        """
         with suppress(OSError, h11.RemoteProtocolError):
             for _ in range(8):
                 if not isinstance(await self._event(), h11.Data):
@@ -546,17 +574,17 @@
         while (event := self._parser.next_event()) is h11.NEED_DATA:
             if self._parser.their_state is h11.SEND_RESPONSE:
                 _check_version(self._parser.trailing_data[0])
-            # Where the answer has neither a length nor chunks, the end of its connection completes it; a reset raises.
+            # FIN completes a response with neither a length nor chunks; a reset raises an error.
             ended = self._until_close and self._parser.their_state is h11.SEND_BODY
             self._parser.receive_data(await self._read(may_end=ended))
             self._reads += 1
         return event  # type: ignore[return-value]
 
     def _release(self) -> None:
-        """Keep the connection if both sides are through with this exchange and want another, or close it."""
+        """Keep the connection if both sides completed the exchange, else close it."""
         stream, parser = self._stream, self._parser
-        # It is the pool's from here on: an abort that comes before the task's end is noticed must not end a connection that
-        # rests, or that another attempt has taken meanwhile.
+        # The pool owns the connection from here on: an abort before the end of this task is
+        # noticed must not close a connection that is idle or used by another attempt.
         self._stream = None
         if stream is None or stream.closed:
             return
@@ -575,29 +603,33 @@
 
 
 def _error_outcome(status: int, headers: dict[bytes, bytes]) -> Outcome:
-    """What an answer other than 200 means."""
+    """Return the outcome for a response other than 200."""
     away = status in (503, 504) and headers.get(b"x-turned-away", b"").strip() == b"1"
     return Outcome("overloaded" if away else "failure")
 
 
 def _cache_result(headers: dict[bytes, bytes]) -> int:
-    """How the read went, where the server tells."""
+    """Return the cache result that the server reports, 0 if it reports none."""
     return CACHE_RESULTS.get(headers.get(b"x-found", b"").strip().lower(), 0)
 
 
 def _check_version(head: bytes) -> None:
-    """Tell from its first bytes what can't become an answer (guards against waiting for the end of a line of noise)."""
+    """Raise MalformedResponse if the first bytes can't begin a response.
+
+    Otherwise the node would wait for the end of a line of random bytes.
+    """
     if head[: len(VERSION_PREFIX)] != VERSION_PREFIX[: len(head)]:
         raise MalformedResponse("not HTTP")
 
 
 def _content_length(headers: dict[bytes, bytes]) -> Optional[int]:
-    """An answer's length in bytes, None where it comes in chunks or ends with its connection (RFC 9112, 6.3).
+    """Return a response's length in bytes (RFC 9112, 6.3).
 
-    A length is believed only where it is told once and not beyond all bounds. Guards against an answer that is said to have gigabytes
-    and keeps coming, and against one with both a length and chunks, whose end is a guess.
+    None stands for a response that is chunked or ends with its connection.
+    Raises MalformedResponse for a length over MAX_BODY_BYTES, since the body would keep coming,
+    and for a length together with chunks, which leaves the end of the body ambiguous.
     """
     told, chunked = headers.get(b"content-length"), b"transfer-encoding" in headers
     if told is not None and (chunked or int(told) > MAX_BODY_BYTES):
-        raise MalformedResponse("the length can't be believed")
+        raise MalformedResponse("Content-Length over the limit or with Transfer-Encoding")
     return None if told is None else int(told)
