--- a/corkshift/budget.py
+++ b/corkshift/budget.py
@@ -1,20 +1,23 @@
-"""One budget for the bytes of all request bodies that are held at once."""
+"""Size limits of bodies, and the memory budget of all buffered request bodies."""
 
 from __future__ import annotations
 
-MAX_BUFFERED_BODY_BYTES = (
-    65_536  # bytes of the longest body that is held whole, in either direction,
-)
-MAX_SMALL_PIECES = 1_024  # and the pieces it may come in, unless they are of a fair size
-MIN_AVERAGE_PIECE_BYTES = 16  # bytes, on average (guards against one-byte chunks, each of which costs a turn of the parser)
-MAX_BODY_BYTES = 1 << 25  # bytes of the longest body that is passed on in pieces
+# Largest body that is buffered whole, in either direction. Larger ones are streamed.
+MAX_BUFFERED_BODY_BYTES = 65_536
+# A body in more pieces than this must have pieces of the minimum average size, since each one-byte
+# chunk costs a call of the parser.
+MAX_SMALL_PIECES = 1_024
+MIN_AVERAGE_PIECE_BYTES = 16
+# Largest body that is streamed.
+MAX_BODY_BYTES = 1 << 25
 
 
 class PieceCounter:
-    """The pieces that one body came in, of those that shared a read with another one.
+    """Counts the pieces of one body that arrived in the same socket read as another piece.
 
-    Guards against one-byte chunks, of which one read holds thousands, each a turn of the parser. A piece that is all that one read
-    brought is not counted: however short the kernel's reads are, each costs its sender a packet, and time bounds them.
+    One read may hold thousands of one-byte chunks, each of which costs a call of the parser. The
+    first piece of a read is not counted: however short the reads are, each costs its sender a
+    packet, and the time limits bound their number.
     """
 
     __slots__ = ("_pieces", "_size", "_reads")
@@ -25,7 +28,10 @@
         self._reads = -1
 
     def too_small(self, size: int, reads: int) -> bool:
-        """Count a piece of so many bytes, come with the so-manieth read; whether they are too small on average."""
+        """Count a piece of `size` bytes; return whether the pieces are too small on average.
+
+        reads: the number of the socket read that brought the piece.
+        """
         self._size += size
         if reads == self._reads:
             self._pieces += 1
@@ -36,10 +42,10 @@
 
 
 class BodyBudget:
-    """Counts the bytes of all request bodies that are held.
+    """Limits the bytes of all buffered request bodies.
 
-    Guards against memory filled by many bodies at once. A body that finds no room is turned away and never waits (guards
-    against partial bodies that wait for one another).
+    A body that exceeds the budget is refused rather than made to wait: partly read bodies could
+    otherwise wait for one another forever.
     """
 
     def __init__(self, limit: int) -> None:
@@ -47,12 +53,12 @@
         self.used = 0
 
     def reserve(self, more: int) -> bool:
-        """Whether there is room for this much more; it is taken if so."""
+        """Reserve `more` bytes; return False, reserving nothing, if the limit would be exceeded."""
         if self.used + more > self._limit:
             return False
         self.used += more
         return True
 
     def release(self, held: int) -> None:
-        """A body is let go."""
+        """Return `held` reserved bytes to the budget."""
         self.used -= held
--- a/corkshift/listener.py
+++ b/corkshift/listener.py
@@ -1,4 +1,4 @@
-"""Accepting connections: one listening socket, paused where there is no room, tried again where the system has none."""
+"""Accepts connections on one listening socket, with pauses while node or system lack capacity."""
 
 from __future__ import annotations
 
@@ -12,13 +12,19 @@
 log = logging.getLogger(__name__)
 
 BACKLOG = 4096
-MAX_ACCEPTS_PER_TURN = 64  # in one turn of the loop
-MAX_ABORTED_PER_TURN = 16  # connections in one turn that ended before they were accepted; then accepting pauses (guards against a spin)
-ACCEPT_RETRY_S = 0.05  # until accepting is tried again where room is short
+MAX_ACCEPTS_PER_TURN = 64  # per turn of the event loop
+# Connections that ended before they were accepted; at this number accepting pauses, so that the
+# loop doesn't spin on them.
+MAX_ABORTED_PER_TURN = 16
+# Delay until accepting is retried after a lack of capacity.
+ACCEPT_RETRY_S = 0.05
 
 
 class Listener:
-    """A listening socket on the running loop. `room` tells whether one more may come in, `take` gets its socket."""
+    """A listening socket on the running event loop.
+
+    `has_capacity` tells whether one more connection may be accepted; `on_accept` gets its socket.
+    """
 
     def __init__(
         self, sock: Socket, has_capacity: Callable[[], bool], on_accept: Callable[[Any], None]
@@ -27,40 +33,42 @@
         self._has_capacity = has_capacity
         self._on_accept = on_accept
         self._accepting = False
-        self._blocked_since_ms: Optional[float] = (
-            None  # since when connections have had to wait in the queue
-        )
+        # Since when connections have had to wait in the queue.
+        self._blocked_since_ms: Optional[float] = None
 
     @property
     def queued_ms(self) -> float:
-        """The longest that a connection taken now can have waited in the queue because nothing was accepted."""
+        """Upper bound in ms of the time that a connection accepted now waited in the queue."""
         return (
             0.0 if self._blocked_since_ms is None else max(0.0, now_ms() - self._blocked_since_ms)
         )
 
     @property
     def address(self) -> Address:
-        """Where it listens."""
+        """The address of the socket."""
         host, port = self._sock.getsockname()
         return host, port
 
     def start(self) -> None:
-        """Listen and accept."""
+        """Start to listen and to accept connections."""
         self._sock.listen(BACKLOG)
         self.resume()
 
     def close(self) -> None:
-        """Accept nothing more. A socket that other processes hold too stays open with them, and so does its queue."""
+        """Stop accepting and close the socket.
+
+        If other processes share the socket, it stays open there, and so does its queue.
+        """
         self.pause()
         self._sock.close()
 
     async def accept_queued(self) -> None:
-        """Take in all that waits, as room comes."""
+        """Accept all queued connections, as capacity allows."""
         while not self.accept(BACKLOG):
             await asyncio.sleep(ACCEPT_RETRY_S / 5.0)
 
     def accept(self, most: int = MAX_ACCEPTS_PER_TURN) -> bool:
-        """Take in what waits, as far as there is room; whether nothing is left."""
+        """Accept up to `most` queued connections; return whether the queue is empty."""
         aborted = 0
         for _ in range(most):
             if not self._has_capacity():
@@ -78,23 +86,23 @@
                     return False
                 continue
             except OSError as error:
-                log.warning("cannot accept: %s", error)
+                log.warning("cannot accept: %s; accepting is retried after a pause", error)
                 self._pause_and_retry()
                 return False
             try:
                 self._on_accept(sock)
             except OSError:
-                sock.close()  # reset before it was looked at
+                sock.close()  # reset by the peer before it was set up
         return False
 
     def resume(self) -> None:
-        """Accept again, if it is open."""
+        """Resume accepting if the socket is open."""
         if not self._accepting and self._sock.fileno() != -1:
             self._accepting = True
             asyncio.get_running_loop().add_reader(self._sock, self.accept)
 
     def pause(self) -> None:
-        """Leave what comes in the socket's queue."""
+        """Pause accepting; new connections wait in the socket's queue."""
         if self._accepting:
             self._accepting = False
             asyncio.get_running_loop().remove_reader(self._sock)
--- a/corkshift/metrics.py
+++ b/corkshift/metrics.py
@@ -1,4 +1,4 @@
-"""The node's own counts: integers in slots laid out at the start; each event costs one addition and allocates nothing."""
+"""The node's counters: preallocated integers, so that an event costs one addition."""
 
 from __future__ import annotations
 
@@ -9,22 +9,30 @@
 
 OK, SHED, ERRORS = range(3)
 REFUSALS = (*CAUSES, "full", "no-room", "late", "behind")
-"""Why a request was refused: the module's causes (forkweir/advice.py), as many open as the node may hold, no room for
-bodies, out of time before it was read, too little time left for how slowly the loop turns."""
-MAX_FAILURE_CAUSES = 512  # kept between two lines of the log
-MAX_CAUSES_LOGGED = 8  # of them in one line
+"""Causes of refusals: those of the balancer (forkweir/advice.py), then the node's own.
+
+full: limit of open requests reached; no-room: body budget used up; late: deadline passed before
+the request was read; behind: too little time left for the present event loop lag.
+"""
+# Distinct causes kept between two log lines, and causes named in one log line.
+MAX_FAILURE_CAUSES = 512
+MAX_CAUSES_LOGGED = 8
 KINDS = ("ok", "shed", "errors")
 
 
 def response_kind(status: int) -> int:
-    """What a final answer counts as: served, refused or failed."""
+    """Return the kind as which a final response counts: OK, SHED (refused) or ERRORS."""
     if status == 200:
         return OK
     return SHED if status in (429, 503) else ERRORS
 
 
 class Metrics:
-    """Final answers by class and kind, refusals by cause, and attempts written whole. All count from the process's start."""
+    """Counters since the start of the process.
+
+    `responses` holds final responses by class and kind, `refusals` refusals by cause, and
+    `attempts_sent` the attempts whose request was written completely.
+    """
 
     __slots__ = (
         "responses",
@@ -40,29 +48,29 @@
         self.responses: dict[str, list[int]] = {name: [0] * len(KINDS) for name in classes}
         self.attempts_sent = 0
         self.refusals = dict.fromkeys(REFUSALS, 0)
-        self.attempt_outcomes: Counter[str] = Counter()  # by how they ended
-        self.local_errors: Counter[str] = (
-            Counter()
-        )  # dials that this machine could not begin, by errno
-        self.closed_connections: Counter[str] = (
-            Counter()
-        )  # client connections that this node closed, by cause
-        self.failure_causes: Counter[tuple[str, str, str]] = (
-            Counter()
-        )  # of attempts that failed since the log last told of them
+        self.attempt_outcomes: Counter[str] = Counter()  # attempts by outcome
+        # Failures to connect for lack of a resource of this machine, by errno.
+        self.local_errors: Counter[str] = Counter()
+        # Client connections closed by this node, by cause.
+        self.closed_connections: Counter[str] = Counter()
+        # Failed attempts since the last log line, by status, server and cause.
+        self.failure_causes: Counter[tuple[str, str, str]] = Counter()
 
     def count_attempt(self, status: str, server: str, cause: str) -> None:
-        """An attempt ended. cause: in short, why it failed; empty where it did not."""
+        """Count the end of an attempt. cause: why it failed, in short; empty if it did not."""
         self.attempt_outcomes[status] += 1
         if cause and len(self.failure_causes) < MAX_FAILURE_CAUSES:
             self.failure_causes[status, server, cause] += 1
 
     def count_local_error(self, cause: str) -> None:
-        """A dial could not begin for a shortage of this machine."""
+        """Count a failure to connect for lack of a resource of this machine."""
         self.local_errors[cause] += 1
 
     def take_failure_causes(self) -> str:
-        """The most frequent causes of failed attempts since this was last asked, for the log; empty where there were none."""
+        """Return and reset the most frequent causes of failed attempts, as text for the log.
+
+        The text is empty if there were none since the last call.
+        """
         most = self.failure_causes.most_common(MAX_CAUSES_LOGGED)
         self.failure_causes.clear()
         return ", ".join(
@@ -70,5 +78,5 @@
         )
 
     def count_response(self, class_name: str, status: int) -> None:
-        """A final answer was given to a request of a class that the settings have."""
+        """Count a final response to a request of a configured class."""
         self.responses[class_name][response_kind(status)] += 1
--- a/corkshift/plain.py
+++ b/corkshift/plain.py
@@ -1,8 +1,9 @@
-"""Heads in the plain form that nearly all have, read by one pattern; whatever else comes is left to h11, whole.
+"""Fast parser for HTTP heads in a simple form, which nearly all have; h11 parses all others.
 
-Sans-I/O: bytes in, a head or None out. Its two rules: what is taken here h11 takes too, with the same outcome (held against
-h11 itself in tests/test_plain.py), and None is never wrong, only slower. So it errs on the narrow side: HTTP/1.1, printable
-ASCII, no name twice, nothing about the connection or the transfer but a length and `keep-alive`.
+Sans-I/O: bytes in, a head or None out. h11 must accept every head accepted here, with the same
+result; tests/test_plain.py compares the two. None is always permitted and only costs time. So the
+simple form is narrow: HTTP/1.1, printable ASCII, no repeated header name, and no header on the
+connection or the transfer except Content-Length and `Connection: keep-alive`.
 """
 
 from __future__ import annotations
@@ -13,10 +14,11 @@
 
 import h11
 
-MAX_SIMPLE_HEAD_BYTES = 4_096  # bytes; a longer head is not plain
+MAX_SIMPLE_HEAD_BYTES = 4_096
 MAX_SIMPLE_BODY_BYTES = 65_536
 
-_FIELDS = rb"((?:[A-Za-z0-9-]++:[ -~]*+\r\n)*+)\r\n"  # possessive: no head makes it look twice
+# Possessive quantifiers rule out backtracking, whatever the input.
+_FIELDS = rb"((?:[A-Za-z0-9-]++:[ -~]*+\r\n)*+)\r\n"
 _REQUEST = re.compile(rb"(GET|PUT) (/[!-~]*+) HTTP/1\.1\r\n" + _FIELDS)
 _RESPONSE = re.compile(rb"HTTP/1\.1 (200|500|503|504) [ -~]*+\r\n" + _FIELDS)
 _LENGTH = re.compile(rb"[0-9]{1,7}")
@@ -36,7 +38,7 @@
 
 
 class CompleteRequest:
-    """Stands for h11's parser of a request that was read here: it is whole, and its connection may go on."""
+    """Stands in for the h11 connection of a complete request that was parsed here."""
 
     their_state = h11.DONE
     their_http_version = b"1.1"
@@ -47,18 +49,18 @@
 
 @dataclass(frozen=True, slots=True)
 class SimpleHead:
-    """A plain head; `end` is where it ends in the bytes that it was read from, `length` of what follows it in bytes."""
+    """A head in simple form."""
 
-    method: bytes  # of a request
-    target: bytes
-    status: int  # of an answer
+    method: bytes  # empty for a response
+    target: bytes  # empty for a response
+    status: int  # 0 for a request
     fields: Fields
-    length: Optional[int]
-    end: int
+    length: Optional[int]  # Content-Length in bytes, None if absent
+    end: int  # offset of the first byte behind the head
 
 
 def request_head(data: bytes) -> Optional[SimpleHead]:
-    """The request whose head stands whole and plain at the start of these bytes."""
+    """Return the complete request head in simple form at the start of `data`, else None."""
     match = _REQUEST.match(data, 0, MAX_SIMPLE_HEAD_BYTES)
     if match is None:
         return None
@@ -72,7 +74,10 @@
 
 
 def response_head(data: bytes) -> Optional[SimpleHead]:
-    """The answer whose head stands whole and plain, with its length, at the start of these bytes."""
+    """Return the complete response head in simple form at the start of `data`, else None.
+
+    A response without Content-Length is not in simple form.
+    """
     match = _RESPONSE.match(data, 0, MAX_SIMPLE_HEAD_BYTES)
     if match is None:
         return None
@@ -86,7 +91,10 @@
 
 
 def _fields(lines: bytes) -> Optional[Fields]:
-    """Names in lower case; None where one stands twice or says anything about the connection or the transfer."""
+    """Return the header fields by lower-case name.
+
+    Returns None if a name is repeated or a field concerns the connection or the transfer.
+    """
     fields: Fields = {}
     rows = lines.split(b"\r\n")
     for line in rows[:-1]:
@@ -100,7 +108,7 @@
 
 
 def _length(fields: Fields) -> Optional[int]:
-    """The length that is told; -1 where it is not plain."""
+    """Return the Content-Length, None if absent, -1 if it is malformed or too large."""
     told = fields.get(b"content-length")
     if told is None:
         return None
--- a/corkshift/relay.py
+++ b/corkshift/relay.py
@@ -1,4 +1,4 @@
-"""A body too large to hold, on its way from the side that reads it to the side that writes it: one piece waits between them."""
+"""Passes a body too large to buffer from the task that reads it to the task that writes it."""
 
 from __future__ import annotations
 
@@ -7,13 +7,14 @@
 
 
 class BodyAborted(ConnectionAbortedError):
-    """The side that reads the body gave up before its end."""
+    """The producer of the body failed before its end."""
 
 
 class Relay:
-    """One body. Its writer awaits room, its reader awaits a piece; either may give up, and the other one learns it at once.
+    """A queue of one piece between a producer and a consumer.
 
-    At most one piece waits here, whatever its size: bounding pieces is the writer's matter.
+    `put` waits while a piece is queued, and `get` waits for one. Either side may give up, which
+    wakes the other at once. The producer bounds the size of the pieces.
     """
 
     __slots__ = ("_piece", "_complete", "_broken", "_closed", "_writable", "_readable")
@@ -23,14 +24,14 @@
         self._complete = False
         self._broken = False
         self._closed = False
-        # One for each side: who is woken runs only later, when the other side may wait already.
+        # One future per side: a woken task runs later, when the other side may be waiting already.
         self._writable: Optional[asyncio.Future[None]] = None
         self._readable: Optional[asyncio.Future[None]] = None
 
-    # -- the writing side ----------------------------------------------------------------
+    # -- producer ------------------------------------------------------------------------
 
     async def put(self, piece: bytes) -> bool:
-        """Hand a piece on, waiting while one is there already; False where nobody wants it any more."""
+        """Queue a piece, waiting while another is queued; return False if the consumer closed."""
         while self._piece is not None and not self._closed:
             self._writable = asyncio.get_running_loop().create_future()
             await self._writable
@@ -42,22 +43,25 @@
         return True
 
     def end(self) -> None:
-        """The body is whole."""
+        """Mark the body as complete."""
         self._complete = True
         _wake(self._readable)
 
     def fail(self) -> None:
-        """The body breaks off here, unless it was whole."""
+        """Mark the body as aborted, unless it is complete."""
         self._broken = not self._complete
         _wake(self._readable)
 
-    # -- the reading side ----------------------------------------------------------------
+    # -- consumer ------------------------------------------------------------------------
 
     async def get(self) -> Optional[bytes]:
-        """The next piece, None at the end. Broken where it breaks off; what came before that is given first."""
+        """Return the next piece, None at the end.
+
+        Raises BodyAborted if the body was aborted, after a piece queued before that.
+        """
         while self._piece is None:
             if self._broken:
-                raise BodyAborted("the body breaks off")
+                raise BodyAborted("body aborted before its end")
             if self._complete:
                 return None
             self._readable = asyncio.get_running_loop().create_future()
@@ -67,7 +71,7 @@
         return piece
 
     def close(self) -> None:
-        """Want no more of it."""
+        """Discard the rest of the body; `put` returns False from now on."""
         self._closed = True
         self._piece = None
         _wake(self._writable)
--- a/corkshift/stream.py
+++ b/corkshift/stream.py
@@ -68,7 +68,7 @@
 
     @property
     def peer_left(self) -> bool:
-        """Whether the peer has closed its side or reset the connection, also behind unread bytes."""
+        """Whether the peer has sent FIN or reset the connection, also behind unread bytes."""
         return not self.closed and (self.ended or seam.abandoned(self._sock))
 
     @property
