--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -1,4 +1,4 @@
-"""What the socket tests share: a node in this process, and the testbed's stand-ins, all on loopback."""
+"""Shared fixtures of the socket tests: a node in this process and emulated peers on loopback."""
 
 from __future__ import annotations
 
@@ -39,7 +39,8 @@
     "whole",
 ]
 
-TEST_TIMEOUT_S = 30.0  # generous: what is waited for comes at once on an idle machine
+# Time limit of one test; on an idle machine tests wait for nothing that takes long.
+TEST_TIMEOUT_S = 30.0
 OPTIONS: dict[str, Any] = {
     "services": [
         {
@@ -93,7 +94,7 @@
 
 
 def run_async(test: Callable[[], Coroutine[Any, Any, None]]) -> None:
-    """Run a test on a loop of its own, within a generous time."""
+    """Run a test on an event loop of its own, within TEST_TIMEOUT_S."""
 
     async def bounded() -> None:
         async with asyncio.timeout(TEST_TIMEOUT_S):
@@ -103,18 +104,18 @@
 
 
 async def until(true: Callable[[], bool]) -> None:
-    """Wait until something holds; the test's own time limit ends a wait in vain."""
+    """Wait until a condition holds; the time limit of the test ends a wait in vain."""
     while not true():
         await asyncio.sleep(0.005)
 
 
 def entry(name: str, port: int, lifecycle: str = "in_service") -> dict[str, object]:
-    """One server as discovery tells it."""
+    """Return one server's entry as discovery sends it."""
     return {**standins.Registry.entry(name, ("127.0.0.1", port)), "lifecycle": lifecycle}
 
 
 async def send_to(address: tuple[str, int], data: bytes) -> bytes:
-    """Write bytes on a new connection; all that comes back until the other side closes, nothing where it resets."""
+    """Write bytes on a new connection; return all input until the peer closes, b"" on a reset."""
     reader, writer = await asyncio.open_connection(*address)
     try:
         writer.write(data)
@@ -126,7 +127,7 @@
 
 
 class Registry(standins.Registry):
-    """Discovery that knows these boxes; tests tell the rest."""
+    """Emulated discovery that lists the given boxes; tests change its list."""
 
     def __init__(self, boxes: dict[str, CacheBox]) -> None:
         super().__init__(("127.0.0.1", 0), standins.Witness())
@@ -151,12 +152,12 @@
 
 
 def options_of(**changes: dict[str, Any]) -> dict[str, Any]:
-    """The settings of these tests with other figures in some of their tables."""
+    """Return the settings of these tests with some values replaced."""
     return {**OPTIONS, **{name: {**OPTIONS[name], **table} for name, table in changes.items()}}
 
 
 class Rig:
-    """One node and what stands around it."""
+    """A node, its emulated discovery and its boxes."""
 
     def __init__(
         self,
@@ -185,7 +186,7 @@
         self.boxes = boxes
         self.registry = registry
         self.metrics = Metrics(spec.name for spec in config.settings.classes)
-        self.loop_lag = Presence()  # always present until a test starts it
+        self.loop_lag = Presence()  # reports no lag until a test starts it
         self.pool = Pool(
             sockets // 2, config.dial_timeout_ms, config.conn_idle_ms, self.metrics, self.loop_lag
         )
@@ -203,14 +204,14 @@
         return self.frontend.address[1]
 
     async def send(self, data: bytes) -> bytes:
-        """Write bytes on a new connection; all that comes back until the node closes."""
+        """Write bytes on a new connection; return all input until the node closes."""
         return await send_to(("127.0.0.1", self.port), data)
 
     async def ask(
         self, txn: str, more: str = "", path: str = "/api/k", class_name: str = "read", method: str = "GET", body: bytes = b"",
         within_ms: int = 20_000,
     ) -> bytes:  # fmt: skip
-        """One good request on a connection of its own; the whole answer."""
+        """Send one valid request on a new connection; return the whole response."""
         return await self.send(
             request(txn, more + "Connection: close\r\n", path, class_name, method, within_ms) + body
         )
@@ -219,7 +220,7 @@
 def request(
     txn: str, more: str = "", path: str = "/api/k", class_name: str = "read", method: str = "GET", within_ms: int = 20_000
 ) -> bytes:  # fmt: skip
-    """within_ms: how long its client waits."""
+    """Return the head of a request. within_ms: how long its client waits."""
     head = f"{method} {path} HTTP/1.1\r\nHost: x\r\nX-Txn: {txn}\r\nX-Lane: {class_name}\r\nX-Remaining-Ms: {within_ms}\r\n"
     return f"{head}{more}\r\n".encode()
 
@@ -233,7 +234,10 @@
     leave: Leave | None = None,
     dial_s: float = 5.0,
 ) -> AsyncIterator[Rig]:
-    """A node that knows these cache servers and serves. clients: its places for them, half the sockets where it is 0."""
+    """Run a node with these cache servers.
+
+    clients: its limit of client connections; 0 stands for half the sockets.
+    """
     for box in boxes.values():
         box.listen()
     registry = Registry(boxes)
@@ -252,5 +256,5 @@
 
 
 def status(answer: bytes) -> int:
-    """The status of an answer; 0 for a close without one."""
+    """Return the status of a response; 0 if the connection closed without one."""
     return int(answer.split(b" ", 2)[1]) if answer.startswith(b"HTTP/1.1 ") else 0
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -1,4 +1,4 @@
-"""Cache servers that misbehave, over loopback sockets: spoilt, over-long and overfull answers."""
+"""Malformed, oversized and surplus responses of cache servers, over loopback sockets."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
     "two lengths": b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\nContent-Length: 5\r\n\r\nevil!",
     "a length and chunks": CHUNKED + b"Content-Length: 4\r\n\r\n4\r\nevil\r\n0\r\n\r\n",
     "a chunk that can't be read": CHUNKED + b"\r\nzz\r\nevil\r\n",
-    # Guards against an answer that keeps coming: it is given up at its head, or once it is longer than any may be.
+    # A response that keeps coming is rejected at its head, or when it exceeds the size limit.
     "three gigabytes": b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n" + b"x" * 100_000,
     "chunks that turn to noise": CHUNKED
     + b"\r\n"
@@ -40,7 +40,7 @@
 @pytest.mark.parametrize("name", MALFORMED)
 def test_a_malformed_response_fails_the_attempt_and_its_server_stays_in_use(name: str) -> None:
     async def test() -> None:
-        # Guards against spoilt bytes in an answer, and against a good server put out of use for one of them.
+        # A malformed response must not reach the client, and one of them must not eject its server.
         malformed = iter([MALFORMED[name]])
         box = CacheBox(lambda head: next(malformed, None) or good(head))
         async with rig({"s0": box}) as made:
@@ -54,7 +54,8 @@
 
 
 def test_a_malformed_response_ends_a_request_that_may_not_be_repeated() -> None:
-    # A spoilt answer may have run (guards against one effect twice, and against a refusal, which promises that it has not).
+    # The request may have run, so it must not be repeated, and a refusal (503) would wrongly state
+    # that it has not run.
     async def test() -> None:
         box = CacheBox(lambda head: MALFORMED["noise"])
         async with rig({"s0": box, "s1": CacheBox(lambda head: MALFORMED["noise"])}) as made:
@@ -81,7 +82,7 @@
 @pytest.mark.parametrize("name", EXTRA_BYTES)
 def test_extra_bytes_around_a_good_response_affect_neither_it_nor_the_next_one(name: str) -> None:
     async def test() -> None:
-        # Guards against surplus bytes taken for the answer to the next request on that connection.
+        # Surplus bytes must not be taken for the response to the next request on the connection.
         box = CacheBox(lambda head: good(head) if b"/next" in path_of(head) else EXTRA_BYTES[name])
         async with rig({"s0": box}) as made:
             assert (await made.ask("a")).endswith(b"fine")
@@ -107,7 +108,7 @@
 
 
 def test_an_incomplete_response_is_given_up_when_its_client_leaves() -> None:
-    # Guards against a request held for an answer that never ends: the client's own time bounds it.
+    # A response that never ends must not hold its request after the client has left.
     async def test() -> None:
         box = CacheBox(lambda head: b"HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\nhalf")
         async with rig({"s0": box}) as made:
@@ -121,13 +122,14 @@
 
 
 def test_a_connection_is_idle_for_a_minimum_time_before_reuse() -> None:
-    # Guards against a second copy that comes just behind an answer, on a connection that already waits for the next one.
+    # A second copy of a response that arrives just behind it must not meet a connection that
+    # already waits for the next response.
     async def test() -> None:
         async with rig({"s0": CacheBox()}) as made:
             server, pool = made.node.servers["s0"], made.pool
             first = await pool.connect(server)
             pool.keep(server, first)
-            server.idle[:] = [(now_ms() + 60_000.0, first)]  # as if it had only just come to rest
+            server.idle[:] = [(now_ms() + 60_000.0, first)]  # as if it had just become idle
             assert await pool.connect(server) is not first
             server.idle[:] = [(now_ms() - MIN_IDLE_MS, first)]
             assert await pool.connect(server) is first
@@ -136,7 +138,8 @@
 
 
 def test_occasional_connection_resets_do_not_eject_a_good_server() -> None:
-    # Guards against a live server ejected, and then taken for a cold one, for resets that the network or a proxy makes.
+    # Resets by the network or another proxy must not eject a live server, which would then count as
+    # cold.
     async def test() -> None:
         turn = 0
 
@@ -144,7 +147,7 @@
             nonlocal turn
             turn += 1
             if turn % 3 == 0:
-                raise ConnectionResetError  # the box closes this connection with no answer
+                raise ConnectionResetError  # the box closes this connection without a response
             return good(head)
 
         box = CacheBox(script)
--- a/tests/test_bulk.py
+++ b/tests/test_bulk.py
@@ -1,4 +1,4 @@
-"""Bodies too large to hold, both ways, over loopback sockets: what comes whole, what breaks off, and who waits for whom."""
+"""Bodies too large to buffer, in both directions: completeness, aborts and backpressure."""
 
 from __future__ import annotations
 
@@ -16,7 +16,10 @@
 
 
 class TwoPartServer(CacheBox):
-    """A box that writes its answer in two parts, the second once it is told to; `written` counts what left it."""
+    """A box that writes its response in two parts, the second after `go` is set.
+
+    `written` counts the bytes written.
+    """
 
     def __init__(self, first: bytes, second: bytes) -> None:
         super().__init__()
@@ -85,7 +88,7 @@
 
 @pytest.mark.parametrize("form", [sized, chunked])
 def test_a_large_answer_is_passed_on_from_its_first_bytes_and_comes_whole(form: object) -> None:
-    # Guards against an answer held until it is whole: its first bytes are what its client waits for.
+    # A large response must be streamed, not held until it is complete.
     async def test() -> None:
         data = sized(BODY) if form is sized else chunked(BODY)
         box = TwoPartServer(data[:200_000], data[200_000:])
@@ -135,7 +138,7 @@
 
 
 def test_a_client_that_reads_slowly_holds_its_server_back_and_no_memory() -> None:
-    # Guards against answers piled up in memory between a fast server and a slow client.
+    # Backpressure: a response must not pile up in memory between a fast server and a slow client.
     async def test() -> None:
         data = sized(bytes(8 << 20))
         box = TwoPartServer(data, b"")
@@ -145,7 +148,7 @@
             writer.write(request("a"))
             await reader.readuntil(b"\r\n\r\n")
             before = -1
-            while before != box.written:  # until nothing moves any more
+            while before != box.written:  # until the box is blocked
                 before = box.written
                 await asyncio.sleep(0.25)
             assert box.written < 3 << 20
@@ -215,7 +218,8 @@
 
 
 def test_a_large_body_goes_to_another_server_where_the_first_refuses_connections() -> None:
-    # Nothing beyond the first 64 KiB has flowed: what is kept makes a second attempt good.
+    # Nothing beyond the buffered first 64 KiB has been consumed, so a second attempt can send it
+    # all.
     async def test() -> None:
         boxes = {f"s{n}": CacheBox() for n in range(2)}
         async with rig(boxes) as made:
@@ -243,9 +247,8 @@
             reader, writer = await asyncio.open_connection("127.0.0.1", made.port)
             writer.write(put_head("a", f"Content-Length: {len(BODY)}\r\n") + BODY)
             assert (await answer_on(reader))[0] == 503
-            writer.write(
-                b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n"
-            )  # the rest was read past: the connection goes on
+            # The rest of the body was read and discarded, so the connection is still usable.
+            writer.write(b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n")
             assert await answer_on(reader) == (200, b"ok\n")
             await until_idle(made)
             assert made.metrics.attempts_sent == 0
@@ -292,7 +295,7 @@
 def test_a_client_that_stops_in_the_middle_of_a_large_body_is_answered_within_three_seconds() -> (
     None
 ):
-    # Guards against a server's connection held for a client that never ends.
+    # A client that never completes its body must not hold a connection to a server.
     async def test() -> None:
         async with rig({"s0": CacheBox()}) as made:
             began = asyncio.get_running_loop().time()
@@ -308,7 +311,8 @@
 
 
 def test_a_client_that_takes_its_time_within_bounds_is_served() -> None:
-    # Two seconds for the head, then a body as slow as may be (guards against slow clients cut off in good order).
+    # Two seconds for the head, then a body as slow as permitted: a slow client within the limits
+    # must not be cut off.
     async def test() -> None:
         async with rig({"s0": CacheBox()}) as made:
             reader, writer = await asyncio.open_connection("127.0.0.1", made.port)
@@ -370,7 +374,7 @@
                 + BODY[: 2 * MAX_BUFFERED_BODY_BYTES]
             )
             await until(lambda: made.node.open == 1)
-            made.node._recent_ids.clear()  # as if it had been under way for longer than ids are remembered
+            made.node._recent_ids.clear()  # as if it had been open longer than ids are remembered
             assert status(await made.ask("a")) == 409
             writer.write(BODY[2 * MAX_BUFFERED_BODY_BYTES :])
             assert (await answer_on(reader))[0] == 200
@@ -412,7 +416,7 @@
 
 @pytest.mark.parametrize("seed", range(40))
 def test_a_relay_gives_what_was_put_in_order_whoever_waits(seed: int) -> None:
-    # Each side stops at points drawn from the seed (guards against a wake-up lost between two waits).
+    # Each side pauses at points drawn from the seed: no wake-up may be lost between two waits.
     async def test() -> None:
         rng = random.Random(seed)
         relay, given, taken = Relay(), [b"%d" % n for n in range(60)], []
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -1,4 +1,7 @@
-"""Hostile and broken clients over loopback sockets: each gets an error or a close, and nothing of it goes further."""
+"""Malformed requests, stalled and excess clients, over loopback sockets.
+
+Each gets an error response or a close, and no server receives anything of it.
+"""
 
 from __future__ import annotations
 
@@ -11,7 +14,7 @@
 
 HIDDEN = request("hidden")
 BAD = {
-    # A head with both lengths may hide a request in its body (guards against serving the hidden one as another's).
+    # Request smuggling: with both lengths the body may hide a request, which must not be served.
     "two lengths": request("a", "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n", method="PUT")
     + b"0\r\n\r\n"
     + HIDDEN,
@@ -23,7 +26,7 @@
     + b"hello!",
     "a negative length": request("a", "Content-Length: -5\r\n", method="PUT") + b"hello",
     "a length with a sign": request("a", "Content-Length: +5\r\n", method="PUT") + b"hello",
-    # Told from the head alone (guards against reading 60 MB to find out).
+    # Rejected by the head alone, without reading 60 MB.
     "a huge length": request("a", "Content-Length: 60000000\r\n", method="PUT"),
     "a length of many digits": request(
         "a", "Content-Length: 99999999999999999999999\r\n", method="PUT"
@@ -32,7 +35,7 @@
     + b"10001\r\n"
     + b"x" * 65_537
     + b"\r\n0\r\n\r\n",
-    # Guards against 64 KiB in one-byte chunks, which cost the parser as much as 60,000 bodies.
+    # 64 KiB in one-byte chunks would cost the parser as much as 60,000 bodies.
     "chunks of one byte": request("a", "Transfer-Encoding: chunked\r\n", method="PUT")
     + b"1\r\nx\r\n" * 3000
     + b"0\r\n\r\n",
@@ -71,7 +74,7 @@
     "part", [b"", b"GET /api/k HT", request("a", "Content-Length: 10\r\n", method="PUT") + b"half"]
 )
 def test_a_client_that_stops_sending_is_closed_within_three_seconds(part: bytes) -> None:
-    # Guards against descriptors held by clients that say nothing, or half of what they have to.
+    # Clients that send nothing, or only a part of a request, must not hold descriptors.
     async def test() -> None:
         async with rig({"s0": CacheBox()}) as made:
             loop = asyncio.get_running_loop()
@@ -84,7 +87,7 @@
 
 
 def test_a_client_that_sends_single_bytes_slowly_is_closed_too() -> None:
-    # Guards against a time limit that each byte starts anew.
+    # The time limit of a request must not restart with each byte.
     async def test() -> None:
         async with rig({"s0": CacheBox()}) as made:
             loop = asyncio.get_running_loop()
@@ -103,7 +106,7 @@
 
 
 def test_the_id_of_an_open_request_is_not_served_again() -> None:
-    # Guards against two requests under one id: only the first one's answer may count.
+    # Of two requests with the same id only the first may be served.
     async def test() -> None:
         box = CacheBox(lambda head: None)
         async with rig({"s0": box}) as made:
@@ -135,7 +138,7 @@
 
 
 def test_silent_clients_are_evicted_for_one_that_sends_a_request() -> None:
-    # Guards against a crowd that connects and says nothing, and fills every place.
+    # Connections that send nothing must not use up the connection limit.
     async def test() -> None:
         async with rig({"s0": CacheBox()}) as made:
             crowd = [await asyncio.open_connection("127.0.0.1", made.port) for _ in range(100)]
@@ -147,7 +150,7 @@
 
 
 def test_sockets_and_state_are_released_after_churn() -> None:
-    # Guards against anything that is kept for each request, connection or id and never let go.
+    # Nothing kept for each request, connection or id may leak.
     async def test() -> None:
         slow = CacheBox(lambda head: None if b"/never" in head else good(head))
         async with rig({"s0": slow, "s1": CacheBox()}) as made:
@@ -181,7 +184,8 @@
 
 
 def test_idle_connections_beyond_their_share_are_closed_before_the_idle_timeout() -> None:
-    # Guards against places held by clients that ask once and stay, here and among the connections that a client may have.
+    # Clients that send one request and stay must not use up connections, at the node or at the
+    # clients.
     async def test() -> None:
         async with rig({"s0": CacheBox()}) as made:
             loop = asyncio.get_running_loop()
@@ -195,7 +199,7 @@
             for reader, _ in kept[:-share]:
                 assert await reader.read() == b""
             assert loop.time() - begun < IDLE_TIMEOUT_MS / 1000.0 * 0.8
-            # Those that asked last are as good as before.
+            # The connections used last are still usable.
             for n, (reader, writer) in enumerate(kept[-share:]):
                 writer.write(request(f"b{n}"))
                 assert status(await reader.readuntil(b"for /api/k")) == 200
--- a/tests/test_customers.py
+++ b/tests/test_customers.py
@@ -1,6 +1,7 @@
-"""Settings of other customers: no class, figure or limit of accra-orders is in force where they say otherwise.
+"""Settings of other deployments: no class, value or limit of accra-orders may be built in.
 
-The two sites of `deploy/sites/` go through the program's own settings; what each of the settings means is then shown with real connections.
+The sites of `deploy/sites/` pass through the program's own settings; the effect of single settings
+is then tested with real connections.
 """
 
 from __future__ import annotations
@@ -55,12 +56,12 @@
 
 
 def lowest(value: Any) -> float:
-    """A figure of a site file, or the lower end of its range."""
+    """Return a value of a site file, or the lower end of its range."""
     return float(value[0] if isinstance(value, list) else value)
 
 
 def node_settings(site: dict[str, Any]) -> dict[str, Any]:
-    """What a node of a site is told at its start (`settings` of its configuration), drawn at the lower ends of the site's ranges."""
+    """Return `settings` as a node of a site gets them, at the lower ends of the site's ranges."""
     allow, tier, rules = site["allow"], site["tier"][0], site["rules"]
     return {
         "services": [
@@ -112,7 +113,7 @@
         options["allowed"],
         {c["name"]: c for c in options["services"]},
     )
-    # The classes, each figure of them.
+    # The classes with all their values.
     assert {spec.name for spec in settings.classes} == set(classes) and len(classes) == len(
         settings.classes
     ) >= 3
@@ -153,7 +154,7 @@
         config.sockets,
         config.memory_mb,
     ) == (300, 90)
-    # And what is made of them.
+    # The values derived from them.
     figures = Metrics(classes)
     pool = Pool(64, config.dial_timeout_ms, config.conn_idle_ms, figures)
     node = Node(config, pool, 64)
@@ -176,7 +177,7 @@
 
 @pytest.mark.parametrize("path", SITES, ids=lambda path: path.stem)
 def test_a_site_is_far_from_accra(path: Path) -> None:
-    # A figure that both have alike would show nothing.
+    # A value that both deployments share would prove nothing.
     site = tomllib.loads(path.read_text())
     assert not set(ACCRA) & {
         site["name"],
@@ -216,7 +217,7 @@
         *(ROOT / "corkshift").rglob("*.py"),
         ROOT / "deploy" / "balancer.toml",
     ]
-    # Whole words: "tema" is no part of "systematic". The demo is a small installation of its own.
+    # Whole words only: "tema" is a part of "systematic". The demo is a small deployment of its own.
     found = [
         (path.name, name)
         for path in files
@@ -228,7 +229,7 @@
 
 
 def test_what_is_stated_as_nothing_is_nothing() -> None:
-    # Guards against a figure of 0 that is taken for one that is absent.
+    # A value of 0 must not be taken for an absent one.
     options = {
         **OPTIONS,
         "contract": {"stopSendingWithinMs": 0, "mustAskInMs": 0, "coldFrom": 0.0},
@@ -247,7 +248,7 @@
         15_000.0,
         10_000.0,
     )
-    # Asking within no time is no reason to ask without end.
+    # A polling interval of 0 must not cause polling in a busy loop.
     balancer = Balancer(config.settings, 1)
     for _ in range(8):
         ((name, _, due),) = balancer.on_list(0.0, "failed", [])  # type: ignore[misc]
@@ -264,7 +265,7 @@
             asking = asyncio.create_task(made.ask("a", class_name="brisk"))
             await until(lambda: sum(len(box.heads) for box in made.boxes.values()) == 1)
             balancer.usual, balancer.waits[:] = 0.5, [(0.0, 1)]
-            made.node._on_timer(3)  # it has been out for long
+            made.node._on_timer(3)  # the attempt has been running for long
             assert len(made.node._running) == copies
             asking.cancel()
 
@@ -291,7 +292,7 @@
 def test_where_lists_are_pushed_they_are_followed_from_the_first_moment(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # Guards against a node that serves by the list as it last was and never hears of a drain.
+    # A node must not go on with the list that it started with and miss a drain.
     monkeypatch.setattr("corkshift.service.FIRST_LIST_S", 30.0)
 
     async def test() -> None:
@@ -301,9 +302,8 @@
         registry = Registry(boxes)
         registry.start()
         known = [entry(name, box.port) for name, box in boxes.items()]
-        registry.entries["s0"] = entry(
-            "s0", boxes["s0"].port, "terminating"
-        )  # which the node's list does not know
+        # The list that the node starts with does not have this change.
+        registry.entries["s0"] = entry("s0", boxes["s0"].port, "terminating")
         registry.silent = True
         service = push_service(registry, known)
         running = asyncio.create_task(service.run())
@@ -317,7 +317,7 @@
             )
             assert status(answer) == 200
         assert boxes["s0"].heads == [] and len(boxes["s1"].heads) == 8
-        # And a change later on.
+        # A later change.
         registry.change(entry("s0", boxes["s0"].port))
         registry.change(entry("s1", boxes["s1"].port), "terminating")
         await until(lambda: service.node.servers["s1"].leaving_ms is not None)
@@ -326,7 +326,7 @@
             == 200
         )
         assert len(boxes["s0"].heads) == 1
-        # A watch that ends is opened anew at once: what the agent has counts as told meanwhile.
+        # A watch that ends is opened again at once: the agent may have changes to send.
         calls = len(registry.asked)
         registry.drop()
         await until(lambda: len(registry.asked) > calls)
@@ -356,7 +356,7 @@
         service = push_service(registry, [])
         running = asyncio.create_task(service.run())
         await until(lambda: bool(registry.asked))
-        service.reload()  # a SIGHUP before it is ready changes nothing of that
+        service.reload()  # a SIGHUP before the node is ready makes no difference
         service.stop()
         await running
         assert not service.frontend.started
@@ -394,7 +394,8 @@
 
 
 def test_what_outlives_a_planned_restart_is_answered_before_its_end() -> None:
-    # Deadlines of 20 s: SIGKILL comes long before. Guards against connections that are closed on with no answer.
+    # With deadlines of 20 s, SIGKILL comes long before: connections must not close without a
+    # response.
     async def test() -> None:
         leave = Leave(1_000.0)
         leave.take, leave.answer, leave.exit = 20.0, 100.0, 25_000.0
@@ -412,7 +413,7 @@
         async with rig({"s0": CacheBox(lambda head: None)}) as made:
             asking = asyncio.create_task(made.send(request("a")))
             await until(lambda: bool(made.boxes["s0"].heads))
-            made.node._recent_ids[b"a"] -= 60_000.0  # or pushed out by thousands of others
+            made.node._recent_ids[b"a"] -= 60_000.0  # as if forgotten, by age or by number
             assert status(await made.ask("a")) == 409
             asking.cancel()
 
@@ -438,9 +439,8 @@
         monkeypatch.setenv("PROXY_CONFIG", str(path))
         path.write_bytes(orjson.dumps({**text, "discovery": f"127.0.0.1:{old.port}"}))
         service = Service(load(os.environ))
-        path.write_bytes(
-            orjson.dumps({**text, "discovery": f"127.0.0.1:{new.port}"})
-        )  # and a SIGHUP that was ignored
+        # The SIGHUP for this change came before the node handled signals.
+        path.write_bytes(orjson.dumps({**text, "discovery": f"127.0.0.1:{new.port}"}))
         running = asyncio.create_task(service.run())
         await until(lambda: bool(new.asked))
         assert old.asked == []
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -1,4 +1,4 @@
-"""Each failure found has its small test here."""
+"""Regression tests of the balancer, one for each fault found."""
 
 from forkweir.choice import Balancer
 from forkweir.gate import ORIGIN_SLOW
@@ -57,9 +57,8 @@
     warm = homes(make(servers, cold_from=0.2, cold_ms=10_000.0))
     servers[3] = Server("s3", started_ms=1.0)
     balancer = make(servers, cold_from=0.2, cold_ms=10_000.0)
-    cold = [
-        ask(balancer, 2.0 + n, 10_000 + n, f"k{n}") for n in range(400)
-    ]  # as time passes: it is allowed so much a ms
+    # One request per ms: a cold server's allowance grows with time.
+    cold = [ask(balancer, 2.0 + n, 10_000 + n, f"k{n}") for n in range(400)]
     assert 0 < cold.count("s3") < 0.5 * warm.count("s3")
     assert all(b == "s3" for a, b in zip(cold, warm, strict=True) if a == "s3")
 
@@ -83,7 +82,7 @@
     before = homes(balancer)
     for _ in range(2):
         balancer.on_outcome(2.0, 10_000 + before.index("s3"), 0, False, "timed_out", "s3", 300.0)
-    balancer.gate.part = 1.0  # its own test is below
+    balancer.gate.part = 1.0  # the gate has a test of its own
     after = [ask(balancer, 3.0, 20_000 + n, f"k{n}") for n in range(400)]
     assert after.count("s3") < 0.6 * before.count("s3")
 
@@ -95,9 +94,8 @@
         action = balancer.on_request(now, n, "read", f"k{n}", 1000.0)[0]
         if action[0] == "attempt":
             balancer.on_outcome(now, n, 0, False, "timed_out", str(action[2]), 300.0)
-            balancer.on_departure(
-                now, n
-            )  # or what it repeats would be expected of the origin for ever
+            # Otherwise the origin's expected load would include its retries forever.
+            balancer.on_departure(now, n)
     assert balancer.gate.part <= 0.6
     for n in range(100, 400):
         now = 50_000.0 + 20.0 * n
@@ -129,7 +127,7 @@
 
 def test_a_repeat_past_its_aim_goes_first_at_a_shut_gate_and_is_served_at_an_open_one() -> None:
     balancer = make([Server(f"s{i}") for i in range(10)])
-    # 400 ms of the deadline of 1000 are left, so 600 have passed and the aim of 300 with them.
+    # 400 ms of the deadline of 1000 ms are left: 600 ms have passed, more than the aim of 300 ms.
     late = balancer.on_request(0.0, 1, "read", "k", 400.0, repeated=True)[0]
     assert late[0] == "attempt" and isinstance(late[3], float) and late[3] == 400.0
     early = balancer.on_request(0.0, 2, "read", "k", 900.0, repeated=True)[0]
@@ -170,7 +168,7 @@
 
 def test_time_outs_behind_a_cut_link_do_not_shut_the_gate() -> None:
     balancer = make([Server(f"s{i}", zone="ab"[i % 2]) for i in range(30)])
-    balancer.gate.bad = 0.5  # much goes wrong, so that a time-out may shut the gate
+    balancer.gate.bad = 0.5  # a high failure rate, so that a timeout may shut the gate
     shut = []
     for n in range(60):
         now = 1000.0 + 300.0 * n
@@ -178,7 +176,7 @@
         if action[0] == "attempt" and int(str(action[2])[1:]) % 2:
             balancer.on_outcome(now, n, 0, False, "timed_out", str(action[2]), 300.0)
             shut.append(balancer.gate.part)
-    # Only the first few, before the zone is known to be silent, count.
+    # Only the first few timeouts count, until the zone is known to be unresponsive.
     assert len(shut) > 10 and shut[0] < 1.0 and shut[-1] == shut[CUT_AFTER - 2]
 
 
@@ -238,7 +236,7 @@
 
     assert written(1000) == 200
     misses(0, "failure", 250.0)
-    assert 1 <= written(2000) <= 40  # a few go on to try it, with no read at all too
+    assert 1 <= written(2000) <= 40  # a few go on as trials, even without any read
     misses(100, "success", 60.0)
     assert written(3000) == 200
 
@@ -257,7 +255,7 @@
         return sent
 
     assert 1 <= far(True) <= 4
-    assert far(False) > 40  # where nothing answers at all it is no cut
+    assert far(False) > 40  # if no server responds at all, the zone is not cut off
 
 
 def test_the_gate_keeps_a_floor_while_hits_are_quick() -> None:
@@ -267,15 +265,16 @@
         for n in range(2000):
             action = balancer.on_request(250.0 * n, n, "read", f"k{n}", 1000.0)[0]
             if action[0] == "attempt":
-                balancer.fleet.members[str(action[2])].strain = 0.0  # as if not avoided yet
+                balancer.fleet.members[
+                    str(action[2])
+                ].strain = 0.0  # as if the server were not avoided yet
                 balancer.on_outcome(
                     250.0 * n + 200.0, n, 0, True, "timed_out", str(action[2]), 200.0
                 )
         return balancer.gate.part
 
-    assert (
-        0.59 < shut(0.0) < 0.61
-    )  # the floor of docs/cold-and-full.md: 0.4 was measured to turn away what full caches serve
+    # The floor of docs/cold-and-full.md: a floor of 0.4 refused requests that warm caches serve.
+    assert 0.59 < shut(0.0) < 0.61
     assert 0.09 < shut(0.5) < 0.11
 
 
@@ -344,14 +343,14 @@
 
 def test_the_errors_of_one_server_shut_no_gate_for_the_others() -> None:
     balancer = make([Server(f"s{i}") for i in range(10)])
-    balancer.gate.hits = 0.2  # caches far from full, so that the origin counts
+    balancer.gate.hits = 0.2  # a low hit rate, so that the origin matters
     for n in range(600):
         now = 1000.0 + 5.0 * n
         action = balancer.on_request(now, n, "read", f"k{n}", 1000.0)[0]
         assert action[0] == "attempt"
         if action[2] == "s3":
             balancer.on_outcome(now + 5.0, n, 0, True, "failure", "s3", 5.0)
-        elif not 200 < n < 260:  # for a while only s3 is heard of
+        elif not 200 < n < 260:  # for a while only s3 responds
             balancer.on_outcome(now + 60.0, n, 0, True, "success", str(action[2]), 60.0, 2)
     assert balancer.gate.part == 1.0
 
@@ -366,7 +365,7 @@
             continue
         server = str(first[2])
         for attempt in range(3):
-            # Most servers turn away nearly all (what they do not have, say), after a while.
+            # Most servers refuse nearly all requests, for example all misses.
             if int(server[1:]) < 9 and n % 10:
                 action = balancer.on_outcome(
                     now + 60.0, n, attempt, False, "overloaded", server, 60.0
@@ -384,9 +383,8 @@
 def test_a_time_out_of_a_likely_miss_strains_no_server_and_one_of_a_likely_hit_does() -> None:
     def strain(known: bool) -> float:
         balancer = make([Server(f"s{i}", zone="a") for i in range(10)])
-        balancer.gate.origin_slow = (
-            0.95 * ORIGIN_SLOW
-        )  # answered misses are slow; where they are quick see forkweir/test_gate.py
+        # Misses are served slowly; for quick ones see forkweir/test_gate.py.
+        balancer.gate.origin_slow = 0.95 * ORIGIN_SLOW
         server = ask(balancer, 1000.0, 1, "k")
         if known:
             balancer.on_outcome(1020.0, 1, 0, True, "success", server, 20.0, 1)
--- a/tests/test_plain.py
+++ b/tests/test_plain.py
@@ -1,4 +1,4 @@
-"""Plain heads against h11: what is taken here h11 takes too, and says the same of it."""
+"""The simple-form parser against h11: h11 accepts what it accepts, with the same result."""
 
 from __future__ import annotations
 
@@ -58,7 +58,7 @@
         head.length == (None if told is None else int(told))
         and b"transfer-encoding" not in head.fields
     )
-    # What h11 takes for the body is what the length says.
+    # h11 reads the same body as the length gives.
     body = b""
     while isinstance(event := parser.next_event(), h11.Data):
         body += event.data
@@ -103,7 +103,7 @@
 
 
 def test_the_usual_heads_are_plain() -> None:
-    # Guards against a pattern so narrow that nothing goes this way.
+    # The pattern must not become so narrow that the usual heads miss the fast path.
     usual = b"GET /api/7f3a?x=1 HTTP/1.1\r\nHost: service.internal\r\nX-Txn: 9b1f\r\nX-Lane: read\r\nX-Remaining-Ms: 480\r\n\r\n"
     head = request_head(usual + b"GET")
     assert (
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,6 +1,6 @@
-"""The four rules, asserted on the actions that random legal event sequences bring back.
+"""The four rules, asserted on the balancer's actions for random legal sequences of events.
 
-The checker is itself checked: deliberately broken decisions must make it fail.
+The checker is tested too: deliberately wrong decisions must make it fail.
 """
 
 from __future__ import annotations
@@ -32,22 +32,24 @@
 
 
 class BrokenRule(AssertionError):
-    """A rule was broken by an action."""
+    """An action broke a rule."""
 
 
 class RequestState:
-    """What the outside knows of one request."""
+    """The state of one request as seen from outside the balancer."""
 
     def __init__(self, spec: ClassSpec, deadline: float) -> None:
         self.spec = spec
         self.deadline = deadline
         self.answered = False
-        self.attempts: list[tuple[float, str, str]] = []  # sent, server, status ("" while out)
+        self.attempts: list[
+            tuple[float, str, str]
+        ] = []  # time sent, server, status ("" while running)
         self.due = 0.0  # when the last attempt times out
 
 
 class World:
-    """Plays events to a balancer and holds its actions against the rules."""
+    """Feeds events to a balancer and checks its actions against the rules."""
 
     def __init__(self, seed: int, balancer: Optional[Balancer] = None) -> None:
         self.random = random.Random(seed)
@@ -138,7 +140,7 @@
             )
 
     def advance(self, until: float) -> None:
-        """Move the clock, with every time-out delivered when it is due."""
+        """Advance the clock and deliver each timeout when it is due."""
         while True:
             due = min(((self.requests[i].due, i) for i in self.waiting()), default=(until + 1.0, 0))
             if due[0] > until:
@@ -203,7 +205,7 @@
 def test_checker_sees_a_drain_ignored() -> None:
     world = World(3)
     for name in world.state:
-        world.state[name] = "draining"  # the balancer is not told, so it goes on sending
+        world.state[name] = "draining"  # the balancer is not notified, so it goes on sending
     with pytest.raises(BrokenRule, match="drained"):
         world.run(60)
 
--- a/tests/test_unframed_responses.py
+++ b/tests/test_unframed_responses.py
@@ -1,6 +1,6 @@
-"""Responses of a cache server with neither a length nor chunks (RFC 9112, 6.3, rule 8), through one node over loopback sockets.
+"""Responses with neither a length nor chunks (RFC 9112, 6.3, rule 8), over loopback sockets.
 
-The end of the connection (FIN) completes such a response. A reset (RST), silence or a time-out never does.
+The end of the connection (FIN) completes such a response; a reset or a timeout never does.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 
 class UnframedServer:
-    """Answers each request by a head without a length, a body, and the end of the connection: a FIN or a reset."""
+    """Sends a head without a length, a body, and a FIN or a reset in response to each request."""
 
     def __init__(
         self, body: bytes, reset: bool = False, head: bytes = HEAD, pause_s: float = 0.0
@@ -49,7 +49,7 @@
 
 
 def body_of(answer: bytes) -> bytes:
-    """The body of an answer that has a length or ends with its connection; chunks are put together."""
+    """Return the body of a response with a length, with chunks, or ended by its connection."""
     head, _, body = answer.partition(b"\r\n\r\n")
     if b"transfer-encoding: chunked" not in head.lower():
         return body
@@ -62,7 +62,7 @@
 
 
 async def ask_through(server: UnframedServer, txn: str, class_name: str = "order") -> bytes:
-    """What a node answers to one request that goes to this server."""
+    """Return the response of a node to one request that it sends to this server."""
     box = CacheBox()
     async with rig({"s0": box}) as made:
         await server.start()
@@ -111,14 +111,16 @@
 
 
 def test_a_node_process_forwards_responses_that_end_with_their_connection(tmp_path: Path) -> None:
-    # The reproduction of incident 2 on a real process: 20 of 20, as nothing else fails here.
+    # Reproduces a fault on a real process: the node failed responses that end with their
+    # connection. All 20 must succeed, as nothing else fails here.
     async def test() -> None:
 
         box = CacheBox()
         async with running(tmp_path / "config.json", box) as (process, _):
 
             async def unframed(head: bytes) -> bytes:
-                # The stand-in writes this and goes on; its connection is ended a moment later.
+                # The box writes this response and keeps the connection, which is closed a moment
+                # later.
                 for connection in list(box.connections):
                     asyncio.get_running_loop().call_later(0.02, connection.stream.close)
                 return HEAD + b"\r\nwhole"
@@ -133,8 +135,8 @@
 
 @pytest.mark.parametrize("class_name", ["brisk", "order"])
 def test_a_response_whose_connection_stays_open_is_never_taken_for_whole(class_name: str) -> None:
-    # It was among the spoilt answers of tests/test_answers.py, rejected at its head; it may still become whole, and never does here.
-    # A class that may be repeated is asked again at another server and served there, well before its time is up.
+    # Such a response may still be completed, so it is not rejected at its head; here it never is. A
+    # request that may be repeated is served by another server well before its deadline.
     async def test() -> None:
         heads: list[bytes] = []
 
@@ -143,9 +145,8 @@
             return HEAD + b"\r\nevil" if len(heads) == 1 else good(head)
 
         async with rig({"s0": CacheBox(script), "s1": CacheBox(script)}) as made:
-            made.node._balancer.usual = (
-                HEDGE_LEAST  # as after many quick answers: what is out for long stands out early
-            )
+            # As after many quick responses: a slow attempt is hedged early.
+            made.node._balancer.usual = HEDGE_LEAST
             more = "X-Remaining-Ms: 1500\r\n" if class_name == "order" else ""
             data = request("a", more + "Connection: close\r\n", class_name=class_name)
             if more:
@@ -155,8 +156,7 @@
             if class_name == "brisk":
                 assert status(answer) == 200 and len(heads) == 2
             else:
-                assert (
-                    status(answer) in (502, 504) and len(heads) == 1
-                )  # it may have run, and may not be repeated
+                # It may have run, so it must not be repeated.
+                assert status(answer) in (502, 504) and len(heads) == 1
 
     run_async(test)
