--- a/corkshift/budget.py
+++ b/corkshift/budget.py
@@ -59,6 +59,6 @@
         self.used += more
         return True
 
-    def release(self, held: int) -> None:
-        """Return `held` reserved bytes to the budget."""
-        self.used -= held
+    def release(self, size: int) -> None:
+        """Return `size` reserved bytes to the budget."""
+        self.used -= size
--- a/corkshift/frontend.py
+++ b/corkshift/frontend.py
@@ -205,11 +205,11 @@
     # -- requests ------------------------------------------------------------------------
 
     async def _read_requests(self) -> None:
-        ahead: Optional[bytes] = b""
+        data: Optional[bytes] = b""
         status = 0
         try:
-            while ahead is not None:
-                ahead = await self._read_request(ahead)
+            while data is not None:
+                data = await self._read_request(data)
         except (Rejected, h11.RemoteProtocolError, TimeoutError) as error:
             status = _error_status(error)
         except OSError:
@@ -230,28 +230,28 @@
         self._frontend.mark_busy(self)
         await self._queue.put((parser, future))
 
-    async def _read_request(self, ahead: bytes) -> Optional[bytes]:
+    async def _read_request(self, data: bytes) -> Optional[bytes]:
         """Read one request and submit it.
 
         Returns the bytes read of the next request, or None if no other request may follow.
         """
         # Empty lines ahead of a request are allowed (RFC 9112, 2.2).
-        while not (ahead := ahead.lstrip(b"\r\n")):
+        while not (data := data.lstrip(b"\r\n")):
             self._mark_idle()
-            if not (ahead := await self._stream.read()):
+            if not (data := await self._stream.read()):
                 return None
-        if (rest := await self._read_simple(ahead)) is not None:
+        if (rest := await self._read_simple(data)) is not None:
             return rest
         self.partial = True
         if self.served or self._pending:
             self.since_ms = now_ms()
         self._frontend.mark_partial(self)
         parser = h11.Connection(h11.SERVER, max_incomplete_event_size=MAX_HEAD_BYTES)
-        parser.receive_data(ahead)
+        parser.receive_data(data)
         while (event := parser.next_event()) is h11.NEED_DATA:
-            if not (ahead := await self._stream.read()):
+            if not (data := await self._stream.read()):
                 return None
-            parser.receive_data(ahead)
+            parser.receive_data(data)
         assert isinstance(event, h11.Request)
         _check_framing(event)
         if not await self._read_body(parser, event) or parser.their_state is h11.MUST_CLOSE:
@@ -273,11 +273,11 @@
         request = _parse_request(
             head.method, head.target, head.fields, self._frontend.node.has_class
         )
-        held = end - head.end
-        if held:
-            self._reserve_body(request, held)
+        buffered = end - head.end
+        if buffered:
+            self._reserve_body(request, buffered)
             request.body.append(bytearray(data[head.end : end]))
-        await self._enqueue(COMPLETE_REQUEST, self._admit(request, held))
+        await self._enqueue(COMPLETE_REQUEST, self._admit(request, buffered))
         return data[end:]
 
     def _reserve_body(self, request: Optional[ClientRequest], size: int) -> None:
@@ -296,7 +296,7 @@
         if request is None and head.method != b"GET":
             raise Rejected(405)
         self.since_ms = now_ms()  # the body has a time limit of its own
-        budget, held = self._frontend.budget, 0
+        budget, buffered = self._frontend.budget, 0
         try:
             pieces, marked, rest = PieceCounter(), 0, b""
             while not isinstance(event := await self._event(parser), h11.EndOfMessage):
@@ -305,22 +305,22 @@
                 ):
                     raise Rejected(400)
                 more = len(event.data)
-                if held + more > MAX_BUFFERED_BODY_BYTES:
+                if buffered + more > MAX_BUFFERED_BODY_BYTES:
                     if request is None or request.method != b"PUT":
                         raise Rejected(413)
                     rest = bytes(event.data)
                     break
                 self._reserve_body(request, more)
-                held += more
-                if held - marked >= MIN_PROGRESS_BYTES:
-                    marked, self.since_ms = held, now_ms()
+                buffered += more
+                if buffered - marked >= MIN_PROGRESS_BYTES:
+                    marked, self.since_ms = buffered, now_ms()
                 if request is not None:
                     _append_body(request.body, event.data)
         except BaseException:
-            budget.release(held)
+            budget.release(buffered)
             raise
         if request is None:
-            budget.release(held)
+            budget.release(buffered)
             await self._enqueue(
                 parser,
                 _completed(
@@ -330,19 +330,19 @@
                 ),
             )
         elif rest:
-            return await self._read_large_body(parser, request, held, rest)
+            return await self._read_large_body(parser, request, buffered, rest)
         else:
-            await self._enqueue(parser, self._admit(request, held))
+            await self._enqueue(parser, self._admit(request, buffered))
         return True
 
-    def _admit(self, request: ClientRequest, held: int) -> asyncio.Future[Response]:
-        """Submit a request with `held` bytes of buffered body; return its response's future."""
+    def _admit(self, request: ClientRequest, buffered: int) -> asyncio.Future[Response]:
+        """Submit a request with `buffered` bytes of body; return its response's future."""
         budget = self._frontend.budget
         if self._frontend.node.is_recent_id(request.txn):
-            budget.release(held)
+            budget.release(buffered)
             raise Rejected(409)
         if self._frontend.node.full:
-            budget.release(held)
+            budget.release(buffered)
             self._frontend.node.count_unadmitted(request.class_name, "full")
             return _completed(self._frontend.node.busy)
         # A client may have left while its connection waited in the backlog, as happens when the
@@ -352,10 +352,10 @@
         # knows of it.
         stream, new = self._stream, not (self.served or self._pending)
         if (stream.last_read_full or (new and not stream.no_input)) and stream.peer_left:
-            budget.release(held)
+            budget.release(buffered)
             raise ConnectionAbortedError("the client has left")
-        if held:  # nearly all requests have no body, so nothing to release
-            request.response.add_done_callback(lambda _: self._release_body(request, held))
+        if buffered:  # nearly all requests have no body, so nothing to release
+            request.response.add_done_callback(lambda _: self._release_body(request, buffered))
         self._requests[request.response] = request
         request.check_departure = self.check_departure
         self._frontend.node.submit(request, self._waited_ms())
@@ -378,7 +378,7 @@
         return bound_ms if unread_ms is None else min(bound_ms, unread_ms)
 
     async def _read_large_body(
-        self, parser: h11.Connection, request: ClientRequest, held: int, piece: bytes
+        self, parser: h11.Connection, request: ClientRequest, buffered: int, piece: bytes
     ) -> bool:
         """Submit a request too large to buffer with its first bytes, then forward the rest.
 
@@ -387,12 +387,12 @@
         read an early response. The cost is the transfer of the whole body.
         """
         body_rest = request.body_rest = Relay()
-        response = self._admit(request, held)
+        response = self._admit(request, buffered)
         if response is not request.response:
             body_rest.close()  # the request was refused
         self._large_body_parser = parser
         await self._enqueue(parser, response)
-        size, pieces, marked = held + len(piece), PieceCounter(), 0
+        size, pieces, marked = buffered + len(piece), PieceCounter(), 0
         loop = asyncio.get_running_loop()
         due = loop.time() + REQUEST_TIMEOUT_MS / 1000.0
         try:
@@ -420,9 +420,9 @@
             self._frontend.node.end(request, Response(_error_status(error)))
             return False
 
-    def _release_body(self, request: ClientRequest, held: int) -> None:
+    def _release_body(self, request: ClientRequest, buffered: int) -> None:
         request.body.clear()
-        self._frontend.budget.release(held)
+        self._frontend.budget.release(buffered)
 
     async def _event(self, parser: h11.Connection) -> object:
         if parser.they_are_waiting_for_100_continue and not self._pending:
@@ -537,7 +537,7 @@
         The phases end at the times of `Leave`. Requests that are still open at its `answer` time
         get an error response, and connections that remain at its `exit` time are reset.
         """
-        begun, leave = asyncio.get_running_loop().time(), self._leave
+        started_s, leave = asyncio.get_running_loop().time(), self._leave
         self.duty.end(now_ms())
         if not self.started:
             self._listener.close()  # no connection has been accepted yet
@@ -550,7 +550,7 @@
             # Connections in the kernel's queue may hold requests that count as accepted, so all
             # of them are accepted as capacity allows.
             with suppress(TimeoutError):
-                async with asyncio.timeout_at(begun + leave.answer / 1000.0):
+                async with asyncio.timeout_at(started_s + leave.answer / 1000.0):
                     await self._listener.accept_queued()
             self._listener.close()
         await asyncio.sleep(LAST_READ_DELAY_S)
@@ -558,9 +558,9 @@
         for connection in list(self._connections):
             if not connection.partial:
                 connection.close_if_no_input("ending")
-        await self._wait_until_closed(begun + leave.answer / 1000.0)
+        await self._wait_until_closed(started_s + leave.answer / 1000.0)
         self.node.fail_open_requests()
-        await self._wait_until_closed(begun + leave.exit / 1000.0)
+        await self._wait_until_closed(started_s + leave.exit / 1000.0)
         for connection in list(self._connections):
             connection.abort()
 
@@ -750,7 +750,7 @@
 
 
 def _parse_request(
-    method: bytes, target: bytes, headers: dict[bytes, bytes], knows: Callable[[str], bool]
+    method: bytes, target: bytes, headers: dict[bytes, bytes], has_class: Callable[[str], bool]
 ) -> ClientRequest:
     """Return the request that a head describes; raise Rejected if the node does not support it."""
     if method not in (b"GET", b"PUT"):
@@ -759,7 +759,7 @@
     target = _origin_form(target)
     if not target.startswith(b"/"):
         raise Rejected(404)
-    if not REQUEST_ID_PATTERN.fullmatch(txn) or not knows(class_name):
+    if not REQUEST_ID_PATTERN.fullmatch(txn) or not has_class(class_name):
         raise Rejected(400)
     budget = headers.get(b"x-remaining-ms")
     return ClientRequest(
--- a/corkshift/node.py
+++ b/corkshift/node.py
@@ -284,18 +284,18 @@
 
         The first refusal is logged at once, later ones together every REFUSAL_LOG_INTERVAL_MS.
         """
-        refused = self.metrics.refusals
-        refused[cause] += 1
+        refusals = self.metrics.refusals
+        refusals[cause] += 1
         now = now_ms()
         if now - self._logged_ms >= REFUSAL_LOG_INTERVAL_MS or now < self._logged_ms:
             since = {
-                name: count - self._logged_refusals.get(name, 0) for name, count in refused.items()
+                name: count - self._logged_refusals.get(name, 0) for name, count in refusals.items()
             }
             parts = ", ".join(f"{name} {count}" for name, count in since.items() if count)
             log.info("requests refused since the last report: %s", parts)
             if causes := self.metrics.take_failure_causes():
                 log.info("attempts failed since the last report: %s", causes)
-            self._logged_refusals, self._logged_ms = dict(refused), now
+            self._logged_refusals, self._logged_ms = dict(refusals), now
 
     def _respond(self, request: Optional[ClientRequest], response: Response) -> None:
         """Give a request its response, unless it has one."""
@@ -315,8 +315,8 @@
         for n in range(self._tries.pop(request.id, 0)):
             self._end_attempt((request.id, n))
 
-    def _end_attempt(self, which: tuple[int, int]) -> None:
-        attempt, task = self._running.get(which), self._attempts.get(which)
+    def _end_attempt(self, key: tuple[int, int]) -> None:
+        attempt, task = self._running.get(key), self._attempts.get(key)
         if attempt is not None and task is not None:
             # The task ends a moment later, perhaps after the next attempt was sent.
             attempt.abort()
@@ -338,11 +338,16 @@
         )
         within_ms = min(within_ms, left_ms) if within_ms else left_ms
         # A body that is not buffered can be read by one attempt only, and only once.
-        twice = request.body_rest is not None and (
+        body_unavailable = request.body_rest is not None and (
             request.body_consumed
             or any((request_id, earlier) in self._running for earlier in range(n))
         )
-        if server is None or n >= self._config.settings.max_attempts or within_ms <= 0.0 or twice:
+        if (
+            server is None
+            or n >= self._config.settings.max_attempts
+            or within_ms <= 0.0
+            or body_unavailable
+        ):
             asyncio.get_running_loop().call_soon(
                 self._report_outcome, request, n, name, 0.0, Outcome("void")
             )
--- a/corkshift/plain.py
+++ b/corkshift/plain.py
@@ -109,7 +109,11 @@
 
 def _length(fields: Fields) -> Optional[int]:
     """Return the Content-Length, None if absent, -1 if it is malformed or too large."""
-    told = fields.get(b"content-length")
-    if told is None:
+    content_length = fields.get(b"content-length")
+    if content_length is None:
         return None
-    return int(told) if _LENGTH.fullmatch(told) and int(told) <= MAX_SIMPLE_BODY_BYTES else -1
+    return (
+        int(content_length)
+        if _LENGTH.fullmatch(content_length) and int(content_length) <= MAX_SIMPLE_BODY_BYTES
+        else -1
+    )
--- a/corkshift/upstream.py
+++ b/corkshift/upstream.py
@@ -105,13 +105,13 @@
         clock) and then raises NotSent.
         """
         now = now_ms()
-        rested, old = now - MIN_IDLE_MS, now - self._idle_ms
+        idle_before_ms, expired_before_ms = now - MIN_IDLE_MS, now - self._idle_ms
         for since_ms, stream in reversed(list(server.idle)):
-            if since_ms > rested:
+            if since_ms > idle_before_ms:
                 continue
             self._remove_idle(stream)
             # With short idle timeouts the periodic sweep alone would be too late.
-            if since_ms >= old and stream.no_input:
+            if since_ms >= expired_before_ms and stream.no_input:
                 return stream
             self.drop(stream)
         pause_s = LOCAL_RETRY_DELAY_S
@@ -629,7 +629,7 @@
     Raises MalformedResponse for a length over MAX_BODY_BYTES, since the body would keep coming,
     and for a length together with chunks, which leaves the end of the body ambiguous.
     """
-    told, chunked = headers.get(b"content-length"), b"transfer-encoding" in headers
-    if told is not None and (chunked or int(told) > MAX_BODY_BYTES):
+    content_length, chunked = headers.get(b"content-length"), b"transfer-encoding" in headers
+    if content_length is not None and (chunked or int(content_length) > MAX_BODY_BYTES):
         raise MalformedResponse("Content-Length over the limit or with Transfer-Encoding")
-    return None if told is None else int(told)
+    return None if content_length is None else int(content_length)
