--- a/corkshift/frontend.py
+++ b/corkshift/frontend.py
@@ -43,6 +43,7 @@
 IDLE_TIMEOUT_MS = 10_000.0
 # Largest share of the client connection limit that idle connections may hold.
 MAX_IDLE_SHARE = 1 / 3
+# Interval at which the time limits are enforced.
 SWEEP_INTERVAL_S = 0.2
 # At the connection limit, a new connection that has sent nothing for this long may be evicted.
 EVICTION_GRACE_MS = 100.0
@@ -498,7 +499,11 @@
 
 
 class Frontend:
-    """All client connections, limited in number to `limit`."""
+    """All client connections of a node.
+
+    limit: maximum number of connections. body_bytes: budget of buffered request bodies.
+    shared: whether other processes accept on the same socket. leave: the phases of a drain.
+    """
 
     def __init__(
         self, node: Node, listener: Socket, limit: int, body_bytes: int, shared: bool = False, leave: Optional[Leave] = None,
--- a/corkshift/listener.py
+++ b/corkshift/listener.py
@@ -11,6 +11,7 @@
 
 log = logging.getLogger(__name__)
 
+# Length of the kernel's queue of connections not yet accepted.
 BACKLOG = 4096
 MAX_ACCEPTS_PER_TURN = 64  # per turn of the event loop
 # Connections that ended before they were accepted; at this number accepting pauses, so that the
--- a/corkshift/metrics.py
+++ b/corkshift/metrics.py
@@ -7,7 +7,7 @@
 
 from forkweir.advice import CAUSES
 
-OK, SHED, ERRORS = range(3)
+OK, SHED, ERRORS = range(3)  # indices of KINDS
 REFUSALS = (*CAUSES, "full", "no-room", "late", "behind")
 """Causes of refusals: those of the balancer (forkweir/advice.py), then the node's own.
 
--- a/corkshift/node.py
+++ b/corkshift/node.py
@@ -41,7 +41,10 @@
 
 
 class Node:
-    """Owns the open requests, their attempts and the timers; the balancer makes all decisions."""
+    """Owns the open requests, their attempts and the timers; the balancer makes all decisions.
+
+    max_open: limit of open requests.
+    """
 
     def __init__(self, config: Config, pool: Pool, max_open: int) -> None:
         self._config = config
@@ -74,7 +77,7 @@
         self._logged_refusals: dict[str, int] = {}  # refusals by cause at the last log line
         self._logged_ms = 0.0  # time of the last log line about refusals
         self.servers: dict[str, CacheServer] = {}
-        self.follow: Callable[[], None] = lambda: None
+        self.follow: Callable[[], None] = lambda: None  # starts to follow the server list
         self.list_unread: Callable[[], bool] = lambda: False  # see AttemptOwner
 
     @property
--- a/corkshift/upstream.py
+++ b/corkshift/upstream.py
@@ -35,6 +35,7 @@
 # Idle time before a connection is reused: surplus bytes behind a response arrive by then, and are
 # not taken for the next response.
 MIN_IDLE_MS = 2.0
+# Interval at which connections near the idle timeout are closed.
 SWEEP_INTERVAL_S = 0.5
 # First delay before connecting again after a shortage on this machine; doubles up to the maximum.
 LOCAL_RETRY_DELAY_S = 0.01
@@ -78,7 +79,10 @@
 
 
 class Pool:
-    """Connections to all cache servers, at most `limit` at once."""
+    """Connections to all cache servers, at most `limit` at once.
+
+    dial_timeout_ms: time limit of a connect. conn_idle_ms: idle timeout of the cache servers.
+    """
 
     def __init__(
         self,
