--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -28,11 +28,18 @@
 
 from corkshift.discovery import Discovery
 from corkshift.seam import Address
-from corkshift.sources.dns import claims_of
+from corkshift.sources.dns import claims_of_records
 from corkshift.sources.hub import Sources
-from corkshift.sources.message import Answer, Foreign, Truncated, Unusable, query, read
+from corkshift.sources.message import (
+    Answer,
+    ForeignMessage,
+    TruncatedAnswer,
+    UnusableAnswer,
+    make_query,
+    parse_answer,
+)
 from corkshift.sources.options import DnsTable, Limits, SourcesTable
-from corkshift.sources.resolver import Kept
+from corkshift.sources.resolver import CachedAnswer
 from corkshift.upstream import CacheServer
 from forkweir import Server
 from forkweir.known.membership import Claim, Membership
@@ -209,18 +216,20 @@
     boxes = {f"s{n}": (f"127.2.{n >> 8}.{n & 255}", 8001) for n in range(1, BOXES + 1)}
     zone = Zone()
     zone.serve(boxes, 5)
-    wire = NameServer(("127.0.0.1", 53), zone).answers(query(SERVICE, "SRV", 1, 0).wire, True)[0]
+    wire = NameServer(("127.0.0.1", 53), zone).answers(make_query(SERVICE, "SRV", 1, 0).wire, True)[
+        0
+    ]
     options = SourcesTable(dns=DnsTable(service=SERVICE))
     merged = Membership(options.rights(), options.guard.guard())
     merged.tell("list", [Claim(address, name=name) for name, address in boxes.items()], 0.0)
     begun = time.process_time()
     for n in range(rounds):
-        answer = read(wire, query(SERVICE, "SRV", 1, 0), stream=True)
+        answer = parse_answer(wire, make_query(SERVICE, "SRV", 1, 0), over_tcp=True)
         found = {
-            target: Kept(Answer(life, addresses=addresses), 0.0, 1.0)
-            for target, (life, addresses) in answer.extra.items()
+            target: CachedAnswer(Answer(life, addresses=addresses), 0.0, 1.0)
+            for target, (life, addresses) in answer.additional.items()
         }
-        merged.tell("dns", claims_of(answer.services, dict(found)), float(n))
+        merged.tell("dns", claims_of_records(answer.srv_records, dict(found)), float(n))
         assert len(merged.merge(float(n))) == BOXES
     return 1_000.0 * (time.process_time() - begun) / rounds
 
@@ -242,20 +251,20 @@
         ("empty", SERVICE, "SRV"),
         ("loop", SERVICE, "SRV"),
     ):
-        asked = query(name, kind, 4711, 0b1011)
+        asked = make_query(name, kind, 4711, 0b1011)
         cases.append((asked, NameServer(("127.0.0.1", 53), zone, how).answers(asked.wire, True)[0]))
     taken = {"answer": 0, "foreign": 0, "truncated": 0, "unusable": 0}
     blocks = peak = 0  # at a tenth of the way
     for n in range(count):
         asked, wire = cases[n % len(cases)]
         try:
-            got = read(mutated(rng, wire), asked, stream=bool(n & 4))
+            got = parse_answer(mutated(rng, wire), asked, over_tcp=bool(n & 4))
             taken["answer"] += isinstance(got, Answer)
-        except Foreign:
+        except ForeignMessage:
             taken["foreign"] += 1
-        except Truncated:
+        except TruncatedAnswer:
             taken["truncated"] += 1
-        except Unusable:
+        except UnusableAnswer:
             taken["unusable"] += 1
         if n == count // 10:
             gc.collect()
--- a/benchmarks/path_counts.py
+++ b/benchmarks/path_counts.py
@@ -120,7 +120,7 @@
     counted: Optional[Process] = None
 
     def _count(self, what: str, context: Optional[Context] = None) -> None:
-        side = seam.SIDE.get() if context is None else context.get(seam.SIDE)
+        side = seam.CURRENT_SYSTEM.get() if context is None else context.get(seam.CURRENT_SYSTEM)
         if self.counted is not None and side is self.counted:
             self.counts[what] += 1
 
@@ -268,7 +268,7 @@
 
 
 async def _connect() -> Stream:
-    sock = seam.stream()
+    sock = seam.tcp_socket()
     await seam.connect(sock, NODE)
     return Stream(sock)
 
--- a/corkshift/admin/protocol.py
+++ b/corkshift/admin/protocol.py
@@ -11,17 +11,17 @@
 
 import h11
 
-MAX_HEAD = 8_192  # bytes
-MAX_BODY = 65_536  # bytes that are read past
+MAX_HEAD_BYTES = 8_192  # bytes
+MAX_BODY_BYTES = 65_536  # bytes that are read past
 
 
 class BadCall(Exception):
     """What came is no call; `status` answers it."""
 
-    def __init__(self, status: int, why: str) -> None:
-        super().__init__(why)
+    def __init__(self, status: int, reason: str) -> None:
+        super().__init__(reason)
         self.status = status
-        self.why = why
+        self.reason = reason
 
 
 @dataclass(frozen=True, slots=True)
@@ -36,9 +36,9 @@
     """One connection: give it bytes until it returns a call."""
 
     def __init__(self) -> None:
-        self._parser = h11.Connection(h11.SERVER, max_incomplete_event_size=MAX_HEAD)
+        self._parser = h11.Connection(h11.SERVER, max_incomplete_event_size=MAX_HEAD_BYTES)
         self._call: Optional[AdminCall] = None
-        self._body = 0
+        self._body_bytes = 0
 
     def receive(self, data: bytes) -> Optional[AdminCall]:
         """Take bytes (none at the client's end); the call once it is whole. BadCall where it can't become one."""
@@ -51,9 +51,9 @@
                         event.target.partition(b"?")[0].decode("ascii"),
                     )
                 elif isinstance(event, h11.Data):
-                    self._body += len(event.data)
-                    if self._body > MAX_BODY:
-                        raise BadCall(413, f"a body of more than {MAX_BODY} bytes")
+                    self._body_bytes += len(event.data)
+                    if self._body_bytes > MAX_BODY_BYTES:
+                        raise BadCall(413, f"a body of more than {MAX_BODY_BYTES} bytes")
                 elif isinstance(event, h11.EndOfMessage):
                     return self._call
                 else:
@@ -63,7 +63,7 @@
         return None
 
     @property
-    def expects(self) -> bool:
+    def expects_continue(self) -> bool:
         """Whether the client waits for a word before it sends its body."""
         return self._parser.they_are_waiting_for_100_continue
 
@@ -73,7 +73,7 @@
         return self._call is not None and self._call.method == "HEAD"
 
 
-def answer(status: int, text: str, allow: str = "", head_only: bool = False) -> bytes:
+def format_answer(status: int, text: str, allow: str = "", head_only: bool = False) -> bytes:
     """The bytes of an answer, after which the connection ends."""
     body = text.encode()
     lines = [
--- a/corkshift/admin/server.py
+++ b/corkshift/admin/server.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 
 from corkshift import seam
-from corkshift.admin.protocol import AdminCall, BadCall, CallReader, answer
+from corkshift.admin.protocol import AdminCall, BadCall, CallReader, format_answer
 from corkshift.admin.status import Status
 from corkshift.listener import Listener
 from corkshift.seam import Address, Socket, now_ms
@@ -15,11 +15,11 @@
 
 log = logging.getLogger(__name__)
 
-MOST = (
+MAX_CONNECTIONS = (
     16  # connections at once; beyond it the one that has waited longest for its caller makes way,
 )
-SPARED_MS = 100.0  # but none as young as this
-CALL_S = 5.0  # a connection whose call is not whole and answered by then ends
+MIN_CONNECTION_AGE_MS = 100.0  # but none as young as this
+CALL_TIMEOUT_S = 5.0  # a connection whose call is not whole and answered by then ends
 
 
 class Admin:
@@ -28,7 +28,9 @@
     def __init__(self, status: Status, address: Address) -> None:
         self._status = status
         self._connections: dict[asyncio.Task[None], tuple[float, Stream]] = {}  # oldest first
-        self._listener = Listener(seam.listen(address, KERNEL_BUFFER), self._has_room, self._take)
+        self._listener = Listener(
+            seam.bind_listener(address, KERNEL_BUFFER), self._has_capacity, self._accept
+        )
         self._calls: dict[str, tuple[str, Callable[[], tuple[int, str]]]] = {
             "/admin/health": ("GET", self._health),
             "/admin/stats": ("GET", self._stats),
@@ -41,9 +43,9 @@
         """Where operators call."""
         return self._listener.address
 
-    def offer(self, path: str, tell: Callable[[], bytes]) -> None:
+    def add_view(self, path: str, render: Callable[[], bytes]) -> None:
         """One more call that only tells: JSON."""
-        self._calls[path] = "GET", lambda: (200, tell().decode() + "\n")
+        self._calls[path] = "GET", lambda: (200, render().decode() + "\n")
 
     def start(self) -> None:
         """Listen."""
@@ -57,25 +59,25 @@
 
     # -- connections ---------------------------------------------------------------------
 
-    def _has_room(self) -> bool:
+    def _has_capacity(self) -> bool:
         """Guards against callers that connect and never call shutting out one that does."""
-        if len(self._connections) < MOST:
+        if len(self._connections) < MAX_CONNECTIONS:
             return True
         task, (since_ms, stream) = next(iter(self._connections.items()))
-        if now_ms() - since_ms < SPARED_MS:
+        if now_ms() - since_ms < MIN_CONNECTION_AGE_MS:
             return False
         self._connections.pop(task)
         stream.abort()
         task.cancel()
         return True
 
-    def _take(self, sock: Socket) -> None:
+    def _accept(self, sock: Socket) -> None:
         stream = Stream(sock)
         task = asyncio.create_task(self._serve(stream))
         self._connections[task] = now_ms(), stream
-        task.add_done_callback(self._gone)
+        task.add_done_callback(self._on_connection_done)
 
-    def _gone(self, task: asyncio.Task[None]) -> None:
+    def _on_connection_done(self, task: asyncio.Task[None]) -> None:
         self._connections.pop(task, None)
         if not task.cancelled() and (error := task.exception()) is not None:
             log.error("a call of an operator failed", exc_info=error)
@@ -84,11 +86,11 @@
     async def _serve(self, stream: Stream) -> None:
         reader = CallReader()
         try:
-            async with asyncio.timeout(CALL_S):
+            async with asyncio.timeout(CALL_TIMEOUT_S):
                 try:
-                    reply = self._reply(await _call_of(stream, reader), reader.head_only)
+                    reply = self._reply(await _read_call(stream, reader), reader.head_only)
                 except BadCall as error:
-                    reply = answer(error.status, f"{error.why}\n")
+                    reply = format_answer(error.status, f"{error.reason}\n")
                 await stream.write(reply)
                 await stream.finish()
         except (OSError, TimeoutError):
@@ -99,24 +101,26 @@
     # -- calls ---------------------------------------------------------------------------
 
     def _reply(self, call: AdminCall, head_only: bool) -> bytes:
-        known = self._calls.get(call.path)
-        if known is None:
-            return answer(
+        entry = self._calls.get(call.path)
+        if entry is None:
+            return format_answer(
                 404,
                 f"no call {call.path}; there are: {' '.join(self._calls)}\n",
                 head_only=head_only,
             )
-        method, act = known
+        method, handler = entry
         if call.method != method and not (head_only and method == "GET"):
-            return answer(405, f"{call.path} takes {method}\n", allow=method, head_only=head_only)
-        status, text = act()
-        return answer(status, text, head_only=head_only)
+            return format_answer(
+                405, f"{call.path} takes {method}\n", allow=method, head_only=head_only
+            )
+        status, text = handler()
+        return format_answer(status, text, head_only=head_only)
 
     def _health(self) -> tuple[int, str]:
         return (200, "serving\n") if self._status.can_serve() else (503, "not serving yet\n")
 
     def _stats(self) -> tuple[int, str]:
-        return 200, self._status.lines()
+        return 200, self._status.metrics_text()
 
     def _quiesce(self) -> tuple[int, str]:
         if not self._status.quiesce():
@@ -131,15 +135,15 @@
         return 200, "serving\n"
 
 
-async def _call_of(stream: Stream, reader: CallReader) -> AdminCall:
+async def _read_call(stream: Stream, reader: CallReader) -> AdminCall:
     """Read one call; BadCall where none comes, OSError where the caller breaks off."""
-    told = False
+    continue_sent = False
     while True:
         data = await stream.read()
         if (call := reader.receive(data)) is not None:
             return call
         if not data:
             raise ConnectionAbortedError("the caller left")
-        if reader.expects and not told:
-            told = True
+        if reader.expects_continue and not continue_sent:
+            continue_sent = True
             await stream.write(b"HTTP/1.1 100 Continue\r\n\r\n")
--- a/corkshift/admin/status.py
+++ b/corkshift/admin/status.py
@@ -11,7 +11,7 @@
 from corkshift.presence import HOLDS_MS
 from corkshift.seam import now_ms
 
-PREFIX = "svc"
+METRIC_PREFIX = "svc"
 
 
 @dataclass(frozen=True, slots=True)
@@ -35,47 +35,52 @@
         """Back to work; whether that is so now."""
         return self.frontend.duty.resume(now_ms())
 
-    def lines(self) -> str:
+    def metrics_text(self) -> str:
         """The figures, one a line: requests by class and kind, refusals by cause, attempts, what is open, servers by health."""
         rows = [
-            f"{PREFIX}.responses.{lane}.{kind}={count}"
+            f"{METRIC_PREFIX}.responses.{lane}.{kind}={count}"
             for lane, counts in self.figures.answers.items()
             for kind, count in zip(KINDS, counts, strict=True)
         ]
         rows += [
-            f"{PREFIX}.refused.{cause}={count}" for cause, count in self.figures.refused.items()
+            f"{METRIC_PREFIX}.refused.{cause}={count}"
+            for cause, count in self.figures.refused.items()
         ]
         rows += [
-            f"{PREFIX}.tries={self.figures.tries}",
-            f"{PREFIX}.active={self.node.open}",
-            f"{PREFIX}.pool_size={len(self.node.servers)}",
-            f"{PREFIX}.pool_ejected={self.node.avoided()}",
+            f"{METRIC_PREFIX}.tries={self.figures.tries}",
+            f"{METRIC_PREFIX}.active={self.node.open}",
+            f"{METRIC_PREFIX}.pool_size={len(self.node.servers)}",
+            f"{METRIC_PREFIX}.pool_ejected={self.node.avoided()}",
         ]
         figures, guard = self.figures, self.node.guard
         rows += [
-            f"{PREFIX}.attempts.{status}={count}"
+            f"{METRIC_PREFIX}.attempts.{status}={count}"
             for status, count in sorted(figures.attempts.items())
         ]
         rows += [
-            f"{PREFIX}.local_errors.{cause}={count}"
+            f"{METRIC_PREFIX}.local_errors.{cause}={count}"
             for cause, count in sorted(figures.local.items())
         ]
         rows += [
-            f"{PREFIX}.closed.{cause}={count}" for cause, count in sorted(figures.closed.items())
+            f"{METRIC_PREFIX}.closed.{cause}={count}"
+            for cause, count in sorted(figures.closed.items())
         ]
-        rows += [f"{PREFIX}.denied.{cause}={count}" for cause, count in guard.denied.items()]
+        rows += [f"{METRIC_PREFIX}.denied.{cause}={count}" for cause, count in guard.denied.items()]
         rows += [
-            f"{PREFIX}.violations.{cause}={count}" for cause, count in guard.violations.items()
+            f"{METRIC_PREFIX}.violations.{cause}={count}"
+            for cause, count in guard.violations.items()
+        ]
+        rows += [
+            f"{METRIC_PREFIX}.pool.{state}={count}" for state, count in self.node.health().items()
         ]
-        rows += [f"{PREFIX}.pool.{state}={count}" for state, count in self.node.health().items()]
         presence = self.frontend.presence
         bounds = [f"{most:g}" for most in HOLDS_MS] + ["more"]
         rows += [
-            f"{PREFIX}.loop.late_ms.{bound}={count}"
+            f"{METRIC_PREFIX}.loop.late_ms.{bound}={count}"
             for bound, count in zip(bounds, presence.holds, strict=True)
         ]
         rows += [
-            f"{PREFIX}.loop.longest_ms={presence.longest_ms:.0f}",
-            f"{PREFIX}.loop.turn_ms={presence.turn_ms:.0f}",
+            f"{METRIC_PREFIX}.loop.longest_ms={presence.longest_ms:.0f}",
+            f"{METRIC_PREFIX}.loop.turn_ms={presence.turn_ms:.0f}",
         ]
         return "\n".join(rows) + "\n"
--- a/corkshift/cli/check.py
+++ b/corkshift/cli/check.py
@@ -8,8 +8,8 @@
 
 from corkshift import seam
 from corkshift.cli.nodefile import NodeFile
-from corkshift.cli.operator import BadOperatorFile, parse
-from corkshift.cli.schema import Fault, examine
+from corkshift.cli.operator import BadOperatorFile, parse_operator_file
+from corkshift.cli.schema import Fault, validate
 
 
 def faults_of(path: str) -> list[Fault]:
@@ -19,7 +19,7 @@
     except OSError as error:
         return [Fault("", f"cannot read it: {error.strerror}")]
     if path.endswith(".json") or text.lstrip()[:1] == b"{":
-        return _node(text)
+        return _node_file_faults(text)
     if any(line.strip() in (b"[world]", b"[[fault]]") for line in text.splitlines()):
         from testbed.nights.script import BadScript, parse_script
 
@@ -29,18 +29,18 @@
             return error.faults
         return []
     try:
-        parse(text, path)
+        parse_operator_file(text, path)
     except BadOperatorFile as error:
         return error.faults
     return []
 
 
-def _node(text: bytes) -> list[Fault]:
+def _node_file_faults(text: bytes) -> list[Fault]:
     try:
         data = orjson.loads(text)
     except orjson.JSONDecodeError as error:
         return [Fault("", f"not JSON: {error}")]
-    return examine(NodeFile, data, closed=False)
+    return validate(NodeFile, data, reject_unknown_keys=False)
 
 
 def check(path: str) -> int:
--- a/corkshift/cli/demo.py
+++ b/corkshift/cli/demo.py
@@ -10,7 +10,7 @@
 from dataclasses import replace
 from typing import Optional
 
-from corkshift.cli.operator import BadOperatorFile, Demo, read
+from corkshift.cli.operator import BadOperatorFile, DemoTable, load_operator_file
 from corkshift.config import config_of
 from corkshift.seam import process
 from corkshift.service import Service
@@ -23,7 +23,7 @@
 class Installation:
     """Discovery, an order book, cache boxes, one node and clients, on ports that the system chooses."""
 
-    def __init__(self, size: Demo) -> None:
+    def __init__(self, size: DemoTable) -> None:
         self.size = size
         witness = Witness()
         self.book = OrderBook((HOST, 0), size.book_places, 15.0)
@@ -72,13 +72,13 @@
         rows += [(box.name, box.address) for box in self.boxes]
         return "\n".join(f"  {name:<11} http://{host}:{port}" for name, (host, port) in rows)
 
-    def line(self, second: int, before: dict[str, int]) -> str:
+    def progress_line(self, second: int, previous: dict[str, int]) -> str:
         """What the last second brought."""
-        now = self.counts()
-        less = {name: now[name] - before.get(name, 0) for name in now}
-        before.update(now)
-        parts = "  ".join(f"{name} {value:>4}" for name, value in less.items())
-        return f"{second:>4} s  {parts}"
+        current = self.counts()
+        deltas = {name: current[name] - previous.get(name, 0) for name in current}
+        previous.update(current)
+        columns = "  ".join(f"{name} {value:>4}" for name, value in deltas.items())
+        return f"{second:>4} s  {columns}"
 
     def counts(self) -> dict[str, int]:
         """The totals so far."""
@@ -109,7 +109,7 @@
         assert self.service is not None and self.clients is not None
         loop = asyncio.get_running_loop()
         stop = asyncio.Event()
-        node = loop.create_task(self.service.run())
+        node_task = loop.create_task(self.service.run())
         await asyncio.sleep(0)  # the node sets its own handlers first; these end the whole
         for number in (signal.SIGINT, signal.SIGTERM):
             loop.add_signal_handler(number, stop.set)
@@ -117,8 +117,8 @@
             await asyncio.sleep(0.01)  # until discovery has told of them
         if seconds is not None:
             loop.call_later(seconds, stop.set)
-        asking = loop.create_task(self.clients.run(86_400.0 if seconds is None else seconds))
-        before: dict[str, int] = {}
+        client_task = loop.create_task(self.clients.run(86_400.0 if seconds is None else seconds))
+        previous: dict[str, int] = {}
         second = 0
         while not stop.is_set():
             try:
@@ -126,17 +126,17 @@
                     await stop.wait()
             except TimeoutError:
                 second += 1
-                print(self.line(second, before), flush=True)
+                print(self.progress_line(second, previous), flush=True)
         self.clients.stop()
-        await asking
+        await client_task
         self.clients.close()
         self.service.stop()
-        await node
+        await node_task
         for server in (*self.boxes, self.registry, self.book):
             server.close()
 
 
-async def _demo(size: Demo, seconds: Optional[float]) -> None:
+async def _run_demo(size: DemoTable, seconds: Optional[float]) -> None:
     installation = Installation(size)
     installation.start()
     print(f"A node, {size.boxes} cache boxes, their order book and clients, all on loopback:")
@@ -153,7 +153,7 @@
     """Run the demo; the exit code. Sizes come from `[demo]` of the operator's file, where there is one."""
     path = operator or os.environ.get("GRADESHIFT_OPERATOR")
     try:
-        size = (read(path).demo if path else None) or Demo()
+        size = (load_operator_file(path).demo if path else None) or DemoTable()
     except BadOperatorFile as error:
         print(f"gradeshift demo: {error}", file=sys.stderr)
         return 2
@@ -166,7 +166,7 @@
     process.prepare()
     logging.getLogger().setLevel(logging.WARNING)
     try:
-        process.play(_demo(size, seconds if seconds is not None else size.seconds))
+        process.run(_run_demo(size, seconds if seconds is not None else size.seconds))
     except OSError as error:
         print(f"gradeshift demo: {error.strerror}", file=sys.stderr)
         return 1
--- a/corkshift/cli/nodefile.py
+++ b/corkshift/cli/nodefile.py
@@ -14,14 +14,14 @@
 from corkshift.config import address_of, ipv4_of
 
 Millis = Annotated[float, msgspec.Meta(ge=0.0, le=86_400_000.0)]
-Some = Annotated[int, msgspec.Meta(ge=1)]
-Word = Annotated[str, msgspec.Meta(min_length=1)]
+PositiveInt = Annotated[int, msgspec.Meta(ge=1)]
+NonEmptyStr = Annotated[str, msgspec.Meta(min_length=1)]
 
 
-class Service(Table, frozen=True, kw_only=True, rename="camel"):
+class ServiceTable(Table, frozen=True, kw_only=True, rename="camel"):
     """One request class."""
 
-    name: Word
+    name: NonEmptyStr
     idempotency: Literal["safe", "keyed", "unsafe"] = "unsafe"
     group: Literal["", "all", "zone", "cell"] = ""
     promise_ms: Millis = 0.0
@@ -31,7 +31,7 @@
     worth: float = 1.0
     aim_stretch: float = 0.0
 
-    def contradictions(self) -> Iterator[Fault]:
+    def cross_field_faults(self) -> Iterator[Fault]:
         if self.deadline_ms and self.promise_ms > self.deadline_ms:
             yield Fault(
                 "promiseMs",
@@ -44,11 +44,11 @@
             )
 
 
-class Allowed(Table, frozen=True, kw_only=True, rename="camel"):
+class AllowedTable(Table, frozen=True, kw_only=True, rename="camel"):
     """What the site permits."""
 
-    most_tries: Some = 1
-    max_open: Some = 10_000
+    most_tries: PositiveInt = 1
+    max_open: PositiveInt = 10_000
     may_cancel: bool = False
     probes: bool = False
     retry_after: bool = False
@@ -58,7 +58,7 @@
     peers: bool = False
 
 
-class Contract(Table, frozen=True, kw_only=True, rename="camel"):
+class ContractTable(Table, frozen=True, kw_only=True, rename="camel"):
     """The figures of the four rules."""
 
     must_ask_in_ms: Millis = 10_000.0
@@ -67,28 +67,28 @@
     cold_ms: Millis = 30_000.0
 
 
-class Options(Table, frozen=True, kw_only=True):
+class SettingsTable(Table, frozen=True, kw_only=True):
     """`settings`."""
 
-    services: Annotated[list[Service], msgspec.Meta(min_length=1)]
+    services: Annotated[list[ServiceTable], msgspec.Meta(min_length=1)]
     discovery: str = ""
-    allowed: Optional[Allowed] = None
-    contract: Optional[Contract] = None
+    allowed: Optional[AllowedTable] = None
+    contract: Optional[ContractTable] = None
     slot_no: Annotated[int, msgspec.Meta(ge=0)] = msgspec.field(name="slotNo", default=0)
 
-    def contradictions(self) -> Iterator[Fault]:
+    def cross_field_faults(self) -> Iterator[Fault]:
         names = [service.name for service in self.services]
         for n, name in enumerate(names):
             if name in names[:n]:
                 yield Fault(f"services[{n}].name", f"a class of this name stands before it: {name}")
 
 
-class Limits(Table, frozen=True, kw_only=True):
+class LimitsTable(Table, frozen=True, kw_only=True):
     """`limits`."""
 
     cores: Annotated[float, msgspec.Meta(gt=0.0)] = 1.0
-    memory_mb: Some = 128
-    sockets: Some = 1_024
+    memory_mb: PositiveInt = 128
+    sockets: PositiveInt = 1_024
 
 
 class NodeFile(Table, frozen=True, kw_only=True):
@@ -99,14 +99,14 @@
     discovery: Optional[str] = None
     name: str = "node"
     seed: int | str = 0
-    limits: Optional[Limits] = None
+    limits: Optional[LimitsTable] = None
     known: Optional[dict[str, Any]] = None
-    settings: Options
+    settings: SettingsTable
     peer_listen: Optional[str] = None
     peers: list[str] = []
     peers_all: Optional[str] = None
 
-    def _neighbours(self) -> Iterator[Fault]:
+    def _peer_faults(self) -> Iterator[Fault]:
         for key, text in (
             ("peer_listen", self.peer_listen),
             *((f"peers[{n}]", text) for n, text in enumerate(self.peers)),
@@ -127,9 +127,9 @@
                 f"must be one of the {len(self.peers)} peers, from 0, got {self.settings.slot_no}",
             )
 
-    def contradictions(self) -> Iterator[Fault]:
+    def cross_field_faults(self) -> Iterator[Fault]:
         if self.settings.allowed is not None and self.settings.allowed.peers:
-            yield from self._neighbours()
+            yield from self._peer_faults()
         for key, text in (
             ("listen", self.listen),
             ("admin_addr", self.admin_addr),
--- a/corkshift/cli/operator.py
+++ b/corkshift/cli/operator.py
@@ -9,14 +9,14 @@
 import msgspec
 
 from corkshift import seam
-from corkshift.cli.schema import Fault, Table, examine
+from corkshift.cli.schema import Fault, Table, validate
 from corkshift.sources.options import SourcesTable
 from corkshift.tier.options import TierTable
 
 Count = Annotated[int, msgspec.Meta(ge=1, le=256)]
 Share = Annotated[float, msgspec.Meta(ge=0.0, le=1.0)]
 Rate = Annotated[float, msgspec.Meta(gt=0.0, le=5_000.0)]
-Span = Annotated[float, msgspec.Meta(gt=0.0, le=86_400.0)]
+Seconds = Annotated[float, msgspec.Meta(gt=0.0, le=86_400.0)]
 
 
 class BadOperatorFile(ValueError):
@@ -27,7 +27,7 @@
         self.faults = faults
 
 
-class Demo(Table, frozen=True, kw_only=True):
+class DemoTable(Table, frozen=True, kw_only=True):
     """`[demo]`: the size of the installation that `gradeshift demo` starts."""
 
     boxes: Count = 6
@@ -37,39 +37,39 @@
     write_share: Share = 0.08
     keys: Annotated[int, msgspec.Meta(ge=1, le=1_000_000)] = 2_000
     book_places: Count = 8
-    seconds: Optional[Span] = None
+    seconds: Optional[Seconds] = None
 
-    def contradictions(self) -> Iterator[Fault]:
+    def cross_field_faults(self) -> Iterator[Fault]:
         if self.cold_boxes >= self.boxes:
             yield Fault(
                 "cold_boxes", f"must be fewer than boxes ({self.boxes}), got {self.cold_boxes}"
             )
 
 
-class Operator(Table, frozen=True, kw_only=True):
+class OperatorFile(Table, frozen=True, kw_only=True):
     """The whole file. A table that is absent leaves its feature off."""
 
     format: Literal[1]
-    demo: Optional[Demo] = None
+    demo: Optional[DemoTable] = None
     sources: Optional[SourcesTable] = None
     tier: Optional[TierTable] = None
 
 
-def parse(text: bytes, path: str) -> Operator:
+def parse_operator_file(text: bytes, path: str) -> OperatorFile:
     """Read a file's text; BadOperatorFile names every fault."""
     try:
         data = tomllib.loads(text.decode())
     except (tomllib.TOMLDecodeError, UnicodeDecodeError) as error:
         raise BadOperatorFile(path, [Fault("", f"not TOML: {error}")]) from None
-    if faults := examine(Operator, data):
+    if faults := validate(OperatorFile, data):
         raise BadOperatorFile(path, faults)
-    return msgspec.convert(data, Operator)
+    return msgspec.convert(data, OperatorFile)
 
 
-def read(path: str) -> Operator:
+def load_operator_file(path: str) -> OperatorFile:
     """Read a file; BadOperatorFile also where it can't be opened."""
     try:
         text = seam.read_file(path)
     except OSError as error:
         raise BadOperatorFile(path, [Fault("", f"cannot read it: {error.strerror}")]) from None
-    return parse(text, path)
+    return parse_operator_file(text, path)
--- a/corkshift/cli/schema.py
+++ b/corkshift/cli/schema.py
@@ -19,31 +19,31 @@
     """One thing that is wrong: where it stands (dotted path, list places in brackets) and what is allowed there."""
 
     path: str
-    what: str
+    message: str
 
     def __str__(self) -> str:
-        return f"{self.path or 'the file'}: {self.what}"
+        return f"{self.path or 'the file'}: {self.message}"
 
 
 class Table(msgspec.Struct, frozen=True, kw_only=True):
     """A table of a file. Subclasses name their keys, and say in `contradictions` what can't stand together."""
 
-    def contradictions(self) -> Iterator[Fault]:
+    def cross_field_faults(self) -> Iterator[Fault]:
         """Faults of values that are each allowed but not together; paths are relative to the table."""
         return iter(())
 
 
-def examine(schema: type[Table], data: object, closed: bool = True) -> list[Fault]:
+def validate(schema: type[Table], data: object, reject_unknown_keys: bool = True) -> list[Fault]:
     """All faults of data under a schema, in the schema's order; an empty list means that it converts.
 
     closed: whether keys that the schema does not name are faults (else they are skipped).
     """
-    return list(_table(schema, data, "", closed))
+    return list(_table_faults(schema, data, "", reject_unknown_keys))
 
 
-def _table(schema: type[Table], data: object, path: str, closed: bool) -> Iterator[Fault]:
+def _table_faults(schema: type[Table], data: object, path: str, closed: bool) -> Iterator[Fault]:
     if not isinstance(data, dict):
-        yield Fault(path, f"a table is expected, not {_kind(data)}")
+        yield Fault(path, f"a table is expected, not {_type_name(data)}")
         return
     fields = {field.encode_name: field for field in msgspec.structs.fields(schema)}
     faults: list[Fault] = []
@@ -51,57 +51,63 @@
         for key in data.keys() - fields.keys():
             faults.append(
                 Fault(
-                    _join(path, str(key)),
+                    _join_path(path, str(key)),
                     f"unknown key; allowed here: {', '.join(fields) or 'none'}",
                 )
             )
         faults.sort(key=lambda fault: fault.path)
     for key, field in fields.items():
         if key in data:
-            faults += _value(field.type, data[key], _join(path, key), closed)
+            faults += _value_faults(field.type, data[key], _join_path(path, key), closed)
         elif field.required:
-            faults.append(Fault(_join(path, key), "missing"))
+            faults.append(Fault(_join_path(path, key), "missing"))
     yield from faults
     if not faults:
-        for fault in msgspec.convert(data, schema).contradictions():
-            yield Fault(_join(path, fault.path) if fault.path else path, fault.what)
+        for fault in msgspec.convert(data, schema).cross_field_faults():
+            yield Fault(_join_path(path, fault.path) if fault.path else path, fault.message)
 
 
-def _value(wanted: Any, data: object, path: str, closed: bool) -> Iterator[Fault]:
-    plain = typing.get_args(wanted)[0] if typing.get_origin(wanted) is typing.Annotated else wanted
+def _value_faults(expected: Any, data: object, path: str, closed: bool) -> Iterator[Fault]:
+    bare_type = (
+        typing.get_args(expected)[0]
+        if typing.get_origin(expected) is typing.Annotated
+        else expected
+    )
     choices = (
-        typing.get_args(plain) if typing.get_origin(plain) in (Union, types.UnionType) else (plain,)
+        typing.get_args(bare_type)
+        if typing.get_origin(bare_type) in (Union, types.UnionType)
+        else (bare_type,)
     )
     table = next((c for c in choices if isinstance(c, type) and issubclass(c, Table)), None)
     if table is not None and not (data is None and type(None) in choices):
-        yield from _table(table, data, path, closed)
+        yield from _table_faults(table, data, path, closed)
         return
-    inner = typing.get_args(plain)
+    inner = typing.get_args(bare_type)
     if (
-        typing.get_origin(plain) in (list, dict)
+        typing.get_origin(bare_type) in (list, dict)
         and isinstance(inner[-1], type)
         and issubclass(inner[-1], Table)
     ):
-        if typing.get_origin(plain) is list and isinstance(data, list):
+        if typing.get_origin(bare_type) is list and isinstance(data, list):
             for n, item in enumerate(data):
-                yield from _table(inner[-1], item, f"{path}[{n}]", closed)
+                yield from _table_faults(inner[-1], item, f"{path}[{n}]", closed)
             return
-        if typing.get_origin(plain) is dict and isinstance(data, dict):
+        if typing.get_origin(bare_type) is dict and isinstance(data, dict):
             for key, item in data.items():
-                yield from _table(inner[-1], item, _join(path, str(key)), closed)
+                yield from _table_faults(inner[-1], item, _join_path(path, str(key)), closed)
             return
     try:
-        msgspec.convert(data, wanted)
+        msgspec.convert(data, expected)
     except msgspec.ValidationError as error:
-        text, _, where = str(error).partition(" - at `$")
-        yield Fault(path + where.rstrip("`"), f"{text[:1].lower()}{text[1:]}, got {data!r:.60}")
+        text, _, location = str(error).partition(" - at `$")
+        yield Fault(path + location.rstrip("`"), f"{text[:1].lower()}{text[1:]}, got {data!r:.60}")
 
 
-def _join(path: str, key: str) -> str:
+def _join_path(path: str, key: str) -> str:
     return f"{path}.{key}" if path else key
 
 
-def _kind(data: object) -> str:
+def _type_name(data: object) -> str:
     return {
         list: "a list",
         str: "text",
--- a/corkshift/cli/tier.py
+++ b/corkshift/cli/tier.py
@@ -13,18 +13,18 @@
 
 from corkshift.config import address_of
 
-WITHIN_S = 3.0
-LONGEST = 1 << 22  # bytes of a view
+TIMEOUT_S = 3.0
+MAX_VIEW_BYTES = 1 << 22  # bytes of a view
 
 
-def view_of(address: str) -> dict[str, Any]:
+def fetch_view(address: str) -> dict[str, Any]:
     """What a node at its operators' address tells of the tier; ValueError or OSError where it does not."""
     host, port = address_of(address)
-    connection = http.client.HTTPConnection(host, port, timeout=WITHIN_S)
+    connection = http.client.HTTPConnection(host, port, timeout=TIMEOUT_S)
     try:
         connection.request("GET", "/admin/tier")
         answer = connection.getresponse()
-        body = answer.read(LONGEST)
+        body = answer.read(MAX_VIEW_BYTES)
     except http.client.HTTPException as error:
         raise ValueError(f"no answer that can be read: {type(error).__name__}") from None
     finally:
@@ -47,18 +47,18 @@
     code = 0
     for address in addresses:
         try:
-            views[address] = view_of(address)
+            views[address] = fetch_view(address)
         except (OSError, ValueError) as error:
             print(f"gradeshift tier show: {address}: {error}", file=sys.stderr)
             code = 1
     sums: dict[str, int] = defaultdict(int)
     for view in views.values():
         for lease in view["leases"]:
-            sums[_name(lease["bound"], view)] += lease["parts"]
+            sums[_bound_name(lease["bound"], view)] += lease["parts"]
     over = {
-        bound: parts
-        for bound, parts in sums.items()
-        if parts > max(view["whole"] for view in views.values())
+        bound: shares
+        for bound, shares in sums.items()
+        if shares > max(view["whole"] for view in views.values())
     }
     if as_json:
         print(
@@ -68,21 +68,21 @@
         )
         return 1 if over else code
     for address, view in views.items():
-        _print(address, view)
+        _print_view(address, view)
     if len(views) > 1 and sums:
         print(
             "parts held by all of these (read one after the other, so a part that moved meanwhile may count twice):"
         )
-        for bound, parts in sorted(sums.items()):
-            print(f"  {bound:<24} {100.0 * parts / next(iter(views.values()))['whole']:5.1f}%")
+        for bound, shares in sorted(sums.items()):
+            print(f"  {bound:<24} {100.0 * shares / next(iter(views.values()))['whole']:5.1f}%")
     return 1 if over else code
 
 
-def _name(bound: int, view: dict[str, Any]) -> str:
+def _bound_name(bound: int, view: dict[str, Any]) -> str:
     return "fetches" if not bound else f"work of {view['names'].get(str(bound)) or bound}"
 
 
-def _print(address: str, view: dict[str, Any]) -> None:
+def _print_view(address: str, view: dict[str, Any]) -> None:
     role = (
         "keeper"
         if view["keeps"]
@@ -102,7 +102,8 @@
     for lease in view["leases"]:
         share = 100.0 * lease["parts"] / view["whole"]
         print(
-            f"  {_name(lease['bound'], view):<24} {share:5.1f}% of {lease['size']:.4g}, for {max(0.0, lease['ends_in_ms']):.0f} ms more"
+            f"  {_bound_name(lease['bound'], view):<24} {share:5.1f}% of {lease['size']:.4g}, "
+            f"for {max(0.0, lease['ends_in_ms']):.0f} ms more"
         )
     line = view["line"]
     print(
@@ -139,21 +140,21 @@
     if as_json:
         print(json.dumps(report, indent=1))
     else:
-        _tell(report)
+        _print_report(report)
     return 1 if report["failures"] else 0
 
 
-def _tell(report: dict[str, Any]) -> None:
+def _print_report(report: dict[str, Any]) -> None:
     requests = report["requests"]
     print(", ".join(f"{name.replace('_', ' ')} {count}" for name, count in requests.items()))
-    for at, what in report["notes"]:
-        print(f"  {at:8.3f} s  {what}")
+    for at_s, event in report["notes"]:
+        print(f"  {at_s:8.3f} s  {event}")
     print(
         f"  reads at their key's usual box: {100.0 * report['usual']:.1f}%, fetches of the order book: {report['fetches']}"
     )
     whole = report["whole"]
-    for bound, parts in report["most_held"].items():
-        print(f"  most parts of {bound or 'fetches'} held at once: {100.0 * parts / whole:.1f}%")
+    for bound, shares in report["most_held"].items():
+        print(f"  most parts of {bound or 'fetches'} held at once: {100.0 * shares / whole:.1f}%")
     for name, cold in report["cold"].items():
         print(
             f"  {name} began cold and got at most {100.0 * cold['worst']:.0f}% of its budget: {cold['work_ms']}"
--- a/corkshift/seam/__init__.py
+++ b/corkshift/seam/__init__.py
@@ -32,7 +32,7 @@
     8,
 }  # tcpi_state: TCP_ESTABLISHED and TCP_CLOSE_WAIT (include/net/tcp_states.h)
 _TCP_INFO_SIZE = _LAST_DATA_RECEIVED.size
-_ENDED = (
+_CLOSED_BY_PEER_EVENTS = (
     getattr(select, "POLLRDHUP", 0) | select.POLLHUP | select.POLLERR
 )  # the peer's end counts before what it sent is read
 
@@ -55,30 +55,30 @@
     def close(self) -> None: ...
 
 
-class Seam(Protocol):
+class SystemInterface(Protocol):
     """One side of the seam."""
 
     def now_ms(self) -> float:
         """Unix time in ms, fixed at the process's start and carried on by the monotonic clock: it never goes back."""
         ...
 
-    def stream(self) -> Socket:
+    def tcp_socket(self) -> Socket:
         """A new non-blocking TCP socket; OSError where there are no descriptors left."""
         ...
 
-    def datagram(self) -> Socket:
+    def udp_socket(self) -> Socket:
         """A new non-blocking UDP socket; OSError as above."""
         ...
 
-    def inherited(self, descriptor: int) -> Socket:
+    def inherited_listener(self, descriptor: int) -> Socket:
         """The listening TCP socket that this process was started with; OSError where the descriptor is none."""
         ...
 
-    def abandoned(self, sock: Any) -> bool:
+    def closed_by_peer(self, sock: Any) -> bool:
         """Whether the other side of a TCP connection has ended it, whatever stands unread before that end."""
         ...
 
-    def unread_ms(self, sock: Any) -> Optional[float]:
+    def ms_since_last_receive(self, sock: Any) -> Optional[float]:
         """How long ago the last bytes of a TCP connection came in; None where the system can't tell."""
         ...
 
@@ -90,7 +90,7 @@
         """The process's environment."""
         ...
 
-    def entropy(self, size: int) -> bytes:
+    def random_bytes(self, size: int) -> bytes:
         """So many bytes that nobody can guess."""
         ...
 
@@ -110,13 +110,13 @@
     def now_ms(self) -> float:
         return self._start_ms + time.monotonic() * 1000.0
 
-    def stream(self) -> Socket:
+    def tcp_socket(self) -> Socket:
         return socket.socket(socket.AF_INET, socket.SOCK_STREAM | socket.SOCK_NONBLOCK)
 
-    def datagram(self) -> Socket:
+    def udp_socket(self) -> Socket:
         return socket.socket(socket.AF_INET, socket.SOCK_DGRAM | socket.SOCK_NONBLOCK)
 
-    def inherited(self, descriptor: int) -> Socket:
+    def inherited_listener(self, descriptor: int) -> Socket:
         sock = socket.socket(fileno=descriptor)
         if sock.type != socket.SOCK_STREAM or not sock.getsockopt(
             socket.SOL_SOCKET, socket.SO_ACCEPTCONN
@@ -127,12 +127,12 @@
         sock.set_inheritable(False)
         return sock
 
-    def abandoned(self, sock: Any) -> bool:
+    def closed_by_peer(self, sock: Any) -> bool:
         poll = select.poll()
-        poll.register(sock, _ENDED)
-        return any(event & _ENDED for _, event in poll.poll(0))
+        poll.register(sock, _CLOSED_BY_PEER_EVENTS)
+        return any(event & _CLOSED_BY_PEER_EVENTS for _, event in poll.poll(0))
 
-    def unread_ms(self, sock: Any) -> Optional[float]:
+    def ms_since_last_receive(self, sock: Any) -> Optional[float]:
         try:
             info = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, _TCP_INFO_SIZE)
         except OSError:
@@ -147,13 +147,13 @@
     def environ(self) -> Mapping[str, str]:
         return os.environ
 
-    def entropy(self, size: int) -> bytes:
+    def random_bytes(self, size: int) -> bytes:
         return os.urandom(size)
 
     def unix_listener(self, path: str) -> Socket:
-        with socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) as probe:
+        with socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) as probe_socket:
             try:
-                probe.connect(path)
+                probe_socket.connect(path)
             except FileNotFoundError:
                 pass
             except ConnectionRefusedError:
@@ -161,69 +161,69 @@
             else:
                 raise OSError(errno.EADDRINUSE, f"{path}: another process listens there")
         sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM | socket.SOCK_NONBLOCK)
-        before = os.umask(0o177)
+        previous_mask = os.umask(0o177)
         try:
             sock.bind(path)
         except OSError as error:
             sock.close()
             raise OSError(error.errno, f"{path}: {error.strerror}") from None
         finally:
-            os.umask(before)
+            os.umask(previous_mask)
         return sock
 
 
-_SYSTEM: Seam = System()
-SIDE: ContextVar[Seam] = ContextVar("corkshift_seam", default=_SYSTEM)
+_SYSTEM: SystemInterface = System()
+CURRENT_SYSTEM: ContextVar[SystemInterface] = ContextVar("corkshift_seam", default=_SYSTEM)
 
 
-def enter(side: Seam) -> None:
+def set_system(system: SystemInterface) -> None:
     """Put a side in force for the current context, and for the tasks and timers that it starts from here on."""
-    SIDE.set(side)
+    CURRENT_SYSTEM.set(system)
 
 
 def now_ms() -> float:
     """Unix time in milliseconds that never goes back (so `startedAtMs` compares and timers hold)."""
-    return SIDE.get().now_ms()
+    return CURRENT_SYSTEM.get().now_ms()
 
 
-def stream() -> Socket:
+def tcp_socket() -> Socket:
     """A new non-blocking TCP socket."""
-    return SIDE.get().stream()
+    return CURRENT_SYSTEM.get().tcp_socket()
 
 
-def datagram() -> Socket:
+def udp_socket() -> Socket:
     """A new non-blocking UDP socket."""
-    return SIDE.get().datagram()
+    return CURRENT_SYSTEM.get().udp_socket()
 
 
-def abandoned(sock: Socket) -> bool:
+def closed_by_peer(sock: Socket) -> bool:
     """Whether the other side of a TCP connection has ended it, whatever stands unread before that end."""
-    return SIDE.get().abandoned(sock)
+    return CURRENT_SYSTEM.get().closed_by_peer(sock)
 
 
-def unread_ms(sock: Socket) -> Optional[float]:
+def ms_since_last_receive(sock: Socket) -> Optional[float]:
     """How long ago the last bytes of a TCP connection came in; None where the system can't tell."""
-    return SIDE.get().unread_ms(sock)
+    return CURRENT_SYSTEM.get().ms_since_last_receive(sock)
 
 
 def read_file(path: str) -> bytes:
     """A file's content."""
-    return SIDE.get().read_file(path)
+    return CURRENT_SYSTEM.get().read_file(path)
 
 
 def environ() -> Mapping[str, str]:
     """The process's environment."""
-    return SIDE.get().environ()
+    return CURRENT_SYSTEM.get().environ()
 
 
-def entropy(size: int) -> bytes:
+def random_bytes(size: int) -> bytes:
     """So many bytes that nobody can guess."""
-    return SIDE.get().entropy(size)
+    return CURRENT_SYSTEM.get().random_bytes(size)
 
 
 def unix_listener(path: str) -> Socket:
     """A bound Unix socket at a path."""
-    return SIDE.get().unix_listener(path)
+    return CURRENT_SYSTEM.get().unix_listener(path)
 
 
 async def connect(sock: Socket, address: Address) -> None:
@@ -231,12 +231,12 @@
     await asyncio.get_running_loop().sock_connect(cast(socket.socket, sock), address)
 
 
-def listen(address: Address, buffers: int) -> Socket:
+def bind_listener(address: Address, buffer_bytes: int) -> Socket:
     """A bound TCP socket whose connections inherit these buffer sizes (bytes); it listens once told to. OSError if taken."""
-    sock = stream()
+    sock = tcp_socket()
     try:
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        bound_buffers(sock, buffers)
+        limit_buffers(sock, buffer_bytes)
         sock.bind(address)
     except OSError as error:
         sock.close()
@@ -244,14 +244,14 @@
     return sock
 
 
-def inherited(descriptor: int, buffers: int) -> Socket:
+def inherited_listener(descriptor: int, buffer_bytes: int) -> Socket:
     """The listening socket that the platform holds and this process was started with; as `listen` otherwise."""
-    sock = SIDE.get().inherited(descriptor)
-    bound_buffers(sock, buffers)
+    sock = CURRENT_SYSTEM.get().inherited_listener(descriptor)
+    limit_buffers(sock, buffer_bytes)
     return sock
 
 
-def bound_buffers(sock: Socket, size: int) -> None:
+def limit_buffers(sock: Socket, buffer_bytes: int) -> None:
     """Keep the kernel from growing a socket's buffers to megabytes (they count as the node's memory)."""
-    sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, size)
-    sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, size)
+    sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, buffer_bytes)
+    sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, buffer_bytes)
--- a/corkshift/seam/errors.py
+++ b/corkshift/seam/errors.py
@@ -4,7 +4,7 @@
 
 import errno
 
-LOCAL = frozenset(
+LOCAL_ERRNOS = frozenset(
     {
         errno.EADDRNOTAVAIL,  # no local port is free
         errno.EMFILE,
@@ -17,10 +17,10 @@
 )
 """Shortages of this machine for the moment: they say nothing of the peer, and the same call may succeed a little later."""
 
-NO_BUFFERS = frozenset({errno.ENOBUFS, errno.ENOMEM})
+NO_BUFFER_ERRNOS = frozenset({errno.ENOBUFS, errno.ENOMEM})
 """The kernel has no memory for a read or a write now; the connection is as it was."""
 
 
-def name_of(error: OSError) -> str:
+def error_name(error: OSError) -> str:
     """A short name for counts and logs: the errno's, or the exception's where it has none."""
     return errno.errorcode.get(error.errno or 0, type(error).__name__)
--- a/corkshift/seam/process.py
+++ b/corkshift/seam/process.py
@@ -12,11 +12,11 @@
 
 import uvloop
 
-GC_EVERY = (10_000, 10, 10)  # objects, and rounds, between two searches
-LINES_PER_S = 20  # of the log
+GC_THRESHOLDS = (10_000, 10, 10)  # objects, and rounds, between two searches
+MAX_LOG_LINES_PER_S = 20  # of the log
 
 
-class Bounded(logging.Filter):
+class LogRateLimit(logging.Filter):
     """Lets through a bounded number of lines a second (guards against a flood of faults drowning the node in its log)."""
 
     def __init__(self) -> None:
@@ -29,15 +29,15 @@
         if second != self._second:
             self._second, self._lines = second, 0
         self._lines += 1
-        return self._lines <= LINES_PER_S
+        return self._lines <= MAX_LOG_LINES_PER_S
 
 
 def prepare() -> None:
     """Before anything else: no ring, no death by an early SIGHUP, and a bounded log on standard error."""
-    forgo_rings()
+    disable_io_uring()
     signal.signal(signal.SIGHUP, signal.SIG_IGN)  # until there is something to reload
     handler = logging.StreamHandler()
-    handler.addFilter(Bounded())
+    handler.addFilter(LogRateLimit())
     logging.basicConfig(
         level=logging.INFO,
         format="%(asctime)s %(levelname)s %(name)s: %(message)s",
@@ -45,16 +45,16 @@
     )
 
 
-def play(main: Coroutine[Any, Any, None]) -> None:
+def run(main: Coroutine[Any, Any, None]) -> None:
     """Run to the end on a loop of the real system."""
     # Few objects live long here, and nearly all go by their counts (guards against CPU spent on looking for cycles).
     gc.freeze()
-    gc.set_threshold(*GC_EVERY)
+    gc.set_threshold(*GC_THRESHOLDS)
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         runner.run(main)
 
 
-def forgo_rings() -> None:
+def disable_io_uring() -> None:
     """Keep libuv from setting up io_uring, which it reads from the environment as the loop is made.
 
     Guards against CPU spent for nothing: its ring comes with a kernel thread that polls, for files that a node never opens
--- a/corkshift/service.py
+++ b/corkshift/service.py
@@ -93,7 +93,7 @@
                 Status(self.node, self.frontend, self.discovery, self.figures), config.admin
             )
             if self.tier is not None:
-                self.admin.offer("/admin/tier", self.tier.view)
+                self.admin.add_view("/admin/tier", self.tier.view)
         self._stop = asyncio.Event()
 
     @property
@@ -104,8 +104,8 @@
     def _listener(self) -> seam.Socket:
         """The clients' listening socket: the platform's, or one of our own. OSError where there is none to be had."""
         if self.config.socket_fd is not None:
-            return seam.inherited(self.config.socket_fd, KERNEL_BUFFER)
-        return seam.listen(self.config.listen, KERNEL_BUFFER)
+            return seam.inherited_listener(self.config.socket_fd, KERNEL_BUFFER)
+        return seam.bind_listener(self.config.listen, KERNEL_BUFFER)
 
     async def run(self) -> None:
         """Serve until SIGTERM or SIGINT, then drain."""
--- a/corkshift/sources/__init__.py
+++ b/corkshift/sources/__init__.py
@@ -15,11 +15,11 @@
 class Sink(Protocol):
     """Whom sources tell."""
 
-    def tell(self, source: str, claims: Iterable[Claim], full: bool = True) -> None:
+    def update(self, source: str, claims: Iterable[Claim], full: bool = True) -> None:
         """All boxes that a source knows of, or (not full) only some, the others as before."""
         ...
 
-    def failed(self, source: str, why: str) -> None:
+    def failed(self, source: str, reason: str) -> None:
         """The source can't be asked, or made no sense; one line."""
         ...
 
--- a/corkshift/sources/boxlist.py
+++ b/corkshift/sources/boxlist.py
@@ -11,7 +11,7 @@
 from forkweir import Server
 from forkweir.known.membership import Claim, Said
 
-MOST_OVERHEARD = 4_096
+MAX_UNCONFIRMED = 4_096
 
 
 def claim_of(server: Server, address: Address) -> Claim:
@@ -33,66 +33,75 @@
     """The address book that discovery writes, turned into claims."""
 
     def __init__(
-        self, sink: Sink, ask: Callable[[str], None], spare: Callable[[Address], bool]
+        self,
+        sink: Sink,
+        report_state: Callable[[str], None],
+        has_alternative: Callable[[Address], bool],
     ) -> None:
         """ask: told "failed" or "lost", upon which the module says when discovery is called again. spare: whether others than the box
         at a place are in service."""
         self.servers: dict[str, CacheServer] = {}
         self._sink = sink
-        self._ask = ask
-        self._spare = spare
-        self._told: dict[str, Server] = {}
-        self._places: dict[str, Address] = {}
-        self._draining: dict[Address, None] = {}  # overheard, until a line is read whole
-        self._gone: list[Claim] = []  # overheard in the line that is being read
+        self._report_state = report_state
+        self._has_alternative = has_alternative
+        self._entries: dict[str, Server] = {}
+        self._addresses: dict[str, Address] = {}
+        self._unconfirmed_drains: dict[Address, None] = {}  # overheard, until a line is read whole
+        self._unconfirmed_removals: list[Claim] = []  # overheard in the line that is being read
 
     def overheard(self, places: list[Address], whole: bool) -> None:
         """See `corkshift.address_book.Listener`. What was not read whole takes nobody's last server."""
         if whole:
-            self._gone += [Claim(place, "gone") for place in places[:MOST_OVERHEARD]]
+            self._unconfirmed_removals += [
+                Claim(address, "gone") for address in places[:MAX_UNCONFIRMED]
+            ]
             return
-        for place in places:
+        for address in places:
             if (
-                len(self._draining) < MOST_OVERHEARD
-                and place not in self._draining
-                and self._spare(place)
+                len(self._unconfirmed_drains) < MAX_UNCONFIRMED
+                and address not in self._unconfirmed_drains
+                and self._has_alternative(address)
             ):
-                self._draining[place] = None
-                self._sink.tell("list", [Claim(place, "draining")], full=False)
+                self._unconfirmed_drains[address] = None
+                self._sink.update("list", [Claim(address, "draining")], full=False)
 
     def on_list(self, form: str, entries: Iterable[Server]) -> None:
         """What `Node.on_list` is told where the box list is the one source."""
         if form in ("failed", "lost", "moved"):
             if form == "failed":
                 self._sink.failed("list", "discovery does not answer, or ended the watch")
-            self._ask(form)
+            self._report_state(form)
             return
-        gone, self._gone = self._gone, []
+        removals, self._unconfirmed_removals = self._unconfirmed_removals, []
         if form in ("full", "part", "changes"):
-            self._draining.clear()  # a line that was read whole has told of them anew, where there is anything to tell
+            self._unconfirmed_drains.clear()  # a line that was read whole has told of them anew, where there is anything to tell
         for server in entries:
             if server.state == "gone":
-                if server.name in self._places:
-                    gone.append(Claim(self._places[server.name], "gone", server.name))
+                if server.name in self._addresses:
+                    removals.append(Claim(self._addresses[server.name], "gone", server.name))
             else:
-                self._told[server.name] = server
+                self._entries[server.name] = server
         claims = []
         for name, known in self.servers.items():
-            told = self._told[name]
-            self._places[name] = known.address
+            entry = self._entries[name]
+            self._addresses[name] = known.address
             claims.append(
                 claim_of(
-                    replace(told, state="draining") if known.leaving_ms is not None else told,
+                    replace(entry, state="draining") if known.leaving_ms is not None else entry,
                     known.address,
                 )
             )
-        there = {claim.address for claim in claims}
-        claims += [Claim(place, "draining") for place in self._draining if place not in there]
-        for name in self._told.keys() - self.servers.keys():
-            del self._told[name]
-        for name in self._places.keys() - self.servers.keys():
-            del self._places[name]
-        self._sink.tell(
+        listed = {claim.address for claim in claims}
+        claims += [
+            Claim(address, "draining")
+            for address in self._unconfirmed_drains
+            if address not in listed
+        ]
+        for name in self._entries.keys() - self.servers.keys():
+            del self._entries[name]
+        for name in self._addresses.keys() - self.servers.keys():
+            del self._addresses[name]
+        self._sink.update(
             "known" if form == "saved" else "list",
-            [*(claim for claim in gone if claim.address not in there), *claims],
+            [*(claim for claim in removals if claim.address not in listed), *claims],
         )
--- a/corkshift/sources/file.py
+++ b/corkshift/sources/file.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from corkshift import seam
-from corkshift.cli.schema import Fault, Table, examine
+from corkshift.cli.schema import Fault, Table, validate
 from corkshift.config import address_of
 from corkshift.sources import Sink
 from corkshift.sources.options import FileTable
@@ -27,7 +27,7 @@
     priority: Annotated[int, msgspec.Meta(ge=0, le=65_535)] = 0
     draining: bool = False
 
-    def contradictions(self) -> Iterator[Fault]:
+    def cross_field_faults(self) -> Iterator[Fault]:
         try:
             address_of(self.address)
         except ValueError as error:
@@ -39,7 +39,7 @@
 
     box: list[BoxTable]
 
-    def contradictions(self) -> Iterator[Fault]:
+    def cross_field_faults(self) -> Iterator[Fault]:
         for what in ("address", "name"):
             seen: set[str] = set()
             for n, box in enumerate(self.box):
@@ -49,13 +49,13 @@
                 seen.add(value)
 
 
-def claims_of(text: bytes) -> list[Claim]:
+def parse_box_file(text: bytes) -> list[Claim]:
     """The boxes of a file's text; ValueError with a line for each fault."""
     try:
         data = tomllib.loads(text.decode())
     except (tomllib.TOMLDecodeError, UnicodeDecodeError) as error:
         raise ValueError(f"not TOML: {error}") from None
-    if faults := examine(BoxFile, data):
+    if faults := validate(BoxFile, data):
         raise ValueError("; ".join(map(str, faults)))
     return [
         Claim(
@@ -75,13 +75,13 @@
 
     def start(self) -> None:
         try:
-            claims = claims_of(seam.read_file(self._options.path))
+            claims = parse_box_file(seam.read_file(self._options.path))
         except OSError as error:
             self._sink.failed("file", f"{self._options.path}: {error.strerror}")
         except ValueError as error:
             self._sink.failed("file", f"{self._options.path}: {error}")
         else:
-            self._sink.tell("file", claims)
+            self._sink.update("file", claims)
 
     def close(self) -> None:
         pass
--- a/corkshift/sources/options.py
+++ b/corkshift/sources/options.py
@@ -15,8 +15,8 @@
 
 Right = Literal["add", "drain", "remove", "weigh"]
 Rank = Annotated[int, msgspec.Meta(ge=0, le=99)]
-Span = Annotated[float, msgspec.Meta(gt=0.0, le=604_800.0)]
-ALL: tuple[Right, ...] = ("add", "drain", "remove", "weigh")
+Seconds = Annotated[float, msgspec.Meta(gt=0.0, le=604_800.0)]
+ALL_RIGHTS: tuple[Right, ...] = ("add", "drain", "remove", "weigh")
 
 
 @dataclass(frozen=True, slots=True)
@@ -29,25 +29,25 @@
     queries_per_s: float = 20.0
 
 
-class _Ranked(Table, frozen=True, kw_only=True):
+class _SourceTable(Table, frozen=True, kw_only=True):
     rank: Rank = 0
-    may: list[Right] = msgspec.field(default_factory=lambda: list(ALL))
-    stale_s: Optional[Span] = None
+    may: list[Right] = msgspec.field(default_factory=lambda: list(ALL_RIGHTS))
+    stale_s: Optional[Seconds] = None
 
     def rights(self, fallback: bool = False) -> Rights:
         """Its rights, in the terms of the merge."""
         stale_ms = float("inf") if self.stale_s is None else self.stale_s * 1000.0
-        may = {right: right in self.may for right in ALL}
+        may = {right: right in self.may for right in ALL_RIGHTS}
         return Rights(
             self.rank, may["add"], may["drain"], may["remove"], may["weigh"], fallback, stale_ms
         )
 
 
-class ListTable(_Ranked, frozen=True, kw_only=True):
+class ListTable(_SourceTable, frozen=True, kw_only=True):
     """`[sources.list]`: the box list of the node's configuration, which is always a source."""
 
 
-class DnsTable(_Ranked, frozen=True, kw_only=True):
+class DnsTable(_SourceTable, frozen=True, kw_only=True):
     """`[sources.dns]`: SRV records."""
 
     service: Annotated[
@@ -57,14 +57,14 @@
     resolv_conf: str = "/etc/resolv.conf"
     rank: Rank = 10
     may: list[Right] = msgspec.field(default_factory=lambda: list[Right](["add", "weigh"]))
-    floor_s: Span = 5.0  # of lifetimes: an answer that names 67 boxes takes some 10 ms to read
-    ceiling_s: Span = 300.0
+    floor_s: Seconds = 5.0  # of lifetimes: an answer that names 67 boxes takes some 10 ms to read
+    ceiling_s: Seconds = 300.0
     old_s: Annotated[float, msgspec.Meta(ge=0.0, le=604_800.0)] = (
         86_400.0  # how long old answers are served (RFC 8767)
     )
     queries_per_s: Annotated[float, msgspec.Meta(ge=0.1, le=1_000.0)] = 20.0
 
-    def contradictions(self) -> Iterator[Fault]:
+    def cross_field_faults(self) -> Iterator[Fault]:
         for n, text in enumerate(self.resolvers):
             try:
                 ipv4_of(text)
@@ -91,7 +91,7 @@
         return [ipv4_of(text) for text in self.resolvers]
 
 
-class FileTable(_Ranked, frozen=True, kw_only=True):
+class FileTable(_SourceTable, frozen=True, kw_only=True):
     """`[sources.file]`: boxes that stand in a file."""
 
     path: Annotated[str, msgspec.Meta(min_length=1)]
@@ -104,8 +104,8 @@
     """`[sources.guard]`: what is held back when a source stops naming many boxes at once."""
 
     most_fall: Annotated[float, msgspec.Meta(ge=0.0, le=1.0)] = 0.5
-    fall_s: Span = 10.0
-    hold_s: Span = 30.0
+    fall_s: Seconds = 10.0
+    hold_s: Seconds = 30.0
 
     def guard(self) -> Guard:
         """In the terms of the merge."""
--- a/corkshift/sources/resolver.py
+++ b/corkshift/sources/resolver.py
@@ -21,30 +21,30 @@
 from corkshift import seam
 from corkshift.seam import Address, now_ms
 from corkshift.sources.message import (
-    LONGEST,
-    MOST_CHAIN,
+    MAX_CNAMES,
+    MAX_MESSAGE_BYTES,
     Answer,
-    Foreign,
+    ForeignMessage,
     Query,
-    Truncated,
-    Unusable,
-    query,
-    read,
+    TruncatedAnswer,
+    UnusableAnswer,
+    make_query,
+    parse_answer,
 )
 from corkshift.sources.options import Limits
 from corkshift.stream import Stream
 
 log = logging.getLogger(__name__)
 
-TRIES = 2  # rounds of all servers for one query
-FIRST_S = 0.4  # for an answer by datagram; doubled in the second round
-STREAM_S = 2.0  # for one by TCP, from the dial on
-BACK_OFF_MS = (
+MAX_ROUNDS = 2  # rounds of all servers for one query
+UDP_TIMEOUT_S = 0.4  # for an answer by datagram; doubled in the second round
+TCP_TIMEOUT_S = 2.0  # for one by TCP, from the dial on
+BACKOFF_MS = (
     1_000.0  # a server that failed comes last for so long, doubled with each failure in a row,
 )
-BACK_OFF_MOST_MS = 60_000.0  # up to this
-MOST_FOREIGN = 64  # datagrams that are no answer; then TCP, where nobody can guess (guards against forged answers in number)
-MOST_KEPT = 4_096  # names
+MAX_BACKOFF_MS = 60_000.0  # up to this
+MAX_FOREIGN_DATAGRAMS = 64  # datagrams that are no answer; then TCP, where nobody can guess (guards against forged answers in number)
+MAX_CACHED_NAMES = 4_096  # names
 
 
 class LookupFailed(Exception):
@@ -52,16 +52,16 @@
 
 
 @dataclass(slots=True)
-class _Server:
+class _ServerBackoff:
     failures: int = 0
     until_ms: float = 0.0
 
 
-class Servers:
+class NameServers:
     """Who is asked next: servers in their order, those that failed lately last. Pure."""
 
     def __init__(self, addresses: list[Address]) -> None:
-        self._servers = {address: _Server() for address in addresses}
+        self._servers = {address: _ServerBackoff() for address in addresses}
 
     def order(self, now: float) -> list[Address]:
         """All servers, best first; those in back-off by when it ends."""
@@ -71,27 +71,27 @@
         """It did not answer, or with nothing of use."""
         server = self._servers.get(address)
         if server is not None:
-            server.until_ms = now + min(BACK_OFF_MOST_MS, BACK_OFF_MS * 2.0**server.failures)
+            server.until_ms = now + min(MAX_BACKOFF_MS, BACKOFF_MS * 2.0**server.failures)
             server.failures = min(16, server.failures + 1)
 
     def answered(self, address: Address) -> None:
         """It did."""
         if address in self._servers:
-            self._servers[address] = _Server()
+            self._servers[address] = _ServerBackoff()
 
 
 @dataclass(slots=True)
-class Kept:
+class CachedAnswer:
     """An answer and when it came. held_s: its lifetime, within floor and ceiling."""
 
     answer: Answer
-    at_ms: float
-    held_s: float
-    old: bool = False  # served beyond its lifetime, as no server answers
+    received_ms: float
+    lifetime_s: float
+    stale: bool = False  # served beyond its lifetime, as no server answers
 
     @property
-    def ends_ms(self) -> float:
-        return self.at_ms + self.held_s * 1000.0
+    def expires_ms(self) -> float:
+        return self.received_ms + self.lifetime_s * 1000.0
 
 
 @dataclass(slots=True)
@@ -114,56 +114,56 @@
     """Looks names up. One instance for each source."""
 
     def __init__(
-        self, servers: list[Address], limits: Limits, entropy: Callable[[int], bytes]
+        self, servers: list[Address], limits: Limits, random_bytes: Callable[[int], bytes]
     ) -> None:
         self.counts = Counts()
-        self._servers = Servers(servers)
+        self._servers = NameServers(servers)
         self._limits = limits
-        self._entropy = entropy
-        self._kept: dict[tuple[str, str], Kept] = {}  # longest unused first
+        self._random_bytes = random_bytes
+        self._cache: dict[tuple[str, str], CachedAnswer] = {}  # longest unused first
         self._tokens = 2.0 * limits.queries_per_s
         self._tokens_ms = now_ms()
 
-    def move(self, servers: list[Address]) -> None:
+    def set_servers(self, servers: list[Address]) -> None:
         """Ask other servers from the next query on; what is kept stays for its lifetime."""
-        self._servers = Servers(servers)
+        self._servers = NameServers(servers)
 
-    async def look_up(self, name: str, kind: str, ahead: float = 0.0) -> Kept:
+    async def lookup(self, name: str, record_type: str, refresh_ahead: float = 0.0) -> CachedAnswer:
         """The SRV or A records of a name, through its aliases. ahead: the share of its lifetime before whose end an answer is renewed.
 
         LookupFailed where no server has one and none is kept that may still be served. ValueError for what is no name.
         """
-        key, now = (name.lower().rstrip(".") + ".", kind), now_ms()
-        kept = self._kept.pop(key, None)
-        if kept is not None:
-            self._kept[key] = kept
-            if now < kept.ends_ms - ahead * kept.held_s * 1000.0:
-                return kept
+        key, now = (name.lower().rstrip(".") + ".", record_type), now_ms()
+        cached = self._cache.pop(key, None)
+        if cached is not None:
+            self._cache[key] = cached
+            if now < cached.expires_ms - refresh_ahead * cached.lifetime_s * 1000.0:
+                return cached
         try:
-            answer = await self._resolve(key[0], kind)
+            answer = await self._resolve(key[0], record_type)
         except LookupFailed:
-            if kept is None or now_ms() >= kept.ends_ms + self._limits.stale_s * 1000.0:
+            if cached is None or now_ms() >= cached.expires_ms + self._limits.stale_s * 1000.0:
                 raise
-            kept.old = True
-            return kept
-        return self._keep(key, answer)
+            cached.stale = True
+            return cached
+        return self._store(key, answer)
 
-    def _keep(self, key: tuple[str, str], answer: Answer) -> Kept:
+    def _store(self, key: tuple[str, str], answer: Answer) -> CachedAnswer:
         limits = self._limits
         ttl = 0 if answer.ttl_s >= 1 << 31 else answer.ttl_s  # RFC 2181, 8
-        kept = Kept(answer, now_ms(), min(limits.ceiling_s, max(limits.floor_s, ttl)))
-        self._kept.pop(key, None)
-        self._kept[key] = kept
-        for target, (life, addresses) in answer.extra.items():
-            self._keep((target, "A"), Answer(life, addresses=addresses))
-        while len(self._kept) > MOST_KEPT:
-            del self._kept[next(iter(self._kept))]
-        return kept
-
-    async def _resolve(self, name: str, kind: str) -> Answer:
+        cached = CachedAnswer(answer, now_ms(), min(limits.ceiling_s, max(limits.floor_s, ttl)))
+        self._cache.pop(key, None)
+        self._cache[key] = cached
+        for target, (ttl_s, addresses) in answer.additional.items():
+            self._store((target, "A"), Answer(ttl_s, addresses=addresses))
+        while len(self._cache) > MAX_CACHED_NAMES:
+            del self._cache[next(iter(self._cache))]
+        return cached
+
+    async def _resolve(self, name: str, record_type: str) -> Answer:
         ttl, seen = -1, {name}
-        for _ in range(MOST_CHAIN + 1):
-            answer = await self._ask(name, kind)
+        for _ in range(MAX_CNAMES + 1):
+            answer = await self._query_servers(name, record_type)
             ttl = answer.ttl_s if ttl < 0 else min(ttl, answer.ttl_s)
             if not answer.alias:
                 return replace(answer, ttl_s=ttl)
@@ -172,38 +172,40 @@
                 break
             seen.add(name)
         self.counts.failed("CNAME chain")
-        raise LookupFailed(f"{name}: a CNAME loop, or a chain of over {MOST_CHAIN}")
+        raise LookupFailed(f"{name}: a CNAME loop, or a chain of over {MAX_CNAMES}")
 
-    async def _ask(self, name: str, kind: str) -> Answer:
+    async def _query_servers(self, name: str, record_type: str) -> Answer:
         """Ask the servers in turn; LookupFailed names what the last of them did."""
-        why = "no resolver is named"
-        for turn in range(TRIES):
+        reason = "no resolver is named"
+        for round_number in range(MAX_ROUNDS):
             for server in self._servers.order(now_ms()):
                 if not self._take_token():
                     self.counts.failed("too many queries")
                     raise LookupFailed(
-                        f"{name} {kind}: more than {self._limits.queries_per_s:g} queries a second"
+                        f"{name} {record_type}: more than {self._limits.queries_per_s:g} queries a second"
                     )
-                ident, case = (
-                    int.from_bytes(self._entropy(2), "big"),
-                    int.from_bytes(self._entropy(32), "big"),
+                query_id, case_bits = (
+                    int.from_bytes(self._random_bytes(2), "big"),
+                    int.from_bytes(self._random_bytes(32), "big"),
                 )
-                asked = query(name, kind, ident, case)
+                query = make_query(name, record_type, query_id, case_bits)
                 try:
-                    answer = await self._exchange(server, asked, FIRST_S * 2.0**turn)
-                except (OSError, Unusable) as error:
+                    answer = await self._query_server(
+                        server, query, UDP_TIMEOUT_S * 2.0**round_number
+                    )
+                except (OSError, UnusableAnswer) as error:
                     cause = (
                         "time-out"
                         if isinstance(error, TimeoutError)
                         else str(error) or type(error).__name__
                     )
-                    why = f"{server[0]}:{server[1]}: {cause}"
+                    reason = f"{server[0]}:{server[1]}: {cause}"
                     self.counts.failed(cause)
                     self._servers.failed(server, now_ms())
                     continue
                 self._servers.answered(server)
                 return answer
-        raise LookupFailed(f"{name} {kind}: {why}")
+        raise LookupFailed(f"{name} {record_type}: {reason}")
 
     def _take_token(self) -> bool:
         now, rate = now_ms(), self._limits.queries_per_s
@@ -214,69 +216,69 @@
         self._tokens -= 1.0
         return True
 
-    async def _exchange(self, server: Address, asked: Query, within_s: float) -> Answer:
+    async def _query_server(self, server: Address, query: Query, timeout_s: float) -> Answer:
         """One query to one server. OSError (TimeoutError among them) or Unusable."""
         self.counts.queries += 1
         try:
-            async with asyncio.timeout(within_s):
-                answer = await self._by_datagram(server, asked)
-        except Truncated:
+            async with asyncio.timeout(timeout_s):
+                answer = await self._query_udp(server, query)
+        except TruncatedAnswer:
             answer = None
         if answer is None:
-            async with asyncio.timeout(STREAM_S):
-                answer = await self._by_stream(server, asked)
+            async with asyncio.timeout(TCP_TIMEOUT_S):
+                answer = await self._query_tcp(server, query)
         return answer
 
-    async def _by_datagram(self, server: Address, asked: Query) -> Optional[Answer]:
+    async def _query_udp(self, server: Address, query: Query) -> Optional[Answer]:
         """None where too much came that is no answer."""
         loop = asyncio.get_running_loop()
-        sock = seam.datagram()  # a port of its own, which the system draws
+        sock = seam.udp_socket()  # a port of its own, which the system draws
         try:
-            came = asyncio.Event()
-            sock.sendto(asked.wire, server)
-            self.counts.sent_bytes += len(asked.wire)
-            loop.add_reader(sock, came.set)
-            for _ in range(MOST_FOREIGN):
+            readable = asyncio.Event()
+            sock.sendto(query.wire, server)
+            self.counts.sent_bytes += len(query.wire)
+            loop.add_reader(sock, readable.set)
+            for _ in range(MAX_FOREIGN_DATAGRAMS):
                 try:
-                    data, sender = sock.recvfrom(LONGEST)
+                    data, sender = sock.recvfrom(MAX_MESSAGE_BYTES)
                 except (BlockingIOError, InterruptedError):
-                    came.clear()
-                    await came.wait()
+                    readable.clear()
+                    await readable.wait()
                     continue
                 self.counts.received_bytes += len(data)
                 try:
                     if sender[:2] != server:
-                        raise Foreign("another server")
-                    return read(data, asked)
-                except Foreign:
+                        raise ForeignMessage("another server")
+                    return parse_answer(data, query)
+                except ForeignMessage:
                     self.counts.foreign += 1
             return None
         finally:
             loop.remove_reader(sock)
             sock.close()
 
-    async def _by_stream(self, server: Address, asked: Query) -> Answer:
+    async def _query_tcp(self, server: Address, query: Query) -> Answer:
         self.counts.streams += 1
-        sock = seam.stream()
+        sock = seam.tcp_socket()
         stream: Optional[Stream] = None
         try:
             await seam.connect(sock, server)
             stream = Stream(sock)
-            await stream.write(len(asked.wire).to_bytes(2, "big") + asked.wire)  # RFC 1035, 4.2.2
-            self.counts.sent_bytes += 2 + len(asked.wire)
+            await stream.write(len(query.wire).to_bytes(2, "big") + query.wire)  # RFC 1035, 4.2.2
+            self.counts.sent_bytes += 2 + len(query.wire)
             data = bytearray()
             while len(data) < 2 or len(data) < 2 + int.from_bytes(data[:2], "big"):
-                more = await stream.read()
-                if not more:
-                    raise Unusable("the connection ended within an answer")
-                data += more
-                self.counts.received_bytes += len(more)
+                chunk = await stream.read()
+                if not chunk:
+                    raise UnusableAnswer("the connection ended within an answer")
+                data += chunk
+                self.counts.received_bytes += len(chunk)
             try:
-                return read(
-                    bytes(data[2 : 2 + int.from_bytes(data[:2], "big")]), asked, stream=True
+                return parse_answer(
+                    bytes(data[2 : 2 + int.from_bytes(data[:2], "big")]), query, over_tcp=True
                 )
-            except Foreign as error:
-                raise Unusable(f"over TCP, {error}") from None
+            except ForeignMessage as error:
+                raise UnusableAnswer(f"over TCP, {error}") from None
         finally:
             if stream is not None:
                 stream.close()
@@ -284,7 +286,7 @@
                 sock.close()
 
 
-def servers_of(text: str) -> list[Address]:
+def parse_resolv_conf(text: str) -> list[Address]:
     """The IPv4 name servers of a resolv.conf (resolv.conf(5)); others are passed over."""
     found = []
     for line in text.splitlines():
--- a/corkshift/sources/window.py
+++ b/corkshift/sources/view_socket.py
@@ -15,18 +15,18 @@
 
 log = logging.getLogger(__name__)
 
-MOST = 4
-WITHIN_S = 2.0
+MAX_CONNECTIONS = 4
+WRITE_TIMEOUT_S = 2.0
 
 
-class Window:
+class ViewSocket:
     """Listens at a path. OSError from the start on where it can't."""
 
-    def __init__(self, path: str, show: Callable[[], bytes]) -> None:
-        self._show = show
+    def __init__(self, path: str, render: Callable[[], bytes]) -> None:
+        self._render = render
         self._tasks: set[asyncio.Task[None]] = set()
         self._listener = Listener(
-            seam.unix_listener(path), lambda: len(self._tasks) < MOST, self._take
+            seam.unix_listener(path), lambda: len(self._tasks) < MAX_CONNECTIONS, self._accept
         )
 
     def start(self) -> None:
@@ -39,7 +39,7 @@
         for task in self._tasks:
             task.cancel()
 
-    def _take(self, sock: Any) -> None:
+    def _accept(self, sock: Any) -> None:
         task = asyncio.create_task(self._write(sock))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
@@ -47,8 +47,8 @@
     async def _write(self, sock: Any) -> None:
         try:
             sock.setblocking(False)
-            async with asyncio.timeout(WITHIN_S):
-                await asyncio.get_running_loop().sock_sendall(sock, self._show())
+            async with asyncio.timeout(WRITE_TIMEOUT_S):
+                await asyncio.get_running_loop().sock_sendall(sock, self._render())
         except OSError as error:
             log.info("the members were not shown: %s", error or "too slow")
         finally:
--- a/corkshift/start.py
+++ b/corkshift/start.py
@@ -31,22 +31,22 @@
     tier: Optional[TierTable] = None
     if operator:
         # Only where there is a file: what is off costs nothing.
-        from corkshift.cli.operator import BadOperatorFile, read
+        from corkshift.cli.operator import BadOperatorFile, load_operator_file
 
         try:
-            file = read(operator)
+            file = load_operator_file(operator)
             sources, tier = file.sources, file.tier
         except BadOperatorFile as error:
             print(f"corkshift: {error}", file=sys.stderr)
             return 2
 
     def reread() -> Optional[SourcesTable]:
-        from corkshift.cli.operator import read
+        from corkshift.cli.operator import load_operator_file
 
-        return read(operator).sources if operator else None
+        return load_operator_file(operator).sources if operator else None
 
     try:
-        process.play(run(config, sources, reread, tier))
+        process.run(run(config, sources, reread, tier))
     except OSError as error:
         print(f"corkshift: cannot listen: {error.strerror or error}", file=sys.stderr)
         return 1
--- a/corkshift/stream.py
+++ b/corkshift/stream.py
@@ -12,7 +12,7 @@
 
 from corkshift import seam
 from corkshift.seam import Socket
-from corkshift.seam.errors import NO_BUFFERS
+from corkshift.seam.errors import NO_BUFFER_ERRNOS
 
 CHUNK = 65_536  # bytes of one read, and of input held before reading pauses
 KERNEL_BUFFER = (
@@ -63,12 +63,12 @@
     @property
     def abandoned(self) -> bool:
         """Whether the peer has ended its side or reset the connection, also where bytes that nobody has read stand before that end."""
-        return not self.closed and (self.ended or seam.abandoned(self._sock))
+        return not self.closed and (self.ended or seam.closed_by_peer(self._sock))
 
     @property
     def unread_ms(self) -> Optional[float]:
         """How long ago the peer's last bytes came in; None where the system can't tell."""
-        return None if self.closed else seam.unread_ms(self._sock)
+        return None if self.closed else seam.ms_since_last_receive(self._sock)
 
     @property
     def has_input(self) -> bool:
@@ -128,7 +128,7 @@
         except (BlockingIOError, InterruptedError):
             return 0
         except OSError as error:
-            if error.errno in NO_BUFFERS:
+            if error.errno in NO_BUFFER_ERRNOS:
                 return 0
             self._end(error)
             raise
@@ -149,7 +149,7 @@
                 await self._writable()
                 continue
             except OSError as error:
-                if error.errno in NO_BUFFERS:
+                if error.errno in NO_BUFFER_ERRNOS:
                     await asyncio.sleep(
                         NO_BUFFERS_S
                     )  # the socket may well count as writable meanwhile
@@ -207,7 +207,7 @@
         except (BlockingIOError, InterruptedError):
             return
         except OSError as error:
-            if error.errno in NO_BUFFERS:
+            if error.errno in NO_BUFFER_ERRNOS:
                 self._pause()  # what stands in the kernel is read a little later
                 self._loop.call_later(NO_BUFFERS_S, self._resume)
                 return
--- a/corkshift/tier/carrier.py
+++ b/corkshift/tier/carrier.py
@@ -41,7 +41,7 @@
         """OSError where the address can't be had."""
         now = now_ms()
         seed = int.from_bytes(
-            seam.entropy(8), "big"
+            seam.random_bytes(8), "big"
         )  # of this process alone: a configuration may be read by two
         self.tier = Tier(
             neighbours.slot,
@@ -64,9 +64,9 @@
         self.tier.dealer.holdings.on_take = self._took
         self.tier.members.on_change = self._changed
         self._disagreed = False
-        self._sock = seam.datagram()
+        self._sock = seam.udp_socket()
         try:
-            seam.bound_buffers(self._sock, BUFFER)
+            seam.limit_buffers(self._sock, BUFFER)
             self._sock.bind(neighbours.listen)
         except OSError as error:
             self._sock.close()
--- a/corkshift/upstream.py
+++ b/corkshift/upstream.py
@@ -17,7 +17,7 @@
 from corkshift.presence import Presence
 from corkshift.relay import Broken, Relay
 from corkshift.seam import Address, now_ms
-from corkshift.seam.errors import LOCAL, name_of
+from corkshift.seam.errors import LOCAL_ERRNOS, error_name
 from corkshift.stream import CHUNK, KERNEL_BUFFER, Stream
 from forkweir.send_guard import Denial, deadline_told_ms
 
@@ -105,11 +105,11 @@
             try:
                 return await self._dial(server)
             except OSError as error:
-                if error.errno not in LOCAL:
+                if error.errno not in LOCAL_ERRNOS:
                     raise
-                self.figures.count_local(name_of(error))
+                self.figures.count_local(error_name(error))
                 if asyncio.get_running_loop().time() + pause_s > until_s:
-                    raise NotSent(f"no connection for want of {name_of(error)}") from None
+                    raise NotSent(f"no connection for want of {error_name(error)}") from None
             await asyncio.sleep(pause_s)
             pause_s = min(2.0 * pause_s, LOCAL_RETRY_MOST_S)
 
@@ -120,10 +120,10 @@
             oldest = next(iter(self._resting))
             self._unrest(oldest)
             self.drop(oldest)
-        sock = seam.stream()
+        sock = seam.tcp_socket()
         self._open += 1
         try:
-            seam.bound_buffers(sock, KERNEL_BUFFER)
+            seam.limit_buffers(sock, KERNEL_BUFFER)
             async with self.presence.timeout(self._dial_s):
                 await seam.connect(sock, server.address)
             return Stream(sock)
@@ -272,7 +272,10 @@
             # The server is there and speaks: the module tells this from a connection that broke.
             outcome, cause = Outcome("spoilt" if self._written else "unreachable"), str(error)
         except OSError as error:
-            outcome, cause = Outcome("broken" if self._written else "unreachable"), name_of(error)
+            outcome, cause = (
+                Outcome("broken" if self._written else "unreachable"),
+                error_name(error),
+            )
         finally:
             self._pool.figures.count_attempt(outcome.status, self.server.name, cause)
             self._release()
--- a/corkshift/watch.py
+++ b/corkshift/watch.py
@@ -60,7 +60,7 @@
 
     async def call(self) -> None:
         """Dial and ask; OSError (TimeoutError among them), h11.RemoteProtocolError or BadList where there is no watch."""
-        sock = seam.stream()
+        sock = seam.tcp_socket()
         try:
             # One service answers all nodes in turn, and a call that is hung up on keeps its turn (guards against a fleet that
             # asks anew, over and over, for what each of its nodes would have been told a moment later).
--- a/testbed/machine/loop.py
+++ b/testbed/machine/loop.py
@@ -255,7 +255,7 @@
 
 def owner_of(context: Context) -> Optional[Owner]:
     """The virtual process in whose context something runs; None for the world itself."""
-    side = context.get(seam.SIDE)
+    side = context.get(seam.CURRENT_SYSTEM)
     return side if side is not None and getattr(side, "virtual", False) else None  # type: ignore[return-value]
 
 
--- a/testbed/machine/process.py
+++ b/testbed/machine/process.py
@@ -52,20 +52,20 @@
     def now_ms(self) -> float:
         return self._start_ms + self.net.loop.now_us / 1000.0
 
-    def stream(self) -> VirtualSocket:
+    def tcp_socket(self) -> VirtualSocket:
         self.check_call(Call.SOCKET)
         return self._socket("stream")
 
-    def datagram(self) -> VirtualSocket:
+    def udp_socket(self) -> VirtualSocket:
         return self._socket("datagram")
 
-    def inherited(self, descriptor: int) -> VirtualSocket:
+    def inherited_listener(self, descriptor: int) -> VirtualSocket:
         raise failure(errno.EBADF)  # no virtual process is started with one
 
-    def abandoned(self, sock: VirtualSocket) -> bool:
+    def closed_by_peer(self, sock: VirtualSocket) -> bool:
         return sock.rx_end or sock.reset
 
-    def unread_ms(self, sock: VirtualSocket) -> float:
+    def ms_since_last_receive(self, sock: VirtualSocket) -> float:
         return (self.net.loop.now_us - sock.received_us) / 1000.0
 
     def read_file(self, path: str) -> bytes:
@@ -76,7 +76,7 @@
     def environ(self) -> Mapping[str, str]:
         return self.variables
 
-    def entropy(self, size: int) -> bytes:
+    def random_bytes(self, size: int) -> bytes:
         return self.net.rng.randbytes(size)
 
     def unix_listener(self, path: str) -> VirtualSocket:
@@ -125,7 +125,7 @@
         self.state = "running"
         self._start_ms = EPOCH_MS + self.wall_offset_ms
         context = self.context = copy_context()
-        context.run(seam.enter, self)
+        context.run(seam.set_system, self)
         self.task = context.run(asyncio.get_running_loop().create_task, main())
         self.task.add_done_callback(self._ended, context=context)
 
--- a/testbed/nights/defects.py
+++ b/testbed/nights/defects.py
@@ -134,9 +134,9 @@
         if self._open >= self._limit:
             raise NotSent("full")
         self._open += 1
-        sock = seam.stream()
+        sock = seam.tcp_socket()
         try:
-            seam.bound_buffers(sock, 65_536)
+            seam.limit_buffers(sock, 65_536)
             async with asyncio.timeout(self._dial_s):
                 await seam.connect(sock, server.address)
             return Stream(sock)
@@ -350,10 +350,10 @@
 
 @defect("an answer of DNS is taken whoever it is for")
 def takes_a_forged_answer() -> list[Patch]:
-    def read(wire: bytes, asked: Any, stream: bool = False) -> Any:
-        return message.read(asked.id.to_bytes(2, "big") + wire[2:], asked, stream)
+    def read(wire: bytes, asked: Any, over_tcp: bool = False) -> Any:
+        return message.parse_answer(asked.id.to_bytes(2, "big") + wire[2:], asked, over_tcp)
 
-    return [(resolver, "read", read)]
+    return [(resolver, "parse_answer", read)]
 
 
 @defect("a box that one source says drains is kept in service while another names it")
--- a/testbed/nights/rules.py
+++ b/testbed/nights/rules.py
@@ -31,7 +31,7 @@
 
 from corkshift.discovery import FADING_MOST
 from corkshift.service import Service
-from corkshift.sources.dns import AT_ONCE
+from corkshift.sources.dns import MAX_CONCURRENT_LOOKUPS
 from corkshift.tier.carrier import Carrier
 from forkweir.tier.lending import WHOLE, Lease
 from testbed.machine.net import VirtualSocket
@@ -54,7 +54,7 @@
     20_000  # what is on the way while word of an end comes (over a slow link it waits its turn)
 )
 SOURCES_TIMERS = (
-    2 + AT_ONCE
+    2 + MAX_CONCURRENT_LOOKUPS
 )  # of further sources: the next round, the next look, and look-ups that are out
 IDLE_TIMERS = 6  # of a node that has nothing to do: two sweeps, its look at what is out, its presence, and up to two calls to come
 CALL_TIMERS = 2  # of each call to discovery, or of the watch that it has become: its patience and the call beside it, a pause and a silence
@@ -534,7 +534,7 @@
             if process.state != "running":
                 continue
             node = service.node
-            more = 0 if service.sources is None else 1 + AT_ONCE
+            more = 0 if service.sources is None else 1 + MAX_CONCURRENT_LOOKUPS
             left = {
                 "requests": len(node._calls),
                 "tries": len(node._tries),
--- a/testbed/nights/script.py
+++ b/testbed/nights/script.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from corkshift.cli.schema import Fault as Wrong
-from corkshift.cli.schema import Table, examine
+from corkshift.cli.schema import Table, validate
 from testbed.machine.faults import TABLE as CALL_TABLE
 from testbed.machine.faults import Call
 
@@ -118,7 +118,7 @@
     for_ms: Millis = 0.0  # 0: for good, where it lasts at all
     value: float = 0.0  # a share, a factor, a count or a byte, by kind
 
-    def contradictions(self) -> Iterator[Wrong]:
+    def cross_field_faults(self) -> Iterator[Wrong]:
         if self.kind in ("link_loss", "link_cut") and not self.for_ms:
             yield Wrong("for_ms", f"a {self.kind} must end, or what is on the way is never settled")
         if self.kind in BETWEEN and not self.for_ms:
@@ -137,7 +137,7 @@
     world: World = World()
     fault: list[Fault] = []
 
-    def contradictions(self) -> Iterator[Wrong]:
+    def cross_field_faults(self) -> Iterator[Wrong]:
         for n, fault in enumerate(self.fault):
             limit = {"node": self.world.nodes, "box": self.world.boxes}.get(TARGETS[fault.kind], 64)
             if fault.target >= limit:
@@ -163,7 +163,7 @@
         data = tomllib.loads(text.decode())
     except (tomllib.TOMLDecodeError, UnicodeDecodeError) as error:
         raise BadScript([Wrong("", f"not TOML: {error}")]) from None
-    if faults := examine(Script, data):
+    if faults := validate(Script, data):
         raise BadScript(faults)
     return msgspec.convert(data, Script)
 
--- a/testbed/nights/simulation.py
+++ b/testbed/nights/simulation.py
@@ -147,7 +147,7 @@
         self._world = world
 
     def emit(self, record: logging.LogRecord) -> None:
-        side = seam.SIDE.get()
+        side = seam.CURRENT_SYSTEM.get()
         name = side.name if isinstance(side, Process) else "world"
         text = record.getMessage()
         self._world.trace.note(f"{name} logs {record.levelname} {text}")
@@ -368,7 +368,7 @@
 
     def _exception(self, loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
         error = context.get("exception")
-        side = seam.SIDE.get()
+        side = seam.CURRENT_SYSTEM.get()
         name = side.name if isinstance(side, Process) else "world"
         self.rules.exceptional(name, f"{context.get('message')}: {error!r}")
 
--- a/testbed/soak/large_fleet.py
+++ b/testbed/soak/large_fleet.py
@@ -157,9 +157,9 @@
 
     def listen(self) -> None:
         """Begin to accept, from this machine alone."""
-        sock = seam.stream()
+        sock = seam.tcp_socket()
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_BINDTODEVICE, LOOPBACK_DEVICE)
-        seam.bound_buffers(sock, KERNEL_BUFFER)
+        seam.limit_buffers(sock, KERNEL_BUFFER)
         sock.bind(self.address)
         sock.listen(self._backlog)
         self.address = (self.address[0], sock.getsockname()[1])
--- a/testbed/systems/dns.py
+++ b/testbed/systems/dns.py
@@ -83,10 +83,10 @@
     def listen(self) -> None:
         """Begin to answer, at one port for both ways. OSError where it is taken."""
         loop = asyncio.get_running_loop()
-        self._tcp = seam.listen(self.address, KERNEL_BUFFER)
+        self._tcp = seam.bind_listener(self.address, KERNEL_BUFFER)
         self._tcp.listen(64)
         self.address = self._tcp.getsockname()[:2]
-        self._udp = seam.datagram()
+        self._udp = seam.udp_socket()
         self._udp.bind(self.address)
         loop.add_reader(self._udp, self._datagrams)
         loop.add_reader(self._tcp, self._accept)
@@ -136,7 +136,7 @@
             with suppress(OSError):
                 self._udp.sendto(answer, sender)
         if self.how == "forged sender":
-            other = seam.datagram()
+            other = seam.udp_socket()
             with suppress(OSError):
                 other.sendto(self._whole(self._asked_last, False), sender)
             other.close()
--- a/testbed/systems/serving.py
+++ b/testbed/systems/serving.py
@@ -126,9 +126,9 @@
 
 async def dial(address: Address, within_s: float) -> Connection:
     """A connection to a server; OSError (TimeoutError among them) where it does not come up."""
-    sock = seam.stream()
+    sock = seam.tcp_socket()
     try:
-        seam.bound_buffers(sock, KERNEL_BUFFER)
+        seam.limit_buffers(sock, KERNEL_BUFFER)
         async with asyncio.timeout(within_s):
             await seam.connect(sock, address)
         return Connection(Stream(sock), h11.CLIENT)
@@ -186,7 +186,7 @@
 
     def listen(self) -> None:
         """Begin to accept. OSError where the address is taken."""
-        self._listener = seam.listen(self.address, KERNEL_BUFFER)
+        self._listener = seam.bind_listener(self.address, KERNEL_BUFFER)
         self._listener.listen(self._backlog)
         host, port = self._listener.getsockname()
         self.address = (host, port)
--- a/tests/admin/test_admin.py
+++ b/tests/admin/test_admin.py
@@ -10,11 +10,11 @@
 from loopback import CacheBox, Rig, good, play, request, rig, send_to, status, until
 
 from corkshift.admin import Admin, Status
-from corkshift.admin.server import MOST
+from corkshift.admin.server import MAX_CONNECTIONS
 from forkweir.limits.duty import SHED_MS
 
 
-class Desk:
+class AdminFixture:
     """A node with its operators' address."""
 
     def __init__(self, node: Rig) -> None:
@@ -38,13 +38,15 @@
 
 
 @asynccontextmanager
-async def desk(boxes: dict[str, CacheBox], sockets: int = 64) -> AsyncIterator[Desk]:
+async def admin_fixture(
+    boxes: dict[str, CacheBox], sockets: int = 64
+) -> AsyncIterator[AdminFixture]:
     async with rig(boxes, sockets) as node:
-        made = Desk(node)
+        fixture = AdminFixture(node)
         try:
-            yield made
+            yield fixture
         finally:
-            made.admin.close()
+            fixture.admin.close()
 
 
 def test_the_figures_count_answers_by_kind_and_attempts() -> None:
@@ -56,12 +58,12 @@
                 return b"HTTP/1.1 503 Full\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n"
             return good(head)
 
-        async with desk({"s1": CacheBox(script)}) as made:
+        async with admin_fixture({"s1": CacheBox(script)}) as fixture:
             for n in range(3):
-                assert status(await made.rig.ask(f"ok-{n}")) == 200
-            assert status(await made.rig.ask("bad", path="/api/bad", lane="order")) == 502
-            assert status(await made.rig.ask("full", path="/api/full", lane="order")) == 503
-            seen = await made.figures()
+                assert status(await fixture.rig.ask(f"ok-{n}")) == 200
+            assert status(await fixture.rig.ask("bad", path="/api/bad", lane="order")) == 502
+            assert status(await fixture.rig.ask("full", path="/api/full", lane="order")) == 503
+            seen = await fixture.figures()
             assert (
                 seen["svc.responses.read.ok"],
                 seen["svc.responses.read.shed"],
@@ -72,7 +74,7 @@
                 seen["svc.responses.order.shed"],
                 seen["svc.responses.order.errors"],
             ) == (0, 1, 1)
-            assert seen["svc.tries"] == len(made.rig.boxes["s1"].heads)
+            assert seen["svc.tries"] == len(fixture.rig.boxes["s1"].heads)
             assert (seen["svc.active"], seen["svc.pool_size"], seen["svc.pool_ejected"]) == (
                 0,
                 1,
@@ -95,25 +97,26 @@
             return good(head)
 
         box, dead = CacheBox(slow), CacheBox()
-        async with desk({"s1": box, "s2": dead}) as made:
+        async with admin_fixture({"s1": box, "s2": dead}) as fixture:
             asks = [
-                asyncio.create_task(made.rig.ask(f"t{n}", path=f"/api/k{n}", lane="order"))
+                asyncio.create_task(fixture.rig.ask(f"t{n}", path=f"/api/k{n}", lane="order"))
                 for n in range(8)
             ]
             await until(
                 lambda: (
-                    made.rig.node.open + sum(ask.done() for ask in asks) == 8 and len(box.heads) > 0
+                    fixture.rig.node.open + sum(ask.done() for ask in asks) == 8
+                    and len(box.heads) > 0
                 )
             )
-            assert (await made.figures())["svc.active"] == made.rig.node.open > 0
+            assert (await fixture.figures())["svc.active"] == fixture.rig.node.open > 0
             release.set()
             await asyncio.gather(*asks)
             dead.close()  # its address refuses now: soon it is avoided
             n = 0
-            while (await made.figures())["svc.pool_ejected"] == 0:
+            while (await fixture.figures())["svc.pool_ejected"] == 0:
                 n += 1
-                await made.rig.ask(f"again-{n}", path=f"/api/j{n}")
-            seen = await made.figures()
+                await fixture.rig.ask(f"again-{n}", path=f"/api/j{n}")
+            seen = await fixture.figures()
             assert (seen["svc.pool_size"], seen["svc.pool_ejected"], seen["svc.active"]) == (
                 2,
                 1,
@@ -130,10 +133,10 @@
 
 def test_health_says_no_until_a_cache_server_is_known() -> None:
     async def test() -> None:
-        async with desk({}) as made:
-            assert await made.call("/admin/health") == 503
-        async with desk({"s1": CacheBox()}) as made:
-            assert await made.call("/admin/health") == 200
+        async with admin_fixture({}) as fixture:
+            assert await fixture.call("/admin/health") == 503
+        async with admin_fixture({"s1": CacheBox()}) as fixture:
+            assert await fixture.call("/admin/health") == 200
 
     play(test)
 
@@ -159,23 +162,23 @@
 )
 def test_what_is_no_call_gets_its_error_and_changes_nothing(data: bytes, expected: int) -> None:
     async def test() -> None:
-        async with desk({"s1": CacheBox()}) as made:
-            assert status(await made.send(data)) == expected
-            assert made.rig.frontend.duty.welcome
-            assert await made.call("/admin/health") == 200
+        async with admin_fixture({"s1": CacheBox()}) as fixture:
+            assert status(await fixture.send(data)) == expected
+            assert fixture.rig.frontend.duty.welcome
+            assert await fixture.call("/admin/health") == 200
 
     play(test)
 
 
 def test_a_caller_that_sends_its_call_with_a_body_is_answered() -> None:
     async def test() -> None:
-        async with desk({"s1": CacheBox()}) as made:
+        async with admin_fixture({"s1": CacheBox()}) as fixture:
             head = b"PUT /admin/quiesce HTTP/1.1\r\nHost: x\r\nContent-Length: 2\r\nExpect: 100-continue\r\n\r\n"
-            reader, writer = await asyncio.open_connection(*made.admin.address)
+            reader, writer = await asyncio.open_connection(*fixture.admin.address)
             writer.write(head)
             assert await reader.readuntil(b"\r\n\r\n") == b"HTTP/1.1 100 Continue\r\n\r\n"
             writer.write(b"{}")
-            assert status(await reader.read()) == 200 and not made.rig.frontend.duty.welcome
+            assert status(await reader.read()) == 200 and not fixture.rig.frontend.duty.welcome
             writer.transport.abort()
 
     play(test)
@@ -184,9 +187,12 @@
 def test_callers_that_say_nothing_shut_nobody_out() -> None:
     # Guards against an operators' address that a few idle connections take out of use.
     async def test() -> None:
-        async with desk({"s1": CacheBox()}) as made:
-            silent = [await asyncio.open_connection(*made.admin.address) for _ in range(3 * MOST)]
-            assert await made.call("/admin/health") == 200
+        async with admin_fixture({"s1": CacheBox()}) as fixture:
+            silent = [
+                await asyncio.open_connection(*fixture.admin.address)
+                for _ in range(3 * MAX_CONNECTIONS)
+            ]
+            assert await fixture.call("/admin/health") == 200
             for _, writer in silent:
                 writer.transport.abort()
 
@@ -203,8 +209,8 @@
                 await release.wait()
             return good(head)
 
-        async with desk({"s1": CacheBox(script)}) as made:
-            loop, node = asyncio.get_running_loop(), made.rig
+        async with admin_fixture({"s1": CacheBox(script)}) as fixture:
+            loop, node = asyncio.get_running_loop(), fixture.rig
             idle = [await asyncio.open_connection("127.0.0.1", node.port) for _ in range(6)]
             for n, (reader, writer) in enumerate(idle):
                 writer.write(request(f"idle-{n}"))
@@ -212,7 +218,7 @@
             busy_reader, busy = await asyncio.open_connection("127.0.0.1", node.port)
             busy.write(request("busy", path="/slow"))
             await until(lambda: node.node.open == 1)
-            assert await made.call("/admin/quiesce", "PUT") == 200
+            assert await fixture.call("/admin/quiesce", "PUT") == 200
             began = loop.time()
             assert status(await node.send(b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n")) == 503
             late = await node.send(
@@ -229,7 +235,7 @@
             release.set()
             answer = await busy_reader.read()
             assert status(answer) == 200 and b"connection: close" in answer.lower()
-            assert await made.call("/admin/resume", "PUT") == 200
+            assert await fixture.call("/admin/resume", "PUT") == 200
             reader, writer = await asyncio.open_connection("127.0.0.1", node.port)
             for n in range(2):  # kept, as before
                 writer.write(request(f"back-{n}"))
--- a/tests/audited.py
+++ b/tests/audited.py
@@ -36,7 +36,7 @@
 TEMPORARY = os.path.realpath(os.environ["TMPDIR"]) + os.sep
 
 
-def breach_of(event: str, args: tuple[Any, ...]) -> str:
+def violation_of(event: str, args: tuple[Any, ...]) -> str:
     """What an audit event breaks, or nothing."""
     if event in CHILDREN:
         return f"a process: {event}"
@@ -57,13 +57,13 @@
     return ""
 
 
-def watch(event: str, args: tuple[Any, ...]) -> None:
-    if what := breach_of(event, args):
-        os.write(2, f"BREACH {what}\n".encode())
+def audit_hook(event: str, args: tuple[Any, ...]) -> None:
+    if violation := violation_of(event, args):
+        os.write(2, f"BREACH {violation}\n".encode())
         raise PermissionError(30, "refused by the test")
 
 
-def plant(name: str) -> None:
+def commit_breach(name: str) -> None:
     """Do what the platform refuses, a moment after the start, as a thread of the node."""
     if name == "child":
         os.fork()
@@ -76,9 +76,9 @@
 
 
 if __name__ == "__main__":
-    sys.addaudithook(watch)
+    sys.addaudithook(audit_hook)
     if sys.argv[1]:
-        threading.Timer(0.05, plant, (sys.argv[1],)).start()
+        threading.Timer(0.05, commit_breach, (sys.argv[1],)).start()
     sys.argv = ["corkshift"]
     sys.path.insert(0, os.getcwd())
     runpy.run_module("corkshift", run_name="__main__", alter_sys=True)
--- a/tests/cli/test_check.py
+++ b/tests/cli/test_check.py
@@ -14,7 +14,7 @@
 
 from corkshift.cli import command
 from corkshift.cli.check import faults_of
-from corkshift.cli.operator import BadOperatorFile, parse
+from corkshift.cli.operator import BadOperatorFile, parse_operator_file
 from corkshift.start import serve
 
 ROOT = Path(__file__).parent.parent.parent
@@ -103,9 +103,9 @@
     with pytest.raises(
         BadOperatorFile, match=r"op.toml: demo.boxs: unknown key; allowed here: boxes, "
     ):
-        parse(b"format = 1\n[demo]\nboxs = 3\n", "op.toml")
+        parse_operator_file(b"format = 1\n[demo]\nboxs = 3\n", "op.toml")
     with pytest.raises(BadOperatorFile, match=r"op.toml: demo.boxes: expected `int` >= 1, got 0"):
-        parse(b"format = 1\n[demo]\nboxes = 0\n", "op.toml")
+        parse_operator_file(b"format = 1\n[demo]\nboxes = 0\n", "op.toml")
 
 
 def test_the_shipped_example_is_good() -> None:
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -190,7 +190,7 @@
             sockets // 2, config.dial_timeout_ms, config.conn_idle_ms, self.figures, self.presence
         )
         self.node = Node(config, self.pool, sockets)
-        listener = seam.listen(config.listen, KERNEL_BUFFER)
+        listener = seam.bind_listener(config.listen, KERNEL_BUFFER)
         self.frontend = Frontend(
             self.node, listener, clients, 1 << 20, leave=leave, presence=self.presence
         )
--- a/tests/sources/test_message.py
+++ b/tests/sources/test_message.py
@@ -10,26 +10,26 @@
 
 from benchmarks.membership import mutated
 from corkshift.sources.message import (
-    MOST_RECORDS,
+    MAX_RECORDS,
     Answer,
-    Foreign,
+    ForeignMessage,
     Query,
-    Service,
-    Truncated,
-    Unusable,
-    query,
-    read,
+    SrvRecord,
+    TruncatedAnswer,
+    UnusableAnswer,
+    make_query,
+    parse_answer,
 )
 from testbed.systems.dns import SERVICE, ZONE, NameServer, Zone
 
 MUTATIONS = 4_000  # `python -m benchmarks.membership --mutations 1000000` is the long form
 
 
-def asked(name: str = SERVICE, kind: str = "SRV") -> Query:
-    return query(name, kind, 4711, 0b1010110)
+def query_for(name: str = SERVICE, kind: str = "SRV") -> Query:
+    return make_query(name, kind, 4711, 0b1010110)
 
 
-def answered(
+def wire_answer(
     how: str = "good",
     name: str = SERVICE,
     kind: str = "SRV",
@@ -39,30 +39,33 @@
     if zone is None:
         zone = Zone()
         zone.serve({"s0": ("10.0.0.1", 8001), "s1": ("10.0.0.2", 8002)}, ttl=30)
-    return NameServer(("127.0.0.1", 53), zone, how).answers(asked(name, kind).wire, stream)[0]
+    return NameServer(("127.0.0.1", 53), zone, how).answers(query_for(name, kind).wire, stream)[0]
 
 
 def test_records_and_the_addresses_that_come_along() -> None:
-    answer = read(answered(), asked())
+    answer = parse_answer(wire_answer(), query_for())
     assert answer.ttl_s == 30 and answer.exists
-    assert set(answer.services) == {
-        Service(0, 10, 8001, f"s0.{ZONE}"),
-        Service(0, 10, 8002, f"s1.{ZONE}"),
+    assert set(answer.srv_records) == {
+        SrvRecord(0, 10, 8001, f"s0.{ZONE}"),
+        SrvRecord(0, 10, 8002, f"s1.{ZONE}"),
+    }
+    assert answer.additional == {
+        f"s0.{ZONE}": (30, ("10.0.0.1",)),
+        f"s1.{ZONE}": (30, ("10.0.0.2",)),
     }
-    assert answer.extra == {f"s0.{ZONE}": (30, ("10.0.0.1",)), f"s1.{ZONE}": (30, ("10.0.0.2",))}
 
 
 def test_the_question_is_asked_in_drawn_case_and_checked_by_it() -> None:
-    one = asked()
+    one = query_for()
     assert one.name.to_text() != SERVICE and one.name.to_text().lower() == SERVICE
-    with pytest.raises(Foreign):
-        read(answered("another case"), one)
+    with pytest.raises(ForeignMessage):
+        parse_answer(wire_answer("another case"), one)
 
 
 @pytest.mark.parametrize("how", ["another question", "forged id"])
 def test_what_is_no_answer_to_the_query_is_foreign(how: str) -> None:
-    with pytest.raises(Foreign):
-        read(answered(how), asked())
+    with pytest.raises(ForeignMessage):
+        parse_answer(wire_answer(how), query_for())
 
 
 @pytest.mark.parametrize(
@@ -75,54 +78,56 @@
     ],
 )
 def test_what_is_of_no_use_says_why(how: str, words: str) -> None:
-    with pytest.raises(Unusable, match=words):
-        read(answered(how), asked())
+    with pytest.raises(UnusableAnswer, match=words):
+        parse_answer(wire_answer(how), query_for())
 
 
 def test_truncation_is_told_once_and_never_over_tcp() -> None:
-    with pytest.raises(Truncated):
-        read(answered("truncated"), asked())
-    with pytest.raises(Unusable, match="truncated over TCP"):
-        read(answered("truncated over tcp"), asked(), stream=True)
+    with pytest.raises(TruncatedAnswer):
+        parse_answer(wire_answer("truncated"), query_for())
+    with pytest.raises(UnusableAnswer, match="truncated over TCP"):
+        parse_answer(wire_answer("truncated over tcp"), query_for(), over_tcp=True)
 
 
 def test_more_records_than_are_read_are_refused_before_they_are_parsed() -> None:
-    wire = answered("many", kind="A", stream=True)
-    with pytest.raises(Unusable, match=f"4001 records, at most {MOST_RECORDS}"):
-        read(wire, asked(kind="A"), stream=True)
+    wire = wire_answer("many", kind="A", stream=True)
+    with pytest.raises(UnusableAnswer, match=f"4001 records, at most {MAX_RECORDS}"):
+        parse_answer(wire, query_for(kind="A"), over_tcp=True)
 
 
 @pytest.mark.parametrize(("how", "exists"), [("empty", True), ("nxdomain", False)])
 def test_a_negative_answer_holds_as_long_as_its_soa_says(how: str, exists: bool) -> None:
-    assert read(answered(how), asked()) == Answer(5, exists=exists)
+    assert parse_answer(wire_answer(how), query_for()) == Answer(5, exists=exists)
 
 
 def test_aliases_are_followed_with_the_shortest_lifetime_and_end_somewhere() -> None:
     zone = Zone()
     zone.put("a.cache.example.org.", "CNAME", 7, ["b.cache.example.org."])
     zone.put("b.cache.example.org.", "A", 90, ["10.0.0.9"])
-    answer = read(
-        answered(name="a.cache.example.org.", kind="A", zone=zone),
-        asked("a.cache.example.org.", "A"),
+    answer = parse_answer(
+        wire_answer(name="a.cache.example.org.", kind="A", zone=zone),
+        query_for("a.cache.example.org.", "A"),
     )
     assert (answer.ttl_s, answer.addresses) == (7, ("10.0.0.9",))
-    one = asked("a.cache.example.org.", "A")
+    one = query_for("a.cache.example.org.", "A")
     message = dns.message.make_response(dns.message.from_wire(one.wire))
     message.answer.append(dns.rrset.from_text(one.name, 7, "IN", "CNAME", "elsewhere.example.net."))
-    assert read(message.to_wire(), one) == Answer(7, alias="elsewhere.example.net.")
+    assert parse_answer(message.to_wire(), one) == Answer(7, alias="elsewhere.example.net.")
     for n in range(10):
         zone.put(f"c{n}.{ZONE}", "CNAME", 7, [f"c{n + 1}.{ZONE}"])
-    with pytest.raises(Unusable, match="over 8 CNAMEs"):
-        read(answered(name=f"c0.{ZONE}", kind="A", zone=zone), asked(f"c0.{ZONE}", "A"))
+    with pytest.raises(UnusableAnswer, match="over 8 CNAMEs"):
+        parse_answer(
+            wire_answer(name=f"c0.{ZONE}", kind="A", zone=zone), query_for(f"c0.{ZONE}", "A")
+        )
 
 
 def test_a_lifetime_of_2_to_the_31_counts_as_none() -> None:
     zone = Zone()
     zone.put(f"s0.{ZONE}", "A", 0x7FEEDDCC, ["10.0.0.1"])
-    wire = answered(name=f"s0.{ZONE}", kind="A", zone=zone)
+    wire = wire_answer(name=f"s0.{ZONE}", kind="A", zone=zone)
     assert wire.count(b"\x7f\xee\xdd\xcc") == 1
     for top in (b"\x80\x00\x00\x00", b"\xff\xff\xff\xff"):  # RFC 2181, 8
-        answer = read(wire.replace(b"\x7f\xee\xdd\xcc", top), asked(f"s0.{ZONE}", "A"))
+        answer = parse_answer(wire.replace(b"\x7f\xee\xdd\xcc", top), query_for(f"s0.{ZONE}", "A"))
         assert answer.addresses == ("10.0.0.1",) and (answer.ttl_s == 0 or answer.ttl_s >= 1 << 31)
 
 
@@ -130,18 +135,18 @@
     zone = Zone()
     zone.serve({"s0": ("10.0.0.1", 8001)})
     zone.put(f"s0.{ZONE}", "AAAA", 5, ["::1", "::2"])
-    one = asked()
-    message = dns.message.from_wire(answered(zone=zone))
+    one = query_for()
+    message = dns.message.from_wire(wire_answer(zone=zone))
     message.additional.append(dns.rrset.from_text("bank.example.net.", 300, "IN", "A", "10.6.6.6"))
-    answer = read(message.to_wire(), one)
-    assert set(answer.extra) == {f"s0.{ZONE}"} and answer.foreign_family == 2
+    answer = parse_answer(message.to_wire(), one)
+    assert set(answer.additional) == {f"s0.{ZONE}"} and answer.aaaa_records == 2
 
 
 @pytest.mark.parametrize("name", ["", "a..b", "x" * 64 + ".org", ".".join(["abcdefg"] * 40)])
 def test_what_is_no_name_is_a_value_error(name: str) -> None:
     if name:
         with pytest.raises(ValueError, match="no DNS name"):
-            query(name, "A", 1, 0)
+            make_query(name, "A", 1, 0)
 
 
 @pytest.mark.parametrize(("kind", "group"), [(65_280, 1), (1, 77), (41, 1)])
@@ -149,26 +154,31 @@
     # dnspython remembers every pair of class and type that it has met.
     import dns.rdata
 
-    wire = bytearray(answered(kind="A", name=f"s0.{ZONE}"))
+    wire = bytearray(wire_answer(kind="A", name=f"s0.{ZONE}"))
     at = wire.index(b"\xc0\x0c", 12) + 2
     wire[at : at + 4] = kind.to_bytes(2, "big") + group.to_bytes(2, "big")
     before = len(dns.rdata._rdata_classes)
-    with pytest.raises(Unusable):
-        read(bytes(wire), asked(f"s0.{ZONE}", "A"))
+    with pytest.raises(UnusableAnswer):
+        parse_answer(bytes(wire), query_for(f"s0.{ZONE}", "A"))
     assert len(dns.rdata._rdata_classes) <= before + 1
 
 
 def test_mutated_messages_bring_the_named_errors_alone() -> None:
     rng, seeds = (
         random.Random(5),
-        [answered(), answered("empty"), answered("loop"), answered(kind="A", name=f"s0.{ZONE}")],
+        [
+            wire_answer(),
+            wire_answer("empty"),
+            wire_answer("loop"),
+            wire_answer(kind="A", name=f"s0.{ZONE}"),
+        ],
     )
-    asks = [asked(), asked(), asked(), asked(f"s0.{ZONE}", "A")]
+    asks = [query_for(), query_for(), query_for(), query_for(f"s0.{ZONE}", "A")]
     taken = 0
     for n in range(MUTATIONS):
         data = mutated(rng, seeds[n % 4])
         try:
-            taken += isinstance(read(data, asks[n % 4], stream=bool(n & 4)), Answer)
-        except (Foreign, Truncated, Unusable):
+            taken += isinstance(parse_answer(data, asks[n % 4], over_tcp=bool(n & 4)), Answer)
+        except (ForeignMessage, TruncatedAnswer, UnusableAnswer):
             pass
     assert taken > MUTATIONS // 50  # else it would be the header alone that is looked at
--- a/tests/sources/test_resolver.py
+++ b/tests/sources/test_resolver.py
@@ -5,11 +5,11 @@
 import asyncio
 
 import pytest
-from virtual import BOXES, HOSTS, SERVICE, Lab, play
+from virtual import BOXES, HOSTS, SERVICE, DnsFixture, run_virtual
 
 from corkshift.seam import now_ms
 from corkshift.sources.options import Limits
-from corkshift.sources.resolver import BACK_OFF_MOST_MS, LookupFailed, Servers, servers_of
+from corkshift.sources.resolver import MAX_BACKOFF_MS, LookupFailed, NameServers, parse_resolv_conf
 from testbed.systems.dns import HOWS, ZONE
 
 UNUSABLE = ["silent", "servfail", "refused", "garbage", "another question", "another case", "forged sender", "loop", "truncated over tcp",
@@ -18,34 +18,36 @@
 
 @pytest.mark.parametrize("how", UNUSABLE)
 def test_a_server_that_fails_is_passed_over_and_the_next_one_answers(how: str) -> None:
-    async def test(lab: Lab) -> None:
+    async def test(lab: DnsFixture) -> None:
         lab.servers[0].how = how
         if how == "hangs over tcp":
             lab.servers[0].zone.serve(
                 {f"box-number-{n}": (f"127.2.1.{n}", 8001) for n in range(60)}
             )  # too long for a datagram
         resolver, begin = lab.resolver(), now_ms()
-        kept = await resolver.look_up(SERVICE, "SRV")
-        assert len(kept.answer.services) in (len(BOXES), 60)
+        kept = await resolver.lookup(SERVICE, "SRV")
+        assert len(kept.answer.srv_records) in (len(BOXES), 60)
         assert now_ms() - begin < 3_000.0 and lab.servers[1].asked
         before = len(lab.servers[0].asked)
-        await resolver.look_up(
-            f"s0.{ZONE}" if how != "hangs over tcp" else f"box-number-0.{ZONE}", "A", ahead=1.0
+        await resolver.lookup(
+            f"s0.{ZONE}" if how != "hangs over tcp" else f"box-number-0.{ZONE}",
+            "A",
+            refresh_ahead=1.0,
         )
         assert len(lab.servers[0].asked) == before  # it comes last for a while
         assert sum(resolver.counts.failures.values()) == 1
 
-    play(test)
+    run_virtual(test)
 
 
 @pytest.mark.parametrize(
     "how", [how for how in HOWS if how in ("good", "truncated", "forged id", "flood")]
 )
 def test_an_answer_is_found_whatever_comes_with_it(how: str) -> None:
-    async def test(lab: Lab) -> None:
+    async def test(lab: DnsFixture) -> None:
         lab.servers[0].how = how
-        kept = await lab.resolver().look_up(SERVICE.rstrip("."), "SRV")
-        assert {service.target for service in kept.answer.services} == {
+        kept = await lab.resolver().lookup(SERVICE.rstrip("."), "SRV")
+        assert {service.target for service in kept.answer.srv_records} == {
             f"{name}.{ZONE}" for name in BOXES
         }
         assert (
@@ -53,130 +55,132 @@
             and not lab.servers[1].asked
         )
 
-    play(test)
+    run_virtual(test)
 
 
 def test_an_answer_that_comes_after_the_next_query_went_out_is_not_taken_for_it() -> None:
-    async def test(lab: Lab) -> None:
+    async def test(lab: DnsFixture) -> None:
         lab.servers[0].how, lab.servers[0].late_s = (
             "late",
             0.5,
         )  # beyond the first round's time, within the second's
         resolver = lab.resolver()
-        kept = await resolver.look_up(SERVICE, "SRV")
-        assert kept.answer.services and resolver.counts.queries == 2
+        kept = await resolver.lookup(SERVICE, "SRV")
+        assert kept.answer.srv_records and resolver.counts.queries == 2
         await asyncio.sleep(1.0)
 
-    play(test, servers=1)
+    run_virtual(test, servers=1)
 
 
 def test_every_server_dead_means_old_answers_up_to_their_age_and_then_none() -> None:
-    async def test(lab: Lab) -> None:
+    async def test(lab: DnsFixture) -> None:
         resolver = lab.resolver(Limits(floor_s=1.0, stale_s=60.0))
-        assert not (await resolver.look_up(SERVICE, "SRV")).old
+        assert not (await resolver.lookup(SERVICE, "SRV")).stale
         for server in lab.servers:
             server.how = "silent"
         await asyncio.sleep(3.0)
-        assert (await resolver.look_up(SERVICE, "SRV")).old
+        assert (await resolver.lookup(SERVICE, "SRV")).stale
         await asyncio.sleep(60.0)
         with pytest.raises(LookupFailed, match=f"{SERVICE} SRV: 127.6.0.[12]:53: time-out"):
-            await resolver.look_up(SERVICE, "SRV")
+            await resolver.lookup(SERVICE, "SRV")
         lab.servers[1].how = "good"
-        assert not (await resolver.look_up(SERVICE, "SRV")).old
+        assert not (await resolver.lookup(SERVICE, "SRV")).stale
 
-    play(test)
+    run_virtual(test)
 
 
 @pytest.mark.parametrize(("ttl", "held_s"), [(0, 2.0), (1, 2.0), (7, 7.0), (2**31 - 1, 90.0)])
 def test_lifetimes_have_a_floor_and_a_ceiling(ttl: int, held_s: float) -> None:
-    async def test(lab: Lab) -> None:
+    async def test(lab: DnsFixture) -> None:
         lab.zone.serve(BOXES, ttl)
         resolver = lab.resolver(Limits(floor_s=2.0, ceiling_s=90.0))
-        assert (await resolver.look_up(SERVICE, "SRV")).held_s == held_s
+        assert (await resolver.lookup(SERVICE, "SRV")).lifetime_s == held_s
         asked = len(lab.servers[0].asked)
         await asyncio.sleep(held_s * 0.9)
-        await resolver.look_up(SERVICE.upper(), "SRV")
+        await resolver.lookup(SERVICE.upper(), "SRV")
         assert len(lab.servers[0].asked) == asked
         await asyncio.sleep(held_s * 0.2)
-        await resolver.look_up(SERVICE, "SRV")
+        await resolver.lookup(SERVICE, "SRV")
         assert len(lab.servers[0].asked) == asked + 1
 
-    play(test)
+    run_virtual(test)
 
 
 def test_a_negative_answer_is_kept_by_its_soa() -> None:
-    async def test(lab: Lab) -> None:
+    async def test(lab: DnsFixture) -> None:
         resolver = lab.resolver()
-        kept = await resolver.look_up(f"nobody.{ZONE}", "A")
-        assert not kept.answer.exists and kept.held_s == 5.0
-        await resolver.look_up(f"nobody.{ZONE}", "A")
+        kept = await resolver.lookup(f"nobody.{ZONE}", "A")
+        assert not kept.answer.exists and kept.lifetime_s == 5.0
+        await resolver.lookup(f"nobody.{ZONE}", "A")
         assert len(lab.servers[0].asked) == 1
 
-    play(test)
+    run_virtual(test)
 
 
 def test_a_chain_that_goes_on_in_another_answer_is_followed_and_ends() -> None:
-    async def test(lab: Lab) -> None:
+    async def test(lab: DnsFixture) -> None:
         for n in range(3):
             lab.zone.put(f"c{n}.{ZONE}", "CNAME", 5, [f"c{n + 1}.{ZONE}"])
         lab.zone.put(f"c3.{ZONE}", "A", 9, ["10.0.0.3"])
-        assert (await lab.resolver().look_up(f"c0.{ZONE}", "A")).answer.addresses == ("10.0.0.3",)
+        assert (await lab.resolver().lookup(f"c0.{ZONE}", "A")).answer.addresses == ("10.0.0.3",)
 
-    play(test)
+    run_virtual(test)
 
 
 def test_queries_a_second_are_bounded() -> None:
-    async def test(lab: Lab) -> None:
+    async def test(lab: DnsFixture) -> None:
         resolver = lab.resolver(Limits(queries_per_s=5.0))
         for server in lab.servers:
             server.how = "refused"
         for n in range(40):
             with pytest.raises(LookupFailed):
-                await resolver.look_up(f"x{n}.{ZONE}", "A")
+                await resolver.lookup(f"x{n}.{ZONE}", "A")
         assert resolver.counts.queries <= 2 * 5 + 5 * 2
         assert resolver.counts.failures["too many queries"] > 20
 
-    play(test)
+    run_virtual(test)
 
 
 def test_what_is_kept_is_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("corkshift.sources.resolver.MOST_KEPT", 8)
+    monkeypatch.setattr("corkshift.sources.resolver.MAX_CACHED_NAMES", 8)
 
-    async def test(lab: Lab) -> None:
+    async def test(lab: DnsFixture) -> None:
         resolver = lab.resolver(Limits(queries_per_s=1_000.0))
         for n in range(30):
-            await resolver.look_up(f"x{n}.{ZONE}", "A")
-        assert len(resolver._kept) == 8
+            await resolver.lookup(f"x{n}.{ZONE}", "A")
+        assert len(resolver._cache) == 8
 
-    play(test)
+    run_virtual(test)
 
 
 def test_ids_ports_and_case_differ_from_query_to_query() -> None:
-    async def test(lab: Lab) -> None:
+    async def test(lab: DnsFixture) -> None:
         resolver = lab.resolver(Limits(floor_s=0.1, ceiling_s=0.1))
         for _ in range(12):
-            await resolver.look_up(SERVICE, "SRV")
+            await resolver.lookup(SERVICE, "SRV")
             await asyncio.sleep(0.2)
         assert len({name for _, name, _ in lab.servers[0].asked}) == 12
 
-    play(test)
+    run_virtual(test)
 
 
 def test_servers_that_failed_come_last_and_back_again() -> None:
     a, b, c = [(host, 53) for host in HOSTS]
-    servers = Servers([a, b, c])
+    servers = NameServers([a, b, c])
     servers.failed(a, 0.0)
     servers.failed(b, 10.0)
     assert servers.order(20.0) == [c, a, b] and servers.order(2_000.0) == [a, b, c]
     for _ in range(20):
         servers.failed(a, 0.0)
-    assert servers.order(BACK_OFF_MOST_MS - 1.0) == [b, c, a] and servers.order(
-        BACK_OFF_MOST_MS
-    ) == [a, b, c]
+    assert servers.order(MAX_BACKOFF_MS - 1.0) == [b, c, a] and servers.order(MAX_BACKOFF_MS) == [
+        a,
+        b,
+        c,
+    ]
     servers.answered(a)
     assert servers.order(0.0)[0] == a
 
 
 def test_resolv_conf_names_ipv4_servers() -> None:
     text = "# a\nsearch x\nnameserver 10.0.0.1\nnameserver ::1\nnameserver\n nameserver 10.0.0.2 # b\nnameserver 300.1.1.1\n"
-    assert servers_of(text) == [("10.0.0.1", 53), ("10.0.0.2", 53)]
+    assert parse_resolv_conf(text) == [("10.0.0.1", 53), ("10.0.0.2", 53)]
--- a/tests/sources/test_sources.py
+++ b/tests/sources/test_sources.py
@@ -8,11 +8,11 @@
 from typing import Any
 
 import pytest
-from virtual import BOXES, Lab, play
+from virtual import BOXES, DnsFixture, run_virtual
 
 from corkshift import seam
 from corkshift.config import address_of
-from corkshift.sources.hub import LOOK_S, Sources
+from corkshift.sources.hub import GROUP_CHECK_S, Sources
 from corkshift.sources.options import DnsTable, FileTable, GuardTable, SourcesTable
 from corkshift.upstream import CacheServer
 from forkweir import Server
@@ -73,7 +73,7 @@
         self.box_list.on_list(form, servers)
 
 
-def made(lab: Lab, **more: Any) -> tuple[Node, Sources, Discovery]:
+def start_sources(lab: DnsFixture, **more: Any) -> tuple[Node, Sources, Discovery]:
     node = Node()
     pool: Any = SimpleNamespace(forget=lambda server: node.forgotten.append(server.name))
     resolvers = [f"{host}:{port}" for host, port in lab.addresses]
@@ -86,8 +86,8 @@
 
 
 def test_dns_alone_serves_and_the_lists_ids_take_over() -> None:
-    async def test(lab: Lab) -> None:
-        node, sources, discovery = made(lab)
+    async def test(lab: DnsFixture) -> None:
+        node, sources, discovery = start_sources(lab)
         await asyncio.sleep(0.1)
         assert node.serving == {f"{host}:{port}" for host, port in BOXES.values()}
         discovery.tell("full", *((name, "in") for name in BOXES))
@@ -96,12 +96,12 @@
         } == set(BOXES.values())
         sources.close()
 
-    play(test)
+    run_virtual(test)
 
 
 def test_a_drain_of_the_list_is_heeded_at_once_while_dns_names_the_box_on() -> None:
-    async def test(lab: Lab) -> None:
-        node, sources, discovery = made(lab)
+    async def test(lab: DnsFixture) -> None:
+        node, sources, discovery = start_sources(lab)
         await asyncio.sleep(0.1)
         discovery.tell("full", *((name, "in") for name in BOXES))
         discovery.tell("changes", ("s1", "draining"))
@@ -113,25 +113,25 @@
         )
         sources.close()
 
-    play(test)
+    run_virtual(test)
 
 
 def test_boxes_that_only_one_source_names_are_served_beside_each_other() -> None:
-    async def test(lab: Lab) -> None:
+    async def test(lab: DnsFixture) -> None:
         lab.zone.serve({"s0": BOXES["s0"], "x": ("127.2.0.77", 8001)})
-        node, sources, discovery = made(lab)
+        node, sources, discovery = start_sources(lab)
         discovery.tell("full", ("s0", "in"), ("s1", "in"))
         await asyncio.sleep(0.1)
         assert node.serving == {"s0", "s1", "127.2.0.77:8001"}
         sources.close()
 
-    play(test)
+    run_virtual(test)
 
 
 @pytest.mark.parametrize("how", ["empty", "nxdomain", "silent", "refused", "garbage"])
 def test_records_that_are_gone_or_can_not_be_had_leave_the_set_as_it_is(how: str) -> None:
-    async def test(lab: Lab) -> None:
-        node, sources, _ = made(lab)
+    async def test(lab: DnsFixture) -> None:
+        node, sources, _ = start_sources(lab)
         await asyncio.sleep(0.1)
         for server in lab.servers:
             server.how = how
@@ -145,12 +145,12 @@
         assert node.serving == {"127.2.0.9:8001"}
         sources.close()
 
-    play(test)
+    run_virtual(test)
 
 
 def test_records_older_than_the_operator_allows_are_given_up_while_the_list_serves() -> None:
-    async def test(lab: Lab) -> None:
-        node, sources, discovery = made(lab, guard=GuardTable(hold_s=5.0))
+    async def test(lab: DnsFixture) -> None:
+        node, sources, discovery = start_sources(lab, guard=GuardTable(hold_s=5.0))
         sources.reload(replace_dns(sources, old_s=20.0))
         await asyncio.sleep(0.1)
         discovery.tell("full", ("s0", "in"), ("s1", "in"))
@@ -163,12 +163,12 @@
         assert node.serving == {"s0", "s1"}
         sources.close()
 
-    play(test)
+    run_virtual(test)
 
 
 def test_the_root_as_target_means_not_offered_here() -> None:
-    async def test(lab: Lab) -> None:
-        node, sources, discovery = made(lab)
+    async def test(lab: DnsFixture) -> None:
+        node, sources, discovery = start_sources(lab)
         discovery.tell("full", ("s0", "in"))
         await asyncio.sleep(0.1)
         lab.zone.put(SERVICE, "SRV", 2, ["0 0 0 ."])
@@ -176,14 +176,14 @@
         assert node.serving == {"s0"}
         sources.close()
 
-    play(test)
+    run_virtual(test)
 
 
 def test_the_known_list_serves_where_no_source_is_alive_and_yields_to_one_that_is() -> None:
-    async def test(lab: Lab) -> None:
+    async def test(lab: DnsFixture) -> None:
         for server in lab.servers:
             server.how = "silent"
-        node, sources, discovery = made(lab)
+        node, sources, discovery = start_sources(lab)
         discovery.tell("saved", ("s0", "in"), ("s1", "in"))
         discovery.box_list.on_list("failed", [])
         assert node.serving == {"s0", "s1"} and [
@@ -195,20 +195,20 @@
         assert node.serving == {"s2"}
         sources.close()
 
-    play(test)
+    run_virtual(test)
 
 
 def test_a_lower_group_comes_in_when_the_higher_can_not_serve_and_leaves_again() -> None:
-    async def test(lab: Lab) -> None:
+    async def test(lab: DnsFixture) -> None:
         lab.zone.put(
             SERVICE, "SRV", 2, [f"{10 * (1 + n // 2)} 10 8001 s{n}.{ZONE}" for n in range(4)]
         )
-        node, sources, _ = made(lab)
+        node, sources, _ = start_sources(lab)
         await asyncio.sleep(0.1)
         first, second = ({f"{BOXES[f's{n}'][0]}:8001" for n in pair} for pair in ((0, 1), (2, 3)))
         assert node.serving == first
         node.down = first
-        await asyncio.sleep(2 * LOOK_S)
+        await asyncio.sleep(2 * GROUP_CHECK_S)
         assert node.serving == first | second
         node.down = set()
         await asyncio.sleep(RETURN_MS / 2000.0)
@@ -217,29 +217,29 @@
         assert node.serving == first
         sources.close()
 
-    play(test)
+    run_virtual(test)
 
 
 def test_weights_are_those_of_rfc_2782_over_their_groups_mean() -> None:
-    async def test(lab: Lab) -> None:
+    async def test(lab: DnsFixture) -> None:
         lab.zone.put(
             SERVICE,
             "SRV",
             2,
             [f"0 {weight} 8001 s{n}.{ZONE}" for n, weight in enumerate((30, 10, 20, 0))],
         )
-        node, sources, _ = made(lab)
+        node, sources, _ = start_sources(lab)
         await asyncio.sleep(0.1)
         weights = [node.module[f"{host}:{port}"].weight for host, port in BOXES.values()]
         assert weights == pytest.approx([2.0, 2 / 3, 4 / 3, 0.05])
         sources.close()
 
-    play(test)
+    run_virtual(test)
 
 
 def test_an_address_that_moves_from_one_name_to_another_stays_in_service() -> None:
-    async def test(lab: Lab) -> None:
-        node, sources, _ = made(lab)
+    async def test(lab: DnsFixture) -> None:
+        node, sources, _ = start_sources(lab)
         await asyncio.sleep(0.1)
         before = len(node.told)
         lab.zone.serve({f"renamed-{name}": address for name, address in BOXES.items()})
@@ -247,13 +247,13 @@
         assert len(node.serving) == len(BOXES) and len(node.told) == before
         sources.close()
 
-    play(test)
+    run_virtual(test)
 
 
 def test_targets_without_addresses_along_are_looked_up_and_one_that_fails_is_not_gone() -> None:
-    async def test(lab: Lab) -> None:
+    async def test(lab: DnsFixture) -> None:
         lab.zone.glue = False
-        node, sources, _ = made(lab)
+        node, sources, _ = start_sources(lab)
         await asyncio.sleep(0.2)
         assert len(node.serving) == len(BOXES)
         assert {kind for server in lab.servers for _, _, kind in server.asked} == {"SRV", "A"}
@@ -263,14 +263,14 @@
         assert len(node.serving) == len(BOXES)
         sources.close()
 
-    play(test)
+    run_virtual(test)
 
 
 def test_a_reload_moves_to_other_resolvers_in_the_middle_of_a_query() -> None:
-    async def test(lab: Lab) -> None:
+    async def test(lab: DnsFixture) -> None:
         for server in lab.servers[:2]:
             server.how = "silent"
-        node, sources, _ = made(lab)
+        node, sources, _ = start_sources(lab)
         assert sources.dns is not None and node is not None
         options = replace_dns(sources, resolvers=[f"{lab.addresses[2][0]}:53"])
         first = replace_dns(sources, resolvers=[f"{host}:53" for host, _ in lab.addresses[:2]])
@@ -282,7 +282,7 @@
         assert len(node.serving) == len(BOXES)
         sources.close()
 
-    play(test, servers=3)
+    run_virtual(test, servers=3)
 
 
 def replace_dns(sources: Sources, **changes: Any) -> SourcesTable:
@@ -296,13 +296,13 @@
 def test_a_file_of_known_boxes_serves_while_nothing_else_does_and_a_bad_one_changes_nothing() -> (
     None
 ):
-    async def test(lab: Lab) -> None:
-        side = seam.SIDE.get()
+    async def test(lab: DnsFixture) -> None:
+        side = seam.CURRENT_SYSTEM.get()
         files: dict[str, bytes] = side.files  # type: ignore[attr-defined]
         files["boxes.toml"] = FILE
         for server in lab.servers:
             server.how = "silent"
-        node, sources, discovery = made(lab, file=FileTable(path="boxes.toml"))
+        node, sources, discovery = start_sources(lab, file=FileTable(path="boxes.toml"))
         assert node.serving == {"spare"}
         files["boxes.toml"] = FILE + b"[[box]]\naddress = 5\n"
         sources.reload(sources._options)
@@ -314,14 +314,14 @@
         assert node.serving == {"s0"}
         sources.close()
 
-    play(test)
+    run_virtual(test)
 
 
 def test_what_the_view_says_and_that_a_fall_is_told_in_it() -> None:
-    async def test(lab: Lab) -> None:
+    async def test(lab: DnsFixture) -> None:
         import orjson
 
-        node, sources, discovery = made(lab, guard=GuardTable(hold_s=5.0))
+        node, sources, discovery = start_sources(lab, guard=GuardTable(hold_s=5.0))
         await asyncio.sleep(0.1)
         discovery.tell("full", *((name, "in") for name in BOXES))
         lab.zone.serve({})
@@ -337,18 +337,18 @@
         assert node.serving == {"s0"}
         sources.close()
 
-    play(test)
+    run_virtual(test)
 
 
 def test_options_that_can_not_be_are_named() -> None:
-    from corkshift.cli.operator import BadOperatorFile, parse
+    from corkshift.cli.operator import BadOperatorFile, parse_operator_file
 
     text = '[sources.dns]\nservice = "a..b"\nresolvers = ["ns.example:53"]\nfloor_s = 9.0\nceiling_s = 1.0\nmay = ["fly"]\n'
     with pytest.raises(BadOperatorFile) as caught:
-        parse(b"format = 1\n" + text.encode(), "op.toml")
+        parse_operator_file(b"format = 1\n" + text.encode(), "op.toml")
     assert [fault.path for fault in caught.value.faults] == ["sources.dns.may[0]"]
     with pytest.raises(BadOperatorFile) as caught:
-        parse(b"format = 1\n" + text.replace("fly", "add").encode(), "op.toml")
+        parse_operator_file(b"format = 1\n" + text.replace("fly", "add").encode(), "op.toml")
     assert [fault.path for fault in caught.value.faults] == [
         "sources.dns.resolvers[0]",
         "sources.dns.floor_s",
--- a/tests/sources/virtual.py
+++ b/tests/sources/virtual.py
@@ -18,7 +18,7 @@
 BOXES = {f"s{n}": (f"127.2.0.{n + 1}", 8001) for n in range(4)}
 
 
-class Lab:
+class DnsFixture:
     """Name servers of one zone, and one process that asks them."""
 
     def __init__(self, loop: VirtualLoop, servers: int = 2) -> None:
@@ -28,30 +28,30 @@
         self.zone.serve(BOXES)
         self.servers = [NameServer((host, 53), self.zone) for host in HOSTS[:servers]]
         self.addresses = [server.address for server in self.servers]
-        self.others = [
+        self.server_processes = [
             Process(f"dns-{server.address[0]}", self.net, server.address[0])
             for server in self.servers
         ]
-        for process, server in zip(self.others, self.servers, strict=True):
+        for process, server in zip(self.server_processes, self.servers, strict=True):
             process.start(server.run)
         self.process = Process("asker", self.net, "127.1.0.1")
 
     def resolver(self, limits: Limits | None = None) -> Resolver:
-        return Resolver(self.addresses, limits or Limits(floor_s=1.0), seam.entropy)
+        return Resolver(self.addresses, limits or Limits(floor_s=1.0), seam.random_bytes)
 
     def link(self, host: str) -> Any:
         """The way of datagrams to a server."""
         return self.net.link("127.1.0.1", host)
 
 
-def play(test: Callable[[Lab], Coroutine[Any, Any, None]], servers: int = 2) -> None:
+def run_virtual(test: Callable[[DnsFixture], Coroutine[Any, Any, None]], servers: int = 2) -> None:
     """Run a test as a process of its own on the virtual clock; what it raises is raised here."""
     loop = VirtualLoop(1)
     asyncio.set_event_loop(loop)
     raised: list[BaseException] = []
 
     async def main() -> None:
-        lab = Lab(loop, servers)
+        lab = DnsFixture(loop, servers)
         done = asyncio.Event()
 
         async def program() -> None:
@@ -66,7 +66,7 @@
         lab.process.start(program)
         await done.wait()
         assert raised or not lab.process.sockets, "sockets are left"
-        for process, server in zip(lab.others, lab.servers, strict=True):
+        for process, server in zip(lab.server_processes, lab.servers, strict=True):
             process.context.run(server.close)
             process.kill()
             for task in process.pending():
@@ -82,4 +82,4 @@
         raise raised[0]
 
 
-__all__ = ["BOXES", "HOSTS", "SERVICE", "Lab", "play"]
+__all__ = ["BOXES", "HOSTS", "SERVICE", "DnsFixture", "run_virtual"]
--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -55,7 +55,7 @@
     assert 3 in {struct.unpack_from("<I", data, start + n * size)[0] for n in range(count)}
 
 
-def pathnames(pid: int) -> list[str]:
+def unexpected_sockets(pid: int) -> list[str]:
     """The names of the Unix sockets that a process holds, and what of its sockets is neither Unix nor IPv4."""
     inodes = {
         os.readlink(path)[8:-1]
@@ -99,7 +99,7 @@
                 await until(lambda: any("BREACH" in line for line in process.log))
                 return
             assert (Path(f"/proc/{pid}/task/{pid}/children")).read_text() == ""
-            assert pathnames(pid) == []
+            assert unexpected_sockets(pid) == []
             assert list((tmp_path / "tmp").iterdir()) == []
             assert not any("BREACH" in line for line in process.log)
         finally:
--- a/tests/test_seam.py
+++ b/tests/test_seam.py
@@ -8,12 +8,12 @@
 import pytest
 
 ROOT = Path(__file__).parent.parent
-REAL_SIDE = {
+REAL_SYSTEM = {
     ROOT / "corkshift" / "seam" / "__init__.py",
     ROOT / "corkshift" / "seam" / "process.py",
 }
 # The command line runs before there is a node and outside of any world.
-COMMANDS = ROOT / "corkshift" / "cli"
+CLI_PACKAGE = ROOT / "corkshift" / "cli"
 BANNED_MODULES = {
     "time",
     "os",
@@ -44,7 +44,7 @@
     return node.id if isinstance(node, ast.Name) else "?"
 
 
-def past_the_seam(code: str) -> list[str]:
+def system_access(code: str) -> list[str]:
     """What in a module's code goes past the seam."""
     found = []
     for node in ast.walk(ast.parse(code)):
@@ -85,11 +85,13 @@
         for path in sorted((ROOT / package).rglob("*.py"))
     ]
     assert len(files) > 15
-    scanned = [path for path in files if path not in REAL_SIDE and COMMANDS not in path.parents]
+    scanned = [
+        path for path in files if path not in REAL_SYSTEM and CLI_PACKAGE not in path.parents
+    ]
     assert {
         str(path.relative_to(ROOT)): found
         for path in scanned
-        if (found := past_the_seam(path.read_text()))
+        if (found := system_access(path.read_text()))
     } == {}
 
 
@@ -110,4 +112,4 @@
     ],
 )
 def test_the_scan_finds_what_goes_past_it(code: str) -> None:
-    assert past_the_seam(code)
+    assert system_access(code)
--- a/tests/testbed/test_net.py
+++ b/tests/testbed/test_net.py
@@ -42,7 +42,7 @@
             runner.run(main())
 
     async def _accept(self) -> None:
-        listener = seam.listen((B, 80), 65_536)
+        listener = seam.bind_listener((B, 80), 65_536)
         listener.listen(8)
         came = self.loop.create_future()
         self.loop.add_reader(listener, lambda: None if came.done() else came.set_result(None))
@@ -52,7 +52,7 @@
         self.b.sockets.clear()  # they stay open though the program ends
 
     async def _dial(self) -> None:
-        sock = seam.stream()
+        sock = seam.tcp_socket()
         await seam.connect(sock, (B, 80))
         self.near = Stream(sock)
         self.a.sockets.clear()
@@ -137,13 +137,13 @@
     got: list[int] = []
 
     async def receive() -> None:
-        sock: Socket = seam.datagram()
+        sock: Socket = seam.udp_socket()
         sock.bind((B, 9))
         asyncio.get_running_loop().add_reader(sock, lambda: got.append(int(sock.recvfrom(20)[0])))
         await asyncio.sleep(2.0)
 
     async def send() -> None:
-        sock = seam.datagram()
+        sock = seam.udp_socket()
         for n in range(500):
             sock.sendto(b"%d" % n, (B, 9))
             await asyncio.sleep(0.001)
@@ -183,9 +183,9 @@
         seen.extend([seam.now_ms() - EPOCH_MS, seam.read_file("f"), seam.environ()["V"]])
         with pytest.raises(FileNotFoundError):
             seam.read_file("g")
-        seam.stream()
+        seam.tcp_socket()
         with pytest.raises(OSError, match="Too many open files"):
-            seam.stream()
+            seam.tcp_socket()
 
     async def main() -> None:
         process.start(program)
--- a/tests/testbed/test_parity.py
+++ b/tests/testbed/test_parity.py
@@ -102,10 +102,10 @@
 
 async def raw_pair() -> tuple[Socket, Socket]:
     """A connection: the dialing end and the accepted one."""
-    listener = seam.listen((HOST, 0), KERNEL_BUFFER)
+    listener = seam.bind_listener((HOST, 0), KERNEL_BUFFER)
     listener.listen(8)
-    dialing = seam.stream()
-    seam.bound_buffers(dialing, KERNEL_BUFFER)
+    dialing = seam.tcp_socket()
+    seam.limit_buffers(dialing, KERNEL_BUFFER)
     await seam.connect(dialing, listener.getsockname())
     accepted = await accept(listener)
     listener.close()
@@ -271,23 +271,23 @@
 
 @scenario
 async def a_dial_that_is_refused() -> Seen:
-    listener = seam.listen((HOST, 0), KERNEL_BUFFER)
+    listener = seam.bind_listener((HOST, 0), KERNEL_BUFFER)
     address = listener.getsockname()
     listener.close()
-    return [await named(seam.connect(seam.stream(), address))]
+    return [await named(seam.connect(seam.tcp_socket(), address))]
 
 
 @scenario
 async def a_bound_socket_that_does_not_listen_refuses() -> Seen:
-    listener = seam.listen((HOST, 0), KERNEL_BUFFER)
-    return [await named(seam.connect(seam.stream(), listener.getsockname()))]
+    listener = seam.bind_listener((HOST, 0), KERNEL_BUFFER)
+    return [await named(seam.connect(seam.tcp_socket(), listener.getsockname()))]
 
 
 @scenario
 async def a_backlog_holds_connections_until_they_are_accepted() -> Seen:
-    listener = seam.listen((HOST, 0), KERNEL_BUFFER)
+    listener = seam.bind_listener((HOST, 0), KERNEL_BUFFER)
     listener.listen(8)
-    dials = [seam.stream() for _ in range(4)]
+    dials = [seam.tcp_socket() for _ in range(4)]
     for n, dial in enumerate(dials):
         await seam.connect(dial, listener.getsockname())
         dial.send(b"early %d" % n)
@@ -299,12 +299,12 @@
 
 @scenario
 async def a_full_backlog_leaves_a_dial_without_answer() -> Seen:
-    listener = seam.listen((HOST, 0), KERNEL_BUFFER)
+    listener = seam.bind_listener((HOST, 0), KERNEL_BUFFER)
     listener.listen(1)
     seen: Seen = []
     kept = []
     for _ in range(4):
-        kept.append(seam.stream())
+        kept.append(seam.tcp_socket())
         seen.append(
             await named(asyncio.wait_for(seam.connect(kept[-1], listener.getsockname()), 0.3))
         )
@@ -313,9 +313,9 @@
 
 @scenario
 async def a_connection_reset_before_it_is_accepted() -> Seen:
-    listener = seam.listen((HOST, 0), KERNEL_BUFFER)
+    listener = seam.bind_listener((HOST, 0), KERNEL_BUFFER)
     listener.listen(8)
-    dial = seam.stream()
+    dial = seam.tcp_socket()
     await seam.connect(dial, listener.getsockname())
     dial.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     dial.close()
@@ -325,9 +325,9 @@
 
 @scenario
 async def a_listener_that_closes_resets_what_waits() -> Seen:
-    listener = seam.listen((HOST, 0), KERNEL_BUFFER)
+    listener = seam.bind_listener((HOST, 0), KERNEL_BUFFER)
     listener.listen(8)
-    dial = seam.stream()
+    dial = seam.tcp_socket()
     await seam.connect(dial, listener.getsockname())
     listener.close()
     return [await all_of(Stream(dial))]
@@ -335,9 +335,9 @@
 
 @scenario
 async def an_address_that_is_taken() -> Seen:
-    listener = seam.listen((HOST, 0), KERNEL_BUFFER)
+    listener = seam.bind_listener((HOST, 0), KERNEL_BUFFER)
     listener.listen(8)
-    return [called(lambda: seam.listen(listener.getsockname(), KERNEL_BUFFER).listen(8))]
+    return [called(lambda: seam.bind_listener(listener.getsockname(), KERNEL_BUFFER).listen(8))]
 
 
 @scenario
@@ -373,7 +373,7 @@
 
 @scenario
 async def a_socket_that_was_never_connected() -> Seen:
-    sock = seam.stream()
+    sock = seam.tcp_socket()
     return [called(lambda: sock.shutdown(socket.SHUT_WR)), called(lambda: sock.send(b"x"))]
 
 
@@ -408,9 +408,9 @@
 
 @scenario
 async def a_dial_given_up_leaves_nothing() -> Seen:
-    listener = seam.listen((HOST, 0), KERNEL_BUFFER)
+    listener = seam.bind_listener((HOST, 0), KERNEL_BUFFER)
     listener.listen(8)
-    dial = seam.stream()
+    dial = seam.tcp_socket()
     job = asyncio.create_task(seam.connect(dial, listener.getsockname()))
     await asyncio.sleep(0)
     await job
@@ -419,7 +419,7 @@
 
 
 async def datagrams(count: int) -> list[Socket]:
-    made = [seam.datagram() for _ in range(count)]
+    made = [seam.udp_socket() for _ in range(count)]
     for sock in made:
         sock.bind((HOST, 0))
     return made
