--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -227,7 +227,7 @@
         answer = parse_answer(wire, make_query(SERVICE, "SRV", 1, 0), over_tcp=True)
         found = {
             target: CachedAnswer(Answer(life, addresses=addresses), 0.0, 1.0)
-            for target, (life, addresses) in answer.additional.items()
+            for target, (life, addresses) in answer.additional_addresses.items()
         }
         merged.tell("dns", claims_of_records(answer.srv_records, dict(found)), float(n))
         assert len(merged.merge(float(n))) == BOXES
--- a/corkshift/sources/message.py
+++ b/corkshift/sources/message.py
@@ -68,7 +68,7 @@
     alias: str = ""  # the end of a CNAME chain that the answer does not resolve
     exists: bool = True
     aaaa_records: int = 0  # AAAA records: this node speaks IPv4 alone
-    additional: dict[str, tuple[int, tuple[str, ...]]] = field(default_factory=dict)
+    additional_addresses: dict[str, tuple[int, tuple[str, ...]]] = field(default_factory=dict)
 
 
 @dataclass(frozen=True, slots=True)
@@ -221,7 +221,7 @@
         if isinstance(r, dns.rdtypes.IN.SRV.SRV)
     )
     targets = {service.target for service in srv_records}
-    additional: dict[str, tuple[int, tuple[str, ...]]] = {}
+    additional_addresses: dict[str, tuple[int, tuple[str, ...]]] = {}
     aaaa_records = 0
     for rrset in message.additional:
         target = rrset.name.canonicalize().to_text()
@@ -229,13 +229,18 @@
             target in targets and rrset.rdclass == dns.rdataclass.IN
         ):  # only what the records name: anybody's address could stand here
             if rrset.rdtype == dns.rdatatype.A:
-                additional[target] = (
+                additional_addresses[target] = (
                     rrset.ttl,
                     tuple(sorted(r.address for r in rrset if isinstance(r, dns.rdtypes.IN.A.A))),
                 )
             elif rrset.rdtype == dns.rdatatype.AAAA:
                 aaaa_records += len(rrset)
-    return Answer(ttl, srv_records=srv_records, additional=additional, aaaa_records=aaaa_records)
+    return Answer(
+        ttl,
+        srv_records=srv_records,
+        additional_addresses=additional_addresses,
+        aaaa_records=aaaa_records,
+    )
 
 
 def _negative_ttl_s(message: dns.message.Message) -> int:
--- a/corkshift/sources/resolver.py
+++ b/corkshift/sources/resolver.py
@@ -154,7 +154,7 @@
         cached = CachedAnswer(answer, now_ms(), min(limits.ceiling_s, max(limits.floor_s, ttl)))
         self._cache.pop(key, None)
         self._cache[key] = cached
-        for target, (ttl_s, addresses) in answer.additional.items():
+        for target, (ttl_s, addresses) in answer.additional_addresses.items():
             self._store((target, "A"), Answer(ttl_s, addresses=addresses))
         while len(self._cache) > MAX_CACHED_NAMES:
             del self._cache[next(iter(self._cache))]
--- a/tests/sources/test_message.py
+++ b/tests/sources/test_message.py
@@ -49,7 +49,7 @@
         SrvRecord(0, 10, 8001, f"s0.{ZONE}"),
         SrvRecord(0, 10, 8002, f"s1.{ZONE}"),
     }
-    assert answer.additional == {
+    assert answer.additional_addresses == {
         f"s0.{ZONE}": (30, ("10.0.0.1",)),
         f"s1.{ZONE}": (30, ("10.0.0.2",)),
     }
@@ -139,7 +139,7 @@
     message = dns.message.from_wire(wire_answer(zone=zone))
     message.additional.append(dns.rrset.from_text("bank.example.net.", 300, "IN", "A", "10.6.6.6"))
     answer = parse_answer(message.to_wire(), one)
-    assert set(answer.additional) == {f"s0.{ZONE}"} and answer.aaaa_records == 2
+    assert set(answer.additional_addresses) == {f"s0.{ZONE}"} and answer.aaaa_records == 2
 
 
 @pytest.mark.parametrize("name", ["", "a..b", "x" * 64 + ".org", ".".join(["abcdefg"] * 40)])
