--- a/corkshift/seam/__init__.py
+++ b/corkshift/seam/__init__.py
@@ -1,12 +1,14 @@
-"""The seam: the one place through which the node touches the system.
+"""System interface: the only module through which the node accesses the operating system.
 
-Clocks, sockets, files, the environment and signals are reached here, timers and readiness through the running asyncio
-loop, and nothing in `corkshift` or `forkweir` goes past either (tests/test_seam.py scans for it). There is a real side,
-`System`, and a virtual one in the package `testbed`, on which the same code runs on virtual time. Which side is in force
-is a context variable, so that many virtual processes share one loop, each with a clock, sockets and files of its own.
+Clocks, sockets, files, the environment and signals are accessed here; timers and socket readiness
+go through the running asyncio loop. No other code in `corkshift` or `forkweir` may call the system
+directly (tests/test_seam.py scans for it). There are two implementations of `SystemInterface`: the
+real one, `System`, and a virtual one in the package `testbed`, which runs the same code on virtual
+time. The current implementation is held in a context variable, so that many virtual processes can
+share one loop, each with a clock, sockets and files of its own.
 
-Bounds: the seam adds one look-up and one call to each reading of the clock and each new socket, and nothing to a read or
-a write, which go to the socket itself.
+Cost: one context look-up and one call for each clock reading and each new socket. Reads and writes
+go directly to the socket and cost nothing extra.
 """
 
 from __future__ import annotations
@@ -24,21 +26,20 @@
 from typing import Any, Optional, Protocol, cast
 
 Address = tuple[str, int]
-_LAST_DATA_RECEIVED = struct.Struct(
-    "52xI"
-)  # tcpi_last_data_recv of struct tcp_info (linux/tcp.h), in ms
-_READABLE_STATES = {
-    1,
-    8,
-}  # tcpi_state: TCP_ESTABLISHED and TCP_CLOSE_WAIT (include/net/tcp_states.h)
+# tcpi_last_data_recv of struct tcp_info (linux/tcp.h), in ms.
+_LAST_DATA_RECEIVED = struct.Struct("52xI")
+# tcpi_state: TCP_ESTABLISHED and TCP_CLOSE_WAIT (include/net/tcp_states.h).
+_READABLE_STATES = {1, 8}
 _TCP_INFO_SIZE = _LAST_DATA_RECEIVED.size
-_CLOSED_BY_PEER_EVENTS = (
-    getattr(select, "POLLRDHUP", 0) | select.POLLHUP | select.POLLERR
-)  # the peer's end counts before what it sent is read
+# POLLRDHUP reports the end of the stream even while received data is still unread.
+_CLOSED_BY_PEER_EVENTS = getattr(select, "POLLRDHUP", 0) | select.POLLHUP | select.POLLERR
 
 
 class Socket(Protocol):
-    """What the node uses of a non-blocking socket, in the words and with the errors of the standard library."""
+    """The methods of a non-blocking socket that the node uses.
+
+    Names and errors are those of `socket.socket`.
+    """
 
     def fileno(self) -> int: ...
     def setblocking(self, flag: bool, /) -> None: ...
@@ -56,51 +57,61 @@
 
 
 class SystemInterface(Protocol):
-    """One side of the seam."""
+    """Access to the operating system, real or virtual."""
 
     def now_ms(self) -> float:
-        """Unix time in ms, fixed at the process's start and carried on by the monotonic clock: it never goes back."""
+        """Unix time in ms, which never goes back.
+
+        The wall clock is read once at the process's start; the monotonic clock advances it.
+        """
         ...
 
     def tcp_socket(self) -> Socket:
-        """A new non-blocking TCP socket; OSError where there are no descriptors left."""
+        """A new non-blocking TCP socket; OSError where no descriptors are left."""
         ...
 
     def udp_socket(self) -> Socket:
-        """A new non-blocking UDP socket; OSError as above."""
+        """A new non-blocking UDP socket; OSError where no descriptors are left."""
         ...
 
     def inherited_listener(self, descriptor: int) -> Socket:
-        """The listening TCP socket that this process was started with; OSError where the descriptor is none."""
+        """The listening TCP socket that this process inherited from its parent.
+
+        Raises OSError where the descriptor is not a listening TCP socket.
+        """
         ...
 
     def closed_by_peer(self, sock: Any) -> bool:
-        """Whether the other side of a TCP connection has ended it, whatever stands unread before that end."""
+        """Whether the peer has closed a TCP connection, even if received data is still unread."""
         ...
 
     def ms_since_last_receive(self, sock: Any) -> Optional[float]:
-        """How long ago the last bytes of a TCP connection came in; None where the system can't tell."""
+        """Time since a TCP connection last received data, in ms; None where it is unknown."""
         ...
 
     def read_file(self, path: str) -> bytes:
-        """A file's content; OSError as `open` raises it."""
+        """The content of a file; OSError as raised by `open`."""
         ...
 
     def environ(self) -> Mapping[str, str]:
-        """The process's environment."""
+        """The environment variables of the process."""
         ...
 
     def random_bytes(self, size: int) -> bytes:
-        """So many bytes that nobody can guess."""
+        """`size` cryptographically secure random bytes."""
         ...
 
     def unix_listener(self, path: str) -> Socket:
-        """A bound Unix socket at a path, for this user alone; one left behind by a process that is gone is replaced. OSError."""
+        """A bound Unix socket at a path, accessible by this user only.
+
+        Replaces a socket file left behind by a process that has ended. Raises OSError where the
+        path can't be bound or another process listens there.
+        """
         ...
 
 
 class System:
-    """The real side: the operating system."""
+    """The implementation of `SystemInterface` for the real operating system."""
 
     __slots__ = ("_start_ms",)
 
@@ -122,7 +133,7 @@
             socket.SOL_SOCKET, socket.SO_ACCEPTCONN
         ):
             sock.detach()
-            raise OSError(errno.EINVAL, f"descriptor {descriptor} is no listening TCP socket")
+            raise OSError(errno.EINVAL, f"descriptor {descriptor} is not a listening TCP socket")
         sock.setblocking(False)
         sock.set_inheritable(False)
         return sock
@@ -138,7 +149,8 @@
         except OSError:
             return None
         if len(info) < _TCP_INFO_SIZE or info[0] not in _READABLE_STATES:
-            return None  # not the state of a connection from which there is something to read: the figures are not its own
+            # In other states the kernel's value doesn't describe received data.
+            return None
         return float(_LAST_DATA_RECEIVED.unpack_from(info)[0])
 
     def read_file(self, path: str) -> bytes:
@@ -157,9 +169,9 @@
             except FileNotFoundError:
                 pass
             except ConnectionRefusedError:
-                os.unlink(path)  # nobody listens there any more
+                os.unlink(path)  # no process listens there any more
             else:
-                raise OSError(errno.EADDRINUSE, f"{path}: another process listens there")
+                raise OSError(errno.EADDRINUSE, f"{path}: another process listens on this socket")
         sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM | socket.SOCK_NONBLOCK)
         previous_mask = os.umask(0o177)
         try:
@@ -177,12 +189,15 @@
 
 
 def set_system(system: SystemInterface) -> None:
-    """Put a side in force for the current context, and for the tasks and timers that it starts from here on."""
+    """Set the implementation for the current context and the tasks and timers it starts later."""
     CURRENT_SYSTEM.set(system)
 
 
 def now_ms() -> float:
-    """Unix time in milliseconds that never goes back (so `startedAtMs` compares and timers hold)."""
+    """Unix time in ms, which never goes back.
+
+    It is comparable with `startedAtMs` of discovery, and timers hold when the wall clock is set.
+    """
     return CURRENT_SYSTEM.get().now_ms()
 
 
@@ -197,42 +212,49 @@
 
 
 def closed_by_peer(sock: Socket) -> bool:
-    """Whether the other side of a TCP connection has ended it, whatever stands unread before that end."""
+    """Whether the peer has closed a TCP connection, even if received data is still unread."""
     return CURRENT_SYSTEM.get().closed_by_peer(sock)
 
 
 def ms_since_last_receive(sock: Socket) -> Optional[float]:
-    """How long ago the last bytes of a TCP connection came in; None where the system can't tell."""
+    """Time since a TCP connection last received data, in ms; None where it is unknown."""
     return CURRENT_SYSTEM.get().ms_since_last_receive(sock)
 
 
 def read_file(path: str) -> bytes:
-    """A file's content."""
+    """The content of a file; OSError as raised by `open`."""
     return CURRENT_SYSTEM.get().read_file(path)
 
 
 def environ() -> Mapping[str, str]:
-    """The process's environment."""
+    """The environment variables of the process."""
     return CURRENT_SYSTEM.get().environ()
 
 
 def random_bytes(size: int) -> bytes:
-    """So many bytes that nobody can guess."""
+    """`size` cryptographically secure random bytes."""
     return CURRENT_SYSTEM.get().random_bytes(size)
 
 
 def unix_listener(path: str) -> Socket:
-    """A bound Unix socket at a path."""
+    """A bound Unix socket at a path, accessible by this user only."""
     return CURRENT_SYSTEM.get().unix_listener(path)
 
 
 async def connect(sock: Socket, address: Address) -> None:
-    """Connect a socket; OSError when it is refused. Never answered, it waits until it is cancelled."""
+    """Connect a socket; OSError when the connection fails.
+
+    There is no time-out: without an answer from the peer it waits until it is cancelled.
+    """
     await asyncio.get_running_loop().sock_connect(cast(socket.socket, sock), address)
 
 
 def bind_listener(address: Address, buffer_bytes: int) -> Socket:
-    """A bound TCP socket whose connections inherit these buffer sizes (bytes); it listens once told to. OSError if taken."""
+    """A bound TCP socket, whose connections inherit its kernel buffer sizes.
+
+    It does not listen yet: the caller calls `listen`. Raises OSError, with the address in the
+    message, where the address can't be bound.
+    """
     sock = tcp_socket()
     try:
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -245,13 +267,19 @@
 
 
 def inherited_listener(descriptor: int, buffer_bytes: int) -> Socket:
-    """The listening socket that the platform holds and this process was started with; as `listen` otherwise."""
+    """The listening socket that the platform passed to this process, with limited kernel buffers.
+
+    Raises OSError where the descriptor is not a listening TCP socket.
+    """
     sock = CURRENT_SYSTEM.get().inherited_listener(descriptor)
     limit_buffers(sock, buffer_bytes)
     return sock
 
 
 def limit_buffers(sock: Socket, buffer_bytes: int) -> None:
-    """Keep the kernel from growing a socket's buffers to megabytes (they count as the node's memory)."""
+    """Fix the sizes of a socket's kernel buffers.
+
+    Otherwise the kernel grows them to megabytes, which count as the node's memory.
+    """
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, buffer_bytes)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, buffer_bytes)
--- a/corkshift/seam/errors.py
+++ b/corkshift/seam/errors.py
@@ -1,4 +1,7 @@
-"""Errors of system calls told apart by whose fault they are (socket(2), connect(2), send(2), recv(2), tcp(7))."""
+"""Classifies errors of system calls into local shortages and failures of the peer.
+
+See socket(2), connect(2), send(2), recv(2) and tcp(7).
+"""
 
 from __future__ import annotations
 
@@ -6,21 +9,24 @@
 
 LOCAL_ERRNOS = frozenset(
     {
-        errno.EADDRNOTAVAIL,  # no local port is free
+        errno.EADDRNOTAVAIL,  # no free local port
         errno.EMFILE,
         errno.ENFILE,
         errno.ENETDOWN,
-        errno.ENETUNREACH,  # no route for the moment
+        errno.ENETUNREACH,  # no route at the moment
         errno.ENOBUFS,
         errno.ENOMEM,
     }
 )
-"""Shortages of this machine for the moment: they say nothing of the peer, and the same call may succeed a little later."""
+"""Temporary shortages on this machine.
+
+They say nothing about the peer, and the same call may succeed a little later.
+"""
 
 NO_BUFFER_ERRNOS = frozenset({errno.ENOBUFS, errno.ENOMEM})
-"""The kernel has no memory for a read or a write now; the connection is as it was."""
+"""The kernel has no memory for a read or a write at the moment; the connection is unaffected."""
 
 
 def error_name(error: OSError) -> str:
-    """A short name for counts and logs: the errno's, or the exception's where it has none."""
+    """A short name for metrics and logs: the errno's name, or the exception's class without one."""
     return errno.errorcode.get(error.errno or 0, type(error).__name__)
--- a/corkshift/seam/process.py
+++ b/corkshift/seam/process.py
@@ -1,4 +1,4 @@
-"""The real process round a node: its loop, its log, its memory and its first signal."""
+"""Set-up of the real process of a node: event loop, log, garbage collector and early SIGHUP."""
 
 from __future__ import annotations
 
@@ -12,12 +12,16 @@
 
 import uvloop
 
-GC_THRESHOLDS = (10_000, 10, 10)  # objects, and rounds, between two searches
-MAX_LOG_LINES_PER_S = 20  # of the log
+# Allocations between collections of the youngest generation; collections between older ones.
+GC_THRESHOLDS = (10_000, 10, 10)
+MAX_LOG_LINES_PER_S = 20
 
 
 class LogRateLimit(logging.Filter):
-    """Lets through a bounded number of lines a second (guards against a flood of faults drowning the node in its log)."""
+    """Limits the log lines per second.
+
+    Otherwise a burst of faults would make the node spend its time on writing its log.
+    """
 
     def __init__(self) -> None:
         super().__init__()
@@ -33,9 +37,13 @@
 
 
 def prepare() -> None:
-    """Before anything else: no ring, no death by an early SIGHUP, and a bounded log on standard error."""
+    """Set up the process; called before anything else.
+
+    Disables io_uring, ignores SIGHUP until a reload handler is installed, and sends a rate-limited
+    log to standard error.
+    """
     disable_io_uring()
-    signal.signal(signal.SIGHUP, signal.SIG_IGN)  # until there is something to reload
+    signal.signal(signal.SIGHUP, signal.SIG_IGN)  # its default action would end the process
     handler = logging.StreamHandler()
     handler.addFilter(LogRateLimit())
     logging.basicConfig(
@@ -46,8 +54,9 @@
 
 
 def run(main: Coroutine[Any, Any, None]) -> None:
-    """Run to the end on a loop of the real system."""
-    # Few objects live long here, and nearly all go by their counts (guards against CPU spent on looking for cycles).
+    """Run a coroutine to its end on a uvloop event loop."""
+    # Few objects live long, and reference counting frees nearly all of them: frequent searches for
+    # cycles would only cost CPU.
     gc.freeze()
     gc.set_threshold(*GC_THRESHOLDS)
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
@@ -55,12 +64,13 @@
 
 
 def disable_io_uring() -> None:
-    """Keep libuv from setting up io_uring, which it reads from the environment as the loop is made.
+    """Keep libuv from setting up io_uring, unless UV_USE_IO_URING is already set.
 
-    Guards against CPU spent for nothing: its ring comes with a kernel thread that polls, for files that a node never opens
-    through the loop. The thread sleeps until the process is stopped and continued (by a quota that is enforced so, a freezer, a
-    debugger), then polls for some 14 ms, which count as the node's own: under a quota each stop so brings the next. It should
-    also spare the ring's memory and descriptors, and hold where io_uring is barred. Harm: none as long as files are not
-    read through the loop; whoever wants the ring sets the variable.
+    libuv reads the variable when the loop is created. Its ring comes with a polling kernel thread,
+    which only serves file operations through the loop, and a node does none. The thread sleeps
+    until the process is stopped and continued (by a CPU quota enforced that way, a freezer or a
+    debugger), then polls for about 14 ms, which count as the node's CPU time: under such a quota
+    each stop would cause the next one. This should also save the ring's memory and descriptors, and
+    work where io_uring is forbidden.
     """
     os.environ.setdefault("UV_USE_IO_URING", "0")
--- a/corkshift/sources/__init__.py
+++ b/corkshift/sources/__init__.py
@@ -1,7 +1,8 @@
-"""Where a node learns of cache servers: the box list, DNS SRV records, a file, and the one set that follows from them.
+"""Sources of known cache servers: the server list, DNS SRV records and a file, merged into one set.
 
-A source tells a `Sink` full views or changes, and says when it fails. What is believed is decided in `forkweir/known/membership.py`.
-Off unless an operator's file has `[sources]` (docs/sources.md).
+A source sends a `Sink` complete views or changes, and reports its failures. The merge rules are in
+`forkweir/known/membership.py`. Everything here is off unless the operator's file has `[sources]`
+(docs/sources.md).
 """
 
 from __future__ import annotations
@@ -13,24 +14,24 @@
 
 
 class Sink(Protocol):
-    """Whom sources tell."""
+    """Receives the views of sources."""
 
     def update(self, source: str, claims: Iterable[Claim], full: bool = True) -> None:
-        """All boxes that a source knows of, or (not full) only some, the others as before."""
+        """Replace the view of a source by `claims`; where not full, only change the named boxes."""
         ...
 
     def failed(self, source: str, reason: str) -> None:
-        """The source can't be asked, or made no sense; one line."""
+        """Report that a source failed or sent invalid data. reason: one line."""
         ...
 
 
 class Source(Protocol):
-    """What a node learns of boxes from, on its own time."""
+    """A source of known boxes, which runs in the background."""
 
     def start(self) -> None:
-        """Begin to tell, on the running loop."""
+        """Start to report, on the running event loop."""
         ...
 
     def close(self) -> None:
-        """End: nothing is told any more, and nothing of it is left running."""
+        """Stop reporting and cancel all background work."""
         ...
--- a/corkshift/sources/boxlist.py
+++ b/corkshift/sources/boxlist.py
@@ -1,4 +1,7 @@
-"""The box list as one source among others. On the wire nothing changes: `corkshift.discovery` keeps the watch as ever."""
+"""The server list of discovery as one source among others.
+
+The protocol is unchanged: `corkshift.discovery` still keeps the watch.
+"""
 
 from __future__ import annotations
 
@@ -15,7 +18,7 @@
 
 
 def claim_of(server: Server, address: Address) -> Claim:
-    """What the list says of a server that is in service or drains."""
+    """The claim for a listed server that is in service or drains."""
     state: Said = "draining" if server.state == "draining" else "in"
     return Claim(
         address,
@@ -30,7 +33,7 @@
 
 
 class BoxList:
-    """The address book that discovery writes, turned into claims."""
+    """The address book that discovery writes to; its entries become claims."""
 
     def __init__(
         self,
@@ -38,19 +41,26 @@
         report_state: Callable[[str], None],
         has_alternative: Callable[[Address], bool],
     ) -> None:
-        """ask: told "failed" or "lost", upon which the module says when discovery is called again. spare: whether others than the box
-        at a place are in service."""
+        """A source that sends its claims to `sink`.
+
+        report_state: called with "failed", "lost" or "moved"; the module then decides when
+        discovery is called again. has_alternative: whether any box other than the one at an
+        address is in service.
+        """
         self.servers: dict[str, CacheServer] = {}
         self._sink = sink
         self._report_state = report_state
         self._has_alternative = has_alternative
         self._entries: dict[str, Server] = {}
         self._addresses: dict[str, Address] = {}
-        self._unconfirmed_drains: dict[Address, None] = {}  # overheard, until a line is read whole
-        self._unconfirmed_removals: list[Claim] = []  # overheard in the line that is being read
+        self._unconfirmed_drains: dict[Address, None] = {}  # until a whole line is read
+        self._unconfirmed_removals: list[Claim] = []  # of the line being read
 
     def overheard(self, places: list[Address], whole: bool) -> None:
-        """See `corkshift.address_book.Listener`. What was not read whole takes nobody's last server."""
+        """Receive entries that the address book could not match (see its `Listener`).
+
+        Entries of a line that was read only in part never drain the last server.
+        """
         if whole:
             self._unconfirmed_removals += [
                 Claim(address, "gone") for address in places[:MAX_UNCONFIRMED]
@@ -66,15 +76,16 @@
                 self._sink.update("list", [Claim(address, "draining")], full=False)
 
     def on_list(self, form: str, entries: Iterable[Server]) -> None:
-        """What `Node.on_list` is told where the box list is the one source."""
+        """Receive what goes to `Node.on_list` where the server list is the only source."""
         if form in ("failed", "lost", "moved"):
             if form == "failed":
-                self._sink.failed("list", "discovery does not answer, or ended the watch")
+                self._sink.failed("list", "discovery does not answer or ended the watch")
             self._report_state(form)
             return
         removals, self._unconfirmed_removals = self._unconfirmed_removals, []
         if form in ("full", "part", "changes"):
-            self._unconfirmed_drains.clear()  # a line that was read whole has told of them anew, where there is anything to tell
+            # A line that was read whole states these drains again if they still hold.
+            self._unconfirmed_drains.clear()
         for server in entries:
             if server.state == "gone":
                 if server.name in self._addresses:
--- a/corkshift/sources/dns.py
+++ b/corkshift/sources/dns.py
@@ -1,4 +1,4 @@
-"""DNS SRV records as a source (RFC 2782): who serves, at which priority, with what weight."""
+"""DNS SRV records as a source of cache servers, with priorities and weights (RFC 2782)."""
 
 from __future__ import annotations
 
@@ -17,20 +17,24 @@
 
 log = logging.getLogger(__name__)
 
-REFRESH_AHEAD = 0.25  # an answer is renewed in the last quarter of its lifetime,
-JITTER_SHARE = 0.15  # of which so much is drawn (guards against all nodes asking in the same instant, lifetime after lifetime)
-RETRY_S = 1.0  # after a failure, doubled with each in a row
+REFRESH_AHEAD = 0.25  # answers are renewed in the last quarter of their lifetime
+# Random delay of a renewal, as a share of the shortest lifetime: without it all nodes would query
+# at the same instant, lifetime after lifetime.
+JITTER_SHARE = 0.15
+RETRY_S = 1.0  # after a failure, doubled with each consecutive failure
 MAX_RETRY_S = 30.0
-MAX_CONCURRENT_LOOKUPS = 8  # look-ups of targets at a time
+MAX_CONCURRENT_LOOKUPS = 8  # look-ups of target addresses
 MAX_TARGETS = 1_024
-MIN_WEIGHT = 0.05  # of the mean: of a record of weight 0 among others that have one ("very small chance", RFC 2782)
+# Weight, relative to the mean of its priority, of a record of weight 0 among others with a weight
+# ("a very small chance of being selected", RFC 2782).
+MIN_WEIGHT = 0.05
 
 
 class DnsSource:
-    """Resolves the service ahead of the end of its records' lifetimes, and tells what they say."""
+    """Resolves the service, renews its records before they expire, and reports them to a sink."""
 
     def __init__(self, sink: Sink, options: DnsTable, seed: int) -> None:
-        """OSError where the resolvers are to be read from a file that can't be."""
+        """Raises OSError where the file that names the resolvers can't be read."""
         self._sink = sink
         self._random = random.Random(f"dns/{seed}")
         self._options = options
@@ -39,7 +43,7 @@
         )
         self._task: Optional[asyncio.Task[None]] = None
         self._failures = 0
-        self._last_answer_ms = 0.0  # when a resolver last answered; 0 where nothing of it stands
+        self._last_answer_ms = 0.0  # when a resolver last answered; 0 without records in use
 
     @staticmethod
     def _resolver_addresses(options: DnsTable) -> list[tuple[str, int]]:
@@ -56,7 +60,10 @@
             self._task = None
 
     def reload(self, options: DnsTable) -> None:
-        """Other resolvers, bounds or another name from now on; a query that is out is given up. OSError as at the start."""
+        """Use other resolvers, limits or another service from now on; a pending query is cancelled.
+
+        Raises OSError where the file that names the resolvers can't be read.
+        """
         resolvers = self._resolver_addresses(options)
         self.close()
         if options.service == self._options.service and options.limits() == self._options.limits():
@@ -78,14 +85,13 @@
                     and now_ms() - self._last_answer_ms > 1_000.0 * self._options.old_s
                 ):
                     self._last_answer_ms = 0.0
-                    self._sink.update(
-                        "dns", []
-                    )  # too old by what the operator says; the merge sees that this empties nothing
+                    # Older than `old_s` allows. The merge ensures that this does not empty the set.
+                    self._sink.update("dns", [])
                 self._sink.failed("dns", str(error))
                 wait_s = self._retry_delay_s()
             except Exception:
-                log.exception("a round of DNS failed")
-                self._sink.failed("dns", "a fault of the node; the log has it")
+                log.exception("dns: internal error in a refresh of the SRV records; retrying")
+                self._sink.failed("dns", "internal error of the node; see its log")
                 wait_s = self._retry_delay_s()
             await asyncio.sleep(wait_s)
 
@@ -96,19 +102,23 @@
         )
 
     async def refresh(self) -> float:
-        """One round: look up, tell, and how long until the next, in s. LookupFailed where there is nothing new to tell."""
+        """Look up the records once and report them; the delay until the next refresh, in s.
+
+        Raises LookupFailed where there is nothing new to report.
+        """
         srv_answer = await self.resolver.lookup(self._options.service, "SRV", REFRESH_AHEAD)
         if srv_answer.stale and self._last_answer_ms:
             raise LookupFailed("no resolver answers; old records are served")
         records = srv_answer.answer.srv_records[:MAX_TARGETS]
         if len(srv_answer.answer.srv_records) > MAX_TARGETS:
             log.warning(
-                "dns: %d records, %d are heeded", len(srv_answer.answer.srv_records), MAX_TARGETS
+                "dns: %d SRV records, using the first %d",
+                len(srv_answer.answer.srv_records),
+                MAX_TARGETS,
             )
         if any(record.target == "." for record in records):
-            log.info(
-                "dns: the service is not offered (its target is the root)"
-            )  # RFC 2782: "decidedly not available at this domain"
+            # RFC 2782: "the service is decidedly not available at this domain".
+            log.info("dns: the service is not available (the SRV target is the root)")
             records = ()
         targets = sorted({record.target for record in records})
         semaphore = asyncio.Semaphore(MAX_CONCURRENT_LOOKUPS)
@@ -128,7 +138,7 @@
         failures = [str(lookup) for lookup in lookups.values() if isinstance(lookup, LookupFailed)]
         if failures and len(failures) == len(targets):
             raise LookupFailed(failures[0])
-        # A target whose addresses can't be had just now is not gone.
+        # A target whose addresses can't be looked up at the moment is not treated as removed.
         self._sink.update("dns", claims_of_records(records, lookups), full=not failures)
         stale = [lookup for lookup in answers if lookup.stale]
         self._last_answer_ms = self._last_answer_ms if srv_answer.stale else now_ms()
@@ -151,7 +161,11 @@
 def claims_of_records(
     records: tuple[SrvRecord, ...], lookups: dict[str, CachedAnswer | LookupFailed]
 ) -> list[Claim]:
-    """The boxes that records name. Weights are those of RFC 2782 over the mean of their priority, shared by a target's addresses."""
+    """The boxes that SRV records name.
+
+    Weights are relative to the mean weight of their priority and are split evenly among the
+    addresses of a target.
+    """
     claims = []
     sums: dict[int, tuple[int, int]] = {}
     for record in records:
--- a/corkshift/sources/file.py
+++ b/corkshift/sources/file.py
@@ -1,4 +1,4 @@
-"""A file of known boxes as a source: read at the start and on SIGHUP."""
+"""A file of known boxes as a source, read at the start and on SIGHUP."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class BoxTable(Table, frozen=True, kw_only=True):
-    """`[[box]]`: one known box."""
+    """`[[box]]`: one box."""
 
     address: str
     name: Annotated[str, msgspec.Meta(max_length=128)] = ""
@@ -35,7 +35,7 @@
 
 
 class BoxFile(Table, frozen=True, kw_only=True):
-    """The whole file."""
+    """The whole file of boxes."""
 
     box: list[BoxTable]
 
@@ -45,12 +45,12 @@
             for n, box in enumerate(self.box):
                 value = getattr(box, what)
                 if value and value in seen:
-                    yield Fault(f"box[{n}].{what}", f"stands there twice: {value!r:.80}")
+                    yield Fault(f"box[{n}].{what}", f"duplicate value: {value!r:.80}")
                 seen.add(value)
 
 
 def parse_box_file(text: bytes) -> list[Claim]:
-    """The boxes of a file's text; ValueError with a line for each fault."""
+    """The boxes in the text of a file; ValueError with all faults, separated by semicolons."""
     try:
         data = tomllib.loads(text.decode())
     except (tomllib.TOMLDecodeError, UnicodeDecodeError) as error:
@@ -67,7 +67,7 @@
 
 
 class FileSource:
-    """The file, as it was when it was last read. A bad one changes nothing."""
+    """Reports the boxes of a file. An invalid or unreadable file leaves the last view in use."""
 
     def __init__(self, sink: Sink, options: FileTable) -> None:
         self._sink = sink
@@ -87,6 +87,6 @@
         pass
 
     def reload(self, options: FileTable) -> None:
-        """Read it again, or another one."""
+        """Read the file again, possibly from another path."""
         self._options = options
         self.start()
--- a/corkshift/sources/hub.py
+++ b/corkshift/sources/hub.py
@@ -1,4 +1,7 @@
-"""The sources of one node put together: what they say goes to the merge, and what follows from it to the address book and the module."""
+"""Combines the sources of a node.
+
+The claims of all sources are merged; the address book and the module follow the merged set.
+"""
 
 from __future__ import annotations
 
@@ -24,14 +27,14 @@
 
 log = logging.getLogger(__name__)
 
-GROUP_CHECK_S = 0.25  # between two looks at whether a group can serve, where there is more than one
+GROUP_CHECK_S = 0.25  # between checks which priority group can serve, if there are several
 
 
 class Sources:
-    """Owns the merged set, and the address book of the node from then on."""
+    """Owns the merged set of boxes and, once created, the address book of the node."""
 
     def __init__(self, node: Node, pool: Pool, options: SourcesTable, seed: int) -> None:
-        """OSError where resolvers can't be read, or the Unix socket can't be bound."""
+        """Raises OSError where resolv.conf can't be read or the Unix socket can't be bound."""
         self._node = node
         self._pool = pool
         self._options = options
@@ -50,13 +53,13 @@
         self._closed = False
 
     def start(self) -> None:
-        """Begin; the box list has begun with the node's own."""
+        """Start all sources but the server list, which the node starts itself."""
         for source in (self._view_socket, self.file, self.dns):
             if source is not None:
                 source.start()
 
     def close(self) -> None:
-        """End everything that runs."""
+        """Stop all sources and timers."""
         self._closed = True
         for source in (self._view_socket, self.file, self.dns):
             if source is not None:
@@ -65,13 +68,17 @@
             self._timer.cancel()
 
     def reload(self, options: SourcesTable) -> None:
-        """The operator's file was read again. Resolvers, bounds, service and the file's path change; the rest waits for the next start."""
+        """Apply the reloaded operator's file.
+
+        Resolvers, their limits, the service and the path of the file change now; everything else
+        changes at the next start.
+        """
         same_rules = (
             options.rights() == self._options.rights() and options.guard == self._options.guard
         )
         if not same_rules or options.members_socket != self._options.members_socket:
             log.info(
-                "reload: ranks, rights, guards and new or absent sources wait for the next start"
+                "reload: changes of sources, ranks, rights, guard and members_socket need a restart"
             )
         try:
             if (
@@ -82,7 +89,7 @@
                 self.dns.reload(options.dns)
         except OSError as error:
             log.error(
-                "reload: %s: %s; the resolvers stay as they are",
+                "reload: cannot read %s: %s; the resolvers stay unchanged",
                 options.dns and options.dns.resolv_conf,
                 error.strerror,
             )
@@ -91,15 +98,15 @@
             self.file.reload(options.file)
         self._options = options
 
-    # -- what sources say ----------------------------------------------------------------
+    # -- sink ----------------------------------------------------------------------------
 
     def update(self, source: str, claims: Iterable[Claim], full: bool = True) -> None:
-        """A source's view (see `Membership.tell`)."""
+        """See `Sink.update`."""
         self._membership.tell(source, claims, now_ms(), full)
         self._apply_merge({"known": "saved", "list": "changes"}.get(source, "hearsay"))
 
     def failed(self, source: str, reason: str) -> None:
-        """A source failed: what it said stays."""
+        """See `Sink.failed`. The last view of the source stays in use."""
         self._membership.failed(source, reason)
         self._apply_merge("hearsay")
 
@@ -112,10 +119,10 @@
             for server in self._node.servers.values()
         )
 
-    # -- what follows --------------------------------------------------------------------
+    # -- merge ---------------------------------------------------------------------------
 
     def _apply_merge(self, form: str) -> None:
-        """Bring address book and module up to what the merge says now. form: as `Balancer.on_list` has it."""
+        """Update address book and module to the merged set. form: as in `Balancer.on_list`."""
         now = now_ms()
         self._boxes = self._membership.merge(now)
         for report in self._membership.reports():
@@ -125,7 +132,7 @@
             ((box.priority, self._node.usable(box.server.name)) for box in serving), now
         )
         if level != self._level:
-            log.info("sources: boxes up to priority %d are in use (%d before)", level, self._level)
+            log.info("sources: now using boxes up to priority %d (before: %d)", level, self._level)
             self._level = level
         entries = self._update_address_book(
             {box.server.name: (self._effective_server(box), box.address) for box in self._boxes},
@@ -136,13 +143,13 @@
         self._schedule_merge(now, len({box.priority for box in serving}) > 1)
 
     def _effective_server(self, box: Box) -> Server:
-        """A box as the module shall have it: one of a group that is not in use gets nothing new, as one that drains."""
+        """A box as the module sees it: one of a group that is not in use counts as draining."""
         return replace(box.server, state="draining") if box.priority > self._level else box.server
 
     def _update_address_book(
         self, target: dict[str, tuple[Server, Address]], now: float
     ) -> list[Server]:
-        """Change the address book, and give what is new of it in the module's terms."""
+        """Update the address book; the changed entries for `Balancer.on_list`."""
         address_book, entries = self._node.servers, []
         for name in list(address_book):
             if name not in target or target[name][1] != address_book[name].address:
@@ -169,7 +176,7 @@
         self._pool.forget(server)
 
     def _schedule_merge(self, now: float, several_groups: bool) -> None:
-        """A timer for when the merge may change by itself, or a group may no longer serve."""
+        """Set a timer for the next time-based change of the merge or the next check of groups."""
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
@@ -184,7 +191,7 @@
                 wait_s, self._apply_merge, "hearsay"
             )
 
-    # -- for operators -------------------------------------------------------------------
+    # -- operators -----------------------------------------------------------------------
 
     def dump(self) -> bytes:
         """The merged view as JSON, for `members`."""
@@ -201,7 +208,10 @@
 
 
 def merged_view(merged: Membership, boxes: list[Box], level: float, now: float) -> dict[str, Any]:
-    """Sources and boxes as `members` and `sources check` show them. level: up to which priority boxes are in use."""
+    """Sources and boxes as `members` and `sources check` show them.
+
+    level: boxes up to this priority are in use.
+    """
     names = ("name", "state", "age_ms", "boxes", "held")
     return {
         "sources": [dict(zip(names, row, strict=True)) for row in merged.sources(now)],
--- a/corkshift/sources/message.py
+++ b/corkshift/sources/message.py
@@ -1,8 +1,11 @@
-"""DNS messages: queries made, answers checked against them. Sans-I/O; dnspython has the message format (RFC 1035, 6891).
+"""Builds DNS queries and parses the answers to them, without I/O (RFC 1035, RFC 6891).
 
-Bytes in, an `Answer` out. An answer is taken only where id, question (with its 0x20 case: draft-vixie-dnsext-dns0x20) and opcode are those
-of the query; everything else is foreign and says nothing of the server. Bounds: `MOST_RECORDS` by the header's own counts, before
-anything is parsed; `MOST_CHAIN` CNAMEs.
+dnspython implements the message format. An answer is accepted only where its ID, opcode and
+question, including the letter case of the name (0x20 encoding: draft-vixie-dnsext-dns0x20), are
+those of the query; any other message is foreign and says nothing about the server.
+
+Limits: `MAX_RECORDS`, checked by the counts of the header before anything is parsed, and
+`MAX_CNAMES`.
 """
 
 from __future__ import annotations
@@ -22,11 +25,13 @@
 import dns.rdtypes.IN.A
 import dns.rdtypes.IN.SRV
 
-EDNS_PAYLOAD_BYTES = 1_232  # bytes of a datagram that we ask for (DNS flag day 2020)
-MAX_RECORDS = 1_024  # of one answer, in all its sections
-MAX_CNAMES = 8  # CNAMEs from the name that was asked for
-MAX_MESSAGE_BYTES = 65_535  # bytes of a message
-ALLOWED_RECORD_TYPES = frozenset(  # of records that an answer to us may hold, wherever they stand; each costs a module on its first sight
+EDNS_PAYLOAD_BYTES = 1_232  # advertised size of UDP answers (DNS flag day 2020)
+MAX_RECORDS = 1_024  # in all sections of one answer
+MAX_CNAMES = 8  # followed from the queried name
+MAX_MESSAGE_BYTES = 65_535
+# Record types accepted in any section of an answer. dnspython imports a module for each type when
+# it first parses one, so the set is closed.
+ALLOWED_RECORD_TYPES = frozenset(
     int(dns.rdatatype.from_text(kind))
     for kind in "A NS CNAME SOA PTR MX TXT AAAA SRV NAPTR DNAME OPT DS RRSIG NSEC DNSKEY NSEC3".split()
 )
@@ -34,20 +39,23 @@
 
 
 class ForeignMessage(Exception):
-    """Not an answer to this query: stray, late, or forged."""
+    """The message is not an answer to this query: it is stray, late or forged."""
 
 
 class UnusableAnswer(Exception):
-    """The server's answer to this query, and of no use: another one is to be asked."""
+    """The server answered this query, but not usably: the next server should be queried."""
 
 
 class TruncatedAnswer(Exception):
-    """The answer did not fit: it is to be asked for over TCP."""
+    """The answer did not fit into a datagram: the query should be repeated over TCP."""
 
 
 @dataclass(frozen=True, slots=True)
 class SrvRecord:
-    """One SRV record (RFC 2782). target: absolute, lower case; "." alone is not offered here."""
+    """One SRV record (RFC 2782).
+
+    target: absolute name in lower case; "." means that the service is not available.
+    """
 
     priority: int
     weight: int
@@ -57,23 +65,26 @@
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """What a name has. ttl_s as the records say, the smallest of the chain; negative: of the SOA (RFC 2308), 0 without one.
+    """The records of a name.
 
-    extra: addresses of other names that came along (the additional section), with their lifetimes.
+    ttl_s: smallest TTL of the records and the CNAMEs that lead to them; for a negative answer, that
+    of its SOA record (RFC 2308), 0 without one.
+
+    additional_addresses: TTL and addresses of the SRV targets, from the additional section.
     """
 
     ttl_s: int
     srv_records: tuple[SrvRecord, ...] = ()
     addresses: tuple[str, ...] = ()
-    alias: str = ""  # the end of a CNAME chain that the answer does not resolve
+    alias: str = ""  # last target of a CNAME chain that the answer does not resolve
     exists: bool = True
-    aaaa_records: int = 0  # AAAA records: this node speaks IPv4 alone
+    aaaa_records: int = 0  # their number; the node supports IPv4 only
     additional_addresses: dict[str, tuple[int, tuple[str, ...]]] = field(default_factory=dict)
 
 
 @dataclass(frozen=True, slots=True)
 class Query:
-    """A query as it goes out. id: 0 to 65,535."""
+    """An encoded query. id: 0 to 65,535."""
 
     id: int
     name: dns.name.Name
@@ -82,7 +93,11 @@
 
 
 def make_query(name: str, record_type: str, query_id: int, case_bits: int) -> Query:
-    """A query for SRV or A records. case: random bits, one for each letter (0x20). ValueError for what is no name."""
+    """A query for SRV or A records.
+
+    case_bits: random bits, one for each letter of the name (0x20 encoding). Raises ValueError where
+    the name is not a valid DNS name.
+    """
     try:
         query_name = dns.name.from_text(_randomize_case(name, case_bits))
     except (dns.exception.DNSException, UnicodeError) as error:
@@ -105,9 +120,9 @@
 
 
 def parse_answer(wire: bytes, query: Query, over_tcp: bool = False) -> Answer:
-    """The answer in a message. stream: it came over TCP, where nothing is truncated.
+    """The answer in a message. over_tcp: it was received over TCP, where truncation is an error.
 
-    Foreign, Truncated, or Unusable with what is wrong.
+    Raises ForeignMessage, TruncatedAnswer, or UnusableAnswer with the reason.
     """
     if not 12 <= len(wire) <= MAX_MESSAGE_BYTES:
         raise ForeignMessage("no message")
@@ -117,7 +132,8 @@
     if flags & 0x7800 or questions > 1:
         raise ForeignMessage("no answer to a query")
     if not questions:
-        # A server that does not even read questions answers so; nobody can tell whose question it was, but id, port and server are right.
+        # Some servers answer errors without the question. ID, port and server match, so it is taken
+        # as an answer to this query.
         if flags & 0xF:
             raise UnusableAnswer(_rcode_text(flags & 0xF))
         raise ForeignMessage("no question")
@@ -149,9 +165,12 @@
 
 
 def _check_record_types(wire: bytes, questions: int, records: int) -> None:
-    """Unusable where a record is of another class or type than we may meet; what can't be walked is left to the parser.
+    """Raises UnusableAnswer where a record has a class or type that is not allowed.
+
+    A message whose records can't be walked is left to the parser.
 
-    Guards against memory that grows: dnspython remembers each pair of class and type that it has ever met, 2^32 of them.
+    dnspython caches each pair of class and type that it has ever parsed: without this check forged
+    answers could make that cache grow to 2^32 entries.
     """
     offset = 12
     try:
@@ -173,7 +192,7 @@
 
 
 def _check_raw_question(wire: bytes, query: Query) -> None:
-    """Foreign where an unreadable message does not even repeat the question."""
+    """Raises ForeignMessage where a message that can't be parsed does not repeat the question."""
     length = sum(len(label) + 1 for label in query.name.labels) + 4
     if wire[12 : 12 + length] != query.wire[12 : 12 + length]:
         raise ForeignMessage("another question")
@@ -225,9 +244,8 @@
     aaaa_records = 0
     for rrset in message.additional:
         target = rrset.name.canonicalize().to_text()
-        if (
-            target in targets and rrset.rdclass == dns.rdataclass.IN
-        ):  # only what the records name: anybody's address could stand here
+        # Addresses of other names are ignored: the server may have no authority over them.
+        if target in targets and rrset.rdclass == dns.rdataclass.IN:
             if rrset.rdtype == dns.rdatatype.A:
                 additional_addresses[target] = (
                     rrset.ttl,
@@ -244,7 +262,10 @@
 
 
 def _negative_ttl_s(message: dns.message.Message) -> int:
-    """How long a negative answer holds, in s: the smaller of the SOA's lifetime and its minimum (RFC 2308, 5)."""
+    """The TTL of a negative answer, in s: the smaller of the SOA's TTL and its minimum field.
+
+    RFC 2308, section 5.
+    """
     for rrset in message.authority:
         if rrset.rdtype == dns.rdatatype.SOA and rrset:
             record = rrset[0]
--- a/corkshift/sources/options.py
+++ b/corkshift/sources/options.py
@@ -1,4 +1,4 @@
-"""`[sources]` of the operator's file."""
+"""Schema of `[sources]` in the operator's file."""
 
 from __future__ import annotations
 
@@ -21,11 +21,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """Bounds of a resolver: lifetimes in s from floor_s to ceiling_s."""
+    """Limits of a resolver. TTLs, in s, are raised to floor_s and cut to ceiling_s."""
 
     floor_s: float = 5.0
     ceiling_s: float = 300.0
-    stale_s: float = 86_400.0  # how long after its end an answer is served while no server answers
+    stale_s: float = 86_400.0  # how long expired answers are served while no server answers
     queries_per_s: float = 20.0
 
 
@@ -35,7 +35,7 @@
     stale_s: Optional[Seconds] = None
 
     def rights(self, fallback: bool = False) -> Rights:
-        """Its rights, in the terms of the merge."""
+        """The rights of the source, for the merge."""
         stale_ms = float("inf") if self.stale_s is None else self.stale_s * 1000.0
         may = {right: right in self.may for right in ALL_RIGHTS}
         return Rights(
@@ -44,24 +44,22 @@
 
 
 class ListTable(_SourceTable, frozen=True, kw_only=True):
-    """`[sources.list]`: the box list of the node's configuration, which is always a source."""
+    """`[sources.list]`: the server list of discovery, which is always a source."""
 
 
 class DnsTable(_SourceTable, frozen=True, kw_only=True):
     """`[sources.dns]`: SRV records."""
 
-    service: Annotated[
-        str, msgspec.Meta(min_length=1, max_length=253)
-    ]  # _menu._tcp.cache.example.org
-    resolvers: list[str] = []  # host:port; none: those of resolv_conf
+    # For example _menu._tcp.cache.example.org.
+    service: Annotated[str, msgspec.Meta(min_length=1, max_length=253)]
+    resolvers: list[str] = []  # host:port; empty: those of resolv_conf
     resolv_conf: str = "/etc/resolv.conf"
     rank: Rank = 10
     may: list[Right] = msgspec.field(default_factory=lambda: list[Right](["add", "weigh"]))
-    floor_s: Seconds = 5.0  # of lifetimes: an answer that names 67 boxes takes some 10 ms to read
+    floor_s: Seconds = 5.0  # of TTLs; parsing an answer with 67 boxes takes about 10 ms
     ceiling_s: Seconds = 300.0
-    old_s: Annotated[float, msgspec.Meta(ge=0.0, le=604_800.0)] = (
-        86_400.0  # how long old answers are served (RFC 8767)
-    )
+    # How long expired answers are served (RFC 8767).
+    old_s: Annotated[float, msgspec.Meta(ge=0.0, le=604_800.0)] = 86_400.0
     queries_per_s: Annotated[float, msgspec.Meta(ge=0.1, le=1_000.0)] = 20.0
 
     def cross_field_faults(self) -> Iterator[Fault]:
@@ -70,50 +68,53 @@
                 ipv4_of(text)
             except ValueError:
                 yield Fault(
-                    f"resolvers[{n}]", f"an IPv4 address and a port (10.0.0.2:53), got {text!r:.60}"
+                    f"resolvers[{n}]",
+                    f"must be an IPv4 address and a port (10.0.0.2:53), got {text!r:.60}",
                 )
         if self.floor_s > self.ceiling_s:
             yield Fault(
-                "floor_s", f"must not be over ceiling_s ({self.ceiling_s:g}), got {self.floor_s:g}"
+                "floor_s", f"must not exceed ceiling_s ({self.ceiling_s:g}), got {self.floor_s:g}"
             )
         if not all(
             0 < len(label) <= 63 and label.isascii()
             for label in self.service.rstrip(".").split(".")
         ):
-            yield Fault("service", f"labels of 1 to 63 ASCII characters, got {self.service!r:.80}")
+            yield Fault(
+                "service", f"must have labels of 1 to 63 ASCII characters, got {self.service!r:.80}"
+            )
 
     def limits(self) -> Limits:
-        """The resolver's bounds."""
+        """The limits of the resolver."""
         return Limits(self.floor_s, self.ceiling_s, self.old_s, self.queries_per_s)
 
     def addresses(self) -> list[Address]:
-        """The resolvers that are named here."""
+        """The addresses in `resolvers`."""
         return [ipv4_of(text) for text in self.resolvers]
 
 
 class FileTable(_SourceTable, frozen=True, kw_only=True):
-    """`[sources.file]`: boxes that stand in a file."""
+    """`[sources.file]`: boxes listed in a file."""
 
     path: Annotated[str, msgspec.Meta(min_length=1)]
     rank: Rank = 20
     may: list[Right] = msgspec.field(default_factory=lambda: list[Right](["add"]))
-    fallback: bool = True  # counts only while nothing else is in service
+    fallback: bool = True  # used only while no other box is in service
 
 
 class GuardTable(Table, frozen=True, kw_only=True):
-    """`[sources.guard]`: what is held back when a source stops naming many boxes at once."""
+    """`[sources.guard]`: delays the removal of boxes when a source drops many of them at once."""
 
     most_fall: Annotated[float, msgspec.Meta(ge=0.0, le=1.0)] = 0.5
     fall_s: Seconds = 10.0
     hold_s: Seconds = 30.0
 
     def guard(self) -> Guard:
-        """In the terms of the merge."""
+        """The same limits, in ms, for the merge."""
         return Guard(self.most_fall, self.fall_s * 1000.0, self.hold_s * 1000.0)
 
 
 class SourcesTable(Table, frozen=True, kw_only=True):
-    """`[sources]`: what a node learns of boxes from beside the box list, and how they are merged."""
+    """`[sources]`: sources of boxes beside the server list, and how they are merged."""
 
     members_socket: Optional[Annotated[str, msgspec.Meta(min_length=1, max_length=100)]] = None
     list: ListTable = ListTable()
@@ -122,7 +123,10 @@
     guard: GuardTable = GuardTable()
 
     def rights(self) -> dict[str, Rights]:
-        """Of each source, and of the list that the node was started with (`known`), which counts only while nothing else does."""
+        """The rights of each source.
+
+        `known` is the list that the node was started with, used only while no other source has boxes.
+        """
         rights = {
             "list": self.list.rights(),
             "known": Rights(99, True, False, False, False, fallback=True),
--- a/corkshift/sources/resolver.py
+++ b/corkshift/sources/resolver.py
@@ -1,11 +1,14 @@
-"""A small stub resolver on the node's own streams and datagrams: several servers, time-outs, back-off, TCP for what does not fit.
+"""A small caching DNS stub resolver on the node's own sockets.
 
-It follows CNAME chains, keeps answers for their lifetimes (with a floor and a ceiling, RFC 2181 section 8 for lifetimes of 2^31 and more),
-negative ones by their SOA (RFC 2308), and serves old ones while no server answers (RFC 8767) up to a stated age. What a message may say
-is `message`'s; which server is asked next is decided by `Servers`, without a clock or a socket.
+It queries several name servers with time-outs and back-off, falls back to TCP for truncated
+answers and follows CNAME chains. Answers are cached for their TTL, within a floor and a ceiling
+(RFC 2181 section 8 for a TTL of 2^31 and more), negative ones by their SOA record (RFC 2308).
+While no server answers, expired answers are served up to a configured age (RFC 8767). Messages are
+parsed by `message`; `NameServers` chooses the next server, without a clock or a socket.
 
-Bounds: MOST_KEPT names, MOST_FOREIGN datagrams that are no answer to a query, `queries_per_s` with a burst of twice that, one socket for a
-query (a new port each time), TRIES rounds of all servers.
+Limits: MAX_CACHED_NAMES cache entries, MAX_FOREIGN_DATAGRAMS foreign datagrams per query,
+`queries_per_s` with a burst of twice that, one socket per query (a new port each time), MAX_ROUNDS
+rounds over all servers.
 """
 
 from __future__ import annotations
@@ -36,19 +39,20 @@
 
 log = logging.getLogger(__name__)
 
-MAX_ROUNDS = 2  # rounds of all servers for one query
-UDP_TIMEOUT_S = 0.4  # for an answer by datagram; doubled in the second round
-TCP_TIMEOUT_S = 2.0  # for one by TCP, from the dial on
-BACKOFF_MS = (
-    1_000.0  # a server that failed comes last for so long, doubled with each failure in a row,
-)
-MAX_BACKOFF_MS = 60_000.0  # up to this
-MAX_FOREIGN_DATAGRAMS = 64  # datagrams that are no answer; then TCP, where nobody can guess (guards against forged answers in number)
-MAX_CACHED_NAMES = 4_096  # names
+MAX_ROUNDS = 2  # over all servers, for one query
+UDP_TIMEOUT_S = 0.4  # for an answer over UDP; doubled in the second round
+TCP_TIMEOUT_S = 2.0  # for connecting and an answer over TCP
+# How long a failed server is tried last, doubled with each consecutive failure up to the maximum.
+BACKOFF_MS = 1_000.0
+MAX_BACKOFF_MS = 60_000.0
+# After this many foreign datagrams a query is repeated over TCP: a flood of forged answers might
+# guess the ID and the case of the name, but can't be sent over a TCP connection.
+MAX_FOREIGN_DATAGRAMS = 64
+MAX_CACHED_NAMES = 4_096
 
 
 class LookupFailed(Exception):
-    """No server has an answer; one line."""
+    """No name server has a usable answer; the message is one line."""
 
 
 @dataclass(slots=True)
@@ -58,36 +62,36 @@
 
 
 class NameServers:
-    """Who is asked next: servers in their order, those that failed lately last. Pure."""
+    """The order in which name servers are queried: as configured, those in back-off last."""
 
     def __init__(self, addresses: list[Address]) -> None:
         self._servers = {address: _ServerBackoff() for address in addresses}
 
     def order(self, now: float) -> list[Address]:
-        """All servers, best first; those in back-off by when it ends."""
+        """All servers, best first; those in back-off by the end of their back-off. now: ms."""
         return sorted(self._servers, key=lambda address: max(now, self._servers[address].until_ms))
 
     def failed(self, address: Address, now: float) -> None:
-        """It did not answer, or with nothing of use."""
+        """Record that a server did not answer, or not usably."""
         server = self._servers.get(address)
         if server is not None:
             server.until_ms = now + min(MAX_BACKOFF_MS, BACKOFF_MS * 2.0**server.failures)
             server.failures = min(16, server.failures + 1)
 
     def answered(self, address: Address) -> None:
-        """It did."""
+        """Record a usable answer, which ends the back-off."""
         if address in self._servers:
             self._servers[address] = _ServerBackoff()
 
 
 @dataclass(slots=True)
 class CachedAnswer:
-    """An answer and when it came. held_s: its lifetime, within floor and ceiling."""
+    """An answer and when it was received. lifetime_s: its TTL, within floor and ceiling."""
 
     answer: Answer
     received_ms: float
     lifetime_s: float
-    stale: bool = False  # served beyond its lifetime, as no server answers
+    stale: bool = False  # served after it expired, as no server answers
 
     @property
     def expires_ms(self) -> float:
@@ -96,7 +100,7 @@
 
 @dataclass(slots=True)
 class Counts:
-    """What a resolver has done."""
+    """Counters of a resolver. `members` shows them under the names of the fields."""
 
     queries: int = 0
     sent_bytes: int = 0
@@ -111,7 +115,7 @@
 
 
 class Resolver:
-    """Looks names up. One instance for each source."""
+    """Looks up names. Each source has its own instance."""
 
     def __init__(
         self, servers: list[Address], limits: Limits, random_bytes: Callable[[int], bytes]
@@ -120,18 +124,21 @@
         self._servers = NameServers(servers)
         self._limits = limits
         self._random_bytes = random_bytes
-        self._cache: dict[tuple[str, str], CachedAnswer] = {}  # longest unused first
+        self._cache: dict[tuple[str, str], CachedAnswer] = {}  # least recently used first
         self._tokens = 2.0 * limits.queries_per_s
         self._tokens_ms = now_ms()
 
     def set_servers(self, servers: list[Address]) -> None:
-        """Ask other servers from the next query on; what is kept stays for its lifetime."""
+        """Use other name servers from the next query on; cached answers stay valid."""
         self._servers = NameServers(servers)
 
     async def lookup(self, name: str, record_type: str, refresh_ahead: float = 0.0) -> CachedAnswer:
-        """The SRV or A records of a name, through its aliases. ahead: the share of its lifetime before whose end an answer is renewed.
+        """The SRV or A records of a name; CNAMEs are followed.
+
+        refresh_ahead: the last part of an answer's lifetime, as a share of it, in which it is renewed.
 
-        LookupFailed where no server has one and none is kept that may still be served. ValueError for what is no name.
+            Raises LookupFailed where no server answers and no cached answer may be served, and
+            ValueError where the name is not a valid DNS name.
         """
         key, now = (name.lower().rstrip(".") + ".", record_type), now_ms()
         cached = self._cache.pop(key, None)
@@ -150,7 +157,7 @@
 
     def _store(self, key: tuple[str, str], answer: Answer) -> CachedAnswer:
         limits = self._limits
-        ttl = 0 if answer.ttl_s >= 1 << 31 else answer.ttl_s  # RFC 2181, 8
+        ttl = 0 if answer.ttl_s >= 1 << 31 else answer.ttl_s  # RFC 2181, section 8
         cached = CachedAnswer(answer, now_ms(), min(limits.ceiling_s, max(limits.floor_s, ttl)))
         self._cache.pop(key, None)
         self._cache[key] = cached
@@ -175,8 +182,8 @@
         raise LookupFailed(f"{name}: a CNAME loop, or a chain of over {MAX_CNAMES}")
 
     async def _query_servers(self, name: str, record_type: str) -> Answer:
-        """Ask the servers in turn; LookupFailed names what the last of them did."""
-        reason = "no resolver is named"
+        """Query the servers in turn; LookupFailed states the failure of the last one."""
+        reason = "no name server is configured"
         for round_number in range(MAX_ROUNDS):
             for server in self._servers.order(now_ms()):
                 if not self._take_token():
@@ -217,7 +224,7 @@
         return True
 
     async def _query_server(self, server: Address, query: Query, timeout_s: float) -> Answer:
-        """One query to one server. OSError (TimeoutError among them) or Unusable."""
+        """Query one server. Raises OSError (TimeoutError included) or UnusableAnswer."""
         self.counts.queries += 1
         try:
             async with asyncio.timeout(timeout_s):
@@ -230,9 +237,9 @@
         return answer
 
     async def _query_udp(self, server: Address, query: Query) -> Optional[Answer]:
-        """None where too much came that is no answer."""
+        """Query over UDP; None after too many foreign datagrams."""
         loop = asyncio.get_running_loop()
-        sock = seam.udp_socket()  # a port of its own, which the system draws
+        sock = seam.udp_socket()  # a new port, chosen at random by the system
         try:
             readable = asyncio.Event()
             sock.sendto(query.wire, server)
@@ -264,7 +271,9 @@
         try:
             await seam.connect(sock, server)
             stream = Stream(sock)
-            await stream.write(len(query.wire).to_bytes(2, "big") + query.wire)  # RFC 1035, 4.2.2
+            await stream.write(
+                len(query.wire).to_bytes(2, "big") + query.wire
+            )  # RFC 1035, section 4.2.2
             self.counts.sent_bytes += 2 + len(query.wire)
             data = bytearray()
             while len(data) < 2 or len(data) < 2 + int.from_bytes(data[:2], "big"):
@@ -287,7 +296,7 @@
 
 
 def parse_resolv_conf(text: str) -> list[Address]:
-    """The IPv4 name servers of a resolv.conf (resolv.conf(5)); others are passed over."""
+    """The IPv4 name servers of a resolv.conf (resolv.conf(5)); others are skipped."""
     found = []
     for line in text.splitlines():
         words = line.split()
--- a/corkshift/sources/view_socket.py
+++ b/corkshift/sources/view_socket.py
@@ -1,6 +1,7 @@
-"""A Unix socket on which a node shows its merged view: whoever connects is written it, and the connection ends.
+"""A Unix socket that serves the node's merged view: each connection is sent the view and closed.
 
-Bounds: MOST connections at a time, each for WITHIN_S. The socket's file is left behind, and replaced at the next start.
+Limits: MAX_CONNECTIONS at a time, WRITE_TIMEOUT_S for each. The socket file is left behind at the
+end and replaced at the next start.
 """
 
 from __future__ import annotations
@@ -20,7 +21,7 @@
 
 
 class ViewSocket:
-    """Listens at a path. OSError from the start on where it can't."""
+    """Serves a view on a Unix socket. The constructor raises OSError where it can't be bound."""
 
     def __init__(self, path: str, render: Callable[[], bytes]) -> None:
         self._render = render
@@ -30,11 +31,11 @@
         )
 
     def start(self) -> None:
-        """Listen."""
+        """Start to accept connections."""
         self._listener.start()
 
     def close(self) -> None:
-        """Listen no more, and end what is open."""
+        """Stop accepting and close open connections."""
         self._listener.close()
         for task in self._tasks:
             task.cancel()
@@ -50,6 +51,6 @@
             async with asyncio.timeout(WRITE_TIMEOUT_S):
                 await asyncio.get_running_loop().sock_sendall(sock, self._render())
         except OSError as error:
-            log.info("the members were not shown: %s", error or "too slow")
+            log.info("members socket: view not sent: %s", error or "the client reads too slowly")
         finally:
             sock.close()
