--- a/corkshift/admin/__init__.py
+++ b/corkshift/admin/__init__.py
@@ -1,4 +1,7 @@
-"""The operators' address: health, figures, drain and resume, one HTTP/1.1 call a connection (docs/on-call.md)."""
+"""The operators' HTTP address: health, metrics, drain and resume (docs/on-call.md).
+
+Each connection carries one HTTP/1.1 request.
+"""
 
 from corkshift.admin.server import Admin
 from corkshift.admin.status import Status
--- a/corkshift/admin/protocol.py
+++ b/corkshift/admin/protocol.py
@@ -1,6 +1,7 @@
-"""One call of an operator, sans-I/O: bytes in, a call or an error out, and the answer's bytes back. It opens no socket.
+"""Parses one HTTP/1.1 request of an operator and formats the answer, without I/O.
 
-Only the head counts; a body is read past, up to a bound, so that a client that sends one gets its answer and no reset.
+Only the request head is used. A body is read and discarded up to a limit, so that a client that
+sends one receives its answer instead of a reset.
 """
 
 from __future__ import annotations
@@ -11,12 +12,12 @@
 
 import h11
 
-MAX_HEAD_BYTES = 8_192  # bytes
-MAX_BODY_BYTES = 65_536  # bytes that are read past
+MAX_HEAD_BYTES = 8_192
+MAX_BODY_BYTES = 65_536  # read and discarded
 
 
 class BadCall(Exception):
-    """What came is no call; `status` answers it."""
+    """The request is invalid. status: HTTP status of the answer; reason: its text."""
 
     def __init__(self, status: int, reason: str) -> None:
         super().__init__(reason)
@@ -26,14 +27,14 @@
 
 @dataclass(frozen=True, slots=True)
 class AdminCall:
-    """A whole call."""
+    """A complete request. path: without the query string."""
 
     method: str
     path: str
 
 
 class CallReader:
-    """One connection: give it bytes until it returns a call."""
+    """Parser of one connection: feed it bytes until it returns a request."""
 
     def __init__(self) -> None:
         self._parser = h11.Connection(h11.SERVER, max_incomplete_event_size=MAX_HEAD_BYTES)
@@ -41,7 +42,10 @@
         self._body_bytes = 0
 
     def receive(self, data: bytes) -> Optional[AdminCall]:
-        """Take bytes (none at the client's end); the call once it is whole. BadCall where it can't become one."""
+        """Feed received bytes (empty at the end of the stream); the request once it is complete.
+
+        Raises BadCall where the bytes are not a valid request.
+        """
         try:
             self._parser.receive_data(data)
             while (event := self._parser.next_event()) is not h11.NEED_DATA:
@@ -53,28 +57,28 @@
                 elif isinstance(event, h11.Data):
                     self._body_bytes += len(event.data)
                     if self._body_bytes > MAX_BODY_BYTES:
-                        raise BadCall(413, f"a body of more than {MAX_BODY_BYTES} bytes")
+                        raise BadCall(413, f"request body larger than {MAX_BODY_BYTES} bytes")
                 elif isinstance(event, h11.EndOfMessage):
                     return self._call
                 else:
-                    raise BadCall(400, "no call")
+                    raise BadCall(400, "not an HTTP/1.1 request")
         except h11.RemoteProtocolError as error:
             raise BadCall(error.error_status_hint, str(error)) from None
         return None
 
     @property
     def expects_continue(self) -> bool:
-        """Whether the client waits for a word before it sends its body."""
+        """Whether the client waits for `100 Continue` before it sends its body."""
         return self._parser.they_are_waiting_for_100_continue
 
     @property
     def head_only(self) -> bool:
-        """Whether an answer has no body."""
+        """Whether the answer must have no body."""
         return self._call is not None and self._call.method == "HEAD"
 
 
 def format_answer(status: int, text: str, allow: str = "", head_only: bool = False) -> bytes:
-    """The bytes of an answer, after which the connection ends."""
+    """The bytes of an answer, after which the connection is closed."""
     body = text.encode()
     lines = [
         f"HTTP/1.1 {status} {HTTPStatus(status).phrase}",
--- a/corkshift/admin/server.py
+++ b/corkshift/admin/server.py
@@ -1,4 +1,4 @@
-"""The operators' address on the node's own loop: each connection carries one call and ends."""
+"""The operators' HTTP server on the node's event loop, one request per connection."""
 
 from __future__ import annotations
 
@@ -15,15 +15,14 @@
 
 log = logging.getLogger(__name__)
 
-MAX_CONNECTIONS = (
-    16  # connections at once; beyond it the one that has waited longest for its caller makes way,
-)
-MIN_CONNECTION_AGE_MS = 100.0  # but none as young as this
-CALL_TIMEOUT_S = 5.0  # a connection whose call is not whole and answered by then ends
+# At the maximum a new connection replaces the oldest, unless that is younger than the minimum age.
+MAX_CONNECTIONS = 16
+MIN_CONNECTION_AGE_MS = 100.0
+CALL_TIMEOUT_S = 5.0  # for receiving and answering a request
 
 
 class Admin:
-    """Serves the calls of operators, within bounds of its own that clients can't fill."""
+    """Serves operators. Its connection limit is separate from that of clients."""
 
     def __init__(self, status: Status, address: Address) -> None:
         self._status = status
@@ -40,19 +39,19 @@
 
     @property
     def address(self) -> Address:
-        """Where operators call."""
+        """The address it listens on."""
         return self._listener.address
 
     def add_view(self, path: str, render: Callable[[], bytes]) -> None:
-        """One more call that only tells: JSON."""
+        """Add a read-only path that answers with JSON."""
         self._calls[path] = "GET", lambda: (200, render().decode() + "\n")
 
     def start(self) -> None:
-        """Listen."""
+        """Start to accept connections."""
         self._listener.start()
 
     def close(self) -> None:
-        """Take no more calls and end those that wait."""
+        """Stop accepting and cancel open connections."""
         self._listener.close()
         for task in list(self._connections):
             task.cancel()
@@ -60,7 +59,10 @@
     # -- connections ---------------------------------------------------------------------
 
     def _has_capacity(self) -> bool:
-        """Guards against callers that connect and never call shutting out one that does."""
+        """Whether a connection can be accepted; may close the oldest one to make that possible.
+
+        Otherwise clients that connect and send nothing would keep operators out.
+        """
         if len(self._connections) < MAX_CONNECTIONS:
             return True
         task, (since_ms, stream) = next(iter(self._connections.items()))
@@ -80,7 +82,7 @@
     def _on_connection_done(self, task: asyncio.Task[None]) -> None:
         self._connections.pop(task, None)
         if not task.cancelled() and (error := task.exception()) is not None:
-            log.error("a call of an operator failed", exc_info=error)
+            log.error("admin: internal error while answering a request", exc_info=error)
         self._listener.resume()
 
     async def _serve(self, stream: Stream) -> None:
@@ -98,14 +100,14 @@
         finally:
             stream.abort()
 
-    # -- calls ---------------------------------------------------------------------------
+    # -- requests ------------------------------------------------------------------------
 
     def _reply(self, call: AdminCall, head_only: bool) -> bytes:
         entry = self._calls.get(call.path)
         if entry is None:
             return format_answer(
                 404,
-                f"no call {call.path}; there are: {' '.join(self._calls)}\n",
+                f"unknown path {call.path}; available: {' '.join(self._calls)}\n",
                 head_only=head_only,
             )
         method, handler = entry
@@ -125,25 +127,25 @@
     def _quiesce(self) -> tuple[int, str]:
         if not self._status.quiesce():
             return 409, "the process is about to end\n"
-        log.info("told to drain")
+        log.info("admin: quiesce requested, draining")
         return 200, "draining\n"
 
     def _resume(self) -> tuple[int, str]:
         if not self._status.resume():
             return 409, "the process is about to end\n"
-        log.info("told to go back to work")
+        log.info("admin: resume requested, serving again")
         return 200, "serving\n"
 
 
 async def _read_call(stream: Stream, reader: CallReader) -> AdminCall:
-    """Read one call; BadCall where none comes, OSError where the caller breaks off."""
+    """Read one request; BadCall where it is invalid, OSError where the client disconnects."""
     continue_sent = False
     while True:
         data = await stream.read()
         if (call := reader.receive(data)) is not None:
             return call
         if not data:
-            raise ConnectionAbortedError("the caller left")
+            raise ConnectionAbortedError("the client closed the connection")
         if reader.expects_continue and not continue_sent:
             continue_sent = True
             await stream.write(b"HTTP/1.1 100 Continue\r\n\r\n")
--- a/corkshift/admin/status.py
+++ b/corkshift/admin/status.py
@@ -1,4 +1,4 @@
-"""What the node tells of itself: the figures as lines `name=value`, and the calls that change its duty."""
+"""State of the node for operators: metrics as lines `name=value`, and its lifecycle changes."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Status:
-    """A node as operators see it. Everything is read when it is asked for."""
+    """Health, metrics and lifecycle of a node. Values are read at the time of the request."""
 
     node: Node
     frontend: Frontend
@@ -24,19 +24,23 @@
     figures: Figures
 
     def can_serve(self) -> bool:
-        """Whether this process has begun to serve: it accepts, and has known of a cache server."""
+        """Whether the node accepts clients and has received a cache server at least once."""
         return self.frontend.started and self.node.informed
 
     def quiesce(self) -> bool:
-        """Drain; whether that is so now."""
+        """Start to drain; False where the process is about to end."""
         return self.frontend.duty.quiesce(now_ms())
 
     def resume(self) -> bool:
-        """Back to work; whether that is so now."""
+        """End the drain; False where the process is about to end."""
         return self.frontend.duty.resume(now_ms())
 
     def metrics_text(self) -> str:
-        """The figures, one a line: requests by class and kind, refusals by cause, attempts, what is open, servers by health."""
+        """All metrics, one per line.
+
+        Among them are responses by class and kind, refusals by cause, attempts, open requests and
+        servers by health.
+        """
         rows = [
             f"{METRIC_PREFIX}.responses.{lane}.{kind}={count}"
             for lane, counts in self.figures.answers.items()
--- a/corkshift/cli/__init__.py
+++ b/corkshift/cli/__init__.py
@@ -1,4 +1,7 @@
-"""The command line and the operator's file. Nothing of the command line is imported by a node that reads such a file."""
+"""Command line and operator's file.
+
+A node that reads an operator's file imports no code of the command line.
+"""
 
 from __future__ import annotations
 
@@ -6,7 +9,7 @@
 
 
 def command(arguments: list[str]) -> int:
-    """Carry out one command; the exit code (2 where the arguments are wrong)."""
+    """Run one command; its exit code (2 where the arguments are wrong)."""
     from corkshift.cli import commands
 
     return commands.command(arguments)
--- a/corkshift/cli/check.py
+++ b/corkshift/cli/check.py
@@ -1,4 +1,4 @@
-"""`check FILE`: validates a node's configuration (JSON), an operator's file or a simulation's script (TOML)."""
+"""`check FILE`: validates a node's configuration (JSON), an operator's file or a script (TOML)."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 
 
 def faults_of(path: str) -> list[Fault]:
-    """Every fault of a file, in order; an empty list means that the program takes it."""
+    """Every fault of a file, in order; an empty list means that the file is valid."""
     try:
         text = seam.read_file(path)
     except OSError as error:
-        return [Fault("", f"cannot read it: {error.strerror}")]
+        return [Fault("", f"cannot read: {error.strerror}")]
     if path.endswith(".json") or text.lstrip()[:1] == b"{":
         return _node_file_faults(text)
     if any(line.strip() in (b"[world]", b"[[fault]]") for line in text.splitlines()):
@@ -44,10 +44,10 @@
 
 
 def check(path: str) -> int:
-    """Print every fault of a file; the exit code: 0 where there is none, else 1."""
+    """Print every fault of a file; exit code 0 if there is none, else 1."""
     faults = faults_of(path)
     for fault in faults:
         print(f"{path}: {fault}", file=sys.stderr)
     if not faults:
-        print(f"{path}: good")
+        print(f"{path}: valid")
     return 1 if faults else 0
--- a/corkshift/cli/commands.py
+++ b/corkshift/cli/commands.py
@@ -1,6 +1,6 @@
-"""The command line, on click. Each command's code is imported only when it is asked for.
+"""The command line, built with click. The code of a command is imported only when it runs.
 
-Exit codes: 0 good, 1 a fault was found (or a rule broken), 2 wrong arguments or files that are of no use.
+Exit codes: 0 success; 1 a fault was found or a rule was broken; 2 invalid arguments or files.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 )
 @click.pass_context
 def _root(context: click.Context, operator: Optional[str]) -> int:
-    """A node between clients and cache servers. With no command it serves as PROXY_CONFIG tells."""
+    """A node between clients and cache servers. Without a command it serves as in PROXY_CONFIG."""
     context.obj = operator
     return 0 if context.invoked_subcommand else _serve(operator)
 
@@ -37,24 +37,26 @@
 @_root.command()
 @click.pass_obj
 def run(operator: Optional[str]) -> int:
-    """Serve as PROXY_CONFIG tells (the same as no command)."""
+    """Serve as configured by PROXY_CONFIG (the same as no command)."""
     return _serve(operator)
 
 
 @_root.command()
 @click.argument("file")
 def check(file: str) -> int:
-    """Validate a node's configuration, an operator's file or a script."""
+    """Validate a node's configuration, an operator's file or a script of a scenario."""
     from corkshift.cli.check import check
 
     return check(file)
 
 
 @_root.command()
-@click.option("--seconds", type=float, metavar="N", help="End after so long (else at Ctrl-C).")
+@click.option(
+    "--seconds", type=float, metavar="N", help="End after N seconds (default: at Ctrl-C)."
+)
 @click.pass_obj
 def demo(operator: Optional[str], seconds: Optional[float]) -> int:
-    """A small installation on loopback, with a line of figures a second."""
+    """Run a small installation on loopback and print its metrics every second."""
     from corkshift.cli.demo import demo
 
     return demo(seconds, operator)
@@ -67,10 +69,10 @@
     metavar="PATH",
     help="The node's socket, instead of members_socket of the operator's file.",
 )
-@click.option("--json", "as_json", is_flag=True, help="For programs.")
+@click.option("--json", "as_json", is_flag=True, help="Print JSON.")
 @click.pass_obj
 def members(operator: Optional[str], path: Optional[str], as_json: bool) -> int:
-    """Whom a running node believes to be there, who says so, and which rule decided."""
+    """Show the boxes that a running node knows, their sources and the deciding rules."""
     from corkshift.cli.members import members
 
     return members(operator, path, as_json)
@@ -78,14 +80,14 @@
 
 @_root.group()
 def sources() -> None:
-    """Where a node learns of cache servers."""
+    """Sources of known cache servers."""
 
 
 @sources.command("check")
-@click.option("--json", "as_json", is_flag=True, help="For programs.")
+@click.option("--json", "as_json", is_flag=True, help="Print JSON.")
 @click.pass_obj
 def sources_check(operator: Optional[str], as_json: bool) -> int:
-    """Ask each source once and show the merge; exits with 1 where one failed."""
+    """Query each source once and show the merged set; exit code 1 if one failed."""
     from corkshift.cli.members import check
 
     return check(operator, as_json)
@@ -93,14 +95,17 @@
 
 @_root.group()
 def tier() -> None:
-    """Many nodes as one: who takes part, and what each has of their common bounds."""
+    """Tiers of cooperating nodes: members and shares of the tier-wide limits."""
 
 
 @tier.command("show")
 @click.argument("addresses", nargs=-1, required=True)
-@click.option("--json", "as_json", is_flag=True, help="For programs.")
+@click.option("--json", "as_json", is_flag=True, help="Print JSON.")
 def tier_show(addresses: tuple[str, ...], as_json: bool) -> int:
-    """Ask running nodes at their operators' addresses (admin_addr); exits with 1 where one does not answer, or parts sum to too much."""
+    """Show the tier as seen by running nodes, at their operators' addresses (admin_addr).
+
+    Exit code 1 if a node does not answer or if shares add up to more than the whole.
+    """
     from corkshift.cli.tier import show
 
     return show(addresses, as_json)
@@ -109,11 +114,11 @@
 @tier.command("run")
 @click.argument("script")
 @click.option("--seed", type=int, default=1, show_default=True, metavar="N")
-@click.option("--virtual", is_flag=True, help="On the virtual clock in place of real processes.")
-@click.option("--json", "as_json", is_flag=True, help="For programs.")
-@click.option("--logs", metavar="DIR", help="Keep the nodes' logs and configurations there.")
+@click.option("--virtual", is_flag=True, help="Use the virtual clock instead of real processes.")
+@click.option("--json", "as_json", is_flag=True, help="Print JSON.")
+@click.option("--logs", metavar="DIR", help="Keep logs and configurations of the nodes in DIR.")
 def tier_run(script: str, seed: int, virtual: bool, as_json: bool, logs: Optional[str]) -> int:
-    """Play a script with real nodes on loopback and faults between them; exits with 1 where a rule is broken."""
+    """Run a script with real nodes on loopback and faults; exit code 1 if a rule is broken."""
     from corkshift.cli.tier import run
 
     return run(script, seed, virtual, as_json, logs)
@@ -123,7 +128,7 @@
 
 
 def command(arguments: list[str]) -> int:
-    """Carry out one command; the exit code (2 where the arguments are wrong)."""
+    """Run one command; its exit code (2 where the arguments are wrong)."""
     try:
         code = _root.main(arguments, prog_name="gradeshift", standalone_mode=False)
     except click.ClickException as error:
--- a/corkshift/cli/demo.py
+++ b/corkshift/cli/demo.py
@@ -1,4 +1,4 @@
-"""`demo`: a small installation on loopback, with one line of figures a second."""
+"""`demo`: a small installation on loopback, which prints its metrics every second."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class Installation:
-    """Discovery, an order book, cache boxes, one node and clients, on ports that the system chooses."""
+    """Discovery, an order book, cache boxes, a node and clients, on ports chosen by the system."""
 
     def __init__(self, size: DemoTable) -> None:
         self.size = size
@@ -34,7 +34,7 @@
         self._witness = witness
 
     def start(self) -> None:
-        """Start everything; OSError where the system gives no sockets."""
+        """Start everything; OSError where a socket can't be opened."""
         size = self.size
         self.book.listen()
         self.registry.listen()
@@ -62,7 +62,7 @@
         self.clients.most = size.clients
 
     def addresses(self) -> str:
-        """Who listens where, a row each."""
+        """The addresses of all parts, one per line."""
         assert self.service is not None
         rows = [
             ("node", self.service.frontend.address),
@@ -73,7 +73,7 @@
         return "\n".join(f"  {name:<11} http://{host}:{port}" for name, (host, port) in rows)
 
     def progress_line(self, second: int, previous: dict[str, int]) -> str:
-        """What the last second brought."""
+        """Counts since the previous call, as one line; `previous` is updated."""
         current = self.counts()
         deltas = {name: current[name] - previous.get(name, 0) for name in current}
         previous.update(current)
@@ -81,7 +81,7 @@
         return f"{second:>4} s  {columns}"
 
     def counts(self) -> dict[str, int]:
-        """The totals so far."""
+        """Totals since the start."""
         assert self.clients is not None
         figures = self.clients.figures
         return {
@@ -94,27 +94,29 @@
         }
 
     def summary(self) -> str:
-        """The totals in one line."""
+        """Totals since the start, as one line."""
         counts = self.counts()
         asked = max(1, counts["requests"])
         reads = max(1, counts["hits"] + sum(box.misses for box in self.boxes))
         return (
-            f"{counts['requests']} requests, {100.0 * counts['in time'] / asked:.1f}% served in time, "
+            f"{counts['requests']} requests, "
+            f"{100.0 * counts['in time'] / asked:.1f}% served in time, "
             f"{counts['refused']} refused, {counts['failed']} failed, "
-            f"{100.0 * counts['hits'] / reads:.1f}% of reads were hits, {counts['book fetches']} book fetches"
+            f"{100.0 * counts['hits'] / reads:.1f}% of reads were hits, "
+            f"{counts['book fetches']} book fetches"
         )
 
     async def run(self, seconds: Optional[float]) -> None:
-        """Run for so long, or until SIGINT or SIGTERM, with a line a second."""
+        """Run for some seconds or until SIGINT or SIGTERM; prints a line every second."""
         assert self.service is not None and self.clients is not None
         loop = asyncio.get_running_loop()
         stop = asyncio.Event()
         node_task = loop.create_task(self.service.run())
-        await asyncio.sleep(0)  # the node sets its own handlers first; these end the whole
+        await asyncio.sleep(0)  # the node installs its signal handlers first; these replace them
         for number in (signal.SIGINT, signal.SIGTERM):
             loop.add_signal_handler(number, stop.set)
         while len(self.service.node.servers) < len(self.boxes) and not stop.is_set():
-            await asyncio.sleep(0.01)  # until discovery has told of them
+            await asyncio.sleep(0.01)  # until discovery has reported all boxes
         if seconds is not None:
             loop.call_later(seconds, stop.set)
         client_task = loop.create_task(self.clients.run(86_400.0 if seconds is None else seconds))
@@ -142,7 +144,7 @@
     print(f"A node, {size.boxes} cache boxes, their order book and clients, all on loopback:")
     print(installation.addresses())
     print(
-        "Ctrl-C ends it." if seconds is None else f"It ends by itself after {seconds:g} s.",
+        "Press Ctrl-C to end." if seconds is None else f"Ends after {seconds:g} s.",
         flush=True,
     )
     await installation.run(seconds)
@@ -150,7 +152,7 @@
 
 
 def demo(seconds: Optional[float], operator: Optional[str]) -> int:
-    """Run the demo; the exit code. Sizes come from `[demo]` of the operator's file, where there is one."""
+    """Run the demo; the exit code. Sizes come from `[demo]` of the operator's file, if any."""
     path = operator or os.environ.get("GRADESHIFT_OPERATOR")
     try:
         size = (load_operator_file(path).demo if path else None) or DemoTable()
@@ -159,7 +161,7 @@
         return 2
     if seconds is not None and not 0.0 < seconds <= 86_400.0:
         print(
-            f"gradeshift demo: --seconds: more than 0 and at most 86400, got {seconds:g}",
+            f"gradeshift demo: --seconds: must be above 0 and at most 86400, got {seconds:g}",
             file=sys.stderr,
         )
         return 2
--- a/corkshift/cli/members.py
+++ b/corkshift/cli/members.py
@@ -1,4 +1,4 @@
-"""`members` and `sources check`: the merged set of a running node, or of the sources without one."""
+"""`members` and `sources check`: the merged set of boxes of a node, or of its sources without a node."""
 
 from __future__ import annotations
 
@@ -27,12 +27,12 @@
 from forkweir.known.membership import Claim, Membership
 
 TIMEOUT_S = 5.0
-MAX_VIEW_BYTES = 1 << 24  # bytes of a view
-SOURCES_OFF = "[sources] is not in the operator's file (--operator FILE): there is no merged view"
+MAX_VIEW_BYTES = 1 << 24
+SOURCES_OFF = "no [sources] in the operator's file (--operator FILE), so there is no merged view"
 
 
 def _load_sources_table(operator: Optional[str]) -> SourcesTable:
-    """`[sources]` of the operator's file; ValueError where there is none."""
+    """`[sources]` of the operator's file; ValueError where it is missing."""
     path = operator or os.environ.get("GRADESHIFT_OPERATOR")
     options = load_operator_file(path).sources if path else None
     if options is None:
@@ -41,7 +41,10 @@
 
 
 def members(operator: Optional[str], path: Optional[str], as_json: bool) -> int:
-    """Print a running node's merged view; the exit code: 0, 1 where the node does not answer, 2 where no socket is named."""
+    """Print the merged view of a running node.
+
+    Exit code: 0, 1 where the node does not answer, 2 where no socket is configured.
+    """
     try:
         path = path or _load_sources_table(operator).members_socket
     except (BadOperatorFile, ValueError) as error:
@@ -78,8 +81,8 @@
 
 
 def format_view(view: dict[str, Any]) -> str:
-    """A view for people: sources, then boxes, each with the rule that decided."""
-    rows = [["source", "state", "heard s ago", "boxes", "held"]]
+    """A view as text: sources, then boxes, each with the rule that decided its state."""
+    rows = [["source", "state", "last received s ago", "boxes", "held"]]
     for source in view["sources"]:
         age = "-" if source["age_ms"] < 0 else f"{source['age_ms'] / 1000.0:.1f}"
         rows.append(
@@ -116,7 +119,7 @@
 
 
 class _CollectingSink:
-    """A sink that keeps what was told, for one look."""
+    """A sink that merges one view of each source and collects failures."""
 
     def __init__(self, options: SourcesTable) -> None:
         self.merged = Membership(options.rights(), options.guard.guard())
@@ -131,7 +134,10 @@
 
 
 def check(operator: Optional[str], as_json: bool) -> int:
-    """Ask each source once and print the merge; the exit code: 0, 1 where a source failed, 2 where there is nothing to ask."""
+    """Query each source once and print the merged set.
+
+    Exit code: 0, 1 where a source failed, 2 where no source is configured.
+    """
     try:
         options = _load_sources_table(operator)
     except (BadOperatorFile, ValueError) as error:
@@ -162,7 +168,7 @@
 
 
 def _check_list(sink: _CollectingSink) -> None:
-    """The box list, where PROXY_CONFIG says where discovery is: one call, no watch."""
+    """Read the server list once, without a watch, if PROXY_CONFIG is set."""
     if not os.environ.get("PROXY_CONFIG"):
         return
     try:
@@ -172,7 +178,7 @@
         answer = connection.getresponse()
         text = answer.read(1 << 20)
         if answer.status != 200:
-            raise BadList(f"answered {answer.status}")
+            raise BadList(f"answered with status {answer.status}")
         _, _, pairs = read_list(orjson.loads(text))
     except (
         BadConfig,
--- a/corkshift/cli/nodefile.py
+++ b/corkshift/cli/nodefile.py
@@ -1,6 +1,6 @@
-"""The form of a node's configuration (the file that PROXY_CONFIG names), for `check`.
+"""Schema of a node's configuration (the file that PROXY_CONFIG names), for `check`.
 
-Keys that are not named here are skipped, as the protocol asks; those that the node reads are all here.
+All keys that the node reads are here. Other keys are ignored, as the protocol requires.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 
 class ServiceTable(Table, frozen=True, kw_only=True, rename="camel"):
-    """One request class."""
+    """`settings.services[]`: one request class."""
 
     name: NonEmptyStr
     idempotency: Literal["safe", "keyed", "unsafe"] = "unsafe"
@@ -40,12 +40,12 @@
         if self.idempotency == "keyed" and not (self.group and self.window_ms):
             yield Fault(
                 "idempotency",
-                "a keyed class needs group and windowMs, or repeats are never dropped",
+                "a keyed class needs group and windowMs, otherwise repeats are never dropped",
             )
 
 
 class AllowedTable(Table, frozen=True, kw_only=True, rename="camel"):
-    """What the site permits."""
+    """`settings.allowed`: features that the site permits."""
 
     most_tries: PositiveInt = 1
     max_open: PositiveInt = 10_000
@@ -59,7 +59,7 @@
 
 
 class ContractTable(Table, frozen=True, kw_only=True, rename="camel"):
-    """The figures of the four rules."""
+    """`settings.contract`: limits of the platform's four rules."""
 
     must_ask_in_ms: Millis = 10_000.0
     stop_sending_within_ms: Millis = 250.0
@@ -80,7 +80,7 @@
         names = [service.name for service in self.services]
         for n, name in enumerate(names):
             if name in names[:n]:
-                yield Fault(f"services[{n}].name", f"a class of this name stands before it: {name}")
+                yield Fault(f"services[{n}].name", f"duplicate class name: {name}")
 
 
 class LimitsTable(Table, frozen=True, kw_only=True):
@@ -92,7 +92,7 @@
 
 
 class NodeFile(Table, frozen=True, kw_only=True):
-    """The whole file."""
+    """The whole file of a node."""
 
     listen: str
     admin_addr: Optional[str] = None
@@ -139,13 +139,13 @@
                 try:
                     address_of(text)
                 except ValueError:
-                    yield Fault(key, f"host:port with a port from 1 to 65535, got {text!r}")
+                    yield Fault(key, f"must be host:port with a port from 1 to 65535, got {text!r}")
         if isinstance(self.seed, str):
             try:
                 int(self.seed, 16)
             except ValueError:
-                yield Fault("seed", f"a number or hex digits, got {self.seed!r}")
+                yield Fault("seed", f"must be a number or hex digits, got {self.seed!r}")
         if self.listen == self.discovery:
-            yield Fault("discovery", "is the address that the node itself listens on")
+            yield Fault("discovery", "must differ from listen, the address of the node itself")
         if self.listen == self.admin_addr:
-            yield Fault("admin_addr", "is the address where clients connect")
+            yield Fault("admin_addr", "must differ from listen, the address for clients")
--- a/corkshift/cli/operator.py
+++ b/corkshift/cli/operator.py
@@ -1,4 +1,7 @@
-"""The operator's file: what is switched on beyond the platform's own configuration (docs/operator-file.md)."""
+"""The operator's file: optional features beyond the platform's configuration.
+
+See docs/operator-file.md.
+"""
 
 from __future__ import annotations
 
@@ -20,7 +23,7 @@
 
 
 class BadOperatorFile(ValueError):
-    """The operator's file can't be read or has faults; one line each."""
+    """The operator's file can't be read or has faults; the message has one line for each."""
 
     def __init__(self, path: str, faults: list[Fault]) -> None:
         super().__init__("\n".join(f"{path}: {fault}" for fault in faults))
@@ -28,7 +31,7 @@
 
 
 class DemoTable(Table, frozen=True, kw_only=True):
-    """`[demo]`: the size of the installation that `gradeshift demo` starts."""
+    """`[demo]`: size of the installation that `gradeshift demo` starts."""
 
     boxes: Count = 6
     cold_boxes: Annotated[int, msgspec.Meta(ge=0, le=256)] = 0
@@ -42,12 +45,12 @@
     def cross_field_faults(self) -> Iterator[Fault]:
         if self.cold_boxes >= self.boxes:
             yield Fault(
-                "cold_boxes", f"must be fewer than boxes ({self.boxes}), got {self.cold_boxes}"
+                "cold_boxes", f"must be less than boxes ({self.boxes}), got {self.cold_boxes}"
             )
 
 
 class OperatorFile(Table, frozen=True, kw_only=True):
-    """The whole file. A table that is absent leaves its feature off."""
+    """The whole file. A feature whose table is missing is off."""
 
     format: Literal[1]
     demo: Optional[DemoTable] = None
@@ -56,7 +59,7 @@
 
 
 def parse_operator_file(text: bytes, path: str) -> OperatorFile:
-    """Read a file's text; BadOperatorFile names every fault."""
+    """Parse the text of a file; BadOperatorFile names every fault. path: for messages."""
     try:
         data = tomllib.loads(text.decode())
     except (tomllib.TOMLDecodeError, UnicodeDecodeError) as error:
@@ -67,9 +70,9 @@
 
 
 def load_operator_file(path: str) -> OperatorFile:
-    """Read a file; BadOperatorFile also where it can't be opened."""
+    """Read and parse a file; BadOperatorFile also where it can't be opened."""
     try:
         text = seam.read_file(path)
     except OSError as error:
-        raise BadOperatorFile(path, [Fault("", f"cannot read it: {error.strerror}")]) from None
+        raise BadOperatorFile(path, [Fault("", f"cannot read: {error.strerror}")]) from None
     return parse_operator_file(text, path)
--- a/corkshift/cli/schema.py
+++ b/corkshift/cli/schema.py
@@ -1,6 +1,6 @@
-"""Holds data against a schema of msgspec structs and names every fault by its path, not only the first.
+"""Validates data against a schema of msgspec structs and reports every fault by its path.
 
-msgspec itself stops at the first fault, so each field is converted on its own here, and structs are walked.
+msgspec stops at the first fault, so structs are walked here and each field is converted on its own.
 """
 
 from __future__ import annotations
@@ -16,7 +16,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """One thing that is wrong: where it stands (dotted path, list places in brackets) and what is allowed there."""
+    """One fault of a file.
+
+    path: dotted path of the value, with list indices in brackets. message: what is allowed there.
+    """
 
     path: str
     message: str
@@ -26,24 +29,27 @@
 
 
 class Table(msgspec.Struct, frozen=True, kw_only=True):
-    """A table of a file. Subclasses name their keys, and say in `contradictions` what can't stand together."""
+    """A table of a file. Subclasses declare the keys.
+
+    `cross_field_faults` is overridden to check values that depend on each other.
+    """
 
     def cross_field_faults(self) -> Iterator[Fault]:
-        """Faults of values that are each allowed but not together; paths are relative to the table."""
+        """Faults of values that are valid alone but not together. Paths start at the table."""
         return iter(())
 
 
 def validate(schema: type[Table], data: object, reject_unknown_keys: bool = True) -> list[Fault]:
-    """All faults of data under a schema, in the schema's order; an empty list means that it converts.
+    """All faults of `data`, in the order of the schema; an empty list means that it converts.
 
-    closed: whether keys that the schema does not name are faults (else they are skipped).
+    reject_unknown_keys: whether keys that the schema lacks are faults; else they are ignored.
     """
     return list(_table_faults(schema, data, "", reject_unknown_keys))
 
 
 def _table_faults(schema: type[Table], data: object, path: str, closed: bool) -> Iterator[Fault]:
     if not isinstance(data, dict):
-        yield Fault(path, f"a table is expected, not {_type_name(data)}")
+        yield Fault(path, f"must be a table, got {_type_name(data)}")
         return
     fields = {field.encode_name: field for field in msgspec.structs.fields(schema)}
     faults: list[Fault] = []
--- a/corkshift/cli/tier.py
+++ b/corkshift/cli/tier.py
@@ -1,4 +1,4 @@
-"""`tier show`: what running nodes hold of the tier's bounds; `tier run`: a tier of real processes by a script."""
+"""`tier show`: shares of the tier-wide limits held by running nodes; `tier run`: runs a script."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 from corkshift.config import address_of
 
 TIMEOUT_S = 3.0
-MAX_VIEW_BYTES = 1 << 22  # bytes of a view
+MAX_VIEW_BYTES = 1 << 22
 
 
 def fetch_view(address: str) -> dict[str, Any]:
-    """What a node at its operators' address tells of the tier; ValueError or OSError where it does not."""
+    """The tier as seen by a node at its operators' address; ValueError or OSError on failure."""
     host, port = address_of(address)
     connection = http.client.HTTPConnection(host, port, timeout=TIMEOUT_S)
     try:
@@ -26,23 +26,24 @@
         answer = connection.getresponse()
         body = answer.read(MAX_VIEW_BYTES)
     except http.client.HTTPException as error:
-        raise ValueError(f"no answer that can be read: {type(error).__name__}") from None
+        raise ValueError(f"invalid HTTP answer: {type(error).__name__}") from None
     finally:
         connection.close()
     if answer.status == 404:
         raise ValueError(
-            "takes no part in a tier (settings.allowed.peers, peers and peer_listen, [tier] of the operator's file)"
+            "not part of a tier (needs settings.allowed.peers, peers, peer_listen and [tier] "
+            "in the operator's file)"
         )
     if answer.status != 200:
-        raise ValueError(f"answers {answer.status}")
+        raise ValueError(f"answered with status {answer.status}")
     view = orjson.loads(body)
     if not isinstance(view, dict) or "members" not in view:
-        raise ValueError("answers with no view of a tier")
+        raise ValueError("the answer is not the view of a tier")
     return view
 
 
 def show(addresses: tuple[str, ...], as_json: bool) -> int:
-    """Print what each node knows and holds, and the sums over those that were asked; the exit code."""
+    """Print the view of each node and the sums of their shares; the exit code."""
     views: dict[str, dict[str, Any]] = {}
     code = 0
     for address in addresses:
@@ -71,7 +72,8 @@
         _print_view(address, view)
     if len(views) > 1 and sums:
         print(
-            "parts held by all of these (read one after the other, so a part that moved meanwhile may count twice):"
+            "shares held by these nodes together (read one after the other, "
+            "so a share that moved meanwhile may count twice):"
         )
         for bound, shares in sorted(sums.items()):
             print(f"  {bound:<24} {100.0 * shares / next(iter(views.values()))['whole']:5.1f}%")
@@ -84,17 +86,18 @@
 
 def _print_view(address: str, view: dict[str, Any]) -> None:
     role = (
-        "keeper"
+        "leader"
         if view["keeps"]
         else f"follows n{view['follows']}"
         if view["follows"] >= 0
-        else "no keeper known"
+        else "no leader known"
     )
     by_state: dict[str, list[str]] = defaultdict(list)
     for member in view["members"]:
         by_state[member["state"]].append(f"n{member['slot']}")
     print(
-        f"{address}: n{view['slot']} of {view['count']}, {role}{', others disagree on the tier' if view['disagrees'] else ''}"
+        f"{address}: n{view['slot']} of {view['count']}, {role}"
+        f"{', other nodes have a different tier' if view['disagrees'] else ''}"
     )
     for state in ("alive", "suspect", "dead", "left", "unknown"):
         if by_state[state]:
@@ -108,14 +111,14 @@
     line = view["line"]
     print(
         "  line: "
-        + (f"common, {line['digest']}, {line['told']} heavy buckets" if line else "its own window")
+        + (f"shared, {line['digest']}, {line['told']} heavy buckets" if line else "own window only")
     )
     counts = view["counts"]
     print("  datagrams: " + ", ".join(f"{name} {counts[name]}" for name in counts))
 
 
 def run(path: str, seed: int, virtual: bool, as_json: bool, logs: Optional[str]) -> int:
-    """Play a script; the exit code: 0 where every rule held, 1 where one did not, 2 where there is nothing to play."""
+    """Run a script. Exit code: 0 if every rule held, 1 if not, 2 for an invalid script."""
     from testbed.nights.script import BadScript, parse_script
     from testbed.tier.processes import Unplayable
     from testbed.tier.processes import run as play
@@ -150,18 +153,22 @@
     for at_s, event in report["notes"]:
         print(f"  {at_s:8.3f} s  {event}")
     print(
-        f"  reads at their key's usual box: {100.0 * report['usual']:.1f}%, fetches of the order book: {report['fetches']}"
+        f"  reads at the usual box of their key: {100.0 * report['usual']:.1f}%, "
+        f"fetches of the order book: {report['fetches']}"
     )
     whole = report["whole"]
     for bound, shares in report["most_held"].items():
-        print(f"  most parts of {bound or 'fetches'} held at once: {100.0 * shares / whole:.1f}%")
+        print(
+            f"  largest share of {bound or 'fetches'} held at once: {100.0 * shares / whole:.1f}%"
+        )
     for name, cold in report["cold"].items():
         print(
-            f"  {name} began cold and got at most {100.0 * cold['worst']:.0f}% of its budget: {cold['work_ms']}"
+            f"  {name} started cold and got at most {100.0 * cold['worst']:.0f}% of its budget: "
+            f"{cold['work_ms']}"
         )
     for name, members in report["members"].items():
         print(
-            f"  {name} sees {len(members)}{' and is keeper' if name in report['keepers'] else ''}"
+            f"  {name} sees {len(members)}{' and is leader' if name in report['keepers'] else ''}"
         )
     for failure in report["failures"]:
         print(f"BROKEN {failure}")
--- a/corkshift/sources/options.py
+++ b/corkshift/sources/options.py
@@ -69,7 +69,7 @@
             except ValueError:
                 yield Fault(
                     f"resolvers[{n}]",
-                    f"must be an IPv4 address and a port (10.0.0.2:53), got {text!r:.60}",
+                    f"an IPv4 address and a port (10.0.0.2:53), got {text!r:.60}",
                 )
         if self.floor_s > self.ceiling_s:
             yield Fault(
@@ -125,7 +125,8 @@
     def rights(self) -> dict[str, Rights]:
         """The rights of each source.
 
-        `known` is the list that the node was started with, used only while no other source has boxes.
+        `known` is the list that the node was started with. It is used only while no other source
+        has boxes.
         """
         rights = {
             "list": self.list.rights(),
--- a/corkshift/sources/resolver.py
+++ b/corkshift/sources/resolver.py
@@ -135,7 +135,8 @@
     async def lookup(self, name: str, record_type: str, refresh_ahead: float = 0.0) -> CachedAnswer:
         """The SRV or A records of a name; CNAMEs are followed.
 
-        refresh_ahead: the last part of an answer's lifetime, as a share of it, in which it is renewed.
+        refresh_ahead: an answer is renewed in the last part of its lifetime; this is the size of
+        that part, as a share of the lifetime.
 
             Raises LookupFailed where no server answers and no cached answer may be served, and
             ValueError where the name is not a valid DNS name.
@@ -189,7 +190,8 @@
                 if not self._take_token():
                     self.counts.failed("too many queries")
                     raise LookupFailed(
-                        f"{name} {record_type}: more than {self._limits.queries_per_s:g} queries a second"
+                        f"{name} {record_type}: more than {self._limits.queries_per_s:g} "
+                        "queries a second"
                     )
                 query_id, case_bits = (
                     int.from_bytes(self._random_bytes(2), "big"),
