--- a/corkshift/sources/message.py
+++ b/corkshift/sources/message.py
@@ -33,7 +33,9 @@
 # it first parses one, so the set is closed.
 ALLOWED_RECORD_TYPES = frozenset(
     int(dns.rdatatype.from_text(kind))
-    for kind in "A NS CNAME SOA PTR MX TXT AAAA SRV NAPTR DNAME OPT DS RRSIG NSEC DNSKEY NSEC3".split()
+    for kind in (
+        "A NS CNAME SOA PTR MX TXT AAAA SRV NAPTR DNAME OPT DS RRSIG NSEC DNSKEY NSEC3"
+    ).split()
 )
 _HEADER = struct.Struct("!HHHHHH")
 
--- a/tests/admin/test_admin.py
+++ b/tests/admin/test_admin.py
@@ -1,4 +1,4 @@
-"""The operators' address over loopback: its calls, its figures, and callers that mean no good or nothing."""
+"""The operators' address over loopback: requests, metrics, invalid requests, idle connections."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class AdminFixture:
-    """A node with its operators' address."""
+    """A node with an operators' address."""
 
     def __init__(self, node: Rig) -> None:
         self.rig = node
@@ -49,7 +49,7 @@
             fixture.admin.close()
 
 
-def test_the_figures_count_answers_by_kind_and_attempts() -> None:
+def test_metrics_count_answers_by_kind_and_attempts() -> None:
     async def test() -> None:
         def script(head: bytes) -> bytes:
             if b"/bad" in head:
@@ -88,7 +88,7 @@
     play(test)
 
 
-def test_the_figures_tell_what_is_open_and_which_servers_are_avoided() -> None:
+def test_metrics_count_open_requests_and_avoided_servers() -> None:
     async def test() -> None:
         release = asyncio.Event()
 
@@ -111,7 +111,7 @@
             assert (await fixture.figures())["svc.active"] == fixture.rig.node.open > 0
             release.set()
             await asyncio.gather(*asks)
-            dead.close()  # its address refuses now: soon it is avoided
+            dead.close()  # connections to it are refused from now on, so it will be avoided
             n = 0
             while (await fixture.figures())["svc.pool_ejected"] == 0:
                 n += 1
@@ -131,7 +131,7 @@
     play(test)
 
 
-def test_health_says_no_until_a_cache_server_is_known() -> None:
+def test_health_answers_503_until_a_cache_server_is_known() -> None:
     async def test() -> None:
         async with admin_fixture({}) as fixture:
             assert await fixture.call("/admin/health") == 503
@@ -160,7 +160,7 @@
         ),
     ],
 )
-def test_what_is_no_call_gets_its_error_and_changes_nothing(data: bytes, expected: int) -> None:
+def test_invalid_requests_get_an_error_and_change_nothing(data: bytes, expected: int) -> None:
     async def test() -> None:
         async with admin_fixture({"s1": CacheBox()}) as fixture:
             assert status(await fixture.send(data)) == expected
@@ -170,10 +170,13 @@
     play(test)
 
 
-def test_a_caller_that_sends_its_call_with_a_body_is_answered() -> None:
+def test_a_request_with_a_body_is_answered() -> None:
     async def test() -> None:
         async with admin_fixture({"s1": CacheBox()}) as fixture:
-            head = b"PUT /admin/quiesce HTTP/1.1\r\nHost: x\r\nContent-Length: 2\r\nExpect: 100-continue\r\n\r\n"
+            head = (
+                b"PUT /admin/quiesce HTTP/1.1\r\nHost: x\r\n"
+                b"Content-Length: 2\r\nExpect: 100-continue\r\n\r\n"
+            )
             reader, writer = await asyncio.open_connection(*fixture.admin.address)
             writer.write(head)
             assert await reader.readuntil(b"\r\n\r\n") == b"HTTP/1.1 100 Continue\r\n\r\n"
@@ -184,8 +187,8 @@
     play(test)
 
 
-def test_callers_that_say_nothing_shut_nobody_out() -> None:
-    # Guards against an operators' address that a few idle connections take out of use.
+def test_idle_connections_do_not_keep_operators_out() -> None:
+    # A few idle connections could use up the connection limit of the operators' address.
     async def test() -> None:
         async with admin_fixture({"s1": CacheBox()}) as fixture:
             silent = [
@@ -199,8 +202,9 @@
     play(test)
 
 
-def test_a_drain_ends_every_connection_within_two_seconds_and_resume_takes_clients_again() -> None:
-    # Guards against a client left on a node that is about to be worked on, and one cut off in its request.
+def test_a_drain_closes_every_connection_within_two_seconds_and_resume_accepts_clients() -> None:
+    # No client may stay connected to a node that is taken out for maintenance, and none may lose
+    # a request that it has begun.
     async def test() -> None:
         release = asyncio.Event()
 
@@ -223,7 +227,7 @@
             assert status(await node.send(b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n")) == 503
             late = await node.send(
                 request("late")
-            )  # dealt out just before: served, and told that the connection ends
+            )  # connected just before the drain: served, and the connection is closed
             assert status(late) == 200 and b"connection: close" in late.lower()
             ends = []
             for reader, _ in idle:
@@ -231,13 +235,13 @@
                 ends.append(loop.time() - began)
             assert (
                 ends[-1] < SHED_MS / 1000.0 + 0.2 and ends[0] < ends[-1] - 0.5
-            )  # spread, not at once
+            )  # spread over time, not all at once
             release.set()
             answer = await busy_reader.read()
             assert status(answer) == 200 and b"connection: close" in answer.lower()
             assert await fixture.call("/admin/resume", "PUT") == 200
             reader, writer = await asyncio.open_connection("127.0.0.1", node.port)
-            for n in range(2):  # kept, as before
+            for n in range(2):  # connections are kept again
                 writer.write(request(f"back-{n}"))
                 assert b"close" not in (await reader.readuntil(b"\r\n\r\n")).lower()
                 await reader.read(1 << 16)
--- a/tests/audited.py
+++ b/tests/audited.py
@@ -1,6 +1,7 @@
-"""Runs the node with every step outside of what the platform allows noted on standard error and refused; for test_deploy.
+"""Runs the node under an audit hook that reports and refuses what the platform forbids.
 
-A breach can be planted, to show that it would be seen: the first argument names it, or is empty.
+For test_deploy. A violation can be committed on purpose, to show that it is detected: the first
+argument names it, or is empty.
 """
 
 from __future__ import annotations
@@ -37,21 +38,21 @@
 
 
 def violation_of(event: str, args: tuple[Any, ...]) -> str:
-    """What an audit event breaks, or nothing."""
+    """The violation that an audit event stands for; empty if none."""
     if event in CHILDREN:
         return f"a process: {event}"
     if event == "socket.bind" and isinstance(args[1], str | bytes):
         return f"a Unix socket: {args[1]!r}"
     if event == "socket.__new__" and args[1] not in (socket.AF_INET, socket.AF_UNIX, -1):
-        return f"a socket of family {args[1]}"  # pairs of Unix sockets without a name are how the loop wakes itself
+        # Unnamed pairs of Unix sockets are allowed: the event loop wakes itself with one.
+        return f"a socket of family {args[1]}"
     if event in CHANGES and not os.path.realpath(str(args[0])).startswith(TEMPORARY):
         return f"a change: {event} {args[0]}"
     if event == "open" and isinstance(args[0], str | bytes) and (args[2] or 0) & WRITES:
         path = os.path.realpath(os.fsdecode(args[0]))
         if "__pycache__" in path:
-            raise PermissionError(
-                30, "read-only"
-            )  # Python does without its compiled modules where it can't write them
+            # Python ignores that it can't write its compiled modules.
+            raise PermissionError(30, "read-only")
         if not path.startswith((TEMPORARY, "/dev/null")):
             return f"a file: {path}"
     return ""
@@ -64,7 +65,7 @@
 
 
 def commit_breach(name: str) -> None:
-    """Do what the platform refuses, a moment after the start, as a thread of the node."""
+    """Commit a violation, from a thread of the node shortly after its start."""
     if name == "child":
         os.fork()
     elif name == "unix":
--- a/tests/cli/test_check.py
+++ b/tests/cli/test_check.py
@@ -1,4 +1,4 @@
-"""`check`: every fault is named by its path, not only the first."""
+"""`check` reports every fault by its path, not only the first."""
 
 from __future__ import annotations
 
@@ -35,11 +35,11 @@
     return [fault.path for fault in faults_of(str(path))]
 
 
-def test_a_good_node_file_has_no_fault(tmp_path: Path) -> None:
+def test_a_valid_node_file_has_no_fault(tmp_path: Path) -> None:
     assert paths(tmp_path / "a.json", json.dumps(node_file())) == []
 
 
-def test_every_fault_of_a_node_file_is_named(tmp_path: Path) -> None:
+def test_every_fault_of_a_node_file_is_reported(tmp_path: Path) -> None:
     services = [
         {"name": "read", "promiseMs": 900, "deadlineMs": 500, "idempotency": "safe"},
         {"name": "cart", "idempotency": "keyed"},
@@ -76,7 +76,7 @@
         ({"settings": 5}, "settings"),
     ],
 )
-def test_values_that_can_not_be(tmp_path: Path, changes: dict[str, Any], path: str) -> None:
+def test_invalid_values_of_a_node_file(tmp_path: Path, changes: dict[str, Any], path: str) -> None:
     assert paths(tmp_path / "a.json", json.dumps(node_file(**changes))) == [path]
 
 
@@ -95,7 +95,7 @@
         ("format = ", [""]),
     ],
 )
-def test_an_operators_file(tmp_path: Path, text: str, wanted: list[str]) -> None:
+def test_faults_of_an_operators_file(tmp_path: Path, text: str, wanted: list[str]) -> None:
     assert paths(tmp_path / "a.toml", text) == wanted
 
 
@@ -108,11 +108,11 @@
         parse_operator_file(b"format = 1\n[demo]\nboxes = 0\n", "op.toml")
 
 
-def test_the_shipped_example_is_good() -> None:
+def test_the_example_operators_file_is_valid() -> None:
     assert faults_of(str(ROOT / "deploy" / "operator.example.toml")) == []
 
 
-def test_check_ends_with_one_where_there_is_a_fault(
+def test_check_exits_with_1_where_there_is_a_fault(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     path = tmp_path / "a.toml"
@@ -126,7 +126,7 @@
 
 
 @pytest.mark.parametrize("how", ["argument", "variable"])
-def test_a_node_does_not_start_with_a_bad_operators_file(tmp_path: Path, how: str) -> None:
+def test_a_node_does_not_start_with_an_invalid_operators_file(tmp_path: Path, how: str) -> None:
     config, operator = tmp_path / "a.json", tmp_path / "a.toml"
     config.write_text(json.dumps(node_file()))
     operator.write_text("format = 1\nx = 1\n")
@@ -152,10 +152,13 @@
     )
 
 
-def test_what_is_off_is_not_imported() -> None:
-    # Guards against a node on a small machine that pays for what nobody switched on.
+def test_a_node_without_optional_features_does_not_import_them() -> None:
+    # Unused modules would cost memory and start-up time on small machines.
     prefixes = "('msgspec', 'argparse', 'click', 'dns', 'testbed', 'corkshift.cli')"
-    code = f"import sys, corkshift.__main__; print([m for m in sys.modules if m.startswith({prefixes})])"
+    code = (
+        "import sys, corkshift.__main__; "
+        f"print([m for m in sys.modules if m.startswith({prefixes})])"
+    )
     done = subprocess.run(
         [sys.executable, "-c", code],
         cwd=ROOT,
--- a/tests/cli/test_commands.py
+++ b/tests/cli/test_commands.py
@@ -1,4 +1,4 @@
-"""The command line: exit codes, help, and what a node with an operator's file does not import."""
+"""The command line: exit codes, help, and what a node with an operator's file must not import."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
         ("--operator", 2, "requires an argument"),
     ],
 )
-def test_wrong_arguments_end_with_two_and_say_why(
+def test_wrong_arguments_exit_with_2_and_an_explanation(
     line: str, code: int, words: str, capsys: pytest.CaptureFixture[str]
 ) -> None:
     assert command(line.split()) == code
@@ -35,14 +35,17 @@
     assert out == "" and words in errors
 
 
-def test_help_names_every_command(capsys: pytest.CaptureFixture[str]) -> None:
+def test_help_lists_every_command(capsys: pytest.CaptureFixture[str]) -> None:
     assert command(["--help"]) == 0
     out = capsys.readouterr().out
     assert all(f"\n  {name} " in out for name in ("run", "check", "demo", "sim"))
 
 
 def test_a_node_that_reads_an_operators_file_imports_no_command() -> None:
-    code = "import sys, corkshift.cli.operator; print([m for m in sys.modules if m.startswith(('click', 'testbed', 'dns'))])"
+    code = (
+        "import sys, corkshift.cli.operator; "
+        "print([m for m in sys.modules if m.startswith(('click', 'testbed', 'dns'))])"
+    )
     done = subprocess.run(
         [sys.executable, "-c", code],
         cwd=ROOT,
--- a/tests/cli/test_demo.py
+++ b/tests/cli/test_demo.py
@@ -1,4 +1,4 @@
-"""The README's first command, end to end."""
+"""`demo`, the README's first command, end to end."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
     return int(found[1]), round(float(found[2]))
 
 
-def test_the_demo_serves_and_ends_by_itself() -> None:
+def test_the_demo_serves_and_ends_after_the_given_time() -> None:
     with start("demo", "--seconds", "2.5") as process:
         out, errors = process.communicate(timeout=60)
     assert process.returncode == 0 and errors == ""
@@ -44,7 +44,7 @@
     assert requests > 50 and share > 50
 
 
-def test_ctrl_c_ends_the_demo_with_its_summary() -> None:
+def test_ctrl_c_ends_the_demo_with_a_summary() -> None:
     with start("demo") as process:
         assert process.stdout is not None
         lines: list[str] = []
@@ -59,7 +59,7 @@
 @pytest.mark.parametrize(
     "arguments", [["demo", "--seconds", "0"], ["--operator", "absent.toml", "demo"]]
 )
-def test_the_demo_says_what_is_wrong(arguments: list[str]) -> None:
+def test_the_demo_reports_wrong_arguments(arguments: list[str]) -> None:
     with start(*arguments) as process:
         out, errors = process.communicate(timeout=60)
     assert process.returncode == 2 and out == "" and errors.count("\n") == 1
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,8 @@
-"""Known failures: tests listed in KNOWN-RED.txt are expected to fail, are printed, and must leave the list once they pass."""
+"""Known failures.
+
+Tests listed in KNOWN-RED.txt are expected to fail and are printed; they must be removed from the
+list once they pass.
+"""
 
 from __future__ import annotations
 
@@ -7,11 +11,14 @@
 import pytest
 
 KNOWN_RED = Path(__file__).parent.parent / "KNOWN-RED.txt"
-MOST_KNOWN_RED = 3  # entries; more than that must not land
+MOST_KNOWN_RED = 3  # entries
 
 
 def known_failures(text: str) -> dict[str, str]:
-    """Causes by node id, from lines of the form `tests/test_x.py::test_y | cause | issue N`; ValueError for anything else."""
+    """Causes by pytest node id.
+
+    Lines have the form `tests/test_x.py::test_y | cause | issue N`; ValueError for anything else.
+    """
     known: dict[str, str] = {}
     for line in text.splitlines():
         if not line.strip():
@@ -30,7 +37,7 @@
 
 
 def pytest_collection_modifyitems(items: list[pytest.Item]) -> None:
-    """Expect the listed tests to fail; one that passes fails the run (strict), so that the list never goes stale."""
+    """Mark the listed tests as strict xfail: one that passes fails the run."""
     known = _listed()
     for item in items:
         cause = known.get(item.nodeid) or known.get(item.nodeid.partition("[")[0])
@@ -39,6 +46,6 @@
 
 
 def pytest_terminal_summary(terminalreporter: pytest.TerminalReporter) -> None:
-    """Print the list with every run."""
+    """Print the list after every run."""
     for name, cause in _listed().items():
         terminalreporter.write_line(f"KNOWN RED: {name}: {cause}")
--- a/tests/sources/test_members.py
+++ b/tests/sources/test_members.py
@@ -27,21 +27,24 @@
     return process.returncode, out.decode(), errors.decode()
 
 
-def test_a_running_node_shows_whom_it_knows_and_who_says_so(tmp_path: Path) -> None:
+def test_members_shows_the_boxes_of_a_running_node_and_their_sources(tmp_path: Path) -> None:
     async def test() -> None:
         zone = Zone()
         server = NameServer(("127.0.0.1", 0), zone)
         server.listen()
         zone.serve({"s0": ("127.0.0.1", 1), "spare": ("127.0.0.1", 2)})
         operator, view = tmp_path / "op.toml", tmp_path / "members.sock"
-        text = f'format = 1\n[sources]\nmembers_socket = "{view}"\n[sources.dns]\nservice = "{SERVICE}"\n'
+        text = (
+            f'format = 1\n[sources]\nmembers_socket = "{view}"\n'
+            f'[sources.dns]\nservice = "{SERVICE}"\n'
+        )
         operator.write_text(text + f'resolvers = ["127.0.0.1:{server.address[1]}"]\n')
         box = CacheBox()
         async with running(
             tmp_path / "config.json", box, {"GRADESHIFT_OPERATOR": str(operator)}
         ) as (process, registry):
             zone.serve({"s0": ("127.0.0.1", box.address[1]), "spare": ("127.0.0.1", 2)})
-            process.process.send_signal(signal.SIGHUP)  # the file is as it was: nothing changes
+            process.process.send_signal(signal.SIGHUP)  # the file is unchanged
             await until(lambda: any("reload: discovery" in line for line in process.log))
             operator.write_text(
                 text + f'resolvers = ["127.0.0.1:{server.address[1]}"]\nqueries_per_s = 9.0\n'
--- a/tests/sources/test_message.py
+++ b/tests/sources/test_message.py
@@ -1,4 +1,4 @@
-"""DNS messages: what is an answer, and that no bytes bring anything but the named errors."""
+"""Parsing of DNS messages: what is accepted, and that any bytes raise only documented errors."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 )
 from testbed.systems.dns import SERVICE, ZONE, NameServer, Zone
 
-MUTATIONS = 4_000  # `python -m benchmarks.membership --mutations 1000000` is the long form
+MUTATIONS = 4_000  # longer: `python -m benchmarks.membership --mutations 1000000`
 
 
 def query_for(name: str = SERVICE, kind: str = "SRV") -> Query:
@@ -42,7 +42,7 @@
     return NameServer(("127.0.0.1", 53), zone, how).answers(query_for(name, kind).wire, stream)[0]
 
 
-def test_records_and_the_addresses_that_come_along() -> None:
+def test_srv_records_and_additional_addresses() -> None:
     answer = parse_answer(wire_answer(), query_for())
     assert answer.ttl_s == 30 and answer.exists
     assert set(answer.srv_records) == {
@@ -55,7 +55,7 @@
     }
 
 
-def test_the_question_is_asked_in_drawn_case_and_checked_by_it() -> None:
+def test_the_case_of_the_query_name_is_random_and_checked_in_the_answer() -> None:
     one = query_for()
     assert one.name.to_text() != SERVICE and one.name.to_text().lower() == SERVICE
     with pytest.raises(ForeignMessage):
@@ -63,7 +63,7 @@
 
 
 @pytest.mark.parametrize("how", ["another question", "forged id"])
-def test_what_is_no_answer_to_the_query_is_foreign(how: str) -> None:
+def test_a_message_that_does_not_match_the_query_is_foreign(how: str) -> None:
     with pytest.raises(ForeignMessage):
         parse_answer(wire_answer(how), query_for())
 
@@ -77,30 +77,30 @@
         ("loop", "loop"),
     ],
 )
-def test_what_is_of_no_use_says_why(how: str, words: str) -> None:
+def test_an_unusable_answer_states_the_reason(how: str, words: str) -> None:
     with pytest.raises(UnusableAnswer, match=words):
         parse_answer(wire_answer(how), query_for())
 
 
-def test_truncation_is_told_once_and_never_over_tcp() -> None:
+def test_truncation_is_an_error_over_tcp() -> None:
     with pytest.raises(TruncatedAnswer):
         parse_answer(wire_answer("truncated"), query_for())
     with pytest.raises(UnusableAnswer, match="truncated over TCP"):
         parse_answer(wire_answer("truncated over tcp"), query_for(), over_tcp=True)
 
 
-def test_more_records_than_are_read_are_refused_before_they_are_parsed() -> None:
+def test_too_many_records_are_refused_before_they_are_parsed() -> None:
     wire = wire_answer("many", kind="A", stream=True)
     with pytest.raises(UnusableAnswer, match=f"4001 records, at most {MAX_RECORDS}"):
         parse_answer(wire, query_for(kind="A"), over_tcp=True)
 
 
 @pytest.mark.parametrize(("how", "exists"), [("empty", True), ("nxdomain", False)])
-def test_a_negative_answer_holds_as_long_as_its_soa_says(how: str, exists: bool) -> None:
+def test_the_ttl_of_a_negative_answer_is_that_of_its_soa(how: str, exists: bool) -> None:
     assert parse_answer(wire_answer(how), query_for()) == Answer(5, exists=exists)
 
 
-def test_aliases_are_followed_with_the_shortest_lifetime_and_end_somewhere() -> None:
+def test_cnames_are_followed_with_the_smallest_ttl_up_to_a_limit() -> None:
     zone = Zone()
     zone.put("a.cache.example.org.", "CNAME", 7, ["b.cache.example.org."])
     zone.put("b.cache.example.org.", "A", 90, ["10.0.0.9"])
@@ -121,17 +121,17 @@
         )
 
 
-def test_a_lifetime_of_2_to_the_31_counts_as_none() -> None:
+def test_a_ttl_of_2_to_the_31_or_more_is_left_to_the_resolver() -> None:
     zone = Zone()
     zone.put(f"s0.{ZONE}", "A", 0x7FEEDDCC, ["10.0.0.1"])
     wire = wire_answer(name=f"s0.{ZONE}", kind="A", zone=zone)
     assert wire.count(b"\x7f\xee\xdd\xcc") == 1
-    for top in (b"\x80\x00\x00\x00", b"\xff\xff\xff\xff"):  # RFC 2181, 8
+    for top in (b"\x80\x00\x00\x00", b"\xff\xff\xff\xff"):  # RFC 2181, section 8
         answer = parse_answer(wire.replace(b"\x7f\xee\xdd\xcc", top), query_for(f"s0.{ZONE}", "A"))
         assert answer.addresses == ("10.0.0.1",) and (answer.ttl_s == 0 or answer.ttl_s >= 1 << 31)
 
 
-def test_addresses_of_others_and_of_the_other_family_are_not_taken() -> None:
+def test_additional_addresses_of_other_names_and_ipv6_addresses_are_ignored() -> None:
     zone = Zone()
     zone.serve({"s0": ("10.0.0.1", 8001)})
     zone.put(f"s0.{ZONE}", "AAAA", 5, ["::1", "::2"])
@@ -143,15 +143,15 @@
 
 
 @pytest.mark.parametrize("name", ["", "a..b", "x" * 64 + ".org", ".".join(["abcdefg"] * 40)])
-def test_what_is_no_name_is_a_value_error(name: str) -> None:
+def test_an_invalid_name_is_a_value_error(name: str) -> None:
     if name:
         with pytest.raises(ValueError, match="no DNS name"):
             make_query(name, "A", 1, 0)
 
 
 @pytest.mark.parametrize(("kind", "group"), [(65_280, 1), (1, 77), (41, 1)])
-def test_kinds_of_records_without_a_name_are_not_parsed(kind: int, group: int) -> None:
-    # dnspython remembers every pair of class and type that it has met.
+def test_records_of_unknown_types_and_classes_are_not_parsed(kind: int, group: int) -> None:
+    # dnspython caches every pair of class and type that it has parsed, without a limit.
     import dns.rdata
 
     wire = bytearray(wire_answer(kind="A", name=f"s0.{ZONE}"))
@@ -163,7 +163,7 @@
     assert len(dns.rdata._rdata_classes) <= before + 1
 
 
-def test_mutated_messages_bring_the_named_errors_alone() -> None:
+def test_mutated_messages_raise_only_the_documented_errors() -> None:
     rng, seeds = (
         random.Random(5),
         [
@@ -181,4 +181,4 @@
             taken += isinstance(parse_answer(data, asks[n % 4], over_tcp=bool(n & 4)), Answer)
         except (ForeignMessage, TruncatedAnswer, UnusableAnswer):
             pass
-    assert taken > MUTATIONS // 50  # else it would be the header alone that is looked at
+    assert taken > MUTATIONS // 50  # otherwise the headers alone would be checked
--- a/tests/sources/test_resolver.py
+++ b/tests/sources/test_resolver.py
@@ -1,4 +1,4 @@
-"""The resolver on the virtual network: servers that fail in every way, lifetimes, and bounds."""
+"""The resolver on the virtual network: failing name servers, lifetimes of answers, and limits."""
 
 from __future__ import annotations
 
@@ -12,18 +12,29 @@
 from corkshift.sources.resolver import MAX_BACKOFF_MS, LookupFailed, NameServers, parse_resolv_conf
 from testbed.systems.dns import HOWS, ZONE
 
-UNUSABLE = ["silent", "servfail", "refused", "garbage", "another question", "another case", "forged sender", "loop", "truncated over tcp",
-            "hangs over tcp", "late"]  # fmt: skip
+UNUSABLE = [
+    "silent",
+    "servfail",
+    "refused",
+    "garbage",
+    "another question",
+    "another case",
+    "forged sender",
+    "loop",
+    "truncated over tcp",
+    "hangs over tcp",
+    "late",
+]
 
 
 @pytest.mark.parametrize("how", UNUSABLE)
-def test_a_server_that_fails_is_passed_over_and_the_next_one_answers(how: str) -> None:
+def test_a_failing_server_is_skipped_and_the_next_one_answers(how: str) -> None:
     async def test(lab: DnsFixture) -> None:
         lab.servers[0].how = how
         if how == "hangs over tcp":
             lab.servers[0].zone.serve(
                 {f"box-number-{n}": (f"127.2.1.{n}", 8001) for n in range(60)}
-            )  # too long for a datagram
+            )  # too large for a datagram
         resolver, begin = lab.resolver(), now_ms()
         kept = await resolver.lookup(SERVICE, "SRV")
         assert len(kept.answer.srv_records) in (len(BOXES), 60)
@@ -34,7 +45,7 @@
             "A",
             refresh_ahead=1.0,
         )
-        assert len(lab.servers[0].asked) == before  # it comes last for a while
+        assert len(lab.servers[0].asked) == before  # it is in back-off
         assert sum(resolver.counts.failures.values()) == 1
 
     run_virtual(test)
@@ -43,7 +54,7 @@
 @pytest.mark.parametrize(
     "how", [how for how in HOWS if how in ("good", "truncated", "forged id", "flood")]
 )
-def test_an_answer_is_found_whatever_comes_with_it(how: str) -> None:
+def test_an_answer_is_found_despite_truncation_and_forged_datagrams(how: str) -> None:
     async def test(lab: DnsFixture) -> None:
         lab.servers[0].how = how
         kept = await lab.resolver().lookup(SERVICE.rstrip("."), "SRV")
@@ -58,12 +69,12 @@
     run_virtual(test)
 
 
-def test_an_answer_that_comes_after_the_next_query_went_out_is_not_taken_for_it() -> None:
+def test_a_late_answer_is_not_accepted_for_the_next_query() -> None:
     async def test(lab: DnsFixture) -> None:
         lab.servers[0].how, lab.servers[0].late_s = (
             "late",
             0.5,
-        )  # beyond the first round's time, within the second's
+        )  # above the first round's time-out, below the second's
         resolver = lab.resolver()
         kept = await resolver.lookup(SERVICE, "SRV")
         assert kept.answer.srv_records and resolver.counts.queries == 2
@@ -72,7 +83,7 @@
     run_virtual(test, servers=1)
 
 
-def test_every_server_dead_means_old_answers_up_to_their_age_and_then_none() -> None:
+def test_without_servers_expired_answers_are_served_up_to_their_limit() -> None:
     async def test(lab: DnsFixture) -> None:
         resolver = lab.resolver(Limits(floor_s=1.0, stale_s=60.0))
         assert not (await resolver.lookup(SERVICE, "SRV")).stale
@@ -89,24 +100,24 @@
     run_virtual(test)
 
 
-@pytest.mark.parametrize(("ttl", "held_s"), [(0, 2.0), (1, 2.0), (7, 7.0), (2**31 - 1, 90.0)])
-def test_lifetimes_have_a_floor_and_a_ceiling(ttl: int, held_s: float) -> None:
+@pytest.mark.parametrize(("ttl", "lifetime_s"), [(0, 2.0), (1, 2.0), (7, 7.0), (2**31 - 1, 90.0)])
+def test_lifetimes_have_a_floor_and_a_ceiling(ttl: int, lifetime_s: float) -> None:
     async def test(lab: DnsFixture) -> None:
         lab.zone.serve(BOXES, ttl)
         resolver = lab.resolver(Limits(floor_s=2.0, ceiling_s=90.0))
-        assert (await resolver.lookup(SERVICE, "SRV")).lifetime_s == held_s
+        assert (await resolver.lookup(SERVICE, "SRV")).lifetime_s == lifetime_s
         asked = len(lab.servers[0].asked)
-        await asyncio.sleep(held_s * 0.9)
+        await asyncio.sleep(lifetime_s * 0.9)
         await resolver.lookup(SERVICE.upper(), "SRV")
         assert len(lab.servers[0].asked) == asked
-        await asyncio.sleep(held_s * 0.2)
+        await asyncio.sleep(lifetime_s * 0.2)
         await resolver.lookup(SERVICE, "SRV")
         assert len(lab.servers[0].asked) == asked + 1
 
     run_virtual(test)
 
 
-def test_a_negative_answer_is_kept_by_its_soa() -> None:
+def test_a_negative_answer_is_cached_for_the_ttl_of_its_soa() -> None:
     async def test(lab: DnsFixture) -> None:
         resolver = lab.resolver()
         kept = await resolver.lookup(f"nobody.{ZONE}", "A")
@@ -117,7 +128,7 @@
     run_virtual(test)
 
 
-def test_a_chain_that_goes_on_in_another_answer_is_followed_and_ends() -> None:
+def test_a_cname_chain_across_answers_is_followed() -> None:
     async def test(lab: DnsFixture) -> None:
         for n in range(3):
             lab.zone.put(f"c{n}.{ZONE}", "CNAME", 5, [f"c{n + 1}.{ZONE}"])
@@ -127,7 +138,7 @@
     run_virtual(test)
 
 
-def test_queries_a_second_are_bounded() -> None:
+def test_queries_per_second_are_limited() -> None:
     async def test(lab: DnsFixture) -> None:
         resolver = lab.resolver(Limits(queries_per_s=5.0))
         for server in lab.servers:
@@ -141,7 +152,7 @@
     run_virtual(test)
 
 
-def test_what_is_kept_is_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_cache_is_limited(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("corkshift.sources.resolver.MAX_CACHED_NAMES", 8)
 
     async def test(lab: DnsFixture) -> None:
@@ -153,7 +164,7 @@
     run_virtual(test)
 
 
-def test_ids_ports_and_case_differ_from_query_to_query() -> None:
+def test_ids_ports_and_case_differ_between_queries() -> None:
     async def test(lab: DnsFixture) -> None:
         resolver = lab.resolver(Limits(floor_s=0.1, ceiling_s=0.1))
         for _ in range(12):
@@ -164,7 +175,7 @@
     run_virtual(test)
 
 
-def test_servers_that_failed_come_last_and_back_again() -> None:
+def test_failed_servers_are_tried_last_until_their_back_off_ends() -> None:
     a, b, c = [(host, 53) for host in HOSTS]
     servers = NameServers([a, b, c])
     servers.failed(a, 0.0)
@@ -181,6 +192,9 @@
     assert servers.order(0.0)[0] == a
 
 
-def test_resolv_conf_names_ipv4_servers() -> None:
-    text = "# a\nsearch x\nnameserver 10.0.0.1\nnameserver ::1\nnameserver\n nameserver 10.0.0.2 # b\nnameserver 300.1.1.1\n"
+def test_ipv4_servers_of_resolv_conf_are_parsed() -> None:
+    text = (
+        "# a\nsearch x\nnameserver 10.0.0.1\nnameserver ::1\n"
+        "nameserver\n nameserver 10.0.0.2 # b\nnameserver 300.1.1.1\n"
+    )
     assert parse_resolv_conf(text) == [("10.0.0.1", 53), ("10.0.0.2", 53)]
--- a/tests/sources/test_sources.py
+++ b/tests/sources/test_sources.py
@@ -1,4 +1,4 @@
-"""A node's sources put together, over the virtual network: what the address book and the module are told."""
+"""The combined sources of a node, on the virtual network: effects on address book and module."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class Node:
-    """As much of a node as sources know; what the module would have."""
+    """The parts of a node that sources use. module: the list as the module would have it."""
 
     def __init__(self) -> None:
         self.servers: dict[str, CacheServer] = {}
@@ -52,7 +52,7 @@
 
 
 class Discovery:
-    """What `corkshift.discovery` does to the address book that it is given."""
+    """Updates an address book as `corkshift.discovery` does."""
 
     def __init__(self, sources: Sources) -> None:
         self.box_list = sources.box_list
@@ -85,7 +85,7 @@
     return node, sources, Discovery(sources)
 
 
-def test_dns_alone_serves_and_the_lists_ids_take_over() -> None:
+def test_boxes_of_dns_alone_are_used_and_take_the_names_of_the_list_later() -> None:
     async def test(lab: DnsFixture) -> None:
         node, sources, discovery = start_sources(lab)
         await asyncio.sleep(0.1)
@@ -99,7 +99,7 @@
     run_virtual(test)
 
 
-def test_a_drain_of_the_list_is_heeded_at_once_while_dns_names_the_box_on() -> None:
+def test_a_drain_of_the_list_is_applied_at_once_while_dns_still_names_the_box() -> None:
     async def test(lab: DnsFixture) -> None:
         node, sources, discovery = start_sources(lab)
         await asyncio.sleep(0.1)
@@ -116,7 +116,7 @@
     run_virtual(test)
 
 
-def test_boxes_that_only_one_source_names_are_served_beside_each_other() -> None:
+def test_boxes_that_only_one_source_names_are_all_used() -> None:
     async def test(lab: DnsFixture) -> None:
         lab.zone.serve({"s0": BOXES["s0"], "x": ("127.2.0.77", 8001)})
         node, sources, discovery = start_sources(lab)
@@ -129,7 +129,7 @@
 
 
 @pytest.mark.parametrize("how", ["empty", "nxdomain", "silent", "refused", "garbage"])
-def test_records_that_are_gone_or_can_not_be_had_leave_the_set_as_it_is(how: str) -> None:
+def test_missing_records_and_failed_lookups_leave_the_set_unchanged(how: str) -> None:
     async def test(lab: DnsFixture) -> None:
         node, sources, _ = start_sources(lab)
         await asyncio.sleep(0.1)
@@ -148,7 +148,7 @@
     run_virtual(test)
 
 
-def test_records_older_than_the_operator_allows_are_given_up_while_the_list_serves() -> None:
+def test_records_older_than_old_s_are_dropped_while_the_list_has_boxes() -> None:
     async def test(lab: DnsFixture) -> None:
         node, sources, discovery = start_sources(lab, guard=GuardTable(hold_s=5.0))
         sources.reload(replace_dns(sources, old_s=20.0))
@@ -166,7 +166,7 @@
     run_virtual(test)
 
 
-def test_the_root_as_target_means_not_offered_here() -> None:
+def test_the_root_as_srv_target_means_that_the_service_is_not_available() -> None:
     async def test(lab: DnsFixture) -> None:
         node, sources, discovery = start_sources(lab)
         discovery.tell("full", ("s0", "in"))
@@ -179,7 +179,7 @@
     run_virtual(test)
 
 
-def test_the_known_list_serves_where_no_source_is_alive_and_yields_to_one_that_is() -> None:
+def test_the_initial_list_is_used_only_until_a_source_has_boxes() -> None:
     async def test(lab: DnsFixture) -> None:
         for server in lab.servers:
             server.how = "silent"
@@ -198,7 +198,7 @@
     run_virtual(test)
 
 
-def test_a_lower_group_comes_in_when_the_higher_can_not_serve_and_leaves_again() -> None:
+def test_a_lower_priority_group_is_used_only_while_the_higher_one_can_not_serve() -> None:
     async def test(lab: DnsFixture) -> None:
         lab.zone.put(
             SERVICE, "SRV", 2, [f"{10 * (1 + n // 2)} 10 8001 s{n}.{ZONE}" for n in range(4)]
@@ -220,7 +220,7 @@
     run_virtual(test)
 
 
-def test_weights_are_those_of_rfc_2782_over_their_groups_mean() -> None:
+def test_weights_are_relative_to_the_mean_of_their_priority() -> None:
     async def test(lab: DnsFixture) -> None:
         lab.zone.put(
             SERVICE,
@@ -237,7 +237,7 @@
     run_virtual(test)
 
 
-def test_an_address_that_moves_from_one_name_to_another_stays_in_service() -> None:
+def test_an_address_whose_target_name_changes_stays_in_service() -> None:
     async def test(lab: DnsFixture) -> None:
         node, sources, _ = start_sources(lab)
         await asyncio.sleep(0.1)
@@ -250,7 +250,7 @@
     run_virtual(test)
 
 
-def test_targets_without_addresses_along_are_looked_up_and_one_that_fails_is_not_gone() -> None:
+def test_targets_without_additional_addresses_are_looked_up_and_a_failure_removes_none() -> None:
     async def test(lab: DnsFixture) -> None:
         lab.zone.glue = False
         node, sources, _ = start_sources(lab)
@@ -266,7 +266,7 @@
     run_virtual(test)
 
 
-def test_a_reload_moves_to_other_resolvers_in_the_middle_of_a_query() -> None:
+def test_a_reload_changes_the_resolvers_during_a_query() -> None:
     async def test(lab: DnsFixture) -> None:
         for server in lab.servers[:2]:
             server.how = "silent"
@@ -275,7 +275,7 @@
         options = replace_dns(sources, resolvers=[f"{lab.addresses[2][0]}:53"])
         first = replace_dns(sources, resolvers=[f"{host}:53" for host, _ in lab.addresses[:2]])
         sources.reload(first)
-        await asyncio.sleep(0.2)  # the first query is out
+        await asyncio.sleep(0.2)  # the first query is pending
         assert not node.servers
         sources.reload(options)
         await asyncio.sleep(0.05)
@@ -293,9 +293,7 @@
     return msgspec.structs.replace(options, dns=msgspec.structs.replace(options.dns, **changes))
 
 
-def test_a_file_of_known_boxes_serves_while_nothing_else_does_and_a_bad_one_changes_nothing() -> (
-    None
-):
+def test_boxes_of_a_file_are_used_as_fallback_and_an_invalid_file_changes_nothing() -> None:
     async def test(lab: DnsFixture) -> None:
         side = seam.CURRENT_SYSTEM.get()
         files: dict[str, bytes] = side.files  # type: ignore[attr-defined]
@@ -317,7 +315,7 @@
     run_virtual(test)
 
 
-def test_what_the_view_says_and_that_a_fall_is_told_in_it() -> None:
+def test_the_view_shows_the_rules_and_a_held_removal_of_many_boxes() -> None:
     async def test(lab: DnsFixture) -> None:
         import orjson
 
@@ -340,10 +338,13 @@
     run_virtual(test)
 
 
-def test_options_that_can_not_be_are_named() -> None:
+def test_invalid_options_are_named() -> None:
     from corkshift.cli.operator import BadOperatorFile, parse_operator_file
 
-    text = '[sources.dns]\nservice = "a..b"\nresolvers = ["ns.example:53"]\nfloor_s = 9.0\nceiling_s = 1.0\nmay = ["fly"]\n'
+    text = (
+        '[sources.dns]\nservice = "a..b"\nresolvers = ["ns.example:53"]\n'
+        'floor_s = 9.0\nceiling_s = 1.0\nmay = ["fly"]\n'
+    )
     with pytest.raises(BadOperatorFile) as caught:
         parse_operator_file(b"format = 1\n" + text.encode(), "op.toml")
     assert [fault.path for fault in caught.value.faults] == ["sources.dns.may[0]"]
--- a/tests/sources/virtual.py
+++ b/tests/sources/virtual.py
@@ -1,4 +1,4 @@
-"""What the tests of sources share: a resolver, name servers and a node's sources on the virtual clock and network."""
+"""Fixtures of the tests of sources: name servers and a resolver on the virtual network."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class DnsFixture:
-    """Name servers of one zone, and one process that asks them."""
+    """Name servers of one zone, and one process that queries them."""
 
     def __init__(self, loop: VirtualLoop, servers: int = 2) -> None:
         self.loop = loop
@@ -40,12 +40,12 @@
         return Resolver(self.addresses, limits or Limits(floor_s=1.0), seam.random_bytes)
 
     def link(self, host: str) -> Any:
-        """The way of datagrams to a server."""
+        """The link from the querying process to a server."""
         return self.net.link("127.1.0.1", host)
 
 
 def run_virtual(test: Callable[[DnsFixture], Coroutine[Any, Any, None]], servers: int = 2) -> None:
-    """Run a test as a process of its own on the virtual clock; what it raises is raised here."""
+    """Run a test in a virtual process of its own; its exceptions are raised here."""
     loop = VirtualLoop(1)
     asyncio.set_event_loop(loop)
     raised: list[BaseException] = []
--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -1,4 +1,7 @@
-"""What the platform asks of `build` and `run` (docs/operations.md), as far as it can be held without its bench."""
+"""The platform's requirements on `build` and `run` that can be tested locally.
+
+See docs/operations.md.
+"""
 
 from __future__ import annotations
 
@@ -18,8 +21,8 @@
 DEPLOY = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
 
 
-def test_run_is_one_plain_exec_and_names_what_build_leaves() -> None:
-    # SIGHUP is ignored from the first moment: until the interpreter is up nobody else could see to that.
+def test_run_is_a_single_exec_of_what_build_installs() -> None:
+    # The shell ignores SIGHUP, since the node can't do so before its interpreter has started.
     assert re.fullmatch(r"trap '' HUP; exec \.venv/bin/python -m corkshift", DEPLOY["run"])
     assert re.fullmatch(r"exec \.venv/bin/python -m forkweir\.adapter", DEPLOY["sim"])
     assert (
@@ -29,8 +32,8 @@
     )
 
 
-def test_a_sighup_before_anything_is_set_up_does_not_end_the_node() -> None:
-    # The interpreter of `run` is signalled when it is up and has read nothing of ours yet.
+def test_a_sighup_before_the_node_is_set_up_does_not_end_it() -> None:
+    # The interpreter of `run` gets SIGHUP after its start, before it loads any code of the node.
     async def test() -> None:
         code = "import os; os.write(1, b'up\\n'); os.read(0, 1); os.write(1, b'alive')"
         run = DEPLOY["run"].replace(".venv/bin/python -m corkshift", '"$@"')
@@ -48,7 +51,8 @@
 
 
 def test_the_interpreter_is_linked_dynamically() -> None:
-    # An ELF program with an interpreter segment (PT_INTERP) is loaded by the C library's loader, which heeds LD_PRELOAD.
+    # An ELF program with an interpreter segment (PT_INTERP) is loaded by the dynamic loader, which
+    # honors LD_PRELOAD.
     data = Path(sys.executable).resolve().read_bytes()
     assert data[:5] == b"\x7fELF\x02"
     start, size, count = *struct.unpack_from("<Q", data, 32), *struct.unpack_from("<HH", data, 54)
@@ -56,7 +60,7 @@
 
 
 def unexpected_sockets(pid: int) -> list[str]:
-    """The names of the Unix sockets that a process holds, and what of its sockets is neither Unix nor IPv4."""
+    """Named Unix sockets of a process, and its sockets that are neither Unix nor IPv4 sockets."""
     inodes = {
         os.readlink(path)[8:-1]
         for path in Path(f"/proc/{pid}/fd").iterdir()
@@ -71,9 +75,7 @@
 
 
 @pytest.mark.parametrize("breach", ["", "child", "unix", "file", "ipv6"])
-def test_the_node_serves_with_nothing_but_what_the_platform_allows(
-    tmp_path: Path, breach: str
-) -> None:
+def test_the_node_serves_within_the_limits_of_the_platform(tmp_path: Path, breach: str) -> None:
     async def test() -> None:
         (tmp_path / "tmp").mkdir()
         box = CacheBox()
--- a/tests/test_seam.py
+++ b/tests/test_seam.py
@@ -1,4 +1,4 @@
-"""Nothing in the node goes past the seam: what a scan of its code may find, and that the scan finds what it should."""
+"""Scans the code of the node for system access that bypasses the seam, and tests the scan."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
     ROOT / "corkshift" / "seam" / "__init__.py",
     ROOT / "corkshift" / "seam" / "process.py",
 }
-# The command line runs before there is a node and outside of any world.
+# Commands run outside of a node, never on virtual time.
 CLI_PACKAGE = ROOT / "corkshift" / "cli"
 BANNED_MODULES = {
     "time",
@@ -30,11 +30,32 @@
 }
 BANNED_NAMES = {"open", "input", "exec", "eval", "breakpoint"}
 BANNED_CALLS = {
-    "socket.socket", "socket.create_connection", "socket.create_server", "socket.socketpair", "socket.getaddrinfo", "socket.gethostbyname",
-    "asyncio.open_connection", "asyncio.start_server", "asyncio.run", "asyncio.to_thread", "asyncio.create_subprocess_exec",
-    "random.random", "random.randrange", "random.choice", "random.shuffle", "random.uniform", "random.seed", "random.SystemRandom",
-    "datetime.now", "datetime.utcnow", "Path.read_bytes", "Path.read_text", "Path.write_bytes", "Path.write_text", "Path.open",
-}  # fmt: skip
+    "socket.socket",
+    "socket.create_connection",
+    "socket.create_server",
+    "socket.socketpair",
+    "socket.getaddrinfo",
+    "socket.gethostbyname",
+    "asyncio.open_connection",
+    "asyncio.start_server",
+    "asyncio.run",
+    "asyncio.to_thread",
+    "asyncio.create_subprocess_exec",
+    "random.random",
+    "random.randrange",
+    "random.choice",
+    "random.shuffle",
+    "random.uniform",
+    "random.seed",
+    "random.SystemRandom",
+    "datetime.now",
+    "datetime.utcnow",
+    "Path.read_bytes",
+    "Path.read_text",
+    "Path.write_bytes",
+    "Path.write_text",
+    "Path.open",
+}
 SIGNAL_NUMBERS = {"SIGHUP", "SIGTERM", "SIGINT"}
 
 
@@ -45,7 +66,7 @@
 
 
 def system_access(code: str) -> list[str]:
-    """What in a module's code goes past the seam."""
+    """Imports and calls in a module's code that access the system directly."""
     found = []
     for node in ast.walk(ast.parse(code)):
         if isinstance(node, ast.Import):
@@ -78,7 +99,7 @@
     return found
 
 
-def test_no_code_of_the_node_goes_past_the_seam() -> None:
+def test_the_node_accesses_the_system_through_the_seam_only() -> None:
     files = [
         path
         for package in ("corkshift", "forkweir")
@@ -111,5 +132,5 @@
         "from datetime import datetime\ndatetime.now()",
     ],
 )
-def test_the_scan_finds_what_goes_past_it(code: str) -> None:
+def test_the_scan_finds_direct_system_access(code: str) -> None:
     assert system_access(code)
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -1,6 +1,8 @@
-"""System calls that fail as Linux documents them, and clocks that step, in a real node process (testbed/soak/shim.c by LD_PRELOAD).
+"""Failing system calls and wall clock steps in a real node process.
 
-A failure of this machine for a moment costs no request its answer, is counted by cause, and is not held against a server.
+testbed/soak/shim.c is loaded with LD_PRELOAD. Calls fail as Linux documents it. A temporary failure
+on this machine must not cost a request its answer; it is counted by cause and not held against a
+server.
 """
 
 from __future__ import annotations
@@ -42,7 +44,7 @@
 async def shimmed(
     tmp_path: Path, library: Path, box: CacheBox
 ) -> AsyncIterator[tuple[Process, Registry, Shim]]:
-    """A node process with the shim, one server, and an operators' address."""
+    """A node process with the shim, one cache server and an operators' address."""
     shim = Shim(library, tmp_path / "control")
     more = {**shim.environment, "PROXY_ADMIN_ADDR": f"127.0.0.1:{free_port()}"}
     try:
@@ -53,7 +55,7 @@
 
 
 async def figures(process: Process) -> dict[str, int]:
-    """What `/admin/stats` says."""
+    """The metrics of `/admin/stats`."""
     host, port = process.more["PROXY_ADMIN_ADDR"].split(":")
     reader, writer = await asyncio.open_connection(host, int(port))
     writer.write(b"GET /admin/stats HTTP/1.1\r\nHost: x\r\n\r\n")
@@ -66,7 +68,7 @@
 
 
 async def ask_all(process: Process, name: str, count: int = 12) -> list[int]:
-    """The statuses of so many requests at once, each on a connection of its own; 0 for one that is reset."""
+    """Statuses of concurrent requests, each on its own connection; 0 for a reset connection."""
 
     async def ask(n: int) -> int:
         try:
@@ -78,7 +80,7 @@
 
 
 async def drop_idle(process: Process, box: CacheBox) -> None:
-    """End the connections that the node keeps, so that the next attempts have to dial."""
+    """Close the idle connections of the node, so that the next attempts have to connect."""
     for connection in list(box.connections):
         connection.stream.close()
     await until(lambda: box.open == 0)
@@ -98,10 +100,11 @@
         else str(value)
     ),
 )
-def test_a_dial_that_this_machine_can_not_begin_is_tried_again(
+def test_a_connection_that_fails_locally_is_retried(
     tmp_path: Path, library: Path, call: SystemCall, error: int, for_s: float
 ) -> None:
-    # Seen before: 40 of 40 answered 503 at once, though each client had 2 s left and the fault took 0.4 s.
+    # Without retries 40 of 40 requests were answered with 503 at once, though each client had 2 s
+    # left and the fault lasted 0.4 s.
     async def test() -> None:
         box = CacheBox()
         async with shimmed(tmp_path, library, box) as (process, _, shim):
@@ -120,10 +123,11 @@
 
 
 @pytest.mark.parametrize("error", REMOTE_CONNECT, ids=errno.errorcode.get)
-def test_a_server_that_can_not_be_reached_is_refused_with_a_promise_and_comes_back(
+def test_requests_for_an_unreachable_server_get_503_until_it_is_reachable_again(
     tmp_path: Path, library: Path, error: int
 ) -> None:
-    # There is one server alone: nothing else can be tried. Whoever asks is told that trying again is harmless, and nobody is lost.
+    # With a single server there is nothing else to try: clients get 503, which permits a retry, and
+    # no request is left without an answer.
     async def test() -> None:
         box = CacheBox()
         async with shimmed(tmp_path, library, box) as (process, _, shim):
@@ -138,7 +142,7 @@
 
 @pytest.mark.parametrize("for_s", [0.05, 0.4])
 @pytest.mark.parametrize("error", ACCEPT_ERRORS, ids=errno.errorcode.get)
-def test_accepting_that_fails_for_a_moment_loses_no_client(
+def test_temporary_failures_of_accept_lose_no_client(
     tmp_path: Path, library: Path, error: int, for_s: float
 ) -> None:
     async def test() -> None:
@@ -155,10 +159,10 @@
 @pytest.mark.parametrize(
     "call", [SystemCall.SEND, SystemCall.RECV], ids=lambda call: str(call.name)
 )
-def test_reads_and_writes_without_buffers_go_on_a_moment_later(
+def test_reads_and_writes_continue_after_temporary_failures(
     tmp_path: Path, library: Path, call: SystemCall, error: int
 ) -> None:
-    # Before, ENOBUFS and ENOMEM ended the connection, and a client's whole answer with it.
+    # ENOBUFS and ENOMEM must not end the connection: a client would lose its whole answer.
     async def test() -> None:
         box = CacheBox()
         async with shimmed(tmp_path, library, box) as (process, _, shim):
@@ -174,10 +178,11 @@
 @pytest.mark.parametrize(
     "call", [SystemCall.SEND, SystemCall.RECV], ids=lambda call: str(call.name)
 )
-def test_a_connection_that_breaks_costs_that_connection_alone(
+def test_a_broken_connection_affects_no_other_connection(
     tmp_path: Path, library: Path, call: SystemCall, error: int
 ) -> None:
-    # One call fails, whoever's it is: a client's (its connection ends), a server's (another attempt) or discovery's (another watch).
+    # The failing call may be on the connection of a client (which ends), of a cache server (another
+    # attempt follows) or of discovery (another watch follows).
     async def test() -> None:
         async with shimmed(tmp_path, library, CacheBox()) as (process, _, shim):
             for n in range(6):
@@ -193,7 +198,7 @@
     play(test)
 
 
-def test_single_bytes_in_every_read_and_write_change_nothing(tmp_path: Path, library: Path) -> None:
+def test_reads_and_writes_of_single_bytes_change_nothing(tmp_path: Path, library: Path) -> None:
     async def test() -> None:
         box = CacheBox()
         async with shimmed(tmp_path, library, box) as (process, registry, shim):
@@ -218,7 +223,7 @@
 
 
 @pytest.mark.parametrize("call", list(SystemCall), ids=lambda call: str(call.name))
-def test_calls_that_fail_while_the_node_ends_lose_nothing(
+def test_calls_that_fail_during_shutdown_lose_no_request(
     tmp_path: Path, library: Path, call: SystemCall
 ) -> None:
     async def test() -> None:
@@ -241,10 +246,9 @@
 
 
 @pytest.mark.parametrize("step_ms", [-HOUR_MS, -5_000, 5_000, HOUR_MS])
-def test_a_wall_clock_that_steps_in_service_changes_no_span(
-    tmp_path: Path, library: Path, step_ms: int
-) -> None:
-    # Deadlines, graces, waits and windows are spans of real time: a request out over a step has its whole time and no more.
+def test_a_wall_clock_step_changes_no_duration(tmp_path: Path, library: Path, step_ms: int) -> None:
+    # Deadlines, grace periods, waits and windows are monotonic: a request that is pending during a
+    # step has its full deadline and no more.
     async def test() -> None:
         box = CacheBox(lambda head: None if b"/never" in head else good(head))
         async with shimmed(tmp_path, library, box) as (process, registry, shim):
@@ -263,7 +267,7 @@
             await asyncio.sleep(0.3)
             before = len(box.heads)
             assert await ask_all(process, "b") == [200] * 12
-            assert len(box.heads) == before  # the drain is kept
+            assert len(box.heads) == before  # no request goes to the draining server
             assert status(await never) in (502, 503, 504) and 800.0 < now_ms() - began < 1_500.0
 
     play(test)
@@ -271,10 +275,11 @@
 
 @pytest.mark.parametrize("step_ms", [-HOUR_MS, HOUR_MS])
 @pytest.mark.parametrize("before_start", [True, False])
-def test_a_server_that_was_seen_to_start_is_cold_whatever_the_wall_clock_says(
+def test_a_newly_listed_server_is_cold_whatever_the_wall_clock_says(
     tmp_path: Path, library: Path, step_ms: int, before_start: bool
 ) -> None:
-    # The list states starts in Unix time. A server that this node saw come is cold by the monotonic clock, and one that is old is warm.
+    # The list states start times in Unix time. A server added while the node runs is cold by the
+    # monotonic clock, and one that was there before is warm.
     async def test() -> None:
         box = CacheBox()
         shim = Shim(library, tmp_path / "control")
@@ -301,10 +306,11 @@
         await asyncio.sleep(0.02)
 
 
-def test_a_node_held_up_before_each_write_tells_no_server_more_than_its_client_has(
+def test_stalled_writes_do_not_raise_the_deadline_sent_to_servers(
     tmp_path: Path, library: Path
 ) -> None:
-    # 0.15 s between reading the clock and writing: the deadline told is at most 0.15 s more than is left.
+    # Writes are stalled for 0.15 s after the clock is read: the deadline sent may exceed the time
+    # left by at most 0.15 s.
     async def test() -> None:
         arrived: list[tuple[float, float]] = []
 
@@ -329,10 +335,9 @@
     play(test)
 
 
-def test_a_request_that_waited_to_be_accepted_has_the_rest_of_its_time(
-    tmp_path: Path, library: Path
-) -> None:
-    # Its client's time runs from its last byte, which stood in the kernel while accept failed; before, it got its whole deadline anew.
+def test_time_before_accept_counts_against_the_deadline(tmp_path: Path, library: Path) -> None:
+    # The deadline of a request runs from the arrival of its last byte in the kernel, which may be
+    # long before accept succeeds; it must not start again at accept.
     async def test() -> None:
         arrived: list[tuple[float, float]] = []
 
@@ -360,7 +365,7 @@
             await asyncio.sleep(0.6)
             shim.heal(SystemCall.ACCEPT)
             assert [status(answer) for answer in await asyncio.gather(*asked)] == [200, 503]
-            ((at_ms, told_ms),) = arrived  # nothing was sent on for a client whose time was over
+            ((at_ms, told_ms),) = arrived  # no attempt for the client whose deadline had passed
             assert at_ms - sent_ms > 550.0
             assert told_ms <= 1_500.0 - (at_ms - sent_ms) + 150.0
             assert (await figures(process))["svc.refused.late"] == 1
