--- a/corkshift/seam/__init__.py
+++ b/corkshift/seam/__init__.py
@@ -25,7 +25,7 @@
 from pathlib import Path
 from typing import Any, Optional, Protocol, cast
 
-Address = tuple[str, int]
+Address = tuple[str, int]  # IPv4 address and port
 # tcpi_last_data_recv of struct tcp_info (linux/tcp.h), in ms.
 _LAST_DATA_RECEIVED = struct.Struct("52xI")
 # tcpi_state: TCP_ESTABLISHED and TCP_CLOSE_WAIT (include/net/tcp_states.h).
--- a/corkshift/sources/boxlist.py
+++ b/corkshift/sources/boxlist.py
@@ -14,7 +14,7 @@
 from forkweir import Server
 from forkweir.known.membership import Claim, Said
 
-MAX_UNCONFIRMED = 4_096
+MAX_UNCONFIRMED = 4_096  # addresses of servers that the list never named
 
 
 def claim_of(server: Server, address: Address) -> Claim:
@@ -57,9 +57,10 @@
         self._unconfirmed_removals: list[Claim] = []  # of the line being read
 
     def overheard(self, places: list[Address], whole: bool) -> None:
-        """Receive entries that the address book could not match (see its `Listener`).
+        """Receive addresses of servers that drain or are removed but that the list never named.
 
-        Entries of a line that was read only in part never drain the last server.
+        Another source may name them (see `corkshift.address_book.Listener`). whole: whether the
+        line was read completely. Entries of a partial line never drain the last server in service.
         """
         if whole:
             self._unconfirmed_removals += [
--- a/corkshift/sources/dns.py
+++ b/corkshift/sources/dns.py
@@ -52,9 +52,11 @@
         )
 
     def start(self) -> None:
+        """Start to resolve in the background."""
         self._task = asyncio.create_task(self._run())
 
     def close(self) -> None:
+        """Stop; a pending query is cancelled."""
         if self._task is not None:
             self._task.cancel()
             self._task = None
--- a/corkshift/sources/file.py
+++ b/corkshift/sources/file.py
@@ -74,6 +74,7 @@
         self._options = options
 
     def start(self) -> None:
+        """Read the file and report its boxes or the failure."""
         try:
             claims = parse_box_file(seam.read_file(self._options.path))
         except OSError as error:
@@ -84,6 +85,7 @@
             self._sink.update("file", claims)
 
     def close(self) -> None:
+        """Nothing to stop: the file is only read in `start` and `reload`."""
         pass
 
     def reload(self, options: FileTable) -> None:
--- a/corkshift/sources/message.py
+++ b/corkshift/sources/message.py
@@ -37,7 +37,7 @@
         "A NS CNAME SOA PTR MX TXT AAAA SRV NAPTR DNAME OPT DS RRSIG NSEC DNSKEY NSEC3"
     ).split()
 )
-_HEADER = struct.Struct("!HHHHHH")
+_HEADER = struct.Struct("!HHHHHH")  # ID, flags and four counts (RFC 1035, section 4.1.1)
 
 
 class ForeignMessage(Exception):
--- a/corkshift/sources/options.py
+++ b/corkshift/sources/options.py
@@ -13,7 +13,7 @@
 from corkshift.seam import Address
 from forkweir.known.membership import Guard, Rights
 
-Right = Literal["add", "drain", "remove", "weigh"]
+Right = Literal["add", "drain", "remove", "weigh"]  # what a source may decide about a box
 Rank = Annotated[int, msgspec.Meta(ge=0, le=99)]
 Seconds = Annotated[float, msgspec.Meta(gt=0.0, le=604_800.0)]
 ALL_RIGHTS: tuple[Right, ...] = ("add", "drain", "remove", "weigh")
@@ -30,6 +30,8 @@
 
 
 class _SourceTable(Table, frozen=True, kw_only=True):
+    """Keys that all sources have."""
+
     rank: Rank = 0
     may: list[Right] = msgspec.field(default_factory=lambda: list(ALL_RIGHTS))
     stale_s: Optional[Seconds] = None
--- a/corkshift/sources/resolver.py
+++ b/corkshift/sources/resolver.py
@@ -95,6 +95,7 @@
 
     @property
     def expires_ms(self) -> float:
+        """When the answer expires."""
         return self.received_ms + self.lifetime_s * 1000.0
 
 
@@ -110,6 +111,7 @@
     failures: dict[str, int] = field(default_factory=dict)  # by cause
 
     def failed(self, cause: str) -> None:
+        """Count a failure. The number of different causes is limited."""
         if cause in self.failures or len(self.failures) < 32:
             self.failures[cause] = self.failures.get(cause, 0) + 1
 
@@ -273,9 +275,8 @@
         try:
             await seam.connect(sock, server)
             stream = Stream(sock)
-            await stream.write(
-                len(query.wire).to_bytes(2, "big") + query.wire
-            )  # RFC 1035, section 4.2.2
+            # Over TCP a message is preceded by its length (RFC 1035, section 4.2.2).
+            await stream.write(len(query.wire).to_bytes(2, "big") + query.wire)
             self.counts.sent_bytes += 2 + len(query.wire)
             data = bytearray()
             while len(data) < 2 or len(data) < 2 + int.from_bytes(data[:2], "big"):
--- a/tests/admin/test_admin.py
+++ b/tests/admin/test_admin.py
@@ -225,17 +225,15 @@
             assert await fixture.call("/admin/quiesce", "PUT") == 200
             began = loop.time()
             assert status(await node.send(b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n")) == 503
-            late = await node.send(
-                request("late")
-            )  # connected just before the drain: served, and the connection is closed
+            # A client that was directed here just before the drain is served, then disconnected.
+            late = await node.send(request("late"))
             assert status(late) == 200 and b"connection: close" in late.lower()
             ends = []
             for reader, _ in idle:
                 await reader.read()
                 ends.append(loop.time() - began)
-            assert (
-                ends[-1] < SHED_MS / 1000.0 + 0.2 and ends[0] < ends[-1] - 0.5
-            )  # spread over time, not all at once
+            # The connections are closed spread over time, not all at once.
+            assert ends[-1] < SHED_MS / 1000.0 + 0.2 and ends[0] < ends[-1] - 0.5
             release.set()
             answer = await busy_reader.read()
             assert status(answer) == 200 and b"connection: close" in answer.lower()
--- a/tests/sources/test_sources.py
+++ b/tests/sources/test_sources.py
@@ -27,7 +27,7 @@
 
     def __init__(self) -> None:
         self.servers: dict[str, CacheServer] = {}
-        self.told: list[tuple[str, list[Server]]] = []
+        self.list_calls: list[tuple[str, list[Server]]] = []
         self.module: dict[str, Server] = {}
         self.down: set[str] = set()
         self.forgotten: list[str] = []
@@ -37,7 +37,7 @@
 
     def on_list(self, form: str, entries: Iterable[Server]) -> None:
         entries = list(entries)
-        self.told.append((form, entries))
+        self.list_calls.append((form, entries))
         for entry in entries:
             self.module[entry.name] = entry
             if entry.state == "gone":
@@ -73,10 +73,10 @@
         self.box_list.on_list(form, servers)
 
 
-def start_sources(lab: DnsFixture, **more: Any) -> tuple[Node, Sources, Discovery]:
+def start_sources(fixture: DnsFixture, **more: Any) -> tuple[Node, Sources, Discovery]:
     node = Node()
     pool: Any = SimpleNamespace(forget=lambda server: node.forgotten.append(server.name))
-    resolvers = [f"{host}:{port}" for host, port in lab.addresses]
+    resolvers = [f"{host}:{port}" for host, port in fixture.addresses]
     options = SourcesTable(
         dns=DnsTable(service=SERVICE, resolvers=resolvers, floor_s=1.0, ceiling_s=4.0), **more
     )
@@ -86,8 +86,8 @@
 
 
 def test_boxes_of_dns_alone_are_used_and_take_the_names_of_the_list_later() -> None:
-    async def test(lab: DnsFixture) -> None:
-        node, sources, discovery = start_sources(lab)
+    async def test(fixture: DnsFixture) -> None:
+        node, sources, discovery = start_sources(fixture)
         await asyncio.sleep(0.1)
         assert node.serving == {f"{host}:{port}" for host, port in BOXES.values()}
         discovery.tell("full", *((name, "in") for name in BOXES))
@@ -100,8 +100,8 @@
 
 
 def test_a_drain_of_the_list_is_applied_at_once_while_dns_still_names_the_box() -> None:
-    async def test(lab: DnsFixture) -> None:
-        node, sources, discovery = start_sources(lab)
+    async def test(fixture: DnsFixture) -> None:
+        node, sources, discovery = start_sources(fixture)
         await asyncio.sleep(0.1)
         discovery.tell("full", *((name, "in") for name in BOXES))
         discovery.tell("changes", ("s1", "draining"))
@@ -109,7 +109,9 @@
         discovery.tell("changes", ("s1", "gone"))
         await asyncio.sleep(10.0)
         assert (
-            node.serving == {"s0", "s2", "s3"} and "s1" not in node.servers and lab.servers[0].asked
+            node.serving == {"s0", "s2", "s3"}
+            and "s1" not in node.servers
+            and fixture.servers[0].asked
         )
         sources.close()
 
@@ -117,9 +119,9 @@
 
 
 def test_boxes_that_only_one_source_names_are_all_used() -> None:
-    async def test(lab: DnsFixture) -> None:
-        lab.zone.serve({"s0": BOXES["s0"], "x": ("127.2.0.77", 8001)})
-        node, sources, discovery = start_sources(lab)
+    async def test(fixture: DnsFixture) -> None:
+        fixture.zone.serve({"s0": BOXES["s0"], "x": ("127.2.0.77", 8001)})
+        node, sources, discovery = start_sources(fixture)
         discovery.tell("full", ("s0", "in"), ("s1", "in"))
         await asyncio.sleep(0.1)
         assert node.serving == {"s0", "s1", "127.2.0.77:8001"}
@@ -130,17 +132,17 @@
 
 @pytest.mark.parametrize("how", ["empty", "nxdomain", "silent", "refused", "garbage"])
 def test_missing_records_and_failed_lookups_leave_the_set_unchanged(how: str) -> None:
-    async def test(lab: DnsFixture) -> None:
-        node, sources, _ = start_sources(lab)
+    async def test(fixture: DnsFixture) -> None:
+        node, sources, _ = start_sources(fixture)
         await asyncio.sleep(0.1)
-        for server in lab.servers:
+        for server in fixture.servers:
             server.how = how
         for _ in range(60):
             await asyncio.sleep(2.0)
             assert len(node.serving) == len(BOXES)
-        for server in lab.servers:
+        for server in fixture.servers:
             server.how = "good"
-        lab.zone.serve({"s9": ("127.2.0.9", 8001)})
+        fixture.zone.serve({"s9": ("127.2.0.9", 8001)})
         await asyncio.sleep(60.0)
         assert node.serving == {"127.2.0.9:8001"}
         sources.close()
@@ -149,13 +151,13 @@
 
 
 def test_records_older_than_old_s_are_dropped_while_the_list_has_boxes() -> None:
-    async def test(lab: DnsFixture) -> None:
-        node, sources, discovery = start_sources(lab, guard=GuardTable(hold_s=5.0))
+    async def test(fixture: DnsFixture) -> None:
+        node, sources, discovery = start_sources(fixture, guard=GuardTable(hold_s=5.0))
         sources.reload(replace_dns(sources, old_s=20.0))
         await asyncio.sleep(0.1)
         discovery.tell("full", ("s0", "in"), ("s1", "in"))
         assert len(node.serving) == len(BOXES)
-        for server in lab.servers:
+        for server in fixture.servers:
             server.how = "silent"
         await asyncio.sleep(18.0)
         assert len(node.serving) == len(BOXES)
@@ -167,11 +169,11 @@
 
 
 def test_the_root_as_srv_target_means_that_the_service_is_not_available() -> None:
-    async def test(lab: DnsFixture) -> None:
-        node, sources, discovery = start_sources(lab)
+    async def test(fixture: DnsFixture) -> None:
+        node, sources, discovery = start_sources(fixture)
         discovery.tell("full", ("s0", "in"))
         await asyncio.sleep(0.1)
-        lab.zone.put(SERVICE, "SRV", 2, ["0 0 0 ."])
+        fixture.zone.put(SERVICE, "SRV", 2, ["0 0 0 ."])
         await asyncio.sleep(60.0)
         assert node.serving == {"s0"}
         sources.close()
@@ -180,14 +182,14 @@
 
 
 def test_the_initial_list_is_used_only_until_a_source_has_boxes() -> None:
-    async def test(lab: DnsFixture) -> None:
-        for server in lab.servers:
+    async def test(fixture: DnsFixture) -> None:
+        for server in fixture.servers:
             server.how = "silent"
-        node, sources, discovery = start_sources(lab)
+        node, sources, discovery = start_sources(fixture)
         discovery.tell("saved", ("s0", "in"), ("s1", "in"))
         discovery.box_list.on_list("failed", [])
         assert node.serving == {"s0", "s1"} and [
-            form for form, _ in node.told if form in ("saved", "failed")
+            form for form, _ in node.list_calls if form in ("saved", "failed")
         ] == ["saved", "failed"]
         await asyncio.sleep(5.0)
         assert node.serving == {"s0", "s1"}
@@ -199,11 +201,11 @@
 
 
 def test_a_lower_priority_group_is_used_only_while_the_higher_one_can_not_serve() -> None:
-    async def test(lab: DnsFixture) -> None:
-        lab.zone.put(
+    async def test(fixture: DnsFixture) -> None:
+        fixture.zone.put(
             SERVICE, "SRV", 2, [f"{10 * (1 + n // 2)} 10 8001 s{n}.{ZONE}" for n in range(4)]
         )
-        node, sources, _ = start_sources(lab)
+        node, sources, _ = start_sources(fixture)
         await asyncio.sleep(0.1)
         first, second = ({f"{BOXES[f's{n}'][0]}:8001" for n in pair} for pair in ((0, 1), (2, 3)))
         assert node.serving == first
@@ -221,14 +223,14 @@
 
 
 def test_weights_are_relative_to_the_mean_of_their_priority() -> None:
-    async def test(lab: DnsFixture) -> None:
-        lab.zone.put(
+    async def test(fixture: DnsFixture) -> None:
+        fixture.zone.put(
             SERVICE,
             "SRV",
             2,
             [f"0 {weight} 8001 s{n}.{ZONE}" for n, weight in enumerate((30, 10, 20, 0))],
         )
-        node, sources, _ = start_sources(lab)
+        node, sources, _ = start_sources(fixture)
         await asyncio.sleep(0.1)
         weights = [node.module[f"{host}:{port}"].weight for host, port in BOXES.values()]
         assert weights == pytest.approx([2.0, 2 / 3, 4 / 3, 0.05])
@@ -238,27 +240,27 @@
 
 
 def test_an_address_whose_target_name_changes_stays_in_service() -> None:
-    async def test(lab: DnsFixture) -> None:
-        node, sources, _ = start_sources(lab)
+    async def test(fixture: DnsFixture) -> None:
+        node, sources, _ = start_sources(fixture)
         await asyncio.sleep(0.1)
-        before = len(node.told)
-        lab.zone.serve({f"renamed-{name}": address for name, address in BOXES.items()})
+        before = len(node.list_calls)
+        fixture.zone.serve({f"renamed-{name}": address for name, address in BOXES.items()})
         await asyncio.sleep(10.0)
-        assert len(node.serving) == len(BOXES) and len(node.told) == before
+        assert len(node.serving) == len(BOXES) and len(node.list_calls) == before
         sources.close()
 
     run_virtual(test)
 
 
 def test_targets_without_additional_addresses_are_looked_up_and_a_failure_removes_none() -> None:
-    async def test(lab: DnsFixture) -> None:
-        lab.zone.glue = False
-        node, sources, _ = start_sources(lab)
+    async def test(fixture: DnsFixture) -> None:
+        fixture.zone.glue = False
+        node, sources, _ = start_sources(fixture)
         await asyncio.sleep(0.2)
         assert len(node.serving) == len(BOXES)
-        assert {kind for server in lab.servers for _, _, kind in server.asked} == {"SRV", "A"}
-        lab.zone.put(f"s2.{ZONE}", "CNAME", 2, [f"s2.{ZONE}"])
-        lab.zone.put(f"s2.{ZONE}", "A", 2, [])
+        assert {kind for server in fixture.servers for _, _, kind in server.asked} == {"SRV", "A"}
+        fixture.zone.put(f"s2.{ZONE}", "CNAME", 2, [f"s2.{ZONE}"])
+        fixture.zone.put(f"s2.{ZONE}", "A", 2, [])
         await asyncio.sleep(20.0)
         assert len(node.serving) == len(BOXES)
         sources.close()
@@ -267,13 +269,13 @@
 
 
 def test_a_reload_changes_the_resolvers_during_a_query() -> None:
-    async def test(lab: DnsFixture) -> None:
-        for server in lab.servers[:2]:
+    async def test(fixture: DnsFixture) -> None:
+        for server in fixture.servers[:2]:
             server.how = "silent"
-        node, sources, _ = start_sources(lab)
+        node, sources, _ = start_sources(fixture)
         assert sources.dns is not None and node is not None
-        options = replace_dns(sources, resolvers=[f"{lab.addresses[2][0]}:53"])
-        first = replace_dns(sources, resolvers=[f"{host}:53" for host, _ in lab.addresses[:2]])
+        options = replace_dns(sources, resolvers=[f"{fixture.addresses[2][0]}:53"])
+        first = replace_dns(sources, resolvers=[f"{host}:53" for host, _ in fixture.addresses[:2]])
         sources.reload(first)
         await asyncio.sleep(0.2)  # the first query is pending
         assert not node.servers
@@ -294,13 +296,13 @@
 
 
 def test_boxes_of_a_file_are_used_as_fallback_and_an_invalid_file_changes_nothing() -> None:
-    async def test(lab: DnsFixture) -> None:
+    async def test(fixture: DnsFixture) -> None:
         side = seam.CURRENT_SYSTEM.get()
         files: dict[str, bytes] = side.files  # type: ignore[attr-defined]
         files["boxes.toml"] = FILE
-        for server in lab.servers:
+        for server in fixture.servers:
             server.how = "silent"
-        node, sources, discovery = start_sources(lab, file=FileTable(path="boxes.toml"))
+        node, sources, discovery = start_sources(fixture, file=FileTable(path="boxes.toml"))
         assert node.serving == {"spare"}
         files["boxes.toml"] = FILE + b"[[box]]\naddress = 5\n"
         sources.reload(sources._options)
@@ -316,13 +318,13 @@
 
 
 def test_the_view_shows_the_rules_and_a_held_removal_of_many_boxes() -> None:
-    async def test(lab: DnsFixture) -> None:
+    async def test(fixture: DnsFixture) -> None:
         import orjson
 
-        node, sources, discovery = start_sources(lab, guard=GuardTable(hold_s=5.0))
+        node, sources, discovery = start_sources(fixture, guard=GuardTable(hold_s=5.0))
         await asyncio.sleep(0.1)
         discovery.tell("full", *((name, "in") for name in BOXES))
-        lab.zone.serve({})
+        fixture.zone.serve({})
         discovery.tell("full", ("s0", "in"))
         view = orjson.loads(sources.dump())
         assert [source["name"] for source in view["sources"]] == ["list", "dns", "known"]
--- a/tests/sources/virtual.py
+++ b/tests/sources/virtual.py
@@ -51,22 +51,22 @@
     raised: list[BaseException] = []
 
     async def main() -> None:
-        lab = DnsFixture(loop, servers)
+        fixture = DnsFixture(loop, servers)
         done = asyncio.Event()
 
         async def program() -> None:
             try:
-                await test(lab)
+                await test(fixture)
             except BaseException as error:
                 raised.append(error)
             finally:
                 done.set()
 
         await asyncio.sleep(0.01)
-        lab.process.start(program)
+        fixture.process.start(program)
         await done.wait()
-        assert raised or not lab.process.sockets, "sockets are left"
-        for process, server in zip(lab.server_processes, lab.servers, strict=True):
+        assert raised or not fixture.process.sockets, "sockets are left"
+        for process, server in zip(fixture.server_processes, fixture.servers, strict=True):
             process.context.run(server.close)
             process.kill()
             for task in process.pending():
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -315,8 +315,8 @@
         arrived: list[tuple[float, float]] = []
 
         def script(head: bytes) -> bytes:
-            told = float(head.partition(b"X-Remaining-Ms: ")[2].partition(b"\r\n")[0])
-            arrived.append((now_ms(), told))
+            sent_deadline_ms = float(head.partition(b"X-Remaining-Ms: ")[2].partition(b"\r\n")[0])
+            arrived.append((now_ms(), sent_deadline_ms))
             return good(head)
 
         async with shimmed(tmp_path, library, CacheBox(script)) as (process, _, shim):
@@ -328,9 +328,9 @@
                     b"X-Remaining-Ms: 20000", b"X-Remaining-Ms: 1000"
                 )
                 assert status(await process.send(data)) == 200
-                at_ms, told_ms = arrived[-1]
+                at_ms, sent_deadline_ms = arrived[-1]
                 assert at_ms - sent_ms >= 140.0
-                assert told_ms <= 1_000.0 - (at_ms - sent_ms) + 150.0 + 10.0
+                assert sent_deadline_ms <= 1_000.0 - (at_ms - sent_ms) + 150.0 + 10.0
 
     play(test)
 
@@ -365,9 +365,11 @@
             await asyncio.sleep(0.6)
             shim.heal(SystemCall.ACCEPT)
             assert [status(answer) for answer in await asyncio.gather(*asked)] == [200, 503]
-            ((at_ms, told_ms),) = arrived  # no attempt for the client whose deadline had passed
+            ((at_ms, sent_deadline_ms),) = (
+                arrived  # no attempt for the client whose deadline had passed
+            )
             assert at_ms - sent_ms > 550.0
-            assert told_ms <= 1_500.0 - (at_ms - sent_ms) + 150.0
+            assert sent_deadline_ms <= 1_500.0 - (at_ms - sent_ms) + 150.0
             assert (await figures(process))["svc.refused.late"] == 1
 
     play(test)
