--- a/corkshift/cli/nodefile.py
+++ b/corkshift/cli/nodefile.py
@@ -1,6 +1,6 @@
-"""The form of a node's configuration (the file that PROXY_CONFIG names), for `check`.
+"""Schema of a node's configuration (the file that PROXY_CONFIG names), for `check`.
 
-Keys that are not named here are skipped, as the protocol asks; those that the node reads are all here.
+All keys that the node reads are here. Other keys are ignored, as the protocol requires.
 """
 
 from __future__ import annotations
@@ -14,14 +14,14 @@
 from corkshift.config import address_of, ipv4_of
 
 Millis = Annotated[float, msgspec.Meta(ge=0.0, le=86_400_000.0)]
-Some = Annotated[int, msgspec.Meta(ge=1)]
-Word = Annotated[str, msgspec.Meta(min_length=1)]
+PositiveInt = Annotated[int, msgspec.Meta(ge=1)]
+NonEmptyStr = Annotated[str, msgspec.Meta(min_length=1)]
 
 
-class Service(Table, frozen=True, kw_only=True, rename="camel"):
-    """One request class."""
+class ServiceTable(Table, frozen=True, kw_only=True, rename="camel"):
+    """`settings.services[]`: one request class."""
 
-    name: Word
+    name: NonEmptyStr
     idempotency: Literal["safe", "keyed", "unsafe"] = "unsafe"
     group: Literal["", "all", "zone", "cell"] = ""
     promise_ms: Millis = 0.0
@@ -31,7 +31,7 @@
     worth: float = 1.0
     aim_stretch: float = 0.0
 
-    def contradictions(self) -> Iterator[Fault]:
+    def cross_field_faults(self) -> Iterator[Fault]:
         if self.deadline_ms and self.promise_ms > self.deadline_ms:
             yield Fault(
                 "promiseMs",
@@ -40,15 +40,15 @@
         if self.idempotency == "keyed" and not (self.group and self.window_ms):
             yield Fault(
                 "idempotency",
-                "a keyed class needs group and windowMs, or repeats are never dropped",
+                "a keyed class needs group and windowMs, otherwise repeats are never dropped",
             )
 
 
-class Allowed(Table, frozen=True, kw_only=True, rename="camel"):
-    """What the site permits."""
+class AllowedTable(Table, frozen=True, kw_only=True, rename="camel"):
+    """`settings.allowed`: features that the site permits."""
 
-    most_tries: Some = 1
-    max_open: Some = 10_000
+    most_tries: PositiveInt = 1
+    max_open: PositiveInt = 10_000
     may_cancel: bool = False
     probes: bool = False
     retry_after: bool = False
@@ -58,8 +58,8 @@
     peers: bool = False
 
 
-class Contract(Table, frozen=True, kw_only=True, rename="camel"):
-    """The figures of the four rules."""
+class ContractTable(Table, frozen=True, kw_only=True, rename="camel"):
+    """`settings.contract`: limits of the platform's four rules."""
 
     must_ask_in_ms: Millis = 10_000.0
     stop_sending_within_ms: Millis = 250.0
@@ -67,46 +67,46 @@
     cold_ms: Millis = 30_000.0
 
 
-class Options(Table, frozen=True, kw_only=True):
+class SettingsTable(Table, frozen=True, kw_only=True):
     """`settings`."""
 
-    services: Annotated[list[Service], msgspec.Meta(min_length=1)]
+    services: Annotated[list[ServiceTable], msgspec.Meta(min_length=1)]
     discovery: str = ""
-    allowed: Optional[Allowed] = None
-    contract: Optional[Contract] = None
+    allowed: Optional[AllowedTable] = None
+    contract: Optional[ContractTable] = None
     slot_no: Annotated[int, msgspec.Meta(ge=0)] = msgspec.field(name="slotNo", default=0)
 
-    def contradictions(self) -> Iterator[Fault]:
+    def cross_field_faults(self) -> Iterator[Fault]:
         names = [service.name for service in self.services]
         for n, name in enumerate(names):
             if name in names[:n]:
-                yield Fault(f"services[{n}].name", f"a class of this name stands before it: {name}")
+                yield Fault(f"services[{n}].name", f"duplicate class name: {name}")
 
 
-class Limits(Table, frozen=True, kw_only=True):
+class LimitsTable(Table, frozen=True, kw_only=True):
     """`limits`."""
 
     cores: Annotated[float, msgspec.Meta(gt=0.0)] = 1.0
-    memory_mb: Some = 128
-    sockets: Some = 1_024
+    memory_mb: PositiveInt = 128
+    sockets: PositiveInt = 1_024
 
 
 class NodeFile(Table, frozen=True, kw_only=True):
-    """The whole file."""
+    """The whole file of a node."""
 
     listen: str
     admin_addr: Optional[str] = None
     discovery: Optional[str] = None
     name: str = "node"
     seed: int | str = 0
-    limits: Optional[Limits] = None
+    limits: Optional[LimitsTable] = None
     known: Optional[dict[str, Any]] = None
-    settings: Options
+    settings: SettingsTable
     peer_listen: Optional[str] = None
     peers: list[str] = []
     peers_all: Optional[str] = None
 
-    def _neighbours(self) -> Iterator[Fault]:
+    def _peer_faults(self) -> Iterator[Fault]:
         for key, text in (
             ("peer_listen", self.peer_listen),
             *((f"peers[{n}]", text) for n, text in enumerate(self.peers)),
@@ -127,9 +127,9 @@
                 f"must be one of the {len(self.peers)} peers, from 0, got {self.settings.slot_no}",
             )
 
-    def contradictions(self) -> Iterator[Fault]:
+    def cross_field_faults(self) -> Iterator[Fault]:
         if self.settings.allowed is not None and self.settings.allowed.peers:
-            yield from self._neighbours()
+            yield from self._peer_faults()
         for key, text in (
             ("listen", self.listen),
             ("admin_addr", self.admin_addr),
@@ -139,13 +139,13 @@
                 try:
                     address_of(text)
                 except ValueError:
-                    yield Fault(key, f"host:port with a port from 1 to 65535, got {text!r}")
+                    yield Fault(key, f"must be host:port with a port from 1 to 65535, got {text!r}")
         if isinstance(self.seed, str):
             try:
                 int(self.seed, 16)
             except ValueError:
-                yield Fault("seed", f"a number or hex digits, got {self.seed!r}")
+                yield Fault("seed", f"must be a number or hex digits, got {self.seed!r}")
         if self.listen == self.discovery:
-            yield Fault("discovery", "is the address that the node itself listens on")
+            yield Fault("discovery", "must differ from listen, the address of the node itself")
         if self.listen == self.admin_addr:
-            yield Fault("admin_addr", "is the address where clients connect")
+            yield Fault("admin_addr", "must differ from listen, the address for clients")
--- a/corkshift/sources/file.py
+++ b/corkshift/sources/file.py
@@ -1,4 +1,4 @@
-"""A file of known boxes as a source: read at the start and on SIGHUP."""
+"""A file of known boxes as a source, read at the start and on SIGHUP."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 import msgspec
 
 from corkshift import seam
-from corkshift.cli.schema import Fault, Table, examine
+from corkshift.cli.schema import Fault, Table, validate
 from corkshift.config import address_of
 from corkshift.sources import Sink
 from corkshift.sources.options import FileTable
@@ -17,7 +17,7 @@
 
 
 class BoxTable(Table, frozen=True, kw_only=True):
-    """`[[box]]`: one known box."""
+    """`[[box]]`: one box."""
 
     address: str
     name: Annotated[str, msgspec.Meta(max_length=128)] = ""
@@ -27,7 +27,7 @@
     priority: Annotated[int, msgspec.Meta(ge=0, le=65_535)] = 0
     draining: bool = False
 
-    def contradictions(self) -> Iterator[Fault]:
+    def cross_field_faults(self) -> Iterator[Fault]:
         try:
             address_of(self.address)
         except ValueError as error:
@@ -35,27 +35,27 @@
 
 
 class BoxFile(Table, frozen=True, kw_only=True):
-    """The whole file."""
+    """The whole file of boxes."""
 
     box: list[BoxTable]
 
-    def contradictions(self) -> Iterator[Fault]:
+    def cross_field_faults(self) -> Iterator[Fault]:
         for what in ("address", "name"):
             seen: set[str] = set()
             for n, box in enumerate(self.box):
                 value = getattr(box, what)
                 if value and value in seen:
-                    yield Fault(f"box[{n}].{what}", f"stands there twice: {value!r:.80}")
+                    yield Fault(f"box[{n}].{what}", f"duplicate value: {value!r:.80}")
                 seen.add(value)
 
 
-def claims_of(text: bytes) -> list[Claim]:
-    """The boxes of a file's text; ValueError with a line for each fault."""
+def parse_box_file(text: bytes) -> list[Claim]:
+    """The boxes in the text of a file; ValueError with all faults, separated by semicolons."""
     try:
         data = tomllib.loads(text.decode())
     except (tomllib.TOMLDecodeError, UnicodeDecodeError) as error:
         raise ValueError(f"not TOML: {error}") from None
-    if faults := examine(BoxFile, data):
+    if faults := validate(BoxFile, data):
         raise ValueError("; ".join(map(str, faults)))
     return [
         Claim(
@@ -67,26 +67,28 @@
 
 
 class FileSource:
-    """The file, as it was when it was last read. A bad one changes nothing."""
+    """Reports the boxes of a file. An invalid or unreadable file leaves the last view in use."""
 
     def __init__(self, sink: Sink, options: FileTable) -> None:
         self._sink = sink
         self._options = options
 
     def start(self) -> None:
+        """Read the file and report its boxes or the failure."""
         try:
-            claims = claims_of(seam.read_file(self._options.path))
+            claims = parse_box_file(seam.read_file(self._options.path))
         except OSError as error:
             self._sink.failed("file", f"{self._options.path}: {error.strerror}")
         except ValueError as error:
             self._sink.failed("file", f"{self._options.path}: {error}")
         else:
-            self._sink.tell("file", claims)
+            self._sink.update("file", claims)
 
     def close(self) -> None:
+        """Nothing to stop: the file is only read in `start` and `reload`."""
         pass
 
     def reload(self, options: FileTable) -> None:
-        """Read it again, or another one."""
+        """Read the file again, possibly from another path."""
         self._options = options
         self.start()
--- a/corkshift/sources/resolver.py
+++ b/corkshift/sources/resolver.py
@@ -1,11 +1,14 @@
-"""A small stub resolver on the node's own streams and datagrams: several servers, time-outs, back-off, TCP for what does not fit.
+"""A small caching DNS stub resolver on the node's own sockets.
 
-It follows CNAME chains, keeps answers for their lifetimes (with a floor and a ceiling, RFC 2181 section 8 for lifetimes of 2^31 and more),
-negative ones by their SOA (RFC 2308), and serves old ones while no server answers (RFC 8767) up to a stated age. What a message may say
-is `message`'s; which server is asked next is decided by `Servers`, without a clock or a socket.
+It queries several name servers with time-outs and back-off, falls back to TCP for truncated
+answers and follows CNAME chains. Answers are cached for their TTL, within a floor and a ceiling
+(RFC 2181 section 8 for a TTL of 2^31 and more), negative ones by their SOA record (RFC 2308).
+While no server answers, expired answers are served up to a configured age (RFC 8767). Messages are
+parsed by `message`; `NameServers` chooses the next server, without a clock or a socket.
 
-Bounds: MOST_KEPT names, MOST_FOREIGN datagrams that are no answer to a query, `queries_per_s` with a burst of twice that, one socket for a
-query (a new port each time), TRIES rounds of all servers.
+Limits: MAX_CACHED_NAMES cache entries, MAX_FOREIGN_DATAGRAMS foreign datagrams per query,
+`queries_per_s` with a burst of twice that, one socket per query (a new port each time), MAX_ROUNDS
+rounds over all servers.
 """
 
 from __future__ import annotations
@@ -21,82 +24,84 @@
 from corkshift import seam
 from corkshift.seam import Address, now_ms
 from corkshift.sources.message import (
-    LONGEST,
-    MOST_CHAIN,
+    MAX_CNAMES,
+    MAX_MESSAGE_BYTES,
     Answer,
-    Foreign,
+    ForeignMessage,
     Query,
-    Truncated,
-    Unusable,
-    query,
-    read,
+    TruncatedAnswer,
+    UnusableAnswer,
+    make_query,
+    parse_answer,
 )
 from corkshift.sources.options import Limits
 from corkshift.stream import Stream
 
 log = logging.getLogger(__name__)
 
-TRIES = 2  # rounds of all servers for one query
-FIRST_S = 0.4  # for an answer by datagram; doubled in the second round
-STREAM_S = 2.0  # for one by TCP, from the dial on
-BACK_OFF_MS = (
-    1_000.0  # a server that failed comes last for so long, doubled with each failure in a row,
-)
-BACK_OFF_MOST_MS = 60_000.0  # up to this
-MOST_FOREIGN = 64  # datagrams that are no answer; then TCP, where nobody can guess (guards against forged answers in number)
-MOST_KEPT = 4_096  # names
+MAX_ROUNDS = 2  # over all servers, for one query
+UDP_TIMEOUT_S = 0.4  # for an answer over UDP; doubled in the second round
+TCP_TIMEOUT_S = 2.0  # for connecting and an answer over TCP
+# How long a failed server is tried last, doubled with each consecutive failure up to the maximum.
+BACKOFF_MS = 1_000.0
+MAX_BACKOFF_MS = 60_000.0
+# After this many foreign datagrams a query is repeated over TCP: a flood of forged answers might
+# guess the ID and the case of the name, but can't be sent over a TCP connection.
+MAX_FOREIGN_DATAGRAMS = 64
+MAX_CACHED_NAMES = 4_096
 
 
 class LookupFailed(Exception):
-    """No server has an answer; one line."""
+    """No name server has a usable answer; the message is one line."""
 
 
 @dataclass(slots=True)
-class _Server:
+class _ServerBackoff:
     failures: int = 0
     until_ms: float = 0.0
 
 
-class Servers:
-    """Who is asked next: servers in their order, those that failed lately last. Pure."""
+class NameServers:
+    """The order in which name servers are queried: as configured, those in back-off last."""
 
     def __init__(self, addresses: list[Address]) -> None:
-        self._servers = {address: _Server() for address in addresses}
+        self._servers = {address: _ServerBackoff() for address in addresses}
 
     def order(self, now: float) -> list[Address]:
-        """All servers, best first; those in back-off by when it ends."""
+        """All servers, best first; those in back-off by the end of their back-off. now: ms."""
         return sorted(self._servers, key=lambda address: max(now, self._servers[address].until_ms))
 
     def failed(self, address: Address, now: float) -> None:
-        """It did not answer, or with nothing of use."""
+        """Record that a server did not answer, or not usably."""
         server = self._servers.get(address)
         if server is not None:
-            server.until_ms = now + min(BACK_OFF_MOST_MS, BACK_OFF_MS * 2.0**server.failures)
+            server.until_ms = now + min(MAX_BACKOFF_MS, BACKOFF_MS * 2.0**server.failures)
             server.failures = min(16, server.failures + 1)
 
     def answered(self, address: Address) -> None:
-        """It did."""
+        """Record a usable answer, which ends the back-off."""
         if address in self._servers:
-            self._servers[address] = _Server()
+            self._servers[address] = _ServerBackoff()
 
 
 @dataclass(slots=True)
-class Kept:
-    """An answer and when it came. held_s: its lifetime, within floor and ceiling."""
+class CachedAnswer:
+    """An answer and when it was received. lifetime_s: its TTL, within floor and ceiling."""
 
     answer: Answer
-    at_ms: float
-    held_s: float
-    old: bool = False  # served beyond its lifetime, as no server answers
+    received_ms: float
+    lifetime_s: float
+    stale: bool = False  # served after it expired, as no server answers
 
     @property
-    def ends_ms(self) -> float:
-        return self.at_ms + self.held_s * 1000.0
+    def expires_ms(self) -> float:
+        """When the answer expires."""
+        return self.received_ms + self.lifetime_s * 1000.0
 
 
 @dataclass(slots=True)
 class Counts:
-    """What a resolver has done."""
+    """Counters of a resolver. `members` shows them under the names of the fields."""
 
     queries: int = 0
     sent_bytes: int = 0
@@ -106,64 +111,69 @@
     failures: dict[str, int] = field(default_factory=dict)  # by cause
 
     def failed(self, cause: str) -> None:
+        """Count a failure. The number of different causes is limited."""
         if cause in self.failures or len(self.failures) < 32:
             self.failures[cause] = self.failures.get(cause, 0) + 1
 
 
 class Resolver:
-    """Looks names up. One instance for each source."""
+    """Looks up names. Each source has its own instance."""
 
     def __init__(
-        self, servers: list[Address], limits: Limits, entropy: Callable[[int], bytes]
+        self, servers: list[Address], limits: Limits, random_bytes: Callable[[int], bytes]
     ) -> None:
         self.counts = Counts()
-        self._servers = Servers(servers)
+        self._servers = NameServers(servers)
         self._limits = limits
-        self._entropy = entropy
-        self._kept: dict[tuple[str, str], Kept] = {}  # longest unused first
+        self._random_bytes = random_bytes
+        self._cache: dict[tuple[str, str], CachedAnswer] = {}  # least recently used first
         self._tokens = 2.0 * limits.queries_per_s
         self._tokens_ms = now_ms()
 
-    def move(self, servers: list[Address]) -> None:
-        """Ask other servers from the next query on; what is kept stays for its lifetime."""
-        self._servers = Servers(servers)
+    def set_servers(self, servers: list[Address]) -> None:
+        """Use other name servers from the next query on; cached answers stay valid."""
+        self._servers = NameServers(servers)
+
+    async def lookup(self, name: str, record_type: str, refresh_ahead: float = 0.0) -> CachedAnswer:
+        """The SRV or A records of a name; CNAMEs are followed.
 
-    async def look_up(self, name: str, kind: str, ahead: float = 0.0) -> Kept:
-        """The SRV or A records of a name, through its aliases. ahead: the share of its lifetime before whose end an answer is renewed.
+        refresh_ahead: an answer is renewed in the last part of its lifetime; this is the size of
+        that part, as a share of the lifetime.
 
-        LookupFailed where no server has one and none is kept that may still be served. ValueError for what is no name.
+            Raises LookupFailed where no server answers and no cached answer may be served, and
+            ValueError where the name is not a valid DNS name.
         """
-        key, now = (name.lower().rstrip(".") + ".", kind), now_ms()
-        kept = self._kept.pop(key, None)
-        if kept is not None:
-            self._kept[key] = kept
-            if now < kept.ends_ms - ahead * kept.held_s * 1000.0:
-                return kept
+        key, now = (name.lower().rstrip(".") + ".", record_type), now_ms()
+        cached = self._cache.pop(key, None)
+        if cached is not None:
+            self._cache[key] = cached
+            if now < cached.expires_ms - refresh_ahead * cached.lifetime_s * 1000.0:
+                return cached
         try:
-            answer = await self._resolve(key[0], kind)
+            answer = await self._resolve(key[0], record_type)
         except LookupFailed:
-            if kept is None or now_ms() >= kept.ends_ms + self._limits.stale_s * 1000.0:
+            if cached is None or now_ms() >= cached.expires_ms + self._limits.stale_s * 1000.0:
                 raise
-            kept.old = True
-            return kept
-        return self._keep(key, answer)
+            cached.stale = True
+            return cached
+        return self._store(key, answer)
 
-    def _keep(self, key: tuple[str, str], answer: Answer) -> Kept:
+    def _store(self, key: tuple[str, str], answer: Answer) -> CachedAnswer:
         limits = self._limits
-        ttl = 0 if answer.ttl_s >= 1 << 31 else answer.ttl_s  # RFC 2181, 8
-        kept = Kept(answer, now_ms(), min(limits.ceiling_s, max(limits.floor_s, ttl)))
-        self._kept.pop(key, None)
-        self._kept[key] = kept
-        for target, (life, addresses) in answer.extra.items():
-            self._keep((target, "A"), Answer(life, addresses=addresses))
-        while len(self._kept) > MOST_KEPT:
-            del self._kept[next(iter(self._kept))]
-        return kept
-
-    async def _resolve(self, name: str, kind: str) -> Answer:
+        ttl = 0 if answer.ttl_s >= 1 << 31 else answer.ttl_s  # RFC 2181, section 8
+        cached = CachedAnswer(answer, now_ms(), min(limits.ceiling_s, max(limits.floor_s, ttl)))
+        self._cache.pop(key, None)
+        self._cache[key] = cached
+        for target, (ttl_s, addresses) in answer.additional_addresses.items():
+            self._store((target, "A"), Answer(ttl_s, addresses=addresses))
+        while len(self._cache) > MAX_CACHED_NAMES:
+            del self._cache[next(iter(self._cache))]
+        return cached
+
+    async def _resolve(self, name: str, record_type: str) -> Answer:
         ttl, seen = -1, {name}
-        for _ in range(MOST_CHAIN + 1):
-            answer = await self._ask(name, kind)
+        for _ in range(MAX_CNAMES + 1):
+            answer = await self._query_servers(name, record_type)
             ttl = answer.ttl_s if ttl < 0 else min(ttl, answer.ttl_s)
             if not answer.alias:
                 return replace(answer, ttl_s=ttl)
@@ -172,38 +182,41 @@
                 break
             seen.add(name)
         self.counts.failed("CNAME chain")
-        raise LookupFailed(f"{name}: a CNAME loop, or a chain of over {MOST_CHAIN}")
+        raise LookupFailed(f"{name}: a CNAME loop, or a chain of over {MAX_CNAMES}")
 
-    async def _ask(self, name: str, kind: str) -> Answer:
-        """Ask the servers in turn; LookupFailed names what the last of them did."""
-        why = "no resolver is named"
-        for turn in range(TRIES):
+    async def _query_servers(self, name: str, record_type: str) -> Answer:
+        """Query the servers in turn; LookupFailed states the failure of the last one."""
+        reason = "no name server is configured"
+        for round_number in range(MAX_ROUNDS):
             for server in self._servers.order(now_ms()):
                 if not self._take_token():
                     self.counts.failed("too many queries")
                     raise LookupFailed(
-                        f"{name} {kind}: more than {self._limits.queries_per_s:g} queries a second"
+                        f"{name} {record_type}: more than {self._limits.queries_per_s:g} "
+                        "queries a second"
                     )
-                ident, case = (
-                    int.from_bytes(self._entropy(2), "big"),
-                    int.from_bytes(self._entropy(32), "big"),
+                query_id, case_bits = (
+                    int.from_bytes(self._random_bytes(2), "big"),
+                    int.from_bytes(self._random_bytes(32), "big"),
                 )
-                asked = query(name, kind, ident, case)
+                query = make_query(name, record_type, query_id, case_bits)
                 try:
-                    answer = await self._exchange(server, asked, FIRST_S * 2.0**turn)
-                except (OSError, Unusable) as error:
+                    answer = await self._query_server(
+                        server, query, UDP_TIMEOUT_S * 2.0**round_number
+                    )
+                except (OSError, UnusableAnswer) as error:
                     cause = (
                         "time-out"
                         if isinstance(error, TimeoutError)
                         else str(error) or type(error).__name__
                     )
-                    why = f"{server[0]}:{server[1]}: {cause}"
+                    reason = f"{server[0]}:{server[1]}: {cause}"
                     self.counts.failed(cause)
                     self._servers.failed(server, now_ms())
                     continue
                 self._servers.answered(server)
                 return answer
-        raise LookupFailed(f"{name} {kind}: {why}")
+        raise LookupFailed(f"{name} {record_type}: {reason}")
 
     def _take_token(self) -> bool:
         now, rate = now_ms(), self._limits.queries_per_s
@@ -214,69 +227,70 @@
         self._tokens -= 1.0
         return True
 
-    async def _exchange(self, server: Address, asked: Query, within_s: float) -> Answer:
-        """One query to one server. OSError (TimeoutError among them) or Unusable."""
+    async def _query_server(self, server: Address, query: Query, timeout_s: float) -> Answer:
+        """Query one server. Raises OSError (TimeoutError included) or UnusableAnswer."""
         self.counts.queries += 1
         try:
-            async with asyncio.timeout(within_s):
-                answer = await self._by_datagram(server, asked)
-        except Truncated:
+            async with asyncio.timeout(timeout_s):
+                answer = await self._query_udp(server, query)
+        except TruncatedAnswer:
             answer = None
         if answer is None:
-            async with asyncio.timeout(STREAM_S):
-                answer = await self._by_stream(server, asked)
+            async with asyncio.timeout(TCP_TIMEOUT_S):
+                answer = await self._query_tcp(server, query)
         return answer
 
-    async def _by_datagram(self, server: Address, asked: Query) -> Optional[Answer]:
-        """None where too much came that is no answer."""
+    async def _query_udp(self, server: Address, query: Query) -> Optional[Answer]:
+        """Query over UDP; None after too many foreign datagrams."""
         loop = asyncio.get_running_loop()
-        sock = seam.datagram()  # a port of its own, which the system draws
+        sock = seam.udp_socket()  # a new port, chosen at random by the system
         try:
-            came = asyncio.Event()
-            sock.sendto(asked.wire, server)
-            self.counts.sent_bytes += len(asked.wire)
-            loop.add_reader(sock, came.set)
-            for _ in range(MOST_FOREIGN):
+            readable = asyncio.Event()
+            sock.sendto(query.wire, server)
+            self.counts.sent_bytes += len(query.wire)
+            loop.add_reader(sock, readable.set)
+            for _ in range(MAX_FOREIGN_DATAGRAMS):
                 try:
-                    data, sender = sock.recvfrom(LONGEST)
+                    data, sender = sock.recvfrom(MAX_MESSAGE_BYTES)
                 except (BlockingIOError, InterruptedError):
-                    came.clear()
-                    await came.wait()
+                    readable.clear()
+                    await readable.wait()
                     continue
                 self.counts.received_bytes += len(data)
                 try:
                     if sender[:2] != server:
-                        raise Foreign("another server")
-                    return read(data, asked)
-                except Foreign:
+                        raise ForeignMessage("another server")
+                    return parse_answer(data, query)
+                except ForeignMessage:
                     self.counts.foreign += 1
             return None
         finally:
             loop.remove_reader(sock)
             sock.close()
 
-    async def _by_stream(self, server: Address, asked: Query) -> Answer:
+    async def _query_tcp(self, server: Address, query: Query) -> Answer:
         self.counts.streams += 1
-        sock = seam.stream()
+        sock = seam.tcp_socket()
         stream: Optional[Stream] = None
         try:
             await seam.connect(sock, server)
             stream = Stream(sock)
-            await stream.write(len(asked.wire).to_bytes(2, "big") + asked.wire)  # RFC 1035, 4.2.2
-            self.counts.sent_bytes += 2 + len(asked.wire)
+            # Over TCP a message is preceded by its length (RFC 1035, section 4.2.2).
+            await stream.write(len(query.wire).to_bytes(2, "big") + query.wire)
+            self.counts.sent_bytes += 2 + len(query.wire)
             data = bytearray()
             while len(data) < 2 or len(data) < 2 + int.from_bytes(data[:2], "big"):
-                more = await stream.read()
-                if not more:
-                    raise Unusable("the connection ended within an answer")
-                data += more
-                self.counts.received_bytes += len(more)
+                chunk = await stream.read()
+                if not chunk:
+                    raise UnusableAnswer("the connection ended within an answer")
+                data += chunk
+                self.counts.received_bytes += len(chunk)
             try:
-                return read(
-                    bytes(data[2 : 2 + int.from_bytes(data[:2], "big")]), asked, stream=True
+                return parse_answer(
+                    bytes(data[2 : 2 + int.from_bytes(data[:2], "big")]), query, over_tcp=True
                 )
-            except Foreign as error:
-                raise Unusable(f"over TCP, {error}") from None
+            except ForeignMessage as error:
+                raise UnusableAnswer(f"over TCP, {error}") from None
         finally:
             if stream is not None:
                 stream.close()
@@ -284,8 +298,8 @@
                 sock.close()
 
 
-def servers_of(text: str) -> list[Address]:
-    """The IPv4 name servers of a resolv.conf (resolv.conf(5)); others are passed over."""
+def parse_resolv_conf(text: str) -> list[Address]:
+    """The IPv4 name servers of a resolv.conf (resolv.conf(5)); others are skipped."""
     found = []
     for line in text.splitlines():
         words = line.split()
--- a/corkshift/sources/window.py
+++ b/corkshift/sources/view_socket.py
@@ -1,6 +1,7 @@
-"""A Unix socket on which a node shows its merged view: whoever connects is written it, and the connection ends.
+"""A Unix socket that serves the node's merged view: each connection is sent the view and closed.
 
-Bounds: MOST connections at a time, each for WITHIN_S. The socket's file is left behind, and replaced at the next start.
+Limits: MAX_CONNECTIONS at a time, WRITE_TIMEOUT_S for each. The socket file is left behind at the
+end and replaced at the next start.
 """
 
 from __future__ import annotations
@@ -15,31 +16,31 @@
 
 log = logging.getLogger(__name__)
 
-MOST = 4
-WITHIN_S = 2.0
+MAX_CONNECTIONS = 4
+WRITE_TIMEOUT_S = 2.0
 
 
-class Window:
-    """Listens at a path. OSError from the start on where it can't."""
+class ViewSocket:
+    """Serves a view on a Unix socket. The constructor raises OSError where it can't be bound."""
 
-    def __init__(self, path: str, show: Callable[[], bytes]) -> None:
-        self._show = show
+    def __init__(self, path: str, render: Callable[[], bytes]) -> None:
+        self._render = render
         self._tasks: set[asyncio.Task[None]] = set()
         self._listener = Listener(
-            seam.unix_listener(path), lambda: len(self._tasks) < MOST, self._take
+            seam.unix_listener(path), lambda: len(self._tasks) < MAX_CONNECTIONS, self._accept
         )
 
     def start(self) -> None:
-        """Listen."""
+        """Start to accept connections."""
         self._listener.start()
 
     def close(self) -> None:
-        """Listen no more, and end what is open."""
+        """Stop accepting and close open connections."""
         self._listener.close()
         for task in self._tasks:
             task.cancel()
 
-    def _take(self, sock: Any) -> None:
+    def _accept(self, sock: Any) -> None:
         task = asyncio.create_task(self._write(sock))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
@@ -47,9 +48,9 @@
     async def _write(self, sock: Any) -> None:
         try:
             sock.setblocking(False)
-            async with asyncio.timeout(WITHIN_S):
-                await asyncio.get_running_loop().sock_sendall(sock, self._show())
+            async with asyncio.timeout(WRITE_TIMEOUT_S):
+                await asyncio.get_running_loop().sock_sendall(sock, self._render())
         except OSError as error:
-            log.info("the members were not shown: %s", error or "too slow")
+            log.info("members socket: view not sent: %s", error or "the client reads too slowly")
         finally:
             sock.close()
--- a/corkshift/stream.py
+++ b/corkshift/stream.py
@@ -12,7 +12,7 @@
 
 from corkshift import seam
 from corkshift.seam import Socket
-from corkshift.seam.errors import NO_BUFFERS
+from corkshift.seam.errors import NO_BUFFER_ERRNOS
 
 # Limit of one read, and of buffered input at which reading pauses.
 READ_BYTES = 65_536
@@ -69,12 +69,12 @@
     @property
     def peer_left(self) -> bool:
         """Whether the peer has sent FIN or reset the connection, also behind unread bytes."""
-        return not self.closed and (self.ended or seam.abandoned(self._sock))
+        return not self.closed and (self.ended or seam.closed_by_peer(self._sock))
 
     @property
     def unread_ms(self) -> Optional[float]:
         """Time in ms since the peer's last bytes arrived; None if the system can't tell."""
-        return None if self.closed else seam.unread_ms(self._sock)
+        return None if self.closed else seam.ms_since_last_receive(self._sock)
 
     @property
     def has_input(self) -> bool:
@@ -138,7 +138,7 @@
         except (BlockingIOError, InterruptedError):
             return 0
         except OSError as error:
-            if error.errno in NO_BUFFERS:
+            if error.errno in NO_BUFFER_ERRNOS:
                 return 0
             self._end(error)
             raise
@@ -162,7 +162,7 @@
                 await self._writable()
                 continue
             except OSError as error:
-                if error.errno in NO_BUFFERS:
+                if error.errno in NO_BUFFER_ERRNOS:
                     # The socket may count as writable meanwhile, so waiting for that is no help.
                     await asyncio.sleep(NO_BUFFERS_RETRY_S)
                     continue
@@ -224,7 +224,7 @@
         except (BlockingIOError, InterruptedError):
             return
         except OSError as error:
-            if error.errno in NO_BUFFERS:
+            if error.errno in NO_BUFFER_ERRNOS:
                 self._pause()  # the kernel keeps the input until the retry
                 self._loop.call_later(NO_BUFFERS_RETRY_S, self._resume)
                 return
--- a/corkshift/upstream.py
+++ b/corkshift/upstream.py
@@ -17,7 +17,7 @@
 from corkshift.presence import Presence
 from corkshift.relay import BodyAborted, Relay
 from corkshift.seam import Address, now_ms
-from corkshift.seam.errors import LOCAL, name_of
+from corkshift.seam.errors import LOCAL_ERRNOS, error_name
 from corkshift.stream import KERNEL_BUFFER_BYTES, READ_BYTES, Stream
 from forkweir.send_guard import Denial, deadline_told_ms
 
@@ -123,11 +123,13 @@
             try:
                 return await self._dial(server)
             except OSError as error:
-                if error.errno not in LOCAL:
+                if error.errno not in LOCAL_ERRNOS:
                     raise
-                self.metrics.count_local_error(name_of(error))
+                self.metrics.count_local_error(error_name(error))
                 if asyncio.get_running_loop().time() + pause_s > until_s:
-                    raise NotSent(f"cannot connect from this machine: {name_of(error)}") from None
+                    raise NotSent(
+                        f"cannot connect from this machine: {error_name(error)}"
+                    ) from None
             await asyncio.sleep(pause_s)
             pause_s = min(2.0 * pause_s, MAX_LOCAL_RETRY_DELAY_S)
 
@@ -138,10 +140,10 @@
             oldest = next(iter(self._idle))
             self._remove_idle(oldest)
             self.drop(oldest)
-        sock = seam.stream()
+        sock = seam.tcp_socket()
         self._open += 1
         try:
-            seam.bound_buffers(sock, KERNEL_BUFFER_BYTES)
+            seam.limit_buffers(sock, KERNEL_BUFFER_BYTES)
             async with self.loop_lag.timeout(self._dial_s):
                 await seam.connect(sock, server.address)
             return Stream(sock)
@@ -304,7 +306,10 @@
             # The server responds, which the balancer distinguishes from a broken connection.
             outcome, cause = Outcome("spoilt" if self._all_sent else "unreachable"), str(error)
         except OSError as error:
-            outcome, cause = Outcome("broken" if self._all_sent else "unreachable"), name_of(error)
+            outcome, cause = (
+                Outcome("broken" if self._all_sent else "unreachable"),
+                error_name(error),
+            )
         finally:
             self._pool.metrics.count_attempt(outcome.status, self.server.name, cause)
             self._release()
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -191,7 +191,7 @@
             sockets // 2, config.dial_timeout_ms, config.conn_idle_ms, self.metrics, self.loop_lag
         )
         self.node = Node(config, self.pool, sockets)
-        listener = seam.listen(config.listen, KERNEL_BUFFER_BYTES)
+        listener = seam.bind_listener(config.listen, KERNEL_BUFFER_BYTES)
         self.frontend = Frontend(
             self.node, listener, clients, 1 << 20, leave=leave, loop_lag=self.loop_lag
         )
--- a/tests/sources/test_sources.py
+++ b/tests/sources/test_sources.py
@@ -1,4 +1,4 @@
-"""A node's sources put together, over the virtual network: what the address book and the module are told."""
+"""The combined sources of a node, on the virtual network: effects on address book and module."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 from typing import Any
 
 import pytest
-from virtual import BOXES, Lab, play
+from virtual import BOXES, DnsFixture, run_virtual
 
 from corkshift import seam
 from corkshift.config import address_of
-from corkshift.sources.hub import LOOK_S, Sources
+from corkshift.sources.hub import GROUP_CHECK_S, Sources
 from corkshift.sources.options import DnsTable, FileTable, GuardTable, SourcesTable
 from corkshift.upstream import CacheServer
 from forkweir import Server
@@ -23,11 +23,11 @@
 
 
 class Node:
-    """As much of a node as sources know; what the module would have."""
+    """The parts of a node that sources use. module: the list as the module would have it."""
 
     def __init__(self) -> None:
         self.servers: dict[str, CacheServer] = {}
-        self.told: list[tuple[str, list[Server]]] = []
+        self.list_calls: list[tuple[str, list[Server]]] = []
         self.module: dict[str, Server] = {}
         self.down: set[str] = set()
         self.forgotten: list[str] = []
@@ -37,7 +37,7 @@
 
     def on_list(self, form: str, entries: Iterable[Server]) -> None:
         entries = list(entries)
-        self.told.append((form, entries))
+        self.list_calls.append((form, entries))
         for entry in entries:
             self.module[entry.name] = entry
             if entry.state == "gone":
@@ -52,7 +52,7 @@
 
 
 class Discovery:
-    """What `corkshift.discovery` does to the address book that it is given."""
+    """Updates an address book as `corkshift.discovery` does."""
 
     def __init__(self, sources: Sources) -> None:
         self.box_list = sources.box_list
@@ -73,10 +73,10 @@
         self.box_list.on_list(form, servers)
 
 
-def made(lab: Lab, **more: Any) -> tuple[Node, Sources, Discovery]:
+def start_sources(fixture: DnsFixture, **more: Any) -> tuple[Node, Sources, Discovery]:
     node = Node()
     pool: Any = SimpleNamespace(forget=lambda server: node.forgotten.append(server.name))
-    resolvers = [f"{host}:{port}" for host, port in lab.addresses]
+    resolvers = [f"{host}:{port}" for host, port in fixture.addresses]
     options = SourcesTable(
         dns=DnsTable(service=SERVICE, resolvers=resolvers, floor_s=1.0, ceiling_s=4.0), **more
     )
@@ -85,9 +85,9 @@
     return node, sources, Discovery(sources)
 
 
-def test_dns_alone_serves_and_the_lists_ids_take_over() -> None:
-    async def test(lab: Lab) -> None:
-        node, sources, discovery = made(lab)
+def test_boxes_of_dns_alone_are_used_and_take_the_names_of_the_list_later() -> None:
+    async def test(fixture: DnsFixture) -> None:
+        node, sources, discovery = start_sources(fixture)
         await asyncio.sleep(0.1)
         assert node.serving == {f"{host}:{port}" for host, port in BOXES.values()}
         discovery.tell("full", *((name, "in") for name in BOXES))
@@ -96,12 +96,12 @@
         } == set(BOXES.values())
         sources.close()
 
-    play(test)
+    run_virtual(test)
 
 
-def test_a_drain_of_the_list_is_heeded_at_once_while_dns_names_the_box_on() -> None:
-    async def test(lab: Lab) -> None:
-        node, sources, discovery = made(lab)
+def test_a_drain_of_the_list_is_applied_at_once_while_dns_still_names_the_box() -> None:
+    async def test(fixture: DnsFixture) -> None:
+        node, sources, discovery = start_sources(fixture)
         await asyncio.sleep(0.1)
         discovery.tell("full", *((name, "in") for name in BOXES))
         discovery.tell("changes", ("s1", "draining"))
@@ -109,53 +109,55 @@
         discovery.tell("changes", ("s1", "gone"))
         await asyncio.sleep(10.0)
         assert (
-            node.serving == {"s0", "s2", "s3"} and "s1" not in node.servers and lab.servers[0].asked
+            node.serving == {"s0", "s2", "s3"}
+            and "s1" not in node.servers
+            and fixture.servers[0].asked
         )
         sources.close()
 
-    play(test)
+    run_virtual(test)
 
 
-def test_boxes_that_only_one_source_names_are_served_beside_each_other() -> None:
-    async def test(lab: Lab) -> None:
-        lab.zone.serve({"s0": BOXES["s0"], "x": ("127.2.0.77", 8001)})
-        node, sources, discovery = made(lab)
+def test_boxes_that_only_one_source_names_are_all_used() -> None:
+    async def test(fixture: DnsFixture) -> None:
+        fixture.zone.serve({"s0": BOXES["s0"], "x": ("127.2.0.77", 8001)})
+        node, sources, discovery = start_sources(fixture)
         discovery.tell("full", ("s0", "in"), ("s1", "in"))
         await asyncio.sleep(0.1)
         assert node.serving == {"s0", "s1", "127.2.0.77:8001"}
         sources.close()
 
-    play(test)
+    run_virtual(test)
 
 
 @pytest.mark.parametrize("how", ["empty", "nxdomain", "silent", "refused", "garbage"])
-def test_records_that_are_gone_or_can_not_be_had_leave_the_set_as_it_is(how: str) -> None:
-    async def test(lab: Lab) -> None:
-        node, sources, _ = made(lab)
+def test_missing_records_and_failed_lookups_leave_the_set_unchanged(how: str) -> None:
+    async def test(fixture: DnsFixture) -> None:
+        node, sources, _ = start_sources(fixture)
         await asyncio.sleep(0.1)
-        for server in lab.servers:
+        for server in fixture.servers:
             server.how = how
         for _ in range(60):
             await asyncio.sleep(2.0)
             assert len(node.serving) == len(BOXES)
-        for server in lab.servers:
+        for server in fixture.servers:
             server.how = "good"
-        lab.zone.serve({"s9": ("127.2.0.9", 8001)})
+        fixture.zone.serve({"s9": ("127.2.0.9", 8001)})
         await asyncio.sleep(60.0)
         assert node.serving == {"127.2.0.9:8001"}
         sources.close()
 
-    play(test)
+    run_virtual(test)
 
 
-def test_records_older_than_the_operator_allows_are_given_up_while_the_list_serves() -> None:
-    async def test(lab: Lab) -> None:
-        node, sources, discovery = made(lab, guard=GuardTable(hold_s=5.0))
+def test_records_older_than_old_s_are_dropped_while_the_list_has_boxes() -> None:
+    async def test(fixture: DnsFixture) -> None:
+        node, sources, discovery = start_sources(fixture, guard=GuardTable(hold_s=5.0))
         sources.reload(replace_dns(sources, old_s=20.0))
         await asyncio.sleep(0.1)
         discovery.tell("full", ("s0", "in"), ("s1", "in"))
         assert len(node.serving) == len(BOXES)
-        for server in lab.servers:
+        for server in fixture.servers:
             server.how = "silent"
         await asyncio.sleep(18.0)
         assert len(node.serving) == len(BOXES)
@@ -163,31 +165,31 @@
         assert node.serving == {"s0", "s1"}
         sources.close()
 
-    play(test)
+    run_virtual(test)
 
 
-def test_the_root_as_target_means_not_offered_here() -> None:
-    async def test(lab: Lab) -> None:
-        node, sources, discovery = made(lab)
+def test_the_root_as_srv_target_means_that_the_service_is_not_available() -> None:
+    async def test(fixture: DnsFixture) -> None:
+        node, sources, discovery = start_sources(fixture)
         discovery.tell("full", ("s0", "in"))
         await asyncio.sleep(0.1)
-        lab.zone.put(SERVICE, "SRV", 2, ["0 0 0 ."])
+        fixture.zone.put(SERVICE, "SRV", 2, ["0 0 0 ."])
         await asyncio.sleep(60.0)
         assert node.serving == {"s0"}
         sources.close()
 
-    play(test)
+    run_virtual(test)
 
 
-def test_the_known_list_serves_where_no_source_is_alive_and_yields_to_one_that_is() -> None:
-    async def test(lab: Lab) -> None:
-        for server in lab.servers:
+def test_the_initial_list_is_used_only_until_a_source_has_boxes() -> None:
+    async def test(fixture: DnsFixture) -> None:
+        for server in fixture.servers:
             server.how = "silent"
-        node, sources, discovery = made(lab)
+        node, sources, discovery = start_sources(fixture)
         discovery.tell("saved", ("s0", "in"), ("s1", "in"))
         discovery.box_list.on_list("failed", [])
         assert node.serving == {"s0", "s1"} and [
-            form for form, _ in node.told if form in ("saved", "failed")
+            form for form, _ in node.list_calls if form in ("saved", "failed")
         ] == ["saved", "failed"]
         await asyncio.sleep(5.0)
         assert node.serving == {"s0", "s1"}
@@ -195,20 +197,20 @@
         assert node.serving == {"s2"}
         sources.close()
 
-    play(test)
+    run_virtual(test)
 
 
-def test_a_lower_group_comes_in_when_the_higher_can_not_serve_and_leaves_again() -> None:
-    async def test(lab: Lab) -> None:
-        lab.zone.put(
+def test_a_lower_priority_group_is_used_only_while_the_higher_one_can_not_serve() -> None:
+    async def test(fixture: DnsFixture) -> None:
+        fixture.zone.put(
             SERVICE, "SRV", 2, [f"{10 * (1 + n // 2)} 10 8001 s{n}.{ZONE}" for n in range(4)]
         )
-        node, sources, _ = made(lab)
+        node, sources, _ = start_sources(fixture)
         await asyncio.sleep(0.1)
         first, second = ({f"{BOXES[f's{n}'][0]}:8001" for n in pair} for pair in ((0, 1), (2, 3)))
         assert node.serving == first
         node.down = first
-        await asyncio.sleep(2 * LOOK_S)
+        await asyncio.sleep(2 * GROUP_CHECK_S)
         assert node.serving == first | second
         node.down = set()
         await asyncio.sleep(RETURN_MS / 2000.0)
@@ -217,72 +219,72 @@
         assert node.serving == first
         sources.close()
 
-    play(test)
+    run_virtual(test)
 
 
-def test_weights_are_those_of_rfc_2782_over_their_groups_mean() -> None:
-    async def test(lab: Lab) -> None:
-        lab.zone.put(
+def test_weights_are_relative_to_the_mean_of_their_priority() -> None:
+    async def test(fixture: DnsFixture) -> None:
+        fixture.zone.put(
             SERVICE,
             "SRV",
             2,
             [f"0 {weight} 8001 s{n}.{ZONE}" for n, weight in enumerate((30, 10, 20, 0))],
         )
-        node, sources, _ = made(lab)
+        node, sources, _ = start_sources(fixture)
         await asyncio.sleep(0.1)
         weights = [node.module[f"{host}:{port}"].weight for host, port in BOXES.values()]
         assert weights == pytest.approx([2.0, 2 / 3, 4 / 3, 0.05])
         sources.close()
 
-    play(test)
+    run_virtual(test)
 
 
-def test_an_address_that_moves_from_one_name_to_another_stays_in_service() -> None:
-    async def test(lab: Lab) -> None:
-        node, sources, _ = made(lab)
+def test_an_address_whose_target_name_changes_stays_in_service() -> None:
+    async def test(fixture: DnsFixture) -> None:
+        node, sources, _ = start_sources(fixture)
         await asyncio.sleep(0.1)
-        before = len(node.told)
-        lab.zone.serve({f"renamed-{name}": address for name, address in BOXES.items()})
+        before = len(node.list_calls)
+        fixture.zone.serve({f"renamed-{name}": address for name, address in BOXES.items()})
         await asyncio.sleep(10.0)
-        assert len(node.serving) == len(BOXES) and len(node.told) == before
+        assert len(node.serving) == len(BOXES) and len(node.list_calls) == before
         sources.close()
 
-    play(test)
+    run_virtual(test)
 
 
-def test_targets_without_addresses_along_are_looked_up_and_one_that_fails_is_not_gone() -> None:
-    async def test(lab: Lab) -> None:
-        lab.zone.glue = False
-        node, sources, _ = made(lab)
+def test_targets_without_additional_addresses_are_looked_up_and_a_failure_removes_none() -> None:
+    async def test(fixture: DnsFixture) -> None:
+        fixture.zone.glue = False
+        node, sources, _ = start_sources(fixture)
         await asyncio.sleep(0.2)
         assert len(node.serving) == len(BOXES)
-        assert {kind for server in lab.servers for _, _, kind in server.asked} == {"SRV", "A"}
-        lab.zone.put(f"s2.{ZONE}", "CNAME", 2, [f"s2.{ZONE}"])
-        lab.zone.put(f"s2.{ZONE}", "A", 2, [])
+        assert {kind for server in fixture.servers for _, _, kind in server.asked} == {"SRV", "A"}
+        fixture.zone.put(f"s2.{ZONE}", "CNAME", 2, [f"s2.{ZONE}"])
+        fixture.zone.put(f"s2.{ZONE}", "A", 2, [])
         await asyncio.sleep(20.0)
         assert len(node.serving) == len(BOXES)
         sources.close()
 
-    play(test)
+    run_virtual(test)
 
 
-def test_a_reload_moves_to_other_resolvers_in_the_middle_of_a_query() -> None:
-    async def test(lab: Lab) -> None:
-        for server in lab.servers[:2]:
+def test_a_reload_changes_the_resolvers_during_a_query() -> None:
+    async def test(fixture: DnsFixture) -> None:
+        for server in fixture.servers[:2]:
             server.how = "silent"
-        node, sources, _ = made(lab)
+        node, sources, _ = start_sources(fixture)
         assert sources.dns is not None and node is not None
-        options = replace_dns(sources, resolvers=[f"{lab.addresses[2][0]}:53"])
-        first = replace_dns(sources, resolvers=[f"{host}:53" for host, _ in lab.addresses[:2]])
+        options = replace_dns(sources, resolvers=[f"{fixture.addresses[2][0]}:53"])
+        first = replace_dns(sources, resolvers=[f"{host}:53" for host, _ in fixture.addresses[:2]])
         sources.reload(first)
-        await asyncio.sleep(0.2)  # the first query is out
+        await asyncio.sleep(0.2)  # the first query is pending
         assert not node.servers
         sources.reload(options)
         await asyncio.sleep(0.05)
         assert len(node.serving) == len(BOXES)
         sources.close()
 
-    play(test, servers=3)
+    run_virtual(test, servers=3)
 
 
 def replace_dns(sources: Sources, **changes: Any) -> SourcesTable:
@@ -293,16 +295,14 @@
     return msgspec.structs.replace(options, dns=msgspec.structs.replace(options.dns, **changes))
 
 
-def test_a_file_of_known_boxes_serves_while_nothing_else_does_and_a_bad_one_changes_nothing() -> (
-    None
-):
-    async def test(lab: Lab) -> None:
-        side = seam.SIDE.get()
+def test_boxes_of_a_file_are_used_as_fallback_and_an_invalid_file_changes_nothing() -> None:
+    async def test(fixture: DnsFixture) -> None:
+        side = seam.CURRENT_SYSTEM.get()
         files: dict[str, bytes] = side.files  # type: ignore[attr-defined]
         files["boxes.toml"] = FILE
-        for server in lab.servers:
+        for server in fixture.servers:
             server.how = "silent"
-        node, sources, discovery = made(lab, file=FileTable(path="boxes.toml"))
+        node, sources, discovery = start_sources(fixture, file=FileTable(path="boxes.toml"))
         assert node.serving == {"spare"}
         files["boxes.toml"] = FILE + b"[[box]]\naddress = 5\n"
         sources.reload(sources._options)
@@ -314,17 +314,17 @@
         assert node.serving == {"s0"}
         sources.close()
 
-    play(test)
+    run_virtual(test)
 
 
-def test_what_the_view_says_and_that_a_fall_is_told_in_it() -> None:
-    async def test(lab: Lab) -> None:
+def test_the_view_shows_the_rules_and_a_held_removal_of_many_boxes() -> None:
+    async def test(fixture: DnsFixture) -> None:
         import orjson
 
-        node, sources, discovery = made(lab, guard=GuardTable(hold_s=5.0))
+        node, sources, discovery = start_sources(fixture, guard=GuardTable(hold_s=5.0))
         await asyncio.sleep(0.1)
         discovery.tell("full", *((name, "in") for name in BOXES))
-        lab.zone.serve({})
+        fixture.zone.serve({})
         discovery.tell("full", ("s0", "in"))
         view = orjson.loads(sources.dump())
         assert [source["name"] for source in view["sources"]] == ["list", "dns", "known"]
@@ -337,18 +337,21 @@
         assert node.serving == {"s0"}
         sources.close()
 
-    play(test)
+    run_virtual(test)
 
 
-def test_options_that_can_not_be_are_named() -> None:
-    from corkshift.cli.operator import BadOperatorFile, parse
+def test_invalid_options_are_named() -> None:
+    from corkshift.cli.operator import BadOperatorFile, parse_operator_file
 
-    text = '[sources.dns]\nservice = "a..b"\nresolvers = ["ns.example:53"]\nfloor_s = 9.0\nceiling_s = 1.0\nmay = ["fly"]\n'
+    text = (
+        '[sources.dns]\nservice = "a..b"\nresolvers = ["ns.example:53"]\n'
+        'floor_s = 9.0\nceiling_s = 1.0\nmay = ["fly"]\n'
+    )
     with pytest.raises(BadOperatorFile) as caught:
-        parse(b"format = 1\n" + text.encode(), "op.toml")
+        parse_operator_file(b"format = 1\n" + text.encode(), "op.toml")
     assert [fault.path for fault in caught.value.faults] == ["sources.dns.may[0]"]
     with pytest.raises(BadOperatorFile) as caught:
-        parse(b"format = 1\n" + text.replace("fly", "add").encode(), "op.toml")
+        parse_operator_file(b"format = 1\n" + text.replace("fly", "add").encode(), "op.toml")
     assert [fault.path for fault in caught.value.faults] == [
         "sources.dns.resolvers[0]",
         "sources.dns.floor_s",
