--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -212,7 +212,7 @@
     wire = NameServer(("127.0.0.1", 53), zone).answers(query(SERVICE, "SRV", 1, 0).wire, True)[0]
     options = SourcesTable(dns=DnsTable(service=SERVICE))
     merged = Membership(options.rights(), options.guard.guard())
-    merged.tell("list", [Claim(address, name=name) for name, address in boxes.items()], 0.0)
+    merged.update("list", [Claim(address, name=name) for name, address in boxes.items()], 0.0)
     begun = time.process_time()
     for n in range(rounds):
         answer = read(wire, query(SERVICE, "SRV", 1, 0), stream=True)
@@ -220,7 +220,7 @@
             target: Kept(Answer(life, addresses=addresses), 0.0, 1.0)
             for target, (life, addresses) in answer.extra.items()
         }
-        merged.tell("dns", claims_of(answer.services, dict(found)), float(n))
+        merged.update("dns", claims_of(answer.services, dict(found)), float(n))
         assert len(merged.merge(float(n))) == BOXES
     return 1_000.0 * (time.process_time() - begun) / rounds
 
--- a/corkshift/address_book.py
+++ b/corkshift/address_book.py
@@ -22,8 +22,8 @@
 from corkshift.upstream import CacheServer, Pool
 from forkweir import Server
 from forkweir.known.departures import Departures
-from forkweir.known.hearsay import SUSPECT_MS, Hearsay, Word
-from forkweir.known.starts import Starts
+from forkweir.known.start_times import StartTimes
+from forkweir.known.unconfirmed import UNREADABLE_TIMEOUT_MS, UnconfirmedEntries, UnconfirmedEntry
 
 log = logging.getLogger(__name__)
 
@@ -70,9 +70,9 @@
         self._pool = pool
         self._known: dict[str, Server] = {}  # each server of the book as a whole line last had it
         self._names_at: dict[Address, dict[str, None]] = {}
-        self._hearsay = Hearsay()
+        self._hearsay = UnconfirmedEntries()
         self._departures = Departures()
-        self._starts = Starts()
+        self._starts = StartTimes()
         self._overruled: dict[
             str, Overruled
         ] = {}  # in service by a list that is older than their departure
@@ -106,8 +106,8 @@
         if whole and self._overruled:
             for name in self._overruled.keys() - {server.name for server, _ in listed}:
                 del self._overruled[name]
-        free = self._hearsay.settle((server.name for server, _ in pairs), all_missed)
-        if self._lapsing is not None and not self._hearsay.held:
+        free = self._hearsay.confirm((server.name for server, _ in pairs), all_missed)
+        if self._lapsing is not None and not self._hearsay.held_back:
             self._lapsing.cancel()
             self._lapsing = None
         if not large:
@@ -135,7 +135,7 @@
         An entry that was read before is the same object (`listing.EntryCache`), so that this costs a look-up for each. Which of several
         servers at one address counts is told by all of them together.
         """
-        known, held, departures = self._known, set(self._hearsay.held), self._departures
+        known, held, departures = self._known, set(self._hearsay.held_back), self._departures
         return [
             (server, address)
             for server, address in listed
@@ -160,7 +160,7 @@
         names = {server.name for server, _ in listed}
         gone = self._unlisted(name for name in self._node.servers if name not in names)
         for name, server in gone.items():
-            self._departures.note(name, generation, server.started_ms, now_ms())
+            self._departures.record(name, generation, server.started_ms, now_ms())
         return gone
 
     def _unlisted(self, names: Iterable[str]) -> dict[str, Server]:
@@ -169,7 +169,7 @@
     def _tell(self, form: str, entries: Iterable[Server]) -> None:
         """Hand entries on, with their starts on this node's clock."""
         first, now = not self.read and form != "hearsay", now_ms()
-        self._node.on_list(form, [self._starts.read(server, first, now) for server in entries])
+        self._node.on_list(form, [self._starts.localize(server, first, now) for server in entries])
 
     # -- lines that are not whole --------------------------------------------------------
 
@@ -179,7 +179,7 @@
         generation: of that line; None where it can't be read, and it is taken for the one after the latest.
         """
         book = self._node.servers
-        words: list[Word] = []
+        words: list[UnconfirmedEntry] = []
         strangers: list[Address] = []
         for claim in claims:
             name, state = claim.server.name, claim.server.state
@@ -199,35 +199,39 @@
                     other for other in self._names_at.get(claim.address, ()) if other in self._known
                 ]
                 words += [
-                    Word(other, "draining", same_place=True)
+                    UnconfirmedEntry(other, "draining", same_address=True)
                     for other in at_place
                     if self._known[other].started_ms < begun
                 ]
             there, known = book.get(name), self._known.get(name)
             if there is not None and known is not None:
                 later = state == "in" and claim.server.started_ms > known.started_ms
-                words.append(Word(name, state, claim.address in (None, there.address), later))
+                words.append(
+                    UnconfirmedEntry(name, state, claim.address in (None, there.address), later)
+                )
         if strangers:
             self._node.overheard(strangers, whole=False)
         if not words:
             return
-        held_before = set(self._hearsay.held)
+        held_before = set(self._hearsay.held_back)
         in_service = sum(server.leaving_ms is None for server in book.values())
         words = [
             word for word in words if word.name in held_before or book[word.name].leaving_ms is None
         ]
-        back, cold = self._hearsay.heed(words, in_service, now_ms())
-        held = set(self._hearsay.held)
+        back, cold = self._hearsay.apply(words, in_service, now_ms())
+        held = set(self._hearsay.held_back)
         for claim in claims:
             # Only who is held back, so that an older list may still bring back the last server (see `hearsay`).
             if claim.server.name in held and claim.server.state in ("draining", "gone"):
                 stated = (self.generation or 0) + 1 if generation is None else generation
-                self._departures.note(claim.server.name, stated, claim.server.started_ms, now_ms())
+                self._departures.record(
+                    claim.server.name, stated, claim.server.started_ms, now_ms()
+                )
         entries = [replace(self._known[name], state="draining") for name in back]
         starts = {claim.server.name: claim.server.started_ms for claim in claims}
         for name in cold:
             self._known[name] = replace(self._known[name], started_ms=starts[name])
-            if name not in self._hearsay.held:
+            if name not in self._hearsay.held_back:
                 entries.append(self._known[name])
         for name in back:
             self._leave(name, gone=False)
@@ -236,7 +240,7 @@
             if self._lapsing is not None:
                 self._lapsing.cancel()
             self._lapsing = asyncio.get_running_loop().call_later(
-                (SUSPECT_MS + 1.0) / 1000.0, self._lapse
+                (UNREADABLE_TIMEOUT_MS + 1.0) / 1000.0, self._lapse
             )
         if entries:
             self._tell("hearsay", entries)
@@ -244,7 +248,7 @@
     def _lapse(self) -> None:
         """Some servers may have been held back for long enough (the last word on any of them is that old)."""
         self._lapsing = None
-        free = self._back(self._hearsay.lapse(now_ms()))
+        free = self._back(self._hearsay.expire(now_ms()))
         if free:
             self._tell("hearsay", free)
 
@@ -289,9 +293,9 @@
                     taken.append((replace(server, state="draining"), address))
                 continue
             if server.state == "in":
-                self._departures.returned(server.name)
+                self._departures.forget(server.name)
             else:
-                self._departures.note(server.name, generation, server.started_ms, now)
+                self._departures.record(server.name, generation, server.started_ms, now)
             self._overruled.pop(server.name, None)
             taken.append((server, address))
         return taken
@@ -302,7 +306,7 @@
         for name, entry in list(self._overruled.items()):
             if not self._departures.outranks(name, entry.generation, entry.server.started_ms, now):
                 del self._overruled[name]
-                self._departures.returned(name)
+                self._departures.forget(name)
                 pairs.append((entry.server, entry.address))
         if self._overruled:
             asyncio.get_running_loop().call_later(REINSTATE_S, self._reinstate)
--- a/corkshift/cli/members.py
+++ b/corkshift/cli/members.py
@@ -123,10 +123,10 @@
         self.failures: list[tuple[str, str]] = []
 
     def tell(self, source: str, claims: Iterable[Claim], full: bool = True) -> None:
-        self.merged.tell(source, claims, now_ms(), full)
+        self.merged.update(source, claims, now_ms(), full)
 
     def failed(self, source: str, why: str) -> None:
-        self.merged.failed(source, why)
+        self.merged.mark_failed(source, why)
         self.failures.append((source, why))
 
 
--- a/corkshift/frontend.py
+++ b/corkshift/frontend.py
@@ -22,7 +22,7 @@
 from corkshift.relay import Relay
 from corkshift.seam import Address, Socket, now_ms
 from corkshift.stream import CHUNK, Stream
-from forkweir.limits.duty import LONGEST_MS, Duty, Leave
+from forkweir.limits.lifecycle import MAX_COUNTED_DEADLINE_MS, Lifecycle, ShutdownSchedule
 
 log = logging.getLogger(__name__)
 
@@ -301,7 +301,7 @@
                 parser,
                 _done(
                     Answer(200, b"ok\n")
-                    if self._frontend.duty.welcome
+                    if self._frontend.duty.accepts_clients
                     else Answer(503, b"draining\n")
                 ),
             )
@@ -413,7 +413,7 @@
     async def _send(self, parser: Parser, answer: Answer) -> bool:
         """Write one answer; whether the connection goes on after it."""
         last = (
-            not self._frontend.duty.lasting
+            not self._frontend.duty.keeps_connections
             and self._pending == 1
             and not self.partial
             and not self._stream.has_input
@@ -470,14 +470,14 @@
     """All client connections, within one budget of sockets."""
 
     def __init__(
-        self, node: Node, listener: Socket, limit: int, body_bytes: int, shared: bool = False, leave: Optional[Leave] = None,
+        self, node: Node, listener: Socket, limit: int, body_bytes: int, shared: bool = False, leave: Optional[ShutdownSchedule] = None,
         presence: Optional[Presence] = None,
     ) -> None:  # fmt: skip
         self.node = node
         self.presence = presence or Presence()
-        self._leave = leave or Leave(LONGEST_MS)
+        self._leave = leave or ShutdownSchedule(MAX_COUNTED_DEADLINE_MS)
         self.budget = BodyBudget(body_bytes)
-        self.duty = Duty()
+        self.duty = Lifecycle()
         self.started = False
         self._shared = shared
         self._limit = limit
@@ -510,11 +510,11 @@
         if self._shared:
             # What waits in the queue is the next process's to take.
             self._listener.close()
-        await asyncio.sleep(leave.take / 1000.0)
+        await asyncio.sleep(leave.accept_ms / 1000.0)
         if not self._shared:
             # What the kernel has accepted may hold requests that count as taken: all of it is taken in, as room comes.
             with suppress(TimeoutError):
-                async with asyncio.timeout_at(begun + leave.answer / 1000.0):
+                async with asyncio.timeout_at(begun + leave.answer_ms / 1000.0):
                     await self._listener.emptied()
             self._listener.close()
         await asyncio.sleep(SAY_S)
@@ -522,9 +522,9 @@
         for connection in list(self._connections):
             if not connection.partial:
                 connection.close_if_unread("ending")
-        await self._left(begun + leave.answer / 1000.0)
+        await self._left(begun + leave.answer_ms / 1000.0)
         self.node.give_up()
-        await self._left(begun + leave.exit / 1000.0)
+        await self._left(begun + leave.exit_ms / 1000.0)
         for connection in list(self._connections):
             connection.abort()
 
@@ -617,10 +617,10 @@
             if now - connection.since_ms <= SHY_MS:
                 break
             connection.close_if_unread("share")
-        if part := self.duty.due(now, SWEEP_S * 1000.0):
+        if part := self.duty.share_to_close(now, SWEEP_S * 1000.0):
             for connection in kept[: ceil(part * len(kept))]:
                 connection.close_if_unread("draining")
-        if self.duty.shed(now):
+        if self.duty.drain_over(now):
             for connection in [c for c in self._silent if now - c.since_ms > SHY_MS]:
                 connection.close_if_unread("draining")
 
--- a/corkshift/service.py
+++ b/corkshift/service.py
@@ -17,7 +17,7 @@
 from corkshift.presence import Presence
 from corkshift.stream import KERNEL_BUFFER
 from corkshift.upstream import Pool
-from forkweir.limits.duty import Leave
+from forkweir.limits.lifecycle import ShutdownSchedule
 
 if TYPE_CHECKING:
     from corkshift.admin import Admin
@@ -57,7 +57,7 @@
         self.node = Node(config, self.pool, min(config.max_open, upstream))
         longest_ms = max((spec.deadline_ms for spec in config.settings.classes), default=0.0)
         self.frontend = Frontend(
-            self.node, self._listener(), sockets - upstream, config.memory_mb * BODY_SHARE, self._shared, Leave(longest_ms),
+            self.node, self._listener(), sockets - upstream, config.memory_mb * BODY_SHARE, self._shared, ShutdownSchedule(longest_ms),
             self.presence,
         )  # fmt: skip
         self.sources: Optional[Sources] = None
--- a/corkshift/sources/boxlist.py
+++ b/corkshift/sources/boxlist.py
@@ -9,14 +9,14 @@
 from corkshift.sources import Sink
 from corkshift.upstream import CacheServer
 from forkweir import Server
-from forkweir.known.membership import Claim, Said
+from forkweir.known.membership import BoxState, Claim
 
 MOST_OVERHEARD = 4_096
 
 
 def claim_of(server: Server, address: Address) -> Claim:
     """What the list says of a server that is in service or drains."""
-    state: Said = "draining" if server.state == "draining" else "in"
+    state: BoxState = "draining" if server.state == "draining" else "in"
     return Claim(
         address,
         state,
--- a/corkshift/sources/hub.py
+++ b/corkshift/sources/hub.py
@@ -19,8 +19,8 @@
 from corkshift.sources.window import Window
 from corkshift.upstream import CacheServer, Pool
 from forkweir import Server
-from forkweir.known.groups import Groups
 from forkweir.known.membership import Box, Claim, Membership
+from forkweir.known.priority_groups import PriorityGroups
 
 log = logging.getLogger(__name__)
 
@@ -36,7 +36,7 @@
         self._pool = pool
         self._options = options
         self._merged = Membership(options.rights(), options.guard.guard())
-        self._groups = Groups()
+        self._groups = PriorityGroups()
         self._told: dict[str, Server] = {}
         self._boxes: list[Box] = []
         self._level = 0
@@ -91,12 +91,12 @@
 
     def tell(self, source: str, claims: Iterable[Claim], full: bool = True) -> None:
         """A source's view (see `Membership.tell`)."""
-        self._merged.tell(source, claims, now_ms(), full)
+        self._merged.update(source, claims, now_ms(), full)
         self._apply({"known": "saved", "list": "changes"}.get(source, "hearsay"))
 
     def failed(self, source: str, why: str) -> None:
         """A source failed: what it said stays."""
-        self._merged.failed(source, why)
+        self._merged.mark_failed(source, why)
         self._apply("hearsay")
 
     def _ask(self, form: str) -> None:
@@ -114,7 +114,7 @@
         """Bring address book and module up to what the merge says now. form: as `Balancer.on_list` has it."""
         now = now_ms()
         self._boxes = self._merged.merge(now)
-        for line in self._merged.reports():
+        for line in self._merged.take_reports():
             log.info("sources: %s", line)
         serving = [box for box in self._boxes if box.server.state == "in"]
         level = self._groups.level(
@@ -168,7 +168,7 @@
             self._timer = None
         if self._closed:
             return
-        due = self._merged.due(now)
+        due = self._merged.next_change_ms(now)
         wait_s = LOOK_S if groups else None
         if due is not None:
             wait_s = min(max(0.0, due - now) / 1000.0 + 0.001, wait_s or float("inf"))
@@ -195,7 +195,7 @@
     """Sources and boxes as `members` and `sources check` show them. level: up to which priority boxes are in use."""
     names = ("name", "state", "age_ms", "boxes", "held")
     return {
-        "sources": [dict(zip(names, row, strict=True)) for row in merged.sources(now)],
+        "sources": [dict(zip(names, row, strict=True)) for row in merged.source_status(now)],
         "boxes": [_row_of(box, box.priority <= level, now) for box in boxes],
     }
 
@@ -209,6 +209,6 @@
         "priority": box.priority,
         "weight": round(box.server.weight, 3),
         "rule": box.rule,
-        "said": dict(box.said),
+        "said": dict(box.states),
         "known_for_ms": round(now - box.since_ms),
     }
--- a/forkweir/choice.py
+++ b/forkweir/choice.py
@@ -23,14 +23,14 @@
     USUAL_SLOW,
     Gate,
 )
-from forkweir.known.asking import Asking
-from forkweir.known.seen import WORDS, Seen
-from forkweir.limits.allowance import Allowances
-from forkweir.limits.fetches import PASS, Fetches
-from forkweir.limits.parts import Parts
-from forkweir.limits.patience import Patience
-from forkweir.limits.savings import ERRORS, REPEATS, Savings
-from forkweir.limits.work import Costs
+from forkweir.known.discovery_polling import PollSchedule
+from forkweir.known.outcomes import OUTCOME_TYPES, AttemptOutcome
+from forkweir.limits.client_wait import ClientWaits
+from forkweir.limits.fetch_budget import EXEMPT_COST, FetchBudget
+from forkweir.limits.request_cost import Costs
+from forkweir.limits.retry_budget import QUICK_ERROR_SHARE, RETRY_SHARE, RetryBudget
+from forkweir.limits.slow_start import SlowStart
+from forkweir.limits.tier_shares import TierShares
 from forkweir.line import Line, position_of
 from forkweir.request import Request
 from forkweir.settings import (
@@ -98,9 +98,9 @@
         self.classes = {spec.name: spec for spec in settings.classes}
         self.fallback = ClassSpec("", repeat="unsafe")
         self.turn = 0
-        self.repeats = Savings(REPEATS)
-        self.errors = Savings(ERRORS)
-        self.patience = Patience()
+        self.repeats = RetryBudget(RETRY_SHARE)
+        self.errors = RetryBudget(QUICK_ERROR_SHARE)
+        self.patience = ClientWaits()
         self.probes = 0
         self.gate = Gate(self.fleet)
         self.least_worth = min(
@@ -108,13 +108,13 @@
         )
         self.costs = Costs()
         worths = [spec.worth for spec in settings.classes]
-        self.allowances = Allowances(settings.fall_multiple, max(worths, default=1.0), seed)
-        self.fetches = Fetches(max(worths, default=1.0))
+        self.allowances = SlowStart(settings.fall_multiple, max(worths, default=1.0), seed)
+        self.fetches = FetchBudget(max(worths, default=1.0))
         self.advice = Advice(settings.backoff_max_ms, seed)
-        self.parts: Optional[Parts] = (
+        self.parts: Optional[TierShares] = (
             None  # of bounds that many nodes share, where they may talk to one another
         )
-        self.asking = Asking(settings.ask_within_ms, self.random, not settings.asked)
+        self.asking = PollSchedule(settings.ask_within_ms, self.random, not settings.asked)
         self.usual = (
             HEDGE_MOST  # the part of their aims in which HEDGE_PART of the attempts are answered
         )
@@ -135,22 +135,22 @@
         "part": changes of a list whose rest follows at once. "moved": discovery is at another place, and is being asked there.
         """
         if form == "moved":
-            self.asking.moved()
+            self.asking.reset()
             return []
         if form in ("failed", "lost"):
-            return [self._ask_at(now + self.asking.wait(form == "lost", now))]
+            return [self._ask_at(now + self.asking.next_wait(form == "lost", now))]
         self.fleet.take(now, entries, form in ("saved", "full"), whole=form != "part")
         if form == "part":
             return []
         actions = self._plan_rebuild(now)
         if form == "saved":
             if self.settings.asked:
-                actions.append(self._ask_at(now + self.asking.first()))
+                actions.append(self._ask_at(now + self.asking.initial_wait()))
             if self.settings.may_probe and self.settings.reports == "on_probe" and not self.probes:
                 actions.append(("timer", 2, now + PROBE_MS * 0.2 * self.random.random()))
             return actions
         if form != "hearsay":
-            self.asking.heard()
+            self.asking.record_line()
         return actions
 
     def _ask_at(self, due: float) -> Action:
@@ -246,7 +246,7 @@
         position = self.random.random() if key is None else position_of(key)
         deadline = now + budget_ms
         # A client that repeats has waited since its first try (guards against full servers working on what is late already).
-        waited = self.patience.waited(spec.name, budget_ms, repeated, spec.deadline_ms)
+        waited = self.patience.waited_ms(spec.name, budget_ms, repeated, spec.deadline_ms)
         aim_at = (
             now - waited + spec.aim_ms + spec.aim_stretch * work_ms - 2.0 * self.settings.tick_ms
         )
@@ -256,8 +256,8 @@
         request = Request(
             request_id, spec, key, position, min(aim_at, deadline), deadline, work_ms, write
         )
-        request.cost = self.costs.of(spec, work_ms)
-        self.allowances.asked(now, request.cost, self.fleet.warm(now))
+        request.cost = self.costs.cost_ms(spec, work_ms)
+        self.allowances.record_request(now, request.cost, self.fleet.warm(now))
         self.repeats.earn()
         self.errors.earn()
         if key is not None:
@@ -278,16 +278,14 @@
         # Nor one that would wait at an origin which is slow already (guards against fetches that time out, are given up, and
         # leave nothing in any cache, as long as clients ask).
         fetches = self.fetches
-        if fetches.pressed or self.parts is not None:
+        if fetches.limiting or self.parts is not None:
             known = fetches.remembers(position, target.info.name, target.warm_ms)
             expected = fetches.expected(known, write)
             if self.parts is not None:
-                self.parts.wants_fetches(expected, fetches.flight_ms, now)
-                fetches.dealt = self.parts.fetches(fetches.would_be, now)
-            if not fetches.has(expected, spec.worth):
-                return [
-                    self._refuse(request, "origin", fetches.opens_in(expected, spec.worth), now)
-                ]
+                self.parts.wants_fetches(expected, fetches.fetch_ms, now)
+                fetches.allocated = self.parts.fetches(fetches.prospective_limit, now)
+            if not fetches.may_send(expected, spec.worth):
+                return [self._refuse(request, "origin", fetches.wait_ms(expected, spec.worth), now)]
         # A write that the origin carries out late is lost and still voids the kept object (guards
         # against an origin in trouble taking the hits away as well).
         if write and self.gate.origin_slow > ORIGIN_DOWN and self.random.random() >= WRITE_TRIAL:
@@ -309,7 +307,7 @@
                 and fleet.is_cold(member, now)
                 and fleet.usable(member, now)
             ):
-                opens = self.allowances.opens_in(
+                opens = self.allowances.wait_ms(
                     member.account, self._cold_rate(member, now), request.cost, now
                 )
                 soonest = opens if soonest is None else min(soonest, opens)
@@ -319,7 +317,7 @@
         """Note when a request will have been out for long, and see to it that somebody looks."""
         if request.spec.repeat == "unsafe":
             return []
-        trial = request.servers[-1].trial == request.id
+        trial = request.servers[-1].trial_request == request.id
         due = (
             now
             + (TRIAL_PART if trial else min(max(HEDGE_LEAST, self.usual), HEDGE_MOST))
@@ -359,22 +357,24 @@
         last = max(request.out)
         member = request.servers[last]
         calm = self.gate.origin_slow <= ORIGIN_SLOW
-        tried = member.trial == request.id
-        trial = tried and not member.strikes  # of a server that is in doubt; the others were struck
+        tried = member.trial_request == request.id
+        trial = (
+            tried and not member.ejections
+        )  # of a server that is in doubt; the others were struck
         if not trial and (
             tried
             or calm
             and self.fleet.silent_for(member, request.sent[last], request.spec.aim_ms, now)
         ):
-            member.strike(now)
-        unfit = not self.repeats.enough or self.usual > HEDGE_MOST or not calm
+            member.eject(now)
+        unfit = not self.repeats.may_retry or self.usual > HEDGE_MOST or not calm
         if (
             (unfit and not trial)
             or request.tries >= self.settings.max_attempts
             or not self.settings.second_copies
         ):
             return []
-        alive = member.heard_ms > request.sent[last] and self.fleet.usable(member, now)
+        alive = member.last_answer_ms > request.sent[last] and self.fleet.usable(member, now)
         target = (
             member if alive and self._has_room(member, request, now) else self._pick(request, now)
         )
@@ -409,11 +409,11 @@
         if request.write and not start:
             # A write finds nothing in its home's cache and goes through to the origin from any
             # server (guards against slow homes making the heaviest class late).
-            least = QUICKER * fleet.speeds.quickness(near[0].info.kind)
+            least = QUICKER * fleet.speeds.work_rate(near[0].info.kind)
             for step in range(1, len(near) if least else 0):
                 member = near[step]
                 if (
-                    fleet.speeds.quickness(member.info.kind) >= least
+                    fleet.speeds.work_rate(member.info.kind) >= least
                     and not member.strain
                     and not fleet.is_cold(member, now)
                 ):
@@ -432,7 +432,7 @@
         full: Optional[Member] = None
         for member in near:
             if fleet.usable(member, now) and member not in tried and not fleet.is_cold(member, now):
-                if member.calm:
+                if member.rejects_little:
                     return member
                 full = full or member
         if full is not None:
@@ -447,7 +447,7 @@
                     cold.append(member)
                 elif fleet.usable(member, now):
                     return member
-                elif spare is None or member.out_until < spare.out_until:
+                elif spare is None or member.ejected_until < spare.ejected_until:
                     spare = member
         # No warm server is left: the nearest cold ones with room, home first (guards against a fleet that is cold as a whole
         # turned away as a whole, or sent to one server).
@@ -483,8 +483,8 @@
             )
         rate = self._cold_rate(member, now)
         if member.account is None:
-            member.account = self.allowances.open(now, request.cost, rate, member.known_ms)
-        return self.allowances.has(member.account, rate, request.cost, request.spec.worth, now)
+            member.account = self.allowances.open_bucket(now, request.cost, rate, member.known_ms)
+        return self.allowances.may_send(member.account, rate, request.cost, request.spec.worth, now)
 
     def _cold_rate(self, member: Member, now: float) -> float:
         """What a cold server may get now, in work a ms."""
@@ -506,14 +506,14 @@
         known = self.fetches.remembers(request.position, member.info.name, member.warm_ms)
         expected = self.fetches.expected(known, request.write)
         request.fetches[request.tries] = expected, known
-        self.fetches.pay(expected)
+        self.fetches.record_sent(expected)
         request.tries += 1
         request.servers.append(member)
         request.sent.append(now)
-        member.sent(request.id, request.spec.aim_ms, now)
+        member.record_sent(request.id, request.spec.aim_ms, now)
         if member.account is not None and self.fleet.is_cold(member, now):
-            self.allowances.pay(member.account, request.cost, request.spec.worth, now)
-        self.fleet.zones.sent(member.info.zone, request.spec.aim_ms, now)
+            self.allowances.spend(member.account, request.cost, request.spec.worth, now)
+        self.fleet.zones.record_sent(member.info.zone, request.spec.aim_ms, now)
         until = (
             request.aim_at
             if request.spec.late_worth <= 0.0 and request.aim_at > now
@@ -575,10 +575,10 @@
         )
         if again is not None and not self._has_room(again, request, now):
             again = None
-        if again is not None and (again.faults > 1 or request.servers.count(again) > 1):
+        if again is not None and (again.consecutive_faults > 1 or request.servers.count(again) > 1):
             again = None
         if (
-            seen.full
+            seen.overloaded
             and left > 0.25 * request.spec.aim_ms
             and request.tries < self.settings.max_attempts
         ):
@@ -594,7 +594,7 @@
             hopeful
             and left > 0.25 * request.spec.aim_ms
             and request.tries < self.settings.max_attempts
-            and (free or savings.enough)
+            and (free or savings.may_retry)
         ):
             target = again or self._pick(request, now)
             if (
@@ -610,10 +610,10 @@
     def _seen(
         self, request: Optional[Request], attempt: int, member: Optional[Member], status: str, note: int, elapsed_ms: float,
         request_id: int, now: float,
-    ) -> Seen:  # fmt: skip
+    ) -> AttemptOutcome:  # fmt: skip
         """An outcome with what its attempt had."""
-        word = WORDS.get(status, Seen)
-        trial = member is not None and member.trial == request_id
+        word = OUTCOME_TYPES.get(status, AttemptOutcome)
+        trial = member is not None and member.trial_request == request_id
         if request is None:
             return word(note, elapsed_ms, None, trial=trial)
         expected, known = request.fetches.get(attempt, NO_FETCH)
@@ -631,46 +631,48 @@
             request.tries,
         )
 
-    def _load(self, request: Request, member: Member, seen: Seen, now: float) -> None:
+    def _load(self, request: Request, member: Member, seen: AttemptOutcome, now: float) -> None:
         """What an outcome tells of what servers bear."""
         if not seen.cold:
-            if seen.cost_told:
-                self.costs.learn(request.spec, seen.elapsed_ms)
+            if seen.reveals_cost:
+                self.costs.record_answer(request.spec, seen.elapsed_ms)
             if seen.in_time:
-                self.allowances.borne(request.cost)
+                self.allowances.record_served(request.cost)
         elif member.account is not None:
-            if seen.pressed:
-                self.allowances.pressed(member.account, now)
+            if seen.overload:
+                self.allowances.record_overload(member.account, now)
             elif seen.served:
-                self.allowances.eased(member.account)
+                self.allowances.record_success(member.account)
         longer = seen.longer_than(self.usual)
         if longer is not None:
             self._learn(longer)
 
-    def _fetched(self, request: Request, attempt: int, seen: Seen, server: str, now: float) -> None:
+    def _fetched(
+        self, request: Request, attempt: int, seen: AttemptOutcome, server: str, now: float
+    ) -> None:
         """An attempt has ended: what it tells of the origin."""
         if attempt not in request.fetches:
             return
         fetches = self.fetches
         del request.fetches[attempt]
-        fetches.back(seen.likely_miss, now if seen.fetch_over else None)
+        fetches.record_ended(seen.miss_probability, now if seen.fetch_ended else None)
         jammed = (
             self.gate.slow > USUAL_SLOW
         )  # servers are slow by themselves: a time-out tells nothing of the origin
         missed = seen.missed(jammed)
         if missed is not None:
-            fetches.learn(seen.known, missed)
+            fetches.record_read(seen.served_last, missed)
         if seen.served:
-            fetches.served(request.position, server, request.write, now)
+            fetches.record_served(request.position, server, request.write, now)
             if seen.fetched and not jammed:
-                fetches.judge(seen.elapsed_ms / request.spec.aim_ms, now)
-        elif not jammed and seen.fetch_lost(PASS):
-            fetches.judge(None, now)
+                fetches.record_fetch(seen.elapsed_ms / request.spec.aim_ms, now)
+        elif not jammed and seen.fetch_failed(EXEMPT_COST):
+            fetches.record_fetch(None, now)
 
     def _settle(self, request: Request) -> None:
         """A request is over: nothing of it is expected of the origin any more."""
         for expected, _ in request.fetches.values():
-            self.fetches.back(expected)
+            self.fetches.record_ended(expected)
         request.fetches.clear()
 
     def _learn(self, longer: bool) -> None:
--- a/forkweir/fleet.py
+++ b/forkweir/fleet.py
@@ -16,10 +16,10 @@
 from typing import Optional
 
 from forkweir.known.health import STATES, Health, HealthTable, State
-from forkweir.known.seen import Seen
-from forkweir.known.speeds import Pace, Speeds
+from forkweir.known.outcomes import AttemptOutcome
+from forkweir.known.speeds import LoadTotals, Speeds
 from forkweir.known.zones import Zones
-from forkweir.limits.allowance import Account
+from forkweir.limits.slow_start import TokenBucket
 from forkweir.placement import NEIGHBOURS, SMALLEST_RANGES, Placement, build, ranges_for
 from forkweir.settings import Server, Settings
 
@@ -63,12 +63,12 @@
         self.warm_ms = info.started_ms
         self.told_ms = info.started_ms  # as the list last had it
         self.known_ms = 0.0  # when the node heard of its start
-        self.pace = Pace()
+        self.pace = LoadTotals()
         self.strain = 0.0
         self.strain_ms = 0.0
         self.slow_row = 0
         self.good = 0.0
-        self.account: Optional[Account] = None  # what it may get while it is cold
+        self.account: Optional[TokenBucket] = None  # what it may get while it is cold
 
     def listed(self, info: Server) -> None:
         """The list has this of it from now on."""
@@ -173,7 +173,7 @@
             return member
         member.told_ms = told
         if info.started_ms != member.info.started_ms:
-            member.restarted()
+            member.record_restart()
             member.warm_ms, member.known_ms = info.started_ms, now
             member.account = None
         was, drained = member.present, member.draining
@@ -330,7 +330,7 @@
 
     def kept(self, member: Member, now: float) -> float:
         """The part of its ranges that a server takes now; neighbours get the rest. Of a cold one the allowance takes its part too."""
-        part = self.speeds.pace(member.info.kind, member.pace, self.weight_of(member))
+        part = self.speeds.relative_capacity(member.info.kind, member.pace, self.weight_of(member))
         if member.strain:
             fade = exp((member.strain_ms - now) / STRAIN_MS)
             part /= 1.0 + member.strain * fade / (1.0 + EASE * member.good * fade)
@@ -354,7 +354,7 @@
                 if member.present:
                     part = self.weight_of(member)
                     weight += part
-                    if member.out_until <= now and not self.is_cold(member, now):
+                    if member.ejected_until <= now and not self.is_cold(member, now):
                         warm += part
             self.weight, self.warm_weight = weight, warm
         return self.warm_weight
@@ -366,11 +366,11 @@
     def report(self, member: Member, load: list[float], now: float) -> None:
         """Learn speed from a load report; a cold server's tells nothing of its kind."""
         if not self.is_cold(member, now):
-            self.speeds.report(member.info.kind, member.pace, self.weight_of(member), load)
+            self.speeds.record_load(member.info.kind, member.pace, self.weight_of(member), load)
 
     def usable(self, member: Member, now: float) -> bool:
         """Whether an attempt may go to a server at all."""
-        return member.free(now) and not self.zones.cut(member.info.zone, now)
+        return member.may_get_requests(now) and not self.zones.is_partitioned(member.info.zone, now)
 
     def states(self, now: float) -> dict[State, int]:
         """How many servers are in each state of health."""
@@ -409,7 +409,7 @@
             return None
         for member in chain(self.neighbours(r), self.from_turn(r)):
             if (
-                member.calm
+                member.rejects_little
                 and self.usable(member, now)
                 and member not in tried
                 and not self.is_cold(member, now)
@@ -417,23 +417,23 @@
                 return member
         return None
 
-    def judge(self, member: Member, seen: Seen, now: float) -> None:
+    def judge(self, member: Member, seen: AttemptOutcome, now: float) -> None:
         """Note what an outcome tells of whether a server is there and has room."""
-        if self.health.judge(member, seen, now):
+        if self.health.record_outcome(member, seen, now):
             # Back from the dead without word from the list: it may be cold (guards against
             # a full range falling on a server whose restart the list has yet to tell).
             member.warm_ms = member.known_ms = now
             member.account = None
             seen.cold = True
-        self.zones.heard(member.info.zone, seen, now)
+        self.zones.record_outcome(member.info.zone, seen, now)
 
-    def doubted(self, member: Member, seen: Seen, now: float) -> float:
+    def doubted(self, member: Member, seen: AttemptOutcome, now: float) -> float:
         """Note how an attempt went; how likely its server is bad."""
-        return self.health.doubted(member, seen, self.placed, self.live, now)
+        return self.health.update_suspicion(member, seen, self.placed, self.live, now)
 
     def silent_for(self, member: Member, sent_ms: float, aim_ms: float, now: float) -> bool:
         """Note a request out for long; whether the server is to be put out for saying nothing."""
-        return self.health.silent_for(member, sent_ms, aim_ms, self.placed, self.live, now)
+        return self.health.record_unanswered(member, sent_ms, aim_ms, self.placed, self.live, now)
 
 
 def _name_of(member: Member) -> str:
--- a/forkweir/gate.py
+++ b/forkweir/gate.py
@@ -5,7 +5,7 @@
 from math import exp
 
 from forkweir.fleet import STRAIN_MS, Fleet, Member
-from forkweir.known.seen import Seen
+from forkweir.known.outcomes import AttemptOutcome
 
 ORIGIN_STEP = 0.1  # weight of one miss in the judgement of the origin
 ORIGIN_SLOW = 0.6  # misses that take this part of the aim on average: the origin is in trouble
@@ -42,12 +42,12 @@
         self.hits = 1.0  # part of late outcomes that were hits
         self.slow = 0.0  # part of late hits that were slow
 
-    def judge(self, member: Member, seen: Seen, bad: float, now: float) -> None:
+    def judge(self, member: Member, seen: AttemptOutcome, bad: float, now: float) -> None:
         """Tell a slow server from a slow origin by hits and misses. bad: how likely the server is to be bad, 0 to 1."""
         if seen.brief:
             return
         aim, elapsed_ms = seen.aim_ms, seen.elapsed_ms
-        hit = seen.served and seen.told_hit
+        hit = seen.served and seen.reported_hit
         if seen.served:
             # While much goes wrong it opens by time and not by answers (guards against nodes with
             # many requests admitting keys faster than the origin can fetch them).
@@ -68,7 +68,7 @@
                 # says nothing new of the others unless hits are slow at large (guards against a fleet
                 # of servers that are all avoided): neither shuts the gate. Two full queues do. Nor does
                 # a zone in which nothing answers (guards against a cut link taken for overload).
-                (seen.full and seen.tries > 1)
+                (seen.overloaded and seen.tries > 1)
                 or (
                     seen.timed_out
                     and bad <= 0.5
@@ -76,7 +76,7 @@
                         self.slow > JAM
                         or member.strain * exp((member.strain_ms - now) / STRAIN_MS) < 1.0
                     )
-                    and not self.fleet.zones.quiet(member.info.zone)
+                    and not self.fleet.zones.may_be_partitioned(member.info.zone)
                 )
             )
         ):
@@ -84,31 +84,31 @@
             # Quick hits tell that only misses suffer (guards against turning away what a full cache
             # can serve, as a slow origin makes misses late). Not so full queues: what is turned away there is drawn without
             # regard to its worth (guards against orders refused by servers that are full of reads).
-            least = GATE_LEAST if self.slow > USUAL_SLOW or seen.full else GATE_LEAST_QUICK
+            least = GATE_LEAST if self.slow > USUAL_SLOW or seen.overloaded else GATE_LEAST_QUICK
             self.part = min(self.part, max(least, self.part * GATE_SHUT))
         # What all servers do alike says nothing against one (guards against keys scattered over
         # servers that are no better, which turns hits into misses).
         slow = hit and elapsed_ms > SLOW_HIT * aim + 2.0 * seen.work_ms and aim > 0.0
-        if seen.served or seen.timed_out or seen.full:
+        if seen.served or seen.timed_out or seen.overloaded:
             self.bad += BAD_STEP * (1.0 - bad) * ((not seen.served) - self.bad)
-        if seen.served or seen.timed_out or seen.full or seen.error:
+        if seen.served or seen.timed_out or seen.overloaded or seen.error:
             self.hits += BAD_STEP * (hit - self.hits)
         if hit:
             self.slow += BAD_STEP * (slow - self.slow)
         # A bad server tells nothing of the origin (guards against a gate shut for all by the quick errors of a few). An origin in
         # trouble shows at many servers.
-        if seen.error or seen.told_miss:
+        if seen.error or seen.reported_miss:
             part = 1.0 if seen.error or not aim else min(1.0, elapsed_ms / aim)
             # A failure tells of it as far as a miss was likely: a server that fails what it is asked fails hits as well, and held
             # beside misses alone these pass for an origin in trouble (guards against half the fleet's errors that stop repeats
             # and shut the gate while the other half has room). Harm: where nothing but errors comes, it takes some more of them.
-            likely = 1.0 if seen.told_miss else max(seen.likely_miss, FEW_HITS - self.hits)
+            likely = 1.0 if seen.reported_miss else max(seen.miss_probability, FEW_HITS - self.hits)
             self.origin_slow += ORIGIN_STEP * (1.0 - bad) * likely * (part - self.origin_slow)
             # An origin that is down with empty caches before it gets no further while most keys are
             # misses (guards against a collapse that outlasts its cause).
             if self.origin_slow > ORIGIN_DOWN and self.hits < FEW_HITS:
                 self.part = min(self.part, GATE_LEAST)
-        elif seen.timed_out or seen.full or seen.error:
+        elif seen.timed_out or seen.overloaded or seen.error:
             # While the origin is slow keys stay where they are (guards against scattered
             # keys turning hits into misses and keeping the origin down).
             if self.origin_slow < ORIGIN_SLOW:
@@ -117,13 +117,13 @@
                 # misses that are answered take long (guards against servers that are throttled and spared for a quick origin).
                 slow_origin = min(1.0, self.origin_slow / ORIGIN_SLOW) ** 2
                 blame = self.blame() * (
-                    (1.0 - seen.likely_miss * slow_origin) ** 2 if seen.timed_out else 1.0
+                    (1.0 - seen.miss_probability * slow_origin) ** 2 if seen.timed_out else 1.0
                 )
                 if blame > 0.0:  # 0 would count as a good answer
                     self.fleet.strained(member, now, blame, seen.timed_out)
         elif hit and aim:
             if seen.work_ms:
-                self.fleet.speeds.hit(member.info.kind, seen.work_ms, elapsed_ms)
+                self.fleet.speeds.record_hit(member.info.kind, seen.work_ms, elapsed_ms)
             if slow:
                 self.fleet.strained(member, now, 0.5 * max(0.05, 1.0 - 5.0 * self.slow), True)
             else:
--- a/forkweir/known/departures.py
+++ b/forkweir/known/departures.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass
 
 HOLD_MS = 10_000.0  # a replica that is further behind than this is out of service: changes count as notified after 6 s
-MOST = 4_096  # as many as a list may have servers
+MAX_DEPARTURES = 4_096  # as many as a list may have servers
 
 
 @dataclass(frozen=True, slots=True)
@@ -36,7 +36,7 @@
         """Whether a departure of this server is remembered."""
         return name in self._latest
 
-    def note(self, name: str, generation: int, started_ms: float, now: float) -> None:
+    def record(self, name: str, generation: int, started_ms: float, now: float) -> None:
         """A server drains or is gone, by a list of this generation."""
         known = self._latest.pop(name, None)
         if known is not None and known.generation >= generation:
@@ -46,7 +46,7 @@
             started_ms,
             now if known is None or generation > known.generation else known.at_ms,
         )
-        while len(self._latest) > MOST:
+        while len(self._latest) > MAX_DEPARTURES:
             del self._latest[next(iter(self._latest))]
 
     def outranks(self, name: str, generation: int, started_ms: float, now: float) -> bool:
@@ -56,6 +56,6 @@
             return False
         return generation < known.generation and started_ms <= known.started_ms
 
-    def returned(self, name: str) -> None:
+    def forget(self, name: str) -> None:
         """A server is in service again."""
         self._latest.pop(name, None)
--- a/forkweir/known/asking.py
+++ b/forkweir/known/discovery_polling.py
@@ -25,25 +25,33 @@
 
 import random
 
-WAIT = 0.05  # of the time within which the site wants discovery asked: the shortest wait, doubled from the first on
-LONGEST = 4  # doublings
-FIRST = 0.3  # of the time within which the site wants discovery asked: the longest wait of a node that starts,
-FIRST_MOST_MS = 3_000.0  # and its bound
-URGENT_MS = 4_000.0
-URGENT_MOST = 2.0
-SPREAD_MS = 5.0  # over which urgent calls are spread
-AGAIN_MS = (
+BASE_WAIT_FRACTION = 0.05  # of the time within which the site wants discovery asked: the shortest wait, doubled from the first on
+MAX_DOUBLINGS = 4  # doublings
+INITIAL_WAIT_FRACTION = 0.3  # of the time within which the site wants discovery asked: the longest wait of a node that starts,
+MAX_INITIAL_WAIT_MS = 3_000.0  # and its bound
+URGENT_REFILL_MS = 4_000.0
+MAX_URGENT_CALLS = 2.0
+URGENT_JITTER_MS = 5.0  # over which urgent calls are spread
+URGENT_RETRY_MS = (
     40.0  # after an urgent call that failed; two fit into the time in which a drain is to be heeded
 )
-AGENT_MS = 40.0  # between two calls to an agent that did not answer
-SOON_MS = 1_000.0
-LEAST_MS = 20.0
+AGENT_INTERVAL_MS = 40.0  # between two calls to an agent that did not answer
+MAX_WAIT_MS = 1_000.0
+MIN_WAIT_MS = 20.0
 
 
-class Asking:
+class PollSchedule:
     """How long until the next call."""
 
-    __slots__ = ("_within_ms", "_random", "_agent", "_failures", "_urgent", "_at", "_asked")
+    __slots__ = (
+        "_within_ms",
+        "_random",
+        "_agent",
+        "_failures",
+        "_urgent_calls",
+        "_updated_ms",
+        "_urgent_call_made",
+    )
 
     def __init__(self, within_ms: float, rng: random.Random, agent: bool = False) -> None:
         """within_ms: the time that the settings give for asking; agent: lists are pushed to one on the node's own machine."""
@@ -51,43 +59,49 @@
         self._agent = agent
         self._random = rng
         self._failures = 0
-        self._urgent = URGENT_MOST
-        self._at = 0.0
-        self._asked = False  # at once, and nothing was read whole since
+        self._urgent_calls = MAX_URGENT_CALLS
+        self._updated_ms = 0.0
+        self._urgent_call_made = False  # at once, and nothing was read whole since
 
-    def first(self) -> float:
+    def initial_wait(self) -> float:
         """How long a node that starts waits, in ms."""
-        return min(self._within_ms * FIRST, FIRST_MOST_MS) * self._random.random()
+        return (
+            min(self._within_ms * INITIAL_WAIT_FRACTION, MAX_INITIAL_WAIT_MS)
+            * self._random.random()
+        )
 
-    def heard(self) -> None:
+    def record_line(self) -> None:
         """A line was read whole."""
         self._failures = 0
-        self._asked = False
+        self._urgent_call_made = False
 
-    def moved(self) -> None:
+    def reset(self) -> None:
         """Discovery is at another place: what calls to the old one met says nothing of it."""
         self._failures = 0
-        self._asked = False
-        self._urgent = URGENT_MOST
+        self._urgent_call_made = False
+        self._urgent_calls = MAX_URGENT_CALLS
 
-    def wait(self, lost: bool, now: float) -> float:
+    def next_wait(self, lost: bool, now: float) -> float:
         """A call failed or a watch ended. How long to wait, in ms.
 
         lost: in the middle of a line, or with one that can't be read, and no line was read whole since.
         """
-        self._failures = min(self._failures + 1, LONGEST)
+        self._failures = min(self._failures + 1, MAX_DOUBLINGS)
         if self._agent:
-            wait = AGENT_MS if now - self._at < AGENT_MS else 0.0
-            self._at = now + wait
+            wait = AGENT_INTERVAL_MS if now - self._updated_ms < AGENT_INTERVAL_MS else 0.0
+            self._updated_ms = now + wait
             return wait
         if lost:
-            self._urgent = min(URGENT_MOST, self._urgent + max(0.0, now - self._at) / URGENT_MS)
-            self._at = now
-            if self._urgent >= 1.0:
-                self._urgent -= 1.0
-                if self._asked:
-                    return AGAIN_MS * (1.0 + self._random.random())
-                self._asked = True
-                return SPREAD_MS * self._random.random()
-        wait = min(self._within_ms * WAIT * 2.0**self._failures, SOON_MS)
-        return max(LEAST_MS, wait * (0.3 + self._random.random()))
+            self._urgent_calls = min(
+                MAX_URGENT_CALLS,
+                self._urgent_calls + max(0.0, now - self._updated_ms) / URGENT_REFILL_MS,
+            )
+            self._updated_ms = now
+            if self._urgent_calls >= 1.0:
+                self._urgent_calls -= 1.0
+                if self._urgent_call_made:
+                    return URGENT_RETRY_MS * (1.0 + self._random.random())
+                self._urgent_call_made = True
+                return URGENT_JITTER_MS * self._random.random()
+        wait = min(self._within_ms * BASE_WAIT_FRACTION * 2.0**self._failures, MAX_WAIT_MS)
+        return max(MIN_WAIT_MS, wait * (0.3 + self._random.random()))
--- a/forkweir/known/health.py
+++ b/forkweir/known/health.py
@@ -27,22 +27,24 @@
 from collections.abc import Sequence
 from typing import Literal
 
-from forkweir.known.doubt import Doubts, Record
-from forkweir.known.seen import Seen
+from forkweir.known.outcomes import AttemptOutcome
+from forkweir.known.outlier_detection import OutlierDetector, Suspicion
 
 EJECT_MS = 1_000.0  # first ejection; doubles up to the longest
-EJECT_MAX_MS = 8_000.0
-FAULTS_ROW = {
+MAX_EJECT_MS = 8_000.0
+MAX_CONSECUTIVE_FAULTS = {
     "unreachable": 2,
     "broken": 3,
     "spoilt": 4,
 }  # so many faults in a row, with no answer between: the server is out
-TURNED_STEP = 0.1  # weight of one outcome in the part of attempts that a server turns away
-CALM = 0.15  # a server that turns away less than this lately has room
-SILENT_ROW = 4  # so many requests out for that long in a row, with no answer between, over a whole aim: the server is silent
-SILENT_MOST = 0.25  # of the servers that may be put out for silence at once
-MOST_HEARD = 0.34  # of the servers seem bad: no more are put out by what others say
-AWAY_MS = 2_000.0  # out for longer than this it may have started anew without word from the list
+REJECTION_WEIGHT = 0.1  # weight of one outcome in the part of attempts that a server turns away
+LOW_REJECTION_RATE = 0.15  # a server that turns away less than this lately has room
+MAX_UNANSWERED = 4  # so many requests out for that long in a row, with no answer between, over a whole aim: the server is silent
+MAX_UNRESPONSIVE_SHARE = 0.25  # of the servers that may be put out for silence at once
+MAX_PEER_SUSPECT_SHARE = 0.34  # of the servers seem bad: no more are put out by what others say
+PRESUMED_RESTART_MS = (
+    2_000.0  # out for longer than this it may have started anew without word from the list
+)
 
 State = Literal["in_service", "cold", "silent", "doubted", "due", "on_trial", "draining", "gone"]
 STATES: tuple[State, ...] = (
@@ -61,71 +63,73 @@
     """What is held against one server, and what it may get because of it."""
 
     __slots__ = (
-        "present", "draining", "strikes", "faults", "turned", "waited", "waited_ms", "heard_ms", "trial", "out_until", "out_since",
-        "record",
+        "present", "draining", "ejections", "consecutive_faults", "rejection_rate", "unanswered", "unanswered_since_ms",
+        "last_answer_ms", "trial_request", "ejected_until", "ejected_since", "suspicion",
     )  # fmt: skip
 
     def __init__(self, present: bool, draining: bool) -> None:
         self.present = present  # listed in service
         self.draining = draining
-        self.strikes = 0  # times it was put out, with no answer between
-        self.faults = 0  # in a row
-        self.turned = 0.0  # part of late attempts that it turned away
-        self.waited = 0  # requests out for long, in a row,
-        self.waited_ms = 0.0  # and when the first of them was sent
-        self.heard_ms = 0.0  # when it last answered
-        self.trial = -1  # the one request that a server that was put out gets at a time
-        self.out_until = 0.0
-        self.out_since = 0.0
-        self.record = Record()  # of how it did
+        self.ejections = 0  # times it was put out, with no answer between
+        self.consecutive_faults = 0  # in a row
+        self.rejection_rate = 0.0  # part of late attempts that it turned away
+        self.unanswered = 0  # requests out for long, in a row,
+        self.unanswered_since_ms = 0.0  # and when the first of them was sent
+        self.last_answer_ms = 0.0  # when it last answered
+        self.trial_request = -1  # the one request that a server that was put out gets at a time
+        self.ejected_until = 0.0
+        self.ejected_since = 0.0
+        self.suspicion = Suspicion()  # of how it did
 
     def state(self, now: float, cold: bool) -> State:
         """Its state; cold: whether its warm-up may be going on."""
         if not self.present:
             return "draining" if self.draining else "gone"
-        if self.restricted:
-            if self.out_until <= now:
+        if self.on_probation:
+            if self.ejected_until <= now:
                 return "due"
-            return "on_trial" if self.trial >= 0 else "silent" if self.strikes else "doubted"
+            return (
+                "on_trial" if self.trial_request >= 0 else "silent" if self.ejections else "doubted"
+            )
         return "cold" if cold else "in_service"
 
-    def free(self, now: float) -> bool:
+    def may_get_requests(self, now: float) -> bool:
         """Whether it may get a request at all, as far as its health goes."""
-        return self.present and self.out_until <= now
+        return self.present and self.ejected_until <= now
 
     @property
-    def restricted(self) -> bool:
+    def on_probation(self) -> bool:
         """Whether it gets one request at a time, to try it."""
-        return bool(self.strikes or self.record.row)
+        return bool(self.ejections or self.suspicion.detections)
 
     @property
-    def calm(self) -> bool:
+    def rejects_little(self) -> bool:
         """Whether it turns away little."""
-        return self.turned < CALM
+        return self.rejection_rate < LOW_REJECTION_RATE
 
-    def restarted(self) -> None:
+    def record_restart(self) -> None:
         """The list says that it has started anew: whatever was held against it is over."""
-        self.strikes = 0
-        self.waited, self.trial = 0, -1
-        self.record.clear()
-        self.out_until = 0.0
+        self.ejections = 0
+        self.unanswered, self.trial_request = 0, -1
+        self.suspicion.clear()
+        self.ejected_until = 0.0
 
-    def sent(self, request_id: int, aim_ms: float, now: float) -> None:
+    def record_sent(self, request_id: int, aim_ms: float, now: float) -> None:
         """A request goes out to it. One at a time goes to a server that was put out, until it answers (guards against all its keys
         falling on one that is still dead each time its time is up)."""
-        if self.restricted:
-            self.trial = request_id
-            self.out_until = max(self.out_until, now + aim_ms)
+        if self.on_probation:
+            self.trial_request = request_id
+            self.ejected_until = max(self.ejected_until, now + aim_ms)
 
-    def strike(self, now: float) -> None:
+    def eject(self, now: float) -> None:
         """Note an attempt that found no working server; eject after repeated ones."""
-        if not self.strikes:
-            self.out_since = now
-        self.strikes += 1
-        self.trial = -1
-        self.out_until = now + min(EJECT_MAX_MS, EJECT_MS * 2.0 ** min(8, self.strikes - 1))
+        if not self.ejections:
+            self.ejected_since = now
+        self.ejections += 1
+        self.trial_request = -1
+        self.ejected_until = now + min(MAX_EJECT_MS, EJECT_MS * 2.0 ** min(8, self.ejections - 1))
 
-    def fault(self, status: str, now: float) -> None:
+    def record_fault(self, status: str, now: float) -> None:
         """Note a connection that failed, or an answer that could not be read.
 
         A few of them among good answers tell of the network or of the connection: the server is alive, and its cache is worth
@@ -133,46 +137,46 @@
         dead, or speaks nothing but noise, is soon struck: nothing good comes between. Harm: it costs a few more attempts,
         which are made again elsewhere.
         """
-        self.faults += 1
-        if self.faults >= FAULTS_ROW[status]:
-            self.strike(now)
+        self.consecutive_faults += 1
+        if self.consecutive_faults >= MAX_CONSECUTIVE_FAULTS[status]:
+            self.eject(now)
 
-    def proved(self, now: float) -> bool:
+    def record_answer(self, now: float) -> bool:
         """Note an attempt that it answered. Whether it is back from the dead without word from the list, and so may be cold."""
-        self.faults = 0
-        self.trial = -1
-        if not self.strikes:
+        self.consecutive_faults = 0
+        self.trial_request = -1
+        if not self.ejections:
             return False
-        back = bool(self.out_until) and now - self.out_since > AWAY_MS
-        self.strikes = 0
-        self.out_until = 0.0
+        back = bool(self.ejected_until) and now - self.ejected_since > PRESUMED_RESTART_MS
+        self.ejections = 0
+        self.ejected_until = 0.0
         return back
 
 
 class HealthTable:
     """What is decided over all servers of a node together. servers: those that may be home to keys."""
 
-    __slots__ = ("doubts",)
+    __slots__ = ("detector",)
 
     def __init__(self, seed: int) -> None:
-        self.doubts = Doubts(seed)
+        self.detector = OutlierDetector(seed)
 
-    def judge(self, server: Health, seen: Seen, now: float) -> bool:
+    def record_outcome(self, server: Health, seen: AttemptOutcome, now: float) -> bool:
         """Note what an outcome tells of whether a server is there and has room; whether it is back from the dead (see `proved`)."""
         back = False
         if seen.alive:
-            back = server.proved(now)
+            back = server.record_answer(now)
         elif seen.fault:
-            server.fault(seen.status, now)
-        elif seen.hung and seen.trial and server.strikes:
-            server.strike(now)
-        if seen.heard:
-            server.waited, server.heard_ms = 0, now
-        if seen.away is not None:
-            server.turned += TURNED_STEP * (seen.away - server.turned)
+            server.record_fault(seen.status, now)
+        elif seen.hung and seen.trial and server.ejections:
+            server.eject(now)
+        if seen.response_received:
+            server.unanswered, server.last_answer_ms = 0, now
+        if seen.rejected is not None:
+            server.rejection_rate += REJECTION_WEIGHT * (seen.rejected - server.rejection_rate)
         return back
 
-    def silent_for(
+    def record_unanswered(
         self,
         server: Health,
         sent_ms: float,
@@ -188,38 +192,44 @@
         a pause longer than an aim costs a second of its keys; so that overload of all, or an origin that keeps every miss
         waiting, can't empty the fleet, only a part of it may be out for this.
         """
-        if not server.waited:
-            server.waited_ms = sent_ms
-        server.waited += 1
-        if server.strikes or server.waited < SILENT_ROW or now - server.waited_ms <= aim_ms:
+        if not server.unanswered:
+            server.unanswered_since_ms = sent_ms
+        server.unanswered += 1
+        if (
+            server.ejections
+            or server.unanswered < MAX_UNANSWERED
+            or now - server.unanswered_since_ms <= aim_ms
+        ):
             return False
         return (
-            sum(1 for other in servers if other.present and other.out_until > now)
-            < SILENT_MOST * live
+            sum(1 for other in servers if other.present and other.ejected_until > now)
+            < MAX_UNRESPONSIVE_SHARE * live
         )
 
-    def doubted(
-        self, server: Health, seen: Seen, servers: Sequence[Health], live: int, now: float
+    def update_suspicion(
+        self, server: Health, seen: AttemptOutcome, servers: Sequence[Health], live: int, now: float
     ) -> float:
         """Note how an attempt went; how likely its server is bad. One that is is kept out, but for trials, where most are not."""
-        sort, wrong = seen.sort, seen.wrong
+        sort, wrong = seen.category, seen.adverse
         if wrong is None:
             return 0.0
-        common = wrong and self.doubts.common(
-            sort, sum(other.present and other.record.bad for other in servers) / max(1, live)
+        common = wrong and self.detector.is_common_cause(
+            sort, sum(other.present and other.suspicion.suspect for other in servers) / max(1, live)
         )
-        bad = self.doubts.judge(server.record, sort, wrong, now, common)
+        bad = self.detector.update(server.suspicion, sort, wrong, now, common)
         if common:
             for other in servers:
-                if other.record.row and not other.strikes:
-                    other.out_until, other.record.row = 0.0, 0
-        elif wrong and server.record.bad and (seen.trial or not server.record.row):
-            server.out_until = max(server.out_until, now + self.doubts.wait(server.record))
-        elif not wrong and not server.strikes:
-            server.out_until = 0.0
+                if other.suspicion.detections and not other.ejections:
+                    other.ejected_until, other.suspicion.detections = 0.0, 0
+        elif wrong and server.suspicion.suspect and (seen.trial or not server.suspicion.detections):
+            server.ejected_until = max(
+                server.ejected_until, now + self.detector.next_trial_wait(server.suspicion)
+            )
+        elif not wrong and not server.ejections:
+            server.ejected_until = 0.0
         return bad
 
-    def heard(
+    def apply_peer_report(
         self,
         server: Health,
         odds: float,
@@ -234,13 +244,15 @@
         it is no trouble of single servers. One that is out for doubt and answers others is tried at once. Whoever drains, is gone or is
         silent stays so: no word of others moves that.
         """
-        server.record.heard = odds
-        if not server.present or server.strikes:
+        server.suspicion.peer_log_odds = odds
+        if not server.present or server.ejections:
             return
-        if server.record.bad and odds and not server.record.row:
-            if sum(other.present and other.record.bad for other in servers) <= MOST_HEARD * max(
-                1, live
-            ):
-                server.out_until = max(server.out_until, now + self.doubts.wait(server.record))
-        elif back and server.record.row and server.trial < 0:
-            server.out_until = min(server.out_until, now)
+        if server.suspicion.suspect and odds and not server.suspicion.detections:
+            if sum(
+                other.present and other.suspicion.suspect for other in servers
+            ) <= MAX_PEER_SUSPECT_SHARE * max(1, live):
+                server.ejected_until = max(
+                    server.ejected_until, now + self.detector.next_trial_wait(server.suspicion)
+                )
+        elif back and server.suspicion.detections and server.trial_request < 0:
+            server.ejected_until = min(server.ejected_until, now)
--- a/forkweir/known/membership.py
+++ b/forkweir/known/membership.py
@@ -33,15 +33,15 @@
 from forkweir.settings import Server
 
 Address = tuple[str, int]
-Said = Literal["in", "draining", "gone"]
+BoxState = Literal["in", "draining", "gone"]
 
-MOST_BOXES = 4_096  # of one source
-TOMB_MS = 600_000.0  # how long a removal holds against sources that go on naming the box
-FLAP_AT = 3.0  # removals, each fading by half in FLAP_HALF_MS, from which on a box is kept,
-FLAP_UNTIL = 1.0  # until so much is left
-FLAP_MOST = 6.0  # and no more is ever counted
-FLAP_HALF_MS = 30_000.0
-PENALTY_LEAST = 0.05
+MAX_BOXES = 4_096  # of one source
+TOMBSTONE_MS = 600_000.0  # how long a removal holds against sources that go on naming the box
+FLAP_SUPPRESS = 3.0  # removals, each fading by half in FLAP_HALF_MS, from which on a box is kept,
+FLAP_REUSE = 1.0  # until so much is left
+MAX_FLAP_PENALTY = 6.0  # and no more is ever counted
+FLAP_HALF_LIFE_MS = 30_000.0
+MIN_FLAP_PENALTY = 0.05
 
 
 @dataclass(frozen=True, slots=True)
@@ -71,7 +71,7 @@
     """What a source says of the box at an address. Absent id, weight or start: it says nothing of that."""
 
     address: Address
-    state: Said = "in"
+    state: BoxState = "in"
     name: str = ""
     zone: str = ""
     kind: str = ""
@@ -89,7 +89,7 @@
     address: Address
     priority: int
     rule: str
-    said: tuple[tuple[str, str], ...]
+    states: tuple[tuple[str, str], ...]
     since_ms: float  # when the source that decides first named it without a break
 
 
@@ -97,7 +97,7 @@
 class _Held:
     claim: Claim
     until: float
-    why: str
+    reason: str
     since: float
 
 
@@ -107,23 +107,23 @@
     claims: dict[Address, Claim] = field(default_factory=dict)
     since: dict[Address, float] = field(default_factory=dict)  # named from then on without a break
     held: dict[Address, _Held] = field(default_factory=dict)
-    tombs: dict[Address, float] = field(
+    tombstones: dict[Address, float] = field(
         default_factory=dict
     )  # when it removed what it had named, oldest first
     by_name: set[Address] = field(default_factory=set)  # of these, what it said to be gone by name
     penalties: dict[Address, tuple[float, float]] = field(
         default_factory=dict
     )  # how much, as of when
-    fallen: list[float] = field(default_factory=list)  # when boxes lately fell out
-    heard_ms: float = float("-inf")
-    failed: str = ""  # why, while it fails
+    removals_ms: list[float] = field(default_factory=list)  # when boxes lately fell out
+    updated_ms: float = float("-inf")
+    failure: str = ""  # why, while it fails
 
     def fresh(self, now: float) -> bool:
-        return not self.failed and now - self.heard_ms <= self.rights.stale_ms
+        return not self.failure and now - self.updated_ms <= self.rights.stale_ms
 
     def penalty(self, address: Address, now: float) -> float:
         much, at = self.penalties.get(address, (0.0, now))
-        return float(much * 0.5 ** (max(0.0, now - at) / FLAP_HALF_MS))
+        return float(much * 0.5 ** (max(0.0, now - at) / FLAP_HALF_LIFE_MS))
 
 
 class Membership:
@@ -139,7 +139,7 @@
 
     # -- what sources say ----------------------------------------------------------------
 
-    def tell(self, source: str, claims: Iterable[Claim], now: float, full: bool = True) -> None:
+    def update(self, source: str, claims: Iterable[Claim], now: float, full: bool = True) -> None:
         """A source's view. full: it names everything that it knows of; else only what changed. KeyError for an unknown source.
 
         More than MOST_BOXES are cut off, and reported.
@@ -147,13 +147,11 @@
         view = self._views[source]
         named: dict[Address, Claim] = {}
         for claim in claims:
-            if claim.address not in named and len(named) >= MOST_BOXES:
-                self._reports.append(
-                    f"{source}: more than {MOST_BOXES} boxes; the rest is left out"
-                )
+            if claim.address not in named and len(named) >= MAX_BOXES:
+                self._reports.append(f"{source}: more than {MAX_BOXES} boxes; the rest is left out")
                 break
             named[claim.address] = claim
-        view.heard_ms, view.failed = now, ""
+        view.updated_ms, view.failure = now, ""
         moved = {claim.name for claim in named.values() if claim.name and claim.state != "gone"}
         missing = [address for address in view.claims if full and address not in named]
         for address in [
@@ -168,29 +166,29 @@
                     view, address, now, by_name=True
                 )  # also one that it never named: another source may
                 continue
-            if address not in view.claims and len(view.claims) >= MOST_BOXES:
+            if address not in view.claims and len(view.claims) >= MAX_BOXES:
                 continue
             view.claims[address] = claim
             view.since.setdefault(address, now)
-            view.tombs.pop(address, None)
+            view.tombstones.pop(address, None)
             view.by_name.discard(address)
         self._fall(source, view, missing, moved, now)
 
-    def failed(self, source: str, why: str) -> None:
+    def mark_failed(self, source: str, why: str) -> None:
         """A source can't be asked or made no sense: what it last said stays. KeyError for an unknown one."""
         view = self._views[source]
-        if not view.failed:
+        if not view.failure:
             self._reports.append(
                 f"{source}: failed: {why}; {len(view.claims)} boxes stay as it last named them"
             )
-        view.failed = why
+        view.failure = why
 
     def _fall(
         self, source: str, view: _View, missing: list[Address], moved: set[str], now: float
     ) -> None:
         """A full view no longer names some boxes: they go, or are held where too many fall or one flaps."""
         guard = self._guard
-        view.fallen = [at for at in view.fallen if now - at < guard.fall_ms]
+        view.removals_ms = [at for at in view.removals_ms if now - at < guard.fall_ms]
         sudden = []
         for address in missing:
             claim = view.claims[address]
@@ -198,54 +196,54 @@
                 self._bury(view, address, now)  # it had said so, or the box is elsewhere now
             else:
                 sudden.append(address)
-        peak = len(view.claims) + len(view.fallen)
-        held = sudden and len(sudden) + len(view.fallen) > guard.most_fall * peak
+        peak = len(view.claims) + len(view.removals_ms)
+        held = sudden and len(sudden) + len(view.removals_ms) > guard.most_fall * peak
         if held:
             hold_s = guard.hold_ms / 1000.0
             self._reports.append(
                 f"{source}: {len(sudden)} of {len(view.claims)} boxes fell out at once; held for {hold_s:g} s"
             )
         for address in sudden:
-            view.fallen.append(now)
+            view.removals_ms.append(now)
             claim, since = view.claims[address], view.since[address]
             self._bury(view, address, now)
-            penalty = min(FLAP_MOST, view.penalty(address, now) + 1.0)
+            penalty = min(MAX_FLAP_PENALTY, view.penalty(address, now) + 1.0)
             view.penalties[address] = penalty, now
             if held:
                 view.held[address] = _Held(claim, now + guard.hold_ms, "fall", since)
-            elif penalty >= FLAP_AT:
+            elif penalty >= FLAP_SUPPRESS:
                 view.held[address] = _Held(claim, float("inf"), "flapping", since)
                 self._reports.append(f"{source}: {_text(address)} comes and goes; kept")
             else:
                 view.held[address] = _Held(
                     claim, now, "last", since
                 )  # of use only if nothing else is left
-        while len(view.held) > MOST_BOXES:
+        while len(view.held) > MAX_BOXES:
             del view.held[next(iter(view.held))]
-        for address in [a for a in view.penalties if view.penalty(a, now) < PENALTY_LEAST]:
+        for address in [a for a in view.penalties if view.penalty(a, now) < MIN_FLAP_PENALTY]:
             del view.penalties[address]
-        while len(view.penalties) > MOST_BOXES:
+        while len(view.penalties) > MAX_BOXES:
             del view.penalties[next(iter(view.penalties))]
 
     def _bury(self, view: _View, address: Address, now: float, by_name: bool = False) -> None:
         view.claims.pop(address, None)
         view.since.pop(address, None)
         view.held.pop(address, None)
-        view.tombs.pop(address, None)
-        view.tombs[address] = now
+        view.tombstones.pop(address, None)
+        view.tombstones[address] = now
         view.by_name.discard(address)
         if by_name:
             view.by_name.add(address)
-        while len(view.tombs) > MOST_BOXES:
-            oldest = next(iter(view.tombs))
-            del view.tombs[oldest]
+        while len(view.tombstones) > MAX_BOXES:
+            oldest = next(iter(view.tombstones))
+            del view.tombstones[oldest]
             view.by_name.discard(oldest)
 
     # -- the merged set ------------------------------------------------------------------
 
     def merge(self, now: float) -> list[Box]:
         """The set as it is now, by address. In service, or draining; what is gone is not in it."""
-        self._lapse(now)
+        self._expire(now)
         ordinary = self._boxes(
             now,
             [name for name, view in self._views.items() if not view.rights.fallback],
@@ -257,17 +255,17 @@
             return self._boxes(now, list(self._views), last=True)
         for view in self._views.values():
             # Others serve: what was held has had its time (guards against a box of long ago that comes back when the set runs empty).
-            for address in [a for a, held in view.held.items() if held.until + TOMB_MS <= now]:
+            for address in [a for a, held in view.held.items() if held.until + TOMBSTONE_MS <= now]:
                 del view.held[address]
         return ordinary
 
-    def _lapse(self, now: float) -> None:
+    def _expire(self, now: float) -> None:
         for view in self._views.values():
             for address, held in view.held.items():
-                if held.why == "flapping" and view.penalty(address, now) < FLAP_UNTIL:
+                if held.reason == "flapping" and view.penalty(address, now) < FLAP_REUSE:
                     held.until = min(held.until, now)
-            for address in [a for a, at in view.tombs.items() if now - at >= TOMB_MS]:
-                del view.tombs[address]
+            for address in [a for a, at in view.tombstones.items() if now - at >= TOMBSTONE_MS]:
+                del view.tombstones[address]
                 view.by_name.discard(address)
 
     def _boxes(self, now: float, names: list[str], last: bool) -> list[Box]:
@@ -321,13 +319,13 @@
                             name,
                             held.claim,
                             held.since,
-                            f"held: {held.why if held.until > now else 'last'}",
+                            f"held: {held.reason if held.until > now else 'last'}",
                         )
                     )
-            elif view.rights.remove and address in view.tombs and removed is None:
+            elif view.rights.remove and address in view.tombstones and removed is None:
                 removed = (
                     view.rights.rank,
-                    float("inf") if address in view.by_name else view.tombs[address],
+                    float("inf") if address in view.by_name else view.tombstones[address],
                 )
         if not any(self._views[name].rights.add for name, *_ in says):
             return None
@@ -363,35 +361,37 @@
         priority = next((claim.priority for _, claim, _, _ in says if claim.priority), 0)
         return Box(server, address, priority, rule, tuple((n, how) for n, _, _, how in says), since)
 
-    def due(self, now: float) -> Optional[float]:
+    def next_change_ms(self, now: float) -> Optional[float]:
         """When the merged set may next change by itself; None where nothing is held, removed or faded."""
         held = [
             held for view in self._views.values() for held in view.held.values() if held.until > now
         ]
-        times = [now + 1_000.0 if one.why == "flapping" else one.until for one in held]
-        times += [at + TOMB_MS for view in self._views.values() for at in view.tombs.values()]
+        times = [now + 1_000.0 if one.reason == "flapping" else one.until for one in held]
+        times += [
+            at + TOMBSTONE_MS for view in self._views.values() for at in view.tombstones.values()
+        ]
         return min(times, default=None)
 
     # -- for operators -------------------------------------------------------------------
 
-    def reports(self) -> list[str]:
+    def take_reports(self) -> list[str]:
         """What was held back, kept or lost since this was last asked."""
         reports, self._reports = self._reports, []
         return reports
 
-    def sources(self, now: float) -> list[tuple[str, str, float, int, int]]:
+    def source_status(self, now: float) -> list[tuple[str, str, float, int, int]]:
         """Of each source, best first: its name, how it is (never heard, fresh, stale, or why it failed), its age in ms, boxes, held."""
         rows = []
         for name, view in self._views.items():
-            never = view.heard_ms == float("-inf")
-            how = view.failed or (
+            never = view.updated_ms == float("-inf")
+            how = view.failure or (
                 "never heard" if never else "fresh" if view.fresh(now) else "stale"
             )
             rows.append(
                 (
                     name,
                     how,
-                    -1.0 if never else now - view.heard_ms,
+                    -1.0 if never else now - view.updated_ms,
                     len(view.claims),
                     len(view.held),
                 )
--- a/forkweir/known/seen.py
+++ b/forkweir/known/outcomes.py
@@ -25,58 +25,62 @@
 
 from forkweir.settings import ClassSpec
 
-LONG = 0.5  # an attempt that had this part of the aim tells of its server, by its time-out too
-QUICK = 0.25  # an error that comes within this part of its request's aim has cost next to nothing
-SORTS = ("write", "cold", "known", "unknown")
+MIN_AIM_FRACTION = (
+    0.5  # an attempt that had this part of the aim tells of its server, by its time-out too
+)
+QUICK_ERROR_FRACTION = (
+    0.25  # an error that comes within this part of its request's aim has cost next to nothing
+)
+CATEGORIES = ("write", "cold", "known", "unknown")
 
 
-class Seen:
+class AttemptOutcome:
     """One outcome. Times are in ms; aim_ms is 0 where nothing is known of the request any more.
 
     What each word of the wire says by itself stands once, as attributes of a class for that word (`WORDS`).
     """
 
     __slots__ = (
-        "elapsed_ms", "aim_ms", "work_ms", "held", "write", "known", "likely_miss", "cold", "trial", "tries", "told_hit", "told_miss",
-        "brief",
+        "elapsed_ms", "aim_ms", "work_ms", "request_open", "write", "served_last", "miss_probability", "cold", "trial", "tries",
+        "reported_hit", "reported_miss", "brief",
     )  # fmt: skip
 
     status = ""
-    served = full = error = timed_out = False
+    served = overloaded = error = timed_out = False
     fault = False  # the connection failed, or what came could not be read
     alive = False  # the server itself answered, whatever it said
-    heard = False  # something came back
+    response_received = False  # something came back
     may_have_run = True  # the request may have been carried out (rule on duplicates)
-    fetch_over = (
+    fetch_ended = (
         False  # a fetch of it, if there was one, has ended, as far as anybody waited for it
     )
     may_be_brief = False  # it ended because its time did
-    away: Optional[bool] = None  # turned away (True) or served (False); None where neither
+    rejected: Optional[bool] = None  # turned away (True) or served (False); None where neither
     zone_answers: Optional[bool] = None  # whether its zone answers; None where that is not told
 
     def __init__(
-        self, note: int, elapsed_ms: float, spec: Optional[ClassSpec], work_ms: float = 0.0, write: bool = False, known: bool = False,
-        likely_miss: float = 0.0, cold: bool = False, trial: bool = False, tries: int = 0,
+        self, note: int, elapsed_ms: float, spec: Optional[ClassSpec], work_ms: float = 0.0, write: bool = False, served_last: bool = False,
+        miss_probability: float = 0.0, cold: bool = False, trial: bool = False, tries: int = 0,
     ) -> None:  # fmt: skip
         """spec: of the request, None where it is over. note: 0 nothing, 1 hit, 2 or 3 missed (as the wire says).
 
         known: whether the server served the key last; likely_miss: how likely it was that it would miss, 0 to 1.
         """
         self.elapsed_ms = elapsed_ms
-        self.held = spec is not None
+        self.request_open = spec is not None
         self.aim_ms = aim = spec.aim_ms if spec is not None else 0.0
         self.work_ms = work_ms
         self.write = write
-        self.known = known
-        self.likely_miss = likely_miss
+        self.served_last = served_last
+        self.miss_probability = miss_probability
         self.cold = cold
         self.trial = trial
         self.tries = tries
-        self.told_hit = note == 1
-        self.told_miss = note >= 2
+        self.reported_hit = note == 1
+        self.reported_miss = note >= 2
         # Time that ran out before most answers come tells of nobody (guards against clients that repeat with little time left,
         # whose time-outs pass for overload and get more refused, who repeat).
-        self.brief = self.may_be_brief and elapsed_ms < LONG * aim
+        self.brief = self.may_be_brief and elapsed_ms < MIN_AIM_FRACTION * aim
 
     # -- of the server -------------------------------------------------------------------
 
@@ -86,16 +90,22 @@
         return self.timed_out
 
     @property
-    def sort(self) -> str:
+    def category(self) -> str:
         """Among which attempts it is to be held: a member of SORTS."""
         return (
-            "write" if self.write else "cold" if self.cold else "known" if self.known else "unknown"
+            "write"
+            if self.write
+            else "cold"
+            if self.cold
+            else "known"
+            if self.served_last
+            else "unknown"
         )
 
     @property
-    def wrong(self) -> Optional[bool]:
+    def adverse(self) -> Optional[bool]:
         """Whether the server did badly; None where it can't be said: one that turned the attempt away, or had little time."""
-        if not self.held:
+        if not self.request_open:
             return None
         if self.served:
             return self.elapsed_ms > self.aim_ms
@@ -109,14 +119,14 @@
         return self.served and self.elapsed_ms <= self.aim_ms
 
     @property
-    def pressed(self) -> bool:
+    def overload(self) -> bool:
         """Whether it was too much for its server: turned away, or not served in time."""
-        return self.full or self.timed_out or (self.served and self.elapsed_ms > self.aim_ms)
+        return self.overloaded or self.timed_out or (self.served and self.elapsed_ms > self.aim_ms)
 
     @property
-    def cost_told(self) -> bool:
+    def reveals_cost(self) -> bool:
         """Whether its time tells the work of its class: no fetch was in it, and no hint says better."""
-        return self.served and not self.told_miss and not self.work_ms
+        return self.served and not self.reported_miss and not self.work_ms
 
     def longer_than(self, part: float) -> Optional[bool]:
         """Whether it took longer than a part of its aim; None where it does not tell how long answers take."""
@@ -129,7 +139,7 @@
     @property
     def fetched(self) -> bool:
         """Whether it was served by way of the origin."""
-        return self.told_miss or (self.write and self.served)
+        return self.reported_miss or (self.write and self.served)
 
     def missed(self, jammed: bool) -> Optional[bool]:
         """Whether a read missed; None where it is not told. jammed: servers are slow by themselves."""
@@ -137,20 +147,20 @@
             return None
         return self.fetched or self.timed_out
 
-    def fetch_lost(self, least: float) -> bool:
+    def fetch_failed(self, least: float) -> bool:
         """Whether a fetch came to nothing; a time-out counts from this likelihood of a miss on."""
-        return self.error or (self.timed_out and self.likely_miss > least)
+        return self.error or (self.timed_out and self.miss_probability > least)
 
     # -- whether again -------------------------------------------------------------------
 
     def quick_error(self, aim_ms: float) -> bool:
         """Whether it is an error that has cost next to nothing."""
-        return self.error and self.elapsed_ms < QUICK * aim_ms
+        return self.error and self.elapsed_ms < QUICK_ERROR_FRACTION * aim_ms
 
 
-class Served(Seen):
+class Success(AttemptOutcome):
     __slots__ = ()
-    status, served, alive, heard, fetch_over, away, zone_answers = (
+    status, served, alive, response_received, fetch_ended, rejected, zone_answers = (
         "success",
         True,
         True,
@@ -161,9 +171,9 @@
     )
 
 
-class Full(Seen):
+class Overloaded(AttemptOutcome):
     __slots__ = ()
-    status, full, alive, heard, may_have_run, away, zone_answers = (
+    status, overloaded, alive, response_received, may_have_run, rejected, zone_answers = (
         "overloaded",
         True,
         True,
@@ -174,59 +184,72 @@
     )
 
 
-class Failed(Seen):
+class Failure(AttemptOutcome):
     __slots__ = ()
-    status, error, alive, heard, fetch_over, zone_answers = "failure", True, True, True, True, True
+    status, error, alive, response_received, fetch_ended, zone_answers = (
+        "failure",
+        True,
+        True,
+        True,
+        True,
+        True,
+    )
 
 
-class Absent(Seen):
+class Absent(AttemptOutcome):
     __slots__ = ()
-    status, alive, heard, may_have_run, zone_answers = "absent", True, True, False, True
+    status, alive, response_received, may_have_run, zone_answers = "absent", True, True, False, True
 
 
-class TimedOut(Seen):
+class TimedOut(AttemptOutcome):
     __slots__ = ()
-    status, timed_out, fetch_over, may_be_brief, zone_answers = "timed_out", True, True, True, False
+    status, timed_out, fetch_ended, may_be_brief, zone_answers = (
+        "timed_out",
+        True,
+        True,
+        True,
+        False,
+    )
 
 
-class Withdrawn(Seen):
+class Withdrawn(AttemptOutcome):
     __slots__ = ()
     status, may_be_brief = "withdrawn", True
 
 
-class Unreachable(Seen):
+class Unreachable(AttemptOutcome):
     __slots__ = ()
     status, fault, may_have_run, zone_answers = "unreachable", True, False, False
 
 
-class Broken(Seen):
+class Broken(AttemptOutcome):
     __slots__ = ()
-    status, fault, heard = "broken", True, True
+    status, fault, response_received = "broken", True, True
 
 
-class Spoilt(Seen):
+class Malformed(AttemptOutcome):
     __slots__ = ()
-    status, fault, heard, zone_answers = "spoilt", True, True, True
+    status, fault, response_received, zone_answers = "spoilt", True, True, True
 
 
-class Void(Seen):
+class NotSent(AttemptOutcome):
     __slots__ = ()
     status, may_have_run = "void", False
 
 
-WORDS: dict[str, type[Seen]] = {
+OUTCOME_TYPES: dict[str, type[AttemptOutcome]] = {
     word.status: word
     for word in (
-        Served,
-        Full,
-        Failed,
+        Success,
+        Overloaded,
+        Failure,
         Absent,
         TimedOut,
         Withdrawn,
         Unreachable,
         Broken,
-        Spoilt,
-        Void,
+        Malformed,
+        NotSent,
     )
 }
-NEVER_RAN = frozenset(word for word, seen in WORDS.items() if not seen.may_have_run)
+NOT_EXECUTED = frozenset(word for word, seen in OUTCOME_TYPES.items() if not seen.may_have_run)
--- a/forkweir/known/groups.py
+++ b/forkweir/known/priority_groups.py
@@ -11,10 +11,10 @@
 from collections.abc import Iterable
 from typing import Optional
 
-RETURN_MS = 5_000.0
+FAILBACK_MS = 5_000.0
 
 
-class Groups:
+class PriorityGroups:
     """Up to which group boxes are in use."""
 
     __slots__ = ("_level", "_since")
@@ -40,6 +40,6 @@
             self._level = wanted
         elif wanted > self._level:
             self._level = wanted
-        elif wanted < self._level and now - self._since[wanted] >= RETURN_MS:
+        elif wanted < self._level and now - self._since[wanted] >= FAILBACK_MS:
             self._level = wanted
         return self._level
--- a/forkweir/known/starts.py
+++ b/forkweir/known/start_times.py
@@ -17,8 +17,9 @@
 
 from forkweir.settings import Server
 
-NEWS_MS = 15_000.0  # a start is announced within this: seconds until a server is ready, and discovery may be down meanwhile
-MOST = 8_192
+# a start is announced within this: seconds until a server is ready, and discovery may be down meanwhile
+MAX_ANNOUNCEMENT_DELAY_MS = 15_000.0
+MAX_SERVERS = 8_192
 
 
 @dataclass(frozen=True, slots=True)
@@ -27,16 +28,16 @@
     local_ms: float  # the same on this node's clock
 
 
-class Starts:
+class StartTimes:
     """The start of each server that was listed."""
 
-    __slots__ = ("_known", "_agrees")
+    __slots__ = ("_known", "_clock_agrees")
 
     def __init__(self) -> None:
         self._known: dict[str, _Start] = {}
-        self._agrees = False  # a start was announced that this clock has just behind it
+        self._clock_agrees = False  # a start was announced that this clock has just behind it
 
-    def read(self, server: Server, first_list: bool, now: float) -> Server:
+    def localize(self, server: Server, first_list: bool, now: float) -> Server:
         """A listed server with its start on this node's clock. first_list: in the first list that this process has read."""
         if server.state == "gone":
             return server
@@ -44,7 +45,7 @@
         known = self._known.get(server.name)
         if known is None or known.stated_ms != stated:
             known = self._known[server.name] = _Start(stated, self._local(stated, first_list, now))
-            while len(self._known) > MOST:
+            while len(self._known) > MAX_SERVERS:
                 del self._known[next(iter(self._known))]
         return replace(server, started_ms=known.local_ms) if known.local_ms != stated else server
 
@@ -54,9 +55,9 @@
         age = now - stated
         if age <= 0.0:
             return now
-        if first_list or self._agrees:
+        if first_list or self._clock_agrees:
             return stated
-        if age <= NEWS_MS:
-            self._agrees = True
+        if age <= MAX_ANNOUNCEMENT_DELAY_MS:
+            self._clock_agrees = True
             return stated
         return now
--- a/forkweir/known/hearsay.py
+++ b/forkweir/known/unconfirmed.py
@@ -20,23 +20,23 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-MOST_SUSPECT = 0.25  # of the servers in service
-SUSPECT_MS = (
+MAX_UNREADABLE_SHARE = 0.25  # of the servers in service
+UNREADABLE_TIMEOUT_MS = (
     10_000.0  # by when what was to be told counts as told anyway, and has been asked for many times
 )
 
 
 @dataclass(frozen=True, slots=True)
-class Word:
+class UnconfirmedEntry:
     """What a spoilt line says of a server that the node knows."""
 
     name: str
     state: str  # draining, gone, in, or unreadable
-    same_place: bool  # the address is the known one (for unreadable: there was none to compare)
-    later_start: bool = False  # it started later than known
+    same_address: bool  # the address is the known one (for unreadable: there was none to compare)
+    started_later: bool = False  # it started later than known
 
 
-class Hearsay:
+class UnconfirmedEntries:
     """Who is held back by it."""
 
     __slots__ = ("_held",)
@@ -45,21 +45,21 @@
         self._held: dict[str, float] = {}  # name: until when, inf where an entry stood whole
 
     @property
-    def held(self) -> tuple[str, ...]:
+    def held_back(self) -> tuple[str, ...]:
         """The servers that get nothing new because of it, in the order in which they were named."""
         return tuple(self._held)
 
-    def heed(
-        self, words: Iterable[Word], in_service: int, now: float
+    def apply(
+        self, words: Iterable[UnconfirmedEntry], in_service: int, now: float
     ) -> tuple[list[str], list[str]]:
         """Who is to be held back, and who is cold, by these words. in_service: servers listed in service and not held back."""
         back, cold = [], []
         whole = in_service + len(self._held)
         for word in words:
-            if not word.same_place:
+            if not word.same_address:
                 continue
             if word.state == "in":
-                if word.later_start:
+                if word.started_later:
                     cold.append(word.name)
                 continue
             suspect = word.state == "unreadable"
@@ -68,15 +68,15 @@
                     self._held[word.name] = float("inf")
                 continue
             if in_service <= 1 or (
-                suspect and len(self._held) + 1 > max(1.0, MOST_SUSPECT * whole)
+                suspect and len(self._held) + 1 > max(1.0, MAX_UNREADABLE_SHARE * whole)
             ):
                 continue
             in_service -= 1
-            self._held[word.name] = now + SUSPECT_MS if suspect else float("inf")
+            self._held[word.name] = now + UNREADABLE_TIMEOUT_MS if suspect else float("inf")
             back.append(word.name)
         return back, cold
 
-    def settle(self, named: Iterable[str], all_: bool) -> list[str]:
+    def confirm(self, named: Iterable[str], all_: bool) -> list[str]:
         """A line was read whole: what it names is as it says. Who else is no longer held back, where it tells all that was missed."""
         for name in named:
             self._held.pop(name, None)
@@ -86,7 +86,7 @@
         self._held.clear()
         return free
 
-    def lapse(self, now: float) -> list[str]:
+    def expire(self, now: float) -> list[str]:
         """Who has been held back for long enough on a broken entry alone."""
         free = [name for name, until in self._held.items() if until <= now]
         for name in free:
--- a/forkweir/limits/patience.py
+++ b/forkweir/limits/client_wait.py
@@ -11,11 +11,13 @@
 
 from __future__ import annotations
 
-EASE = 0.02
-SAME = 0.01  # a part of what first tries say, by which a repeat that says the same may differ
+DECREASE_WEIGHT = 0.02
+SAME_TOLERANCE = (
+    0.01  # a part of what first tries say, by which a repeat that says the same may differ
+)
 
 
-class Patience:
+class ClientWaits:
     """What first tries say, by class."""
 
     __slots__ = ("_first",)
@@ -23,14 +25,14 @@
     def __init__(self) -> None:
         self._first: dict[str, float] = {}
 
-    def waited(self, name: str, budget_ms: float, repeated: bool, deadline_ms: float) -> float:
+    def waited_ms(self, name: str, budget_ms: float, repeated: bool, deadline_ms: float) -> float:
         """For how long the client of a request has waited before it sent it, in ms, as far as it tells."""
         first = self._first.get(name)
         if repeated:
-            same = first is not None and abs(budget_ms - first) <= SAME * first
+            same = first is not None and abs(budget_ms - first) <= SAME_TOLERANCE * first
             return 0.0 if same else max(0.0, deadline_ms - budget_ms)
         if first is None or budget_ms >= first:
             self._first[name] = budget_ms
         else:
-            self._first[name] = first + EASE * (budget_ms - first)
+            self._first[name] = first + DECREASE_WEIGHT * (budget_ms - first)
         return 0.0
--- a/forkweir/limits/duty.py
+++ b/forkweir/limits/lifecycle.py
@@ -7,33 +7,33 @@
 from __future__ import annotations
 
 SERVING, QUIESCED, ENDING = "serving", "quiesced", "ending"
-TAKE_MS = 500.0  # after SIGTERM connections and requests are taken for this long: new connections come for 200 to 400 ms
-KILL_MS = 700.0  # SIGKILL comes no sooner than this and the longest deadline after SIGTERM,
-LONGEST_MS = 3_000.0  # which is counted as this where it is longer
-ANSWER_MS = (
+ACCEPT_MS = 500.0  # after SIGTERM connections and requests are taken for this long: new connections come for 200 to 400 ms
+KILL_MARGIN_MS = 700.0  # SIGKILL comes no sooner than this and the longest deadline after SIGTERM,
+MAX_COUNTED_DEADLINE_MS = 3_000.0  # which is counted as this where it is longer
+ANSWER_MARGIN_MS = (
     180.0  # before that whatever is still open is answered (a late answer is a lost request),
 )
-EXIT_MS = 80.0  # and this long before it the process has ended
-SHED_MS = 1_800.0  # from the call to drain until the last idle connection is closed: within 2 s nothing more may be taken
+EXIT_MARGIN_MS = 80.0  # and this long before it the process has ended
+DRAIN_MS = 1_800.0  # from the call to drain until the last idle connection is closed: within 2 s nothing more may be taken
 
 
-class Leave:
+class ShutdownSchedule:
     """When a node that has been told to end does what, in ms after SIGTERM, by the longest deadline of its settings.
 
     A request that came by `take` has its whole deadline: take + longest is before `answer` but for longest deadlines over LONGEST_MS,
     and for answers by the backstop of the longest one.
     """
 
-    __slots__ = ("take", "answer", "exit")
+    __slots__ = ("accept_ms", "answer_ms", "exit_ms")
 
     def __init__(self, longest_ms: float) -> None:
-        kill = min(longest_ms, LONGEST_MS) + KILL_MS
-        self.take = TAKE_MS
-        self.answer = kill - ANSWER_MS
-        self.exit = kill - EXIT_MS
+        kill = min(longest_ms, MAX_COUNTED_DEADLINE_MS) + KILL_MARGIN_MS
+        self.accept_ms = ACCEPT_MS
+        self.answer_ms = kill - ANSWER_MARGIN_MS
+        self.exit_ms = kill - EXIT_MARGIN_MS
 
 
-class Duty:
+class Lifecycle:
     """The state and when it began. Times are in ms on whatever clock the caller has."""
 
     __slots__ = ("state", "since_ms")
@@ -60,7 +60,7 @@
             self.state, self.since_ms = ENDING, now
 
     @property
-    def welcome(self) -> bool:
+    def accepts_clients(self) -> bool:
         """Whether the front should go on sending clients (what `/up` says).
 
         One that ends says yes until it is gone: at a planned restart the front hears of it by other ways, and connections
@@ -69,11 +69,11 @@
         return self.state != QUIESCED
 
     @property
-    def lasting(self) -> bool:
+    def keeps_connections(self) -> bool:
         """Whether a connection may be kept after its answer."""
         return self.state == SERVING
 
-    def due(self, now: float, step_ms: float) -> float:
+    def share_to_close(self, now: float, step_ms: float) -> float:
         """The part of the idle connections to close in a step of this length, 0 to 1; longest idle first.
 
         Evenly until SHED_MS after the call to drain. Guards against one instant in which all are closed, each perhaps
@@ -81,9 +81,9 @@
         """
         if self.state != QUIESCED:
             return 0.0
-        left = self.since_ms + SHED_MS - now
+        left = self.since_ms + DRAIN_MS - now
         return 1.0 if left < step_ms else step_ms / left
 
-    def shed(self, now: float) -> bool:
+    def drain_over(self, now: float) -> bool:
         """Whether every idle connection should have been closed by now."""
-        return self.state == QUIESCED and now - self.since_ms >= SHED_MS
+        return self.state == QUIESCED and now - self.since_ms >= DRAIN_MS
--- a/forkweir/limits/work.py
+++ b/forkweir/limits/request_cost.py
@@ -16,13 +16,13 @@
 
 from forkweir.settings import ClassSpec
 
-PRIOR_PART = 0.15  # of a class's aim: its cost until answers tell more
+INITIAL_AIM_FRACTION = 0.15  # of a class's aim: its cost until answers tell more
 QUANTILE = 0.25
-STEP = 0.05  # how far one answer moves a cost, as a part of it
-FIRST_STEP = 0.3
-FIRST = 20
-LEAST_MS = 0.01
-FINE_MS = 20.0  # amounts that come within this time of one another are faded as one
+MAX_STEP = 0.05  # how far one answer moves a cost, as a part of it
+INITIAL_STEP = 0.3
+INITIAL_ANSWERS = 20
+MIN_COST_MS = 0.01
+MERGE_MS = 20.0  # amounts that come within this time of one another are faded as one
 
 
 class Costs:
@@ -34,44 +34,48 @@
         self._costs: dict[str, float] = {}
         self._answers: dict[str, int] = {}
 
-    def of(self, spec: ClassSpec, hint_ms: float) -> float:
+    def cost_ms(self, spec: ClassSpec, hint_ms: float) -> float:
         """What a request of a class costs; hint_ms is its own hint, 0 where it has none."""
-        return hint_ms if hint_ms > 0.0 else self._costs.get(spec.name) or PRIOR_PART * spec.aim_ms
+        return (
+            hint_ms
+            if hint_ms > 0.0
+            else self._costs.get(spec.name) or INITIAL_AIM_FRACTION * spec.aim_ms
+        )
 
-    def learn(self, spec: ClassSpec, elapsed_ms: float) -> None:
+    def record_answer(self, spec: ClassSpec, elapsed_ms: float) -> None:
         """A warm server answered a request of this class well, in so many ms."""
-        cost = self._costs.get(spec.name) or PRIOR_PART * spec.aim_ms
+        cost = self._costs.get(spec.name) or INITIAL_AIM_FRACTION * spec.aim_ms
         seen = self._answers.get(spec.name, 0)
-        step = STEP
-        if seen < FIRST:
+        step = MAX_STEP
+        if seen < INITIAL_ANSWERS:
             self._answers[spec.name] = seen + 1
-            step = FIRST_STEP
+            step = INITIAL_STEP
         cost *= 1.0 + step * QUANTILE if elapsed_ms > cost else 1.0 - step * (1.0 - QUANTILE)
-        self._costs[spec.name] = min(max(LEAST_MS, cost), spec.aim_ms)
+        self._costs[spec.name] = min(max(MIN_COST_MS, cost), spec.aim_ms)
 
 
-class Faded:
+class DecayingSum:
     """A sum whose parts are forgotten by e in tau_ms, and the time over which it was made, faded alike."""
 
-    __slots__ = ("tau_ms", "total", "spread_ms", "_at")
+    __slots__ = ("tau_ms", "total", "span_ms", "_at")
 
     def __init__(self, tau_ms: float) -> None:
         self.tau_ms = tau_ms
         self.total = 0.0
-        self.spread_ms = 0.0  # what a steady 1 a ms would have summed to; tau_ms in the long run
+        self.span_ms = 0.0  # what a steady 1 a ms would have summed to; tau_ms in the long run
         self._at = -1.0
 
     def add(self, now: float, amount: float, weight: float = 1.0) -> None:
         """Add an amount; the time since the last one counts weight-fold."""
         passed = now - self._at
-        if passed >= FINE_MS or self._at < 0.0:
+        if passed >= MERGE_MS or self._at < 0.0:
             if self._at >= 0.0:
                 fade = exp(-passed / self.tau_ms)
                 self.total *= fade
-                self.spread_ms = self.spread_ms * fade + weight * self.tau_ms * (1.0 - fade)
+                self.span_ms = self.span_ms * fade + weight * self.tau_ms * (1.0 - fade)
             self._at = now
         self.total += amount
 
     def rate(self, least_ms: float) -> float:
         """Amount a ms, with no more trust than least_ms of evidence earn: a first burst does not make a high rate."""
-        return self.total / max(self.spread_ms, least_ms)
+        return self.total / max(self.span_ms, least_ms)
--- a/forkweir/limits/savings.py
+++ b/forkweir/limits/retry_budget.py
@@ -10,29 +10,29 @@
 
 from __future__ import annotations
 
-BANK = 10.0  # saved up at most
-REPEATS = 0.1  # earned by each request for repeats of attempts that may have cost work,
-ERRORS = 0.5  # and for those of quick errors
+MAX_SAVED = 10.0  # saved up at most
+RETRY_SHARE = 0.1  # earned by each request for repeats of attempts that may have cost work,
+QUICK_ERROR_SHARE = 0.5  # and for those of quick errors
 
 
-class Savings:
+class RetryBudget:
     """What is left for one sort of repeats."""
 
-    __slots__ = ("share", "left")
+    __slots__ = ("share", "saved")
 
     def __init__(self, share: float) -> None:
         self.share = share
-        self.left = BANK
+        self.saved = MAX_SAVED
 
     def earn(self) -> None:
         """A request came in."""
-        self.left = min(BANK, self.left + self.share)
+        self.saved = min(MAX_SAVED, self.saved + self.share)
 
     @property
-    def enough(self) -> bool:
+    def may_retry(self) -> bool:
         """Whether one more repeat may be sent."""
-        return self.left >= 1.0
+        return self.saved >= 1.0
 
     def spend(self) -> None:
         """A repeat goes out."""
-        self.left -= 1.0
+        self.saved -= 1.0
--- a/forkweir/limits/allowance.py
+++ b/forkweir/limits/slow_start.py
@@ -36,111 +36,123 @@
 
 import random
 
-from forkweir.limits.work import Faded
-
-ASKED_MS = 5_000.0  # forgetting time of what clients ask for
-PROVEN_MS = 30_000.0  # and of what warm servers bore
-EVIDENCE_MS = 1_000.0  # of a warm server's time before anything counts as proven
-FIRST_MS = 300.0  # what is asked for counts as spread over no less time
-UNPROVEN = 0.5
-BEYOND = 2.0
-PRESSED = 0.7
-PRESSED_MS = 200.0
-EASED = 0.03
-LEAST_TRUST = 0.1
+from forkweir.limits.request_cost import DecayingSum
+
+DEMAND_DECAY_MS = 5_000.0  # forgetting time of what clients ask for
+SERVED_DECAY_MS = 30_000.0  # and of what warm servers bore
+MIN_EVIDENCE_MS = 1_000.0  # of a warm server's time before anything counts as proven
+MIN_DEMAND_SPAN_MS = 300.0  # what is asked for counts as spread over no less time
+UNPROVEN_SHARE = 0.5
+MAX_OVER_PROVEN = 2.0
+OVERLOAD_FACTOR = 0.7
+OVERLOAD_INTERVAL_MS = 200.0
+RECOVERY_STEP = 0.03
+MIN_RATE_FACTOR = 0.1
 BURST_MS = 250.0
-DEPTH = 2.0  # requests
-MOST_BOOST = 2.0  # of a multiple of 4 or more that makes one fall
-MORE = 0.08  # of the boost for one good answer: some 13 of them, all cold servers together, make the most of it
-LESS = 0.9  # times the boost for each answer that is too much, once in PRESSED_MS a server
-RESERVE = 0.5  # of the bucket is left to the class worth most by one worth nothing
-STARVED_MS = 1_000.0
-SAFE_MULTIPLE = 4.0  # the multiple for which the whole part is taken; a stricter one takes less
-
-
-class Account:
+MIN_BURST_REQUESTS = 2.0  # requests
+MAX_BOOST = 2.0  # of a multiple of 4 or more that makes one fall
+BOOST_STEP = 0.08  # of the boost for one good answer: some 13 of them, all cold servers together, make the most of it
+BOOST_DECREASE = (
+    0.9  # times the boost for each answer that is too much, once in PRESSED_MS a server
+)
+RESERVED_SHARE = 0.5  # of the bucket is left to the class worth most by one worth nothing
+MAX_STARVATION_MS = 1_000.0
+FULL_SHARE_MULTIPLE = (
+    4.0  # the multiple for which the whole part is taken; a stricter one takes less
+)
+
+
+class TokenBucket:
     """One cold server's bucket."""
 
-    __slots__ = ("level", "at", "taken_ms", "trust", "pressed_ms")
+    __slots__ = ("level", "at", "low_value_ms", "rate_factor", "reduced_ms")
 
     def __init__(self, level: float, now: float) -> None:
         self.level = level  # work in ms
         self.at = now
-        self.taken_ms = now  # when a request of a class that has to leave a part last took from it
-        self.trust = 1.0  # the part of its allowance that it gets, as it bears less
-        self.pressed_ms = now  # when that was last cut
+        self.low_value_ms = (
+            now  # when a request of a class that has to leave a part last took from it
+        )
+        self.rate_factor = 1.0  # the part of its allowance that it gets, as it bears less
+        self.reduced_ms = now  # when that was last cut
 
 
-class Allowances:
+class SlowStart:
     """What cold servers may get from this node."""
 
-    __slots__ = ("part", "boost", "_asked", "_borne", "_most_worth", "_random")
+    __slots__ = ("share", "boost", "_demand", "_served", "_max_value", "_random")
 
     def __init__(self, fall_multiple: float, most_worth: float, seed: int) -> None:
         self._random = random.Random(f"allowance/{seed}")
-        self.part = min(1.0, fall_multiple / SAFE_MULTIPLE)
+        self.share = min(1.0, fall_multiple / FULL_SHARE_MULTIPLE)
         self.boost = 1.0  # of all allowances, as cold servers bear more than they must
-        self._asked = Faded(ASKED_MS)
-        self._borne = Faded(PROVEN_MS)
-        self._most_worth = max(most_worth, 1e-9)
+        self._demand = DecayingSum(DEMAND_DECAY_MS)
+        self._served = DecayingSum(SERVED_DECAY_MS)
+        self._max_value = max(most_worth, 1e-9)
 
-    def asked(self, now: float, cost: float, warm_weight: float) -> None:
+    def record_request(self, now: float, cost: float, warm_weight: float) -> None:
         """A client asked for so much work (ms). warm_weight: the weight of all servers that are warm and in use now."""
-        self._asked.add(now, cost)
-        self._borne.add(now, 0.0, warm_weight)
+        self._demand.add(now, cost)
+        self._served.add(now, 0.0, warm_weight)
 
-    def borne(self, cost: float) -> None:
+    def record_served(self, cost: float) -> None:
         """A warm server answered so much work (ms) in time."""
-        self._borne.total += cost
+        self._served.total += cost
 
     def reference(self, weight: float) -> float:
         """Work a ms that a warm server of weight 1 gets from this node. weight: that of the whole fleet."""
-        asked = self._asked.rate(FIRST_MS) / max(weight, 1e-9)
-        if self._borne.spread_ms < EVIDENCE_MS or self._borne.total <= 0.0:
-            return UNPROVEN * asked
-        proven = self._borne.rate(EVIDENCE_MS)
-        return max(proven, min(asked, BEYOND * proven))
-
-    def open(self, now: float, cost: float, rate: float = 0.0, since: float = 0.0) -> Account:
+        asked = self._demand.rate(MIN_DEMAND_SPAN_MS) / max(weight, 1e-9)
+        if self._served.span_ms < MIN_EVIDENCE_MS or self._served.total <= 0.0:
+            return UNPROVEN_SHARE * asked
+        proven = self._served.rate(MIN_EVIDENCE_MS)
+        return max(proven, min(asked, MAX_OVER_PROVEN * proven))
+
+    def open_bucket(
+        self, now: float, cost: float, rate: float = 0.0, since: float = 0.0
+    ) -> TokenBucket:
         """The account of a server of whose start the node heard at `since`: it has filled from then on, at a rate that grew evenly.
 
         Guards against accounts that begin with the first request for a server, at a node that has one every few seconds.
         """
-        filled = 0.5 * rate * self.part * max(0.0, now - since)
-        return Account(min(DEPTH * cost, self._random.random() * cost + filled), now)
-
-    def has(self, account: Account, rate: float, cost: float, worth: float, now: float) -> bool:
+        filled = 0.5 * rate * self.share * max(0.0, now - since)
+        return TokenBucket(
+            min(MIN_BURST_REQUESTS * cost, self._random.random() * cost + filled), now
+        )
+
+    def may_send(
+        self, account: TokenBucket, rate: float, cost: float, worth: float, now: float
+    ) -> bool:
         """Whether a request may be sent. rate: what the server may get now, in work a ms."""
-        rate *= self.part * account.trust * self.boost
-        most = max(rate * BURST_MS, DEPTH * cost)
+        rate *= self.share * account.rate_factor * self.boost
+        most = max(rate * BURST_MS, MIN_BURST_REQUESTS * cost)
         account.level = min(most, account.level + rate * max(0.0, now - account.at))
         account.at = now
-        left = min(RESERVE * (1.0 - worth / self._most_worth) * most, most - cost)
-        waited = now - account.taken_ms
+        left = min(RESERVED_SHARE * (1.0 - worth / self._max_value) * most, most - cost)
+        waited = now - account.low_value_ms
         if left > 0.0 and waited > 0.0:
-            left *= max(0.0, 1.0 - waited / STARVED_MS)
+            left *= max(0.0, 1.0 - waited / MAX_STARVATION_MS)
         return account.level >= cost + left
 
-    def opens_in(self, account: Account, rate: float, cost: float, now: float) -> float:
+    def wait_ms(self, account: TokenBucket, rate: float, cost: float, now: float) -> float:
         """How long until the bucket holds a request's cost, in ms, if nobody else takes from it."""
-        rate *= self.part * account.trust * self.boost
+        rate *= self.share * account.rate_factor * self.boost
         level = account.level + rate * max(0.0, now - account.at)
         return max(0.0, cost - level) / rate if rate > 0.0 else 1e9
 
-    def pay(self, account: Account, cost: float, worth: float, now: float) -> None:
+    def spend(self, account: TokenBucket, cost: float, worth: float, now: float) -> None:
         """A request goes out."""
         account.level -= cost
-        if worth < self._most_worth:
-            account.taken_ms = now
+        if worth < self._max_value:
+            account.low_value_ms = now
 
-    def pressed(self, account: Account, now: float) -> None:
+    def record_overload(self, account: TokenBucket, now: float) -> None:
         """The server turned a request away, or left one without an answer in time."""
-        if now - account.pressed_ms >= PRESSED_MS:
-            account.pressed_ms = now
-            account.trust = max(LEAST_TRUST, PRESSED * account.trust)
-            self.boost = max(1.0, LESS * self.boost)
+        if now - account.reduced_ms >= OVERLOAD_INTERVAL_MS:
+            account.reduced_ms = now
+            account.rate_factor = max(MIN_RATE_FACTOR, OVERLOAD_FACTOR * account.rate_factor)
+            self.boost = max(1.0, BOOST_DECREASE * self.boost)
 
-    def eased(self, account: Account) -> None:
+    def record_success(self, account: TokenBucket) -> None:
         """The server answered in time."""
-        account.trust = min(1.0, account.trust + EASED)
-        self.boost = min(MOST_BOOST, self.boost + MORE)
+        account.rate_factor = min(1.0, account.rate_factor + RECOVERY_STEP)
+        self.boost = min(MAX_BOOST, self.boost + BOOST_STEP)
--- a/forkweir/limits/parts.py
+++ b/forkweir/limits/tier_shares.py
@@ -7,7 +7,7 @@
 from forkweir.line import Shared
 
 
-class Parts(Protocol):
+class TierShares(Protocol):
     """This node's part of what all nodes have together. Times in ms."""
 
     def wants_work(self, server: str, work: float, now: float) -> None:
--- a/forkweir/tier/claims.py
+++ b/forkweir/tier/claims.py
@@ -19,7 +19,7 @@
 from hashlib import blake2b
 from typing import Optional
 
-from forkweir.limits.work import Faded
+from forkweir.limits.request_cost import DecayingSum
 from forkweir.tier.lending import WHOLE, Holdings
 from forkweir.tier.lines import Lines, Table
 
@@ -68,7 +68,7 @@
         self.lines = Lines() if line else None  # none: this node has its own line
         self.own_work = 0.0  # work a ms that a warm server of weight 1 gets from this node
         self.own_fetches = 0.0  # in flight, as it would bound them by itself
-        self._wanted: dict[int, Faded] = {}
+        self._wanted: dict[int, DecayingSum] = {}
         self._names: dict[int, str] = {}  # "" where two have one id: neither is dealt
         self._flight_ms = 0.0  # how long a fetch is in flight
 
@@ -99,7 +99,7 @@
     def _wants(self, bound: int, amount: float, now: float) -> None:
         wanted = self._wanted.get(bound)
         if wanted is None:
-            wanted = self._wanted[bound] = Faded(WANTED_MS)
+            wanted = self._wanted[bound] = DecayingSum(WANTED_MS)
         wanted.add(now, amount)
 
     def names(self) -> dict[str, str]:
--- a/forkweir/tier/seat.py
+++ b/forkweir/tier/seat.py
@@ -23,15 +23,17 @@
         if signals is None:
             return
         boxes = {id_of(f"{m.info.name}/{m.told_ms:.0f}"): m for m in fleet.placed if m.present}
-        bad = {box: m.record.odds for box, m in boxes.items() if m.record.odds > 0.0}
-        signals.saw(bad, {box: m.record.odds for box, m in boxes.items()}, now)
+        bad = {box: m.suspicion.log_odds for box, m in boxes.items() if m.suspicion.log_odds > 0.0}
+        signals.saw(bad, {box: m.suspicion.log_odds for box, m in boxes.items()}, now)
         heard = signals.hearsay(now)
         for box, member in boxes.items():
             word = heard.get(box)
             if word is not None:
-                fleet.health.heard(member, word.odds, word.back, fleet.placed, fleet.live, now)
-            elif member.record.heard:
-                fleet.health.heard(member, 0.0, False, fleet.placed, fleet.live, now)
+                fleet.health.apply_peer_report(
+                    member, word.odds, word.back, fleet.placed, fleet.live, now
+                )
+            elif member.suspicion.peer_log_odds:
+                fleet.health.apply_peer_report(member, 0.0, False, fleet.placed, fleet.live, now)
 
     def _prepare(self, now: float) -> None:
         balancer, claims = self.balancer, self.tier.claims
@@ -43,4 +45,4 @@
             )
         if claims.deals_fetches:
             # Also while the order book does not press: a part that is asked for only then comes a second or two late (docs/tier.md).
-            claims.own_fetches = balancer.fetches.would_be
+            claims.own_fetches = balancer.fetches.prospective_limit
--- a/forkweir/tier/signals.py
+++ b/forkweir/tier/signals.py
@@ -25,7 +25,7 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass
 
-from forkweir.known.doubt import PRIOR_ODDS
+from forkweir.known.outlier_detection import PRIOR_LOG_ODDS
 
 ON_A_PAGE = 36
 RECEIVERS = 16
@@ -129,7 +129,9 @@
                 del self._words[box]
                 continue
             words = [word.odds for word in of_box.values()]
-            over = sorted(min(MOST_OF_ONE, odds - PRIOR_ODDS) for odds in words if odds > 0.0)[:-1]
+            over = sorted(min(MOST_OF_ONE, odds - PRIOR_LOG_ODDS) for odds in words if odds > 0.0)[
+                :-1
+            ]
             back = sum(odds <= 0.0 for odds in words) >= BACK and not any(
                 odds > 0.0 for odds in words
             )
--- a/testbed/nights/defects.py
+++ b/testbed/nights/defects.py
@@ -21,7 +21,7 @@
 from forkweir.choice import Balancer
 from forkweir.fleet import Fleet
 from forkweir.known.membership import Membership
-from forkweir.limits.allowance import Account, Allowances
+from forkweir.limits.slow_start import SlowStart, TokenBucket
 from forkweir.send_guard import Denial, SendGuard, SendState
 
 Patch = tuple[Any, str, Any]
@@ -330,13 +330,13 @@
         return room(self, member, request, now)
 
     def has(
-        self: Allowances, account: Account, rate: float, cost: float, worth: float, now: float
+        self: SlowStart, account: TokenBucket, rate: float, cost: float, worth: float, now: float
     ) -> bool:
         account.level += rate * (now - account.at)
         account.at = now
         return account.level >= cost
 
-    return [(Balancer, "_has_room", has_room), (Allowances, "has", has)]
+    return [(Balancer, "_has_room", has_room), (SlowStart, "may_send", has)]
 
 
 @defect("a source that names nobody any more empties the set")
@@ -365,7 +365,7 @@
         if (
             found is not None
             and found.server.state == "draining"
-            and any(how == "in" for _, how in found.said)
+            and any(how == "in" for _, how in found.states)
         ):
             return replace(found, server=replace(found.server, state="in"))
         return found
--- a/tests/admin/test_admin.py
+++ b/tests/admin/test_admin.py
@@ -11,7 +11,7 @@
 
 from corkshift.admin import Admin, Status
 from corkshift.admin.server import MOST
-from forkweir.limits.duty import SHED_MS
+from forkweir.limits.lifecycle import DRAIN_MS
 
 
 class Desk:
@@ -161,7 +161,7 @@
     async def test() -> None:
         async with desk({"s1": CacheBox()}) as made:
             assert status(await made.send(data)) == expected
-            assert made.rig.frontend.duty.welcome
+            assert made.rig.frontend.duty.accepts_clients
             assert await made.call("/admin/health") == 200
 
     play(test)
@@ -175,7 +175,7 @@
             writer.write(head)
             assert await reader.readuntil(b"\r\n\r\n") == b"HTTP/1.1 100 Continue\r\n\r\n"
             writer.write(b"{}")
-            assert status(await reader.read()) == 200 and not made.rig.frontend.duty.welcome
+            assert status(await reader.read()) == 200 and not made.rig.frontend.duty.accepts_clients
             writer.transport.abort()
 
     play(test)
@@ -224,7 +224,7 @@
                 await reader.read()
                 ends.append(loop.time() - began)
             assert (
-                ends[-1] < SHED_MS / 1000.0 + 0.2 and ends[0] < ends[-1] - 0.5
+                ends[-1] < DRAIN_MS / 1000.0 + 0.2 and ends[0] < ends[-1] - 0.5
             )  # spread, not at once
             release.set()
             answer = await busy_reader.read()
--- a/tests/forkweir/test_advice.py
+++ b/tests/forkweir/test_advice.py
@@ -91,7 +91,7 @@
 
 def test_the_origins_causes() -> None:
     balancer = make([Server(f"s{n}") for n in range(4)])
-    balancer.fetches.pressed, balancer.fetches.limit = True, 1.0
+    balancer.fetches.limiting, balancer.fetches.limit = True, 1.0
     assert {refuse[3] for refuse in refusals(balancer, 1_010.0, 50)} == {"origin"}
     balancer = make([Server(f"s{n}") for n in range(4)])
     balancer.gate.origin_slow = ORIGIN_DOWN + 0.1
--- a/tests/forkweir/test_patience.py
+++ b/tests/forkweir/test_client_wait.py
@@ -8,47 +8,47 @@
 from hypothesis import strategies as st
 
 from forkweir import Balancer, ClassSpec, Server, Settings
-from forkweir.limits.patience import Patience
-from forkweir.limits.savings import BANK, ERRORS, Savings
+from forkweir.limits.client_wait import ClientWaits
+from forkweir.limits.retry_budget import MAX_SAVED, QUICK_ERROR_SHARE, RetryBudget
 
 READ = ClassSpec("read", aim_ms=800.0, deadline_ms=2500.0, worth=3.0)
 
 
 def test_until_a_first_try_came_the_deadline_is_what_they_say() -> None:
-    assert Patience().waited("read", 1_900.0, True, 2_500.0) == 600.0
+    assert ClientWaits().waited_ms("read", 1_900.0, True, 2_500.0) == 600.0
 
 
 def test_a_repeat_that_says_what_first_tries_say_has_waited_for_nothing_that_is_known() -> None:
-    patience = Patience()
-    assert patience.waited("read", 1_956.0, False, 2_500.0) == 0.0
-    assert patience.waited("read", 1_956.0, True, 2_500.0) == 0.0
+    patience = ClientWaits()
+    assert patience.waited_ms("read", 1_956.0, False, 2_500.0) == 0.0
+    assert patience.waited_ms("read", 1_956.0, True, 2_500.0) == 0.0
     assert (
-        patience.waited("write", 1_956.0, True, 2_500.0) == 544.0
+        patience.waited_ms("write", 1_956.0, True, 2_500.0) == 544.0
     )  # nothing is known of another class
 
 
 def test_any_other_repeat_counts_on_from_its_first_try() -> None:
-    patience = Patience()
-    patience.waited("read", 1_956.0, False, 2_500.0)
-    assert patience.waited("read", 1_256.0, True, 2_500.0) == 1_244.0
+    patience = ClientWaits()
+    patience.waited_ms("read", 1_956.0, False, 2_500.0)
+    assert patience.waited_ms("read", 1_256.0, True, 2_500.0) == 1_244.0
     assert (
-        patience.waited("read", 2_100.0, True, 2_500.0) == 400.0
+        patience.waited_ms("read", 2_100.0, True, 2_500.0) == 400.0
     )  # more than first tries say: counted from the deadline
-    assert patience.waited("read", 2_600.0, True, 2_500.0) == 0.0
+    assert patience.waited_ms("read", 2_600.0, True, 2_500.0) == 0.0
 
 
 def test_a_few_clients_in_a_hurry_do_not_pass_for_all_and_a_change_of_all_is_learned() -> None:
-    patience, rng, wrong = Patience(), random.Random(1), 0
+    patience, rng, wrong = ClientWaits(), random.Random(1), 0
     for _ in range(500):
         if rng.random() < 0.1:
-            patience.waited("read", 400.0, False, 2_500.0)
+            patience.waited_ms("read", 400.0, False, 2_500.0)
         else:
-            patience.waited("read", 2_000.0, False, 2_500.0)
-            wrong += patience.waited("read", 2_000.0, True, 2_500.0) != 0.0
+            patience.waited_ms("read", 2_000.0, False, 2_500.0)
+            wrong += patience.waited_ms("read", 2_000.0, True, 2_500.0) != 0.0
     assert not wrong
     for _ in range(300):
-        patience.waited("read", 1_200.0, False, 2_500.0)
-    assert patience.waited("read", 1_200.0, True, 2_500.0) == 0.0
+        patience.waited_ms("read", 1_200.0, False, 2_500.0)
+    assert patience.waited_ms("read", 1_200.0, True, 2_500.0) == 0.0
 
 
 @given(st.lists(st.tuples(st.floats(0, 5_000), st.booleans()), max_size=50))
@@ -56,22 +56,22 @@
 def test_a_wait_is_never_negative_nor_longer_than_the_most_that_was_said(
     said: list[tuple[float, bool]],
 ) -> None:
-    patience, most = Patience(), 2_500.0
+    patience, most = ClientWaits(), 2_500.0
     for budget, repeated in said:
-        waited = patience.waited("read", budget, repeated, 2_500.0)
+        waited = patience.waited_ms("read", budget, repeated, 2_500.0)
         assert 0.0 <= waited <= most and (repeated or waited == 0.0)
         most = max(most, budget)
 
 
 def test_savings_hold_repeats_to_a_share_and_a_bank() -> None:
-    savings, sent = Savings(ERRORS), 0
+    savings, sent = RetryBudget(QUICK_ERROR_SHARE), 0
     for _ in range(100):
         savings.earn()
         for _ in range(3):
-            if savings.enough:
+            if savings.may_retry:
                 savings.spend()
                 sent += 1
-    assert ERRORS * 100 <= sent <= ERRORS * 100 + BANK
+    assert QUICK_ERROR_SHARE * 100 <= sent <= QUICK_ERROR_SHARE * 100 + MAX_SAVED
 
 
 def gate_after(patient: bool) -> Balancer:
@@ -105,5 +105,6 @@
         balancer = gate_after(patient)
         assert balancer.gate.part == 1.0 and balancer.gate.bad < 0.01
         assert all(
-            member.strain == 0.0 and not member.record.bad for member in balancer.fleet.placed
+            member.strain == 0.0 and not member.suspicion.suspect
+            for member in balancer.fleet.placed
         )
--- a/tests/forkweir/test_fetches.py
+++ b/tests/forkweir/test_fetch_budget.py
@@ -5,16 +5,16 @@
 import pytest
 
 from forkweir.choice import Balancer
-from forkweir.limits.fetches import (
-    CUT,
-    CUT_MS,
-    FRESH_MS,
-    KEYS,
-    LEAST,
-    PASS,
-    SLOW_FEW,
-    SLOW_MANY,
-    Fetches,
+from forkweir.limits.fetch_budget import (
+    DECREASE_INTERVAL_MS,
+    EXEMPT_COST,
+    LIMIT_DECREASE,
+    MAX_KEYS,
+    MIN_LIMIT,
+    REFRESH_MS,
+    SLOW_TO_LIMIT,
+    SLOW_TO_RELEASE,
+    FetchBudget,
 )
 from forkweir.settings import ClassSpec, Server, Settings
 
@@ -24,83 +24,83 @@
 )
 
 
-def jammed(out: float = 20.0) -> Fetches:
+def jammed(out: float = 20.0) -> FetchBudget:
     """A budget under which so much is out, and whose fetches have all been slow."""
-    fetches = Fetches(8.0)
+    fetches = FetchBudget(8.0)
     for _ in range(2_000):
-        fetches.out = out
-        fetches.pay(0.0)
+        fetches.in_flight = out
+        fetches.record_sent(0.0)
     for n in range(60):
-        fetches.judge(None, 10.0 * n)
-    assert fetches.pressed
+        fetches.record_fetch(None, 10.0 * n)
+    assert fetches.limiting
     return fetches
 
 
 def test_a_key_is_remembered_where_it_was_served_last_until_that_server_starts_again_or_it_is_written() -> (
     None
 ):
-    fetches = Fetches(8.0)
-    fetches.served(0.5, "s1", False, 100.0)
+    fetches = FetchBudget(8.0)
+    fetches.record_served(0.5, "s1", False, 100.0)
     assert fetches.remembers(0.5, "s1", 0.0) and not fetches.remembers(0.5, "s2", 0.0)
     assert not fetches.remembers(0.5, "s1", 150.0)
-    fetches.served(0.5, "s2", False, 200.0)
+    fetches.record_served(0.5, "s2", False, 200.0)
     assert fetches.remembers(0.5, "s2", 150.0) and not fetches.remembers(0.5, "s1", 0.0)
-    fetches.served(0.5, "s2", True, 300.0)
+    fetches.record_served(0.5, "s2", True, 300.0)
     assert not fetches.remembers(0.5, "s2", 0.0)
 
 
 def test_no_more_keys_are_remembered_than_stated_and_those_served_longest_ago_go_first() -> None:
-    fetches = Fetches(8.0)
-    for n in range(KEYS):
-        fetches.served(float(n), "s1", False, float(n))
-    fetches.served(0.0, "s1", False, KEYS + FRESH_MS)
-    for n in range(KEYS, KEYS + 10):
-        fetches.served(float(n), "s1", False, KEYS + FRESH_MS)
-    assert len(fetches._served) == KEYS
+    fetches = FetchBudget(8.0)
+    for n in range(MAX_KEYS):
+        fetches.record_served(float(n), "s1", False, float(n))
+    fetches.record_served(0.0, "s1", False, MAX_KEYS + REFRESH_MS)
+    for n in range(MAX_KEYS, MAX_KEYS + 10):
+        fetches.record_served(float(n), "s1", False, MAX_KEYS + REFRESH_MS)
+    assert len(fetches._last_server) == MAX_KEYS
     assert fetches.remembers(0.0, "s1", 0.0) and not fetches.remembers(1.0, "s1", 0.0)
 
 
 def test_nothing_is_held_back_while_fetches_are_quick_however_many_are_out() -> None:
-    fetches = Fetches(8.0)
+    fetches = FetchBudget(8.0)
     for _ in range(500):
-        fetches.pay(1.0)
-        assert fetches.has(1.0, 1.0)
+        fetches.record_sent(1.0)
+        assert fetches.may_send(1.0, 1.0)
     for n in range(100):
-        fetches.judge(0.3, float(n))
-        assert fetches.has(1.0, 1.0)
+        fetches.record_fetch(0.3, float(n))
+        assert fetches.may_send(1.0, 1.0)
 
 
 def test_a_slow_origin_holds_back_misses_first_of_the_classes_worth_least_and_never_expected_hits() -> (
     None
 ):
     fetches = jammed()
-    fetches.out = 0.9 * fetches.limit
-    assert fetches.has(1.0, 8.0) and not fetches.has(1.0, 3.0)
-    fetches.out = 2.0 * fetches.limit
-    assert not fetches.has(1.0, 8.0)
-    assert fetches.has(PASS, 0.0)
+    fetches.in_flight = 0.9 * fetches.limit
+    assert fetches.may_send(1.0, 8.0) and not fetches.may_send(1.0, 3.0)
+    fetches.in_flight = 2.0 * fetches.limit
+    assert not fetches.may_send(1.0, 8.0)
+    assert fetches.may_send(EXEMPT_COST, 0.0)
 
 
 def test_a_limit_is_cut_once_in_its_time_and_never_below_the_least() -> None:
     fetches = jammed()
-    before, at = fetches.limit, fetches._cut_ms
+    before, at = fetches.limit, fetches._decreased_ms
     for n in range(10):
-        fetches.judge(None, at + 1.0 + n)
+        fetches.record_fetch(None, at + 1.0 + n)
     assert fetches.limit == before
-    fetches.judge(None, at + CUT_MS)
-    assert fetches.limit == pytest.approx(CUT * before)
+    fetches.record_fetch(None, at + DECREASE_INTERVAL_MS)
+    assert fetches.limit == pytest.approx(LIMIT_DECREASE * before)
     for n in range(100):
-        fetches.judge(None, at + (2 + n) * CUT_MS)
-    assert fetches.limit == LEAST
+        fetches.record_fetch(None, at + (2 + n) * DECREASE_INTERVAL_MS)
+    assert fetches.limit == MIN_LIMIT
 
 
 def test_an_origin_that_is_well_again_frees_the_budget_within_few_good_fetches() -> None:
     fetches = jammed()
     good = 0
-    while fetches.pressed:
+    while fetches.limiting:
         good += 1
-        fetches.judge(0.3, 5_000.0 + good)
-    assert good <= 30 and fetches.slow < SLOW_FEW < SLOW_MANY
+        fetches.record_fetch(0.3, 5_000.0 + good)
+    assert good <= 30 and fetches.slow_share < SLOW_TO_RELEASE < SLOW_TO_LIMIT
 
 
 def test_the_module_keeps_its_books_of_fetches_whatever_becomes_of_a_request() -> None:
@@ -136,7 +136,7 @@
                 )
             tries += 1
     assert not balancer.held
-    assert balancer.fetches.out == pytest.approx(0.0, abs=1e-6)
+    assert balancer.fetches.in_flight == pytest.approx(0.0, abs=1e-6)
 
 
 def test_a_jammed_origin_does_not_take_the_hits_along() -> None:
@@ -165,5 +165,5 @@
     for n in range(3_000):  # then the origin jams: every miss times out
         served += ask(f"warm{n % 100}", "success", 30.0, 1)
         fetched += ask(f"new{n}", "timed_out", 700.0, 0)
-    assert balancer.fetches.pressed
+    assert balancer.fetches.limiting
     assert served > 0.75 * 3_000 and fetched < 0.25 * 3_000
--- a/tests/forkweir/test_gate.py
+++ b/tests/forkweir/test_gate.py
@@ -4,7 +4,7 @@
 
 from forkweir.fleet import Fleet
 from forkweir.gate import ORIGIN_SLOW, Gate
-from forkweir.known.seen import WORDS
+from forkweir.known.outcomes import OUTCOME_TYPES
 from forkweir.settings import ClassSpec, Server, Settings
 
 READ = ClassSpec("read", aim_ms=800.0, deadline_ms=2500.0)
@@ -16,7 +16,12 @@
     fleet.take(0.0, [Server("s0")], True)
     gate, member = Gate(fleet), fleet.members["s0"]
     gate.origin_slow = origin_slow
-    gate.judge(member, WORDS["timed_out"](0, 800.0, READ, likely_miss=likely_miss), 0.0, 1_000.0)
+    gate.judge(
+        member,
+        OUTCOME_TYPES["timed_out"](0, 800.0, READ, miss_probability=likely_miss),
+        0.0,
+        1_000.0,
+    )
     return member.strain
 
 
--- a/tests/forkweir/test_membership.py
+++ b/tests/forkweir/test_membership.py
@@ -5,11 +5,10 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from forkweir.known.groups import RETURN_MS, Groups
 from forkweir.known.membership import (
-    FLAP_AT,
-    MOST_BOXES,
-    TOMB_MS,
+    FLAP_SUPPRESS,
+    MAX_BOXES,
+    TOMBSTONE_MS,
     Address,
     Box,
     Claim,
@@ -17,6 +16,7 @@
     Membership,
     Rights,
 )
+from forkweir.known.priority_groups import FAILBACK_MS, PriorityGroups
 
 LIST, DNS, FILE = Rights(0), Rights(10, drain=False, remove=False), Rights(20, fallback=True)
 RIGHTS = {"list": LIST, "dns": DNS, "file": FILE}
@@ -47,9 +47,9 @@
 
 def test_ids_and_weights_come_from_the_best_source_that_has_them() -> None:
     merged = made()
-    merged.tell("dns", [Claim(at(1), weight=2.0, priority=3)], 0.0)
+    merged.update("dns", [Claim(at(1), weight=2.0, priority=3)], 0.0)
     assert merged.merge(0.0)[0].server.name == "10.0.0.1:8001"
-    merged.tell("list", [Claim(at(1), name="s1", zone="a", started_ms=5.0)], 1.0)
+    merged.update("list", [Claim(at(1), name="s1", zone="a", started_ms=5.0)], 1.0)
     box = merged.merge(1.0)[0]
     assert (
         box.server.name,
@@ -58,39 +58,39 @@
         box.server.started_ms,
         box.priority,
     ) == ("s1", "a", 2.0, 5.0, 3)
-    assert box.rule == "agreed" and dict(box.said) == {"list": "in", "dns": "in"}
-    merged.tell("list", [Claim(at(1), name="s1", weight=1.5)], 2.0)
+    assert box.rule == "agreed" and dict(box.states) == {"list": "in", "dns": "in"}
+    merged.update("list", [Claim(at(1), name="s1", weight=1.5)], 2.0)
     assert merged.merge(2.0)[0].server.weight == 1.5
 
 
 def test_a_box_of_one_source_alone_needs_its_right_to_add() -> None:
     merged = Membership({"list": LIST, "dns": Rights(10, add=False)})
-    merged.tell("list", claims(1), 0.0)
-    merged.tell("dns", claims(1, 2), 0.0)
+    merged.update("list", claims(1), 0.0)
+    merged.update("dns", claims(1, 2), 0.0)
     assert seen(merged, 0.0) == {1: ("in", "agreed")}
 
 
 def test_a_drain_holds_whoever_says_otherwise_until_its_source_takes_it_back() -> None:
     merged = made()
-    merged.tell("list", claims(1, 2, draining=(1,)), 0.0)
-    merged.tell("dns", claims(1, 2), 1.0)
+    merged.update("list", claims(1, 2, draining=(1,)), 0.0)
+    merged.update("dns", claims(1, 2), 1.0)
     assert seen(merged, 1.0)[1] == ("draining", "drain by list")
-    merged.failed("list", "gone away")
+    merged.mark_failed("list", "gone away")
     assert seen(merged, 1e9)[1][0] == "draining"
-    merged.tell("list", claims(1, 2), 1e9)
+    merged.update("list", claims(1, 2), 1e9)
     assert seen(merged, 1e9)[1] == ("in", "agreed")
-    merged.tell("dns", [Claim(at(2), "draining")], 1e9, full=False)  # without the right
+    merged.update("dns", [Claim(at(2), "draining")], 1e9, full=False)  # without the right
     assert seen(merged, 1e9)[2] == ("in", "agreed")
 
 
 def test_what_drained_and_went_stays_away_while_dns_names_it_on() -> None:
     merged = made()
-    merged.tell("dns", claims(1, 2, 3), 0.0)
-    merged.tell("list", claims(1, 2, 3, draining=(1,)), 0.0)
-    merged.tell("list", claims(2, 3), 10.0)
-    merged.tell("dns", claims(1, 2, 3), 20.0)
+    merged.update("dns", claims(1, 2, 3), 0.0)
+    merged.update("list", claims(1, 2, 3, draining=(1,)), 0.0)
+    merged.update("list", claims(2, 3), 10.0)
+    merged.update("dns", claims(1, 2, 3), 20.0)
     assert set(seen(merged, 20.0)) == {2, 3}
-    assert set(seen(merged, 10.0 + TOMB_MS)) == {
+    assert set(seen(merged, 10.0 + TOMBSTONE_MS)) == {
         1,
         2,
         3,
@@ -99,93 +99,94 @@
 
 def test_a_removal_ends_where_the_other_source_names_the_box_anew() -> None:
     merged = made()
-    merged.tell("dns", claims(1, 2, 3), 0.0)
-    merged.tell("list", claims(1, 2, 3), 0.0)
-    merged.tell("list", claims(2, 3), 10.0)
+    merged.update("dns", claims(1, 2, 3), 0.0)
+    merged.update("list", claims(1, 2, 3), 0.0)
+    merged.update("list", claims(2, 3), 10.0)
     assert set(seen(merged, 10.0)) == {2, 3}
-    merged.tell("dns", claims(2, 3), 20.0)
-    merged.tell("dns", claims(1, 2, 3), 30.0)
+    merged.update("dns", claims(2, 3), 20.0)
+    merged.update("dns", claims(1, 2, 3), 30.0)
     assert set(seen(merged, 30.0)) == {1, 2, 3}
-    merged.tell(
+    merged.update(
         "list", [*claims(1), Claim(at(2), "gone")], 40.0, full=False
     )  # by name: no other source brings it back
-    merged.tell("dns", claims(1, 3), 50.0)
-    merged.tell("dns", claims(1, 2, 3), 60.0)
+    merged.update("dns", claims(1, 3), 50.0)
+    merged.update("dns", claims(1, 2, 3), 60.0)
     assert set(seen(merged, 60.0)) == {1, 3}
-    merged.tell("list", claims(2), 70.0, full=False)
+    merged.update("list", claims(2), 70.0, full=False)
     assert set(seen(merged, 70.0)) == {1, 2, 3}
 
 
 def test_a_worse_source_or_one_without_the_right_removes_nothing_from_a_better_one() -> None:
     merged = made()
-    merged.tell("list", claims(1, 2, 3), 0.0)
-    merged.tell("dns", claims(1, 2, 3), 0.0)
-    merged.tell("dns", claims(2, 3), 1.0)
+    merged.update("list", claims(1, 2, 3), 0.0)
+    merged.update("dns", claims(1, 2, 3), 0.0)
+    merged.update("dns", claims(2, 3), 1.0)
     assert seen(merged, 1.0)[1] == ("in", "only list")
 
 
 def test_a_fall_is_held_and_told_then_believed() -> None:
     merged = made(Guard(0.5, 10_000.0, 30_000.0))
-    merged.tell("list", claims(1, 2, 3, 4), 0.0)
-    merged.tell("list", claims(1), 100.0)
+    merged.update("list", claims(1, 2, 3, 4), 0.0)
+    merged.update("list", claims(1), 100.0)
     assert seen(merged, 100.0)[2] == ("in", "held: fall")
     assert (
-        any("3 of 4 boxes fell out" in line for line in merged.reports()) and not merged.reports()
+        any("3 of 4 boxes fell out" in line for line in merged.take_reports())
+        and not merged.take_reports()
     )
-    assert merged.due(100.0) == 30_100.0
+    assert merged.next_change_ms(100.0) == 30_100.0
     assert set(seen(merged, 30_100.0)) == {1}
 
 
 def test_a_slow_fall_and_one_said_by_name_are_no_fall() -> None:
     merged = made(Guard(0.5, 10_000.0, 30_000.0))
-    merged.tell("list", claims(1, 2, 3, 4), 0.0)
+    merged.update("list", claims(1, 2, 3, 4), 0.0)
     for n, now in ((2, 20_000.0), (3, 40_000.0), (4, 60_000.0)):
-        merged.tell("list", claims(*range(1, 6 - n)), now)
+        merged.update("list", claims(*range(1, 6 - n)), now)
         assert len(seen(merged, now)) == 5 - n
-    merged.tell("list", claims(1, 2, 3, 4), 80_000.0)
-    merged.tell("list", [Claim(at(n), "gone") for n in (2, 3, 4)], 80_001.0, full=False)
+    merged.update("list", claims(1, 2, 3, 4), 80_000.0)
+    merged.update("list", [Claim(at(n), "gone") for n in (2, 3, 4)], 80_001.0, full=False)
     assert set(seen(merged, 80_001.0)) == {1}
 
 
 def test_an_emptied_source_never_empties_the_set_and_drains_do() -> None:
     merged = made()
-    merged.tell("dns", claims(1, 2), 0.0)
-    merged.tell("dns", [], 10.0)
+    merged.update("dns", claims(1, 2), 0.0)
+    merged.update("dns", [], 10.0)
     assert set(seen(merged, 10.0)) == {1, 2}
     assert seen(merged, 1e9) == {1: ("in", "held: last"), 2: ("in", "held: last")}
-    merged.tell("list", claims(1, 2, draining=(1, 2)), 1e9)
+    merged.update("list", claims(1, 2, draining=(1, 2)), 1e9)
     assert {state for state, _ in seen(merged, 1e9).values()} == {"draining"}
-    merged.tell("list", claims(3), 1e9)
+    merged.update("list", claims(3), 1e9)
     assert set(seen(merged, 1e9)) == {3}
 
 
 def test_a_fallback_counts_while_nothing_else_is_in_service() -> None:
     merged = made()
-    merged.tell("file", claims(7), 0.0)
+    merged.update("file", claims(7), 0.0)
     assert seen(merged, 0.0) == {7: ("in", "fallback file")}
-    merged.tell("list", claims(1), 1.0)
+    merged.update("list", claims(1), 1.0)
     assert set(seen(merged, 1.0)) == {1}
-    merged.tell("list", claims(1, draining=(1,)), 2.0)
+    merged.update("list", claims(1, draining=(1,)), 2.0)
     assert seen(merged, 2.0)[7][0] == "in"
 
 
 def test_a_box_that_moves_leaves_its_old_address_at_once() -> None:
     merged = made()
-    merged.tell("list", claims(1, 2, named=True), 0.0)
-    merged.tell("list", [Claim(at(9), name="s1"), *claims(2, named=True)], 1.0)
+    merged.update("list", claims(1, 2, named=True), 0.0)
+    merged.update("list", [Claim(at(9), name="s1"), *claims(2, named=True)], 1.0)
     assert set(seen(merged, 1.0)) == {2, 9}
 
 
 def test_a_flapping_box_is_kept_and_marked_for_a_while() -> None:
     merged, now = made(Guard(1.0)), 0.0
     others = (2, 3, 4)
-    for _ in range(int(FLAP_AT) + 1):
-        merged.tell("list", claims(1, *others), now)
-        merged.tell("list", claims(*others), now + 1_000.0)
+    for _ in range(int(FLAP_SUPPRESS) + 1):
+        merged.update("list", claims(1, *others), now)
+        merged.update("list", claims(*others), now + 1_000.0)
         now += 2_000.0
     assert seen(merged, now)[1] == ("in", "held: flapping")
     while 1 in seen(merged, now):
-        due = merged.due(now)
+        due = merged.next_change_ms(now)
         assert due is not None and now < due < 100_000.0  # by the cost that is stated
         now = due
     assert now > 30_000.0
@@ -193,14 +194,14 @@
 
 def test_a_stale_or_failed_source_loses_its_say_in_weights_alone() -> None:
     merged = Membership({"list": Rights(0, stale_ms=1_000.0), "dns": DNS})
-    merged.tell("list", [Claim(at(1), name="s1", weight=3.0)], 0.0)
-    merged.tell("dns", [Claim(at(1), weight=0.5)], 0.0)
+    merged.update("list", [Claim(at(1), name="s1", weight=3.0)], 0.0)
+    merged.update("dns", [Claim(at(1), weight=0.5)], 0.0)
     assert [box.server.weight for box in (*merged.merge(1_000.0), *merged.merge(1_001.0))] == [
         3.0,
         0.5,
     ]
     assert merged.merge(1e9)[0].server.name == "s1"
-    assert [(name, how) for name, how, *_ in merged.sources(1_001.0)] == [
+    assert [(name, how) for name, how, *_ in merged.source_status(1_001.0)] == [
         ("list", "stale"),
         ("dns", "fresh"),
     ]
@@ -219,7 +220,12 @@
 def played(steps: list[tuple[float, Step]]) -> Membership:
     merged = made(Guard(0.5, 5_000.0, 4_000.0))
     for now, (source, words, full) in steps:
-        merged.tell(source, [Claim(at(n), state, f"{source}{n}") for n, state in words], now, full)  # type: ignore[arg-type]
+        merged.update(
+            source,
+            [Claim(at(n), state, f"{source}{n}") for n, state in words],  # type: ignore[arg-type]
+            now,
+            full,
+        )
     return merged
 
 
@@ -253,7 +259,7 @@
     named, ever_in = {name: set[Address]() for name in RIGHTS}, set[Address]()
     for now, (source, words, full) in order:
         states = {at(n): state for n, state in words}
-        merged.tell(source, [Claim(a, state) for a, state in states.items()], now, full)  # type: ignore[arg-type]
+        merged.update(source, [Claim(a, state) for a, state in states.items()], now, full)  # type: ignore[arg-type]
         for address, state in states.items():
             last[source][address] = state
         named[source] = states.keys() if full else named[source] | states.keys()  # type: ignore[assignment]
@@ -279,7 +285,7 @@
     now = 700.0 * len(steps)
     for _ in range(400):  # without another word it comes to rest
         merged.merge(now)
-        if (due := merged.due(now)) is None:
+        if (due := merged.next_change_ms(now)) is None:
             break
         assert due > now
         now = due
@@ -291,7 +297,7 @@
     merged = Membership({"list": LIST})
     for generation in range(4):
         base = generation * 5_000
-        merged.tell(
+        merged.update(
             "list",
             [
                 Claim((f"10.{n >> 16}.{n >> 8 & 255}.{n & 255}", 1))
@@ -301,22 +307,22 @@
         )
         view = merged._views["list"]
         assert (
-            max(len(view.claims), len(view.since), len(view.tombs), len(view.penalties))
-            <= MOST_BOXES
+            max(len(view.claims), len(view.since), len(view.tombstones), len(view.penalties))
+            <= MAX_BOXES
         )
-        assert len(view.held) <= MOST_BOXES and view.by_name <= view.tombs.keys()
-    assert any("more than" in line for line in merged.reports())
+        assert len(view.held) <= MAX_BOXES and view.by_name <= view.tombstones.keys()
+    assert any("more than" in line for line in merged.take_reports())
 
 
 def test_a_lower_group_serves_only_while_the_higher_can_not() -> None:
-    groups = Groups()
+    groups = PriorityGroups()
     assert groups.level([(10, True), (20, True)], 0.0) == 10
     assert groups.level([(10, False), (10, True), (20, True)], 1.0) == 10
     assert groups.level([(10, False), (20, True)], 2.0) == 20
     assert groups.level([(10, True), (20, True)], 3.0) == 20  # not at the first sign
     assert groups.level([(10, False), (20, True)], 4_000.0) == 20
     assert groups.level([(10, True), (20, True)], 5_000.0) == 20
-    assert groups.level([(10, True), (20, True)], 5_000.0 + RETURN_MS) == 10
+    assert groups.level([(10, True), (20, True)], 5_000.0 + FAILBACK_MS) == 10
     assert groups.level([(10, False), (20, False)], 20_000.0) == 20
     assert groups.level([(5, True)], 30_000.0) == 5
     assert groups.level([], 40_000.0) == 0
@@ -324,7 +330,7 @@
 
 def test_boxes_are_told_apart_by_address() -> None:
     merged = made()
-    merged.tell("list", [Claim(at(1), name="x")], 0.0)
-    merged.tell("dns", [Claim(at(2), name="x")], 0.0)  # another box by the same id
+    merged.update("list", [Claim(at(1), name="x")], 0.0)
+    merged.update("dns", [Claim(at(2), name="x")], 0.0)  # another box by the same id
     boxes: list[Box] = merged.merge(0.0)
     assert {box.server.name for box in boxes} == {"x", "10.0.0.2:8001"}
--- a/tests/forkweir/test_seen.py
+++ b/tests/forkweir/test_outcomes.py
@@ -8,7 +8,14 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from forkweir.known.seen import LONG, NEVER_RAN, QUICK, SORTS, WORDS, Seen
+from forkweir.known.outcomes import (
+    CATEGORIES,
+    MIN_AIM_FRACTION,
+    NOT_EXECUTED,
+    OUTCOME_TYPES,
+    QUICK_ERROR_FRACTION,
+    AttemptOutcome,
+)
 from forkweir.settings import ClassSpec
 
 READ = ClassSpec("read", aim_ms=800.0, deadline_ms=2500.0)
@@ -26,28 +33,28 @@
 )
 
 
-def seen(status: str, elapsed_ms: float = 500.0, note: int = 0, **more: Any) -> Seen:
-    return WORDS[status](note, elapsed_ms, READ, **more)
+def seen(status: str, elapsed_ms: float = 500.0, note: int = 0, **more: Any) -> AttemptOutcome:
+    return OUTCOME_TYPES[status](note, elapsed_ms, READ, **more)
 
 
 @pytest.mark.parametrize("status", STATUSES)
 def test_each_outcome_says_what_the_table_says(status: str) -> None:
     one = seen(status)
     assert one.alive == (status in ("success", "overloaded", "failure", "absent"))
-    assert one.heard == (
+    assert one.response_received == (
         status in ("success", "overloaded", "failure", "absent", "broken", "spoilt")
     )
     assert one.fault == (status in ("unreachable", "broken", "spoilt"))
-    assert one.away == {"success": False, "overloaded": True}.get(status)
-    assert one.wrong == {
+    assert one.rejected == {"success": False, "overloaded": True}.get(status)
+    assert one.adverse == {
         "success": False,
         "failure": True,
         "timed_out": True,
         "withdrawn": True,
     }.get(status)
-    assert one.pressed == (status in ("overloaded", "timed_out"))
+    assert one.overload == (status in ("overloaded", "timed_out"))
     assert one.may_have_run == (status not in ("overloaded", "absent", "unreachable", "void"))
-    assert one.fetch_over == (status in ("success", "timed_out", "failure"))
+    assert one.fetch_ended == (status in ("success", "timed_out", "failure"))
     assert (one.zone_answers is None) == (status in ("withdrawn", "void", "broken"))
     assert (one.zone_answers is False) == (status in ("timed_out", "unreachable"))
 
@@ -55,20 +62,20 @@
 @pytest.mark.parametrize("status", ["timed_out", "withdrawn"])
 def test_time_that_ran_out_early_tells_of_nobody(status: str) -> None:
     brief, long = (
-        seen(status, 0.99 * LONG * READ.aim_ms, likely_miss=1.0),
-        seen(status, LONG * READ.aim_ms, likely_miss=1.0),
+        seen(status, 0.99 * MIN_AIM_FRACTION * READ.aim_ms, miss_probability=1.0),
+        seen(status, MIN_AIM_FRACTION * READ.aim_ms, miss_probability=1.0),
     )
     assert brief.brief and not long.brief
-    assert brief.wrong is None and long.wrong is True
+    assert brief.adverse is None and long.adverse is True
 
 
 def test_a_late_answer_is_wrong_and_too_much() -> None:
     late = seen("success", 801.0, 1)
-    assert late.wrong and late.pressed and not late.in_time
+    assert late.adverse and late.overload and not late.in_time
     assert (
-        late.cost_told
-        and not seen("success", 801.0, 2).cost_told
-        and not seen("success", 801.0, 1, work_ms=5.0).cost_told
+        late.reveals_cost
+        and not seen("success", 801.0, 2).reveals_cost
+        and not seen("success", 801.0, 1, work_ms=5.0).reveals_cost
     )
 
 
@@ -79,15 +86,15 @@
     )
     assert seen("timed_out").missed(False) is True and seen("timed_out").missed(True) is None
     assert seen("success", write=True).missed(False) is None and seen("success", write=True).fetched
-    assert seen("failure").missed(False) is None and seen("failure").fetch_lost(0.9)
-    assert seen("timed_out", likely_miss=0.2).fetch_lost(0.15) and not seen(
-        "timed_out", likely_miss=0.1
-    ).fetch_lost(0.15)
+    assert seen("failure").missed(False) is None and seen("failure").fetch_failed(0.9)
+    assert seen("timed_out", miss_probability=0.2).fetch_failed(0.15) and not seen(
+        "timed_out", miss_probability=0.1
+    ).fetch_failed(0.15)
 
 
 def test_an_error_is_quick_within_a_part_of_the_aim() -> None:
-    assert seen("failure", 0.9 * QUICK * READ.aim_ms).quick_error(READ.aim_ms)
-    assert not seen("failure", 1.1 * QUICK * READ.aim_ms).quick_error(READ.aim_ms)
+    assert seen("failure", 0.9 * QUICK_ERROR_FRACTION * READ.aim_ms).quick_error(READ.aim_ms)
+    assert not seen("failure", 1.1 * QUICK_ERROR_FRACTION * READ.aim_ms).quick_error(READ.aim_ms)
     assert not seen("overloaded", 1.0).quick_error(READ.aim_ms)
 
 
@@ -108,28 +115,38 @@
     note: int,
     elapsed_ms: float,
     write: bool,
-    known: bool,
-    likely_miss: float,
+    served_last: bool,
+    miss_probability: float,
     cold: bool,
 ) -> None:
     one = seen(
-        status, elapsed_ms, note, write=write, known=known, likely_miss=likely_miss, cold=cold
+        status,
+        elapsed_ms,
+        note,
+        write=write,
+        served_last=served_last,
+        miss_probability=miss_probability,
+        cold=cold,
     )
-    gone = WORDS[status](note, elapsed_ms, None)
-    assert one.alive <= one.heard and not (one.alive and one.fault)
-    assert not (one.in_time and one.pressed) and one.sort in SORTS
-    assert one.wrong is not True or not one.in_time
-    assert not (one.brief and (one.served or one.wrong))
+    gone = OUTCOME_TYPES[status](note, elapsed_ms, None)
+    assert one.alive <= one.response_received and not (one.alive and one.fault)
+    assert not (one.in_time and one.overload) and one.category in CATEGORIES
+    assert one.adverse is not True or not one.in_time
+    assert not (one.brief and (one.served or one.adverse))
     assert one.longer_than(1.0) is None or one.longer_than(1.0) == (
         one.timed_out or not one.in_time
     )
     # Of a request that is over nothing is held against anybody, but that its server and zone are there.
-    assert gone.wrong is None and gone.longer_than(0.0) is None and not gone.brief
-    assert (gone.alive, gone.heard, gone.zone_answers) == (one.alive, one.heard, one.zone_answers)
+    assert gone.adverse is None and gone.longer_than(0.0) is None and not gone.brief
+    assert (gone.alive, gone.response_received, gone.zone_answers) == (
+        one.alive,
+        one.response_received,
+        one.zone_answers,
+    )
 
 
 def test_every_word_of_the_wire_has_its_class() -> None:
-    assert set(WORDS) == set(STATUSES) and NEVER_RAN == {
+    assert set(OUTCOME_TYPES) == set(STATUSES) and NOT_EXECUTED == {
         "overloaded",
         "unreachable",
         "void",
--- a/tests/forkweir/test_doubt.py
+++ b/tests/forkweir/test_outlier_detection.py
@@ -9,105 +9,114 @@
 from hypothesis import strategies as st
 
 from forkweir import Balancer, ClassSpec, Server, Settings
-from forkweir.known.doubt import (
-    COMMON,
-    HIGH,
-    LEAST_USUAL,
-    LOW,
-    MOST_ALONE,
-    MOST_OUT,
-    MOST_USUAL,
-    PRIOR_ODDS,
-    SPREAD,
-    TRIAL_MOST_MS,
-    TRIAL_MS,
-    Doubts,
-    Record,
+from forkweir.known.outlier_detection import (
+    COMMON_FAILURE_RATE,
+    INITIAL_TRIAL_WAIT_MS,
+    MAX_BASE_RATE,
+    MAX_INDEPENDENT_SHARE,
+    MAX_LOG_ODDS,
+    MAX_SUSPECT_SHARE,
+    MAX_TRIAL_WAIT_MS,
+    MIN_BASE_RATE,
+    MIN_LOG_ODDS,
+    PRIOR_LOG_ODDS,
+    TRIAL_JITTER,
+    OutlierDetector,
+    Suspicion,
 )
 
 READ = ClassSpec("read", aim_ms=800.0, deadline_ms=2500.0, worth=3.0)
 
 
-def seasoned(wrong_part: float, seed: int = 1) -> Doubts:
+def seasoned(wrong_part: float, seed: int = 1) -> OutlierDetector:
     """After 400 attempts at good servers, of which this part went wrong."""
-    doubts, rng = Doubts(seed), random.Random(seed)
+    doubts, rng = OutlierDetector(seed), random.Random(seed)
     for n in range(400):
-        doubts.judge(Record(), "known", rng.random() < wrong_part, float(n))
+        doubts.update(Suspicion(), "known", rng.random() < wrong_part, float(n))
     return doubts
 
 
 def test_a_bad_server_is_known_by_its_second_attempt_and_cleared_by_two_good_ones() -> None:
-    doubts, record = seasoned(0.02), Record()
-    doubts.judge(record, "known", True, 1_000.0)
-    assert not record.bad
-    doubts.judge(record, "known", True, 2_000.0)
-    assert record.bad
-    doubts.judge(record, "known", False, 3_000.0)
-    doubts.judge(record, "known", False, 3_500.0)
-    assert not record.bad
+    doubts, record = seasoned(0.02), Suspicion()
+    doubts.update(record, "known", True, 1_000.0)
+    assert not record.suspect
+    doubts.update(record, "known", True, 2_000.0)
+    assert record.suspect
+    doubts.update(record, "known", False, 3_000.0)
+    doubts.update(record, "known", False, 3_500.0)
+    assert not record.suspect
 
 
 def test_one_wrong_answer_among_good_ones_is_forgiven() -> None:
-    doubts, record, rng = seasoned(0.05), Record(), random.Random(3)
+    doubts, record, rng = seasoned(0.05), Suspicion(), random.Random(3)
     found = 0
     for n in range(2_000):
         wrong = rng.random() < 0.08
-        doubts.judge(record, "known", wrong, 300.0 * n)
-        found += wrong and record.bad
+        doubts.update(record, "known", wrong, 300.0 * n)
+        found += wrong and record.suspect
     assert found < 0.01 * 2_000  # twice in a row, by chance
 
 
 def test_where_most_goes_wrong_at_large_it_tells_nothing_of_one() -> None:
-    doubts, record = seasoned(0.7), Record()
+    doubts, record = seasoned(0.7), Suspicion()
     for n in range(10):
-        doubts.judge(record, "known", True, 100.0 * n)
-    assert not record.bad
+        doubts.update(record, "known", True, 100.0 * n)
+    assert not record.suspect
 
 
 def test_a_few_bad_servers_do_not_pass_for_what_is_usual() -> None:
-    doubts, rng = Doubts(1), random.Random(1)
-    records = [Record() for _ in range(60)]
+    doubts, rng = OutlierDetector(1), random.Random(1)
+    records = [Suspicion() for _ in range(60)]
     for n in range(1_500):
         server = rng.randrange(60)
-        doubts.judge(records[server], "known", server < 9 or rng.random() < 0.02, 33.0 * n)
-    assert [record.bad for record in records] == [True] * 9 + [False] * 51
-    assert doubts.usual("known") < 0.06
+        doubts.update(records[server], "known", server < 9 or rng.random() < 0.02, 33.0 * n)
+    assert [record.suspect for record in records] == [True] * 9 + [False] * 51
+    assert doubts.base_rate("known") < 0.06
 
 
 def test_a_common_trouble_counts_in_full_as_what_is_usual() -> None:
-    alone, common = Doubts(1), Doubts(1)
-    bad = Record()
-    bad.odds = HIGH
+    alone, common = OutlierDetector(1), OutlierDetector(1)
+    bad = Suspicion()
+    bad.log_odds = MAX_LOG_ODDS
     for n in range(200):
-        alone.judge(bad, "known", True, float(n))
-        assert common.judge(bad, "known", True, float(n), True) == 0.0
-    assert alone.usual("known") < 0.1 < 0.5 < common.usual("known")
+        alone.update(bad, "known", True, float(n))
+        assert common.update(bad, "known", True, float(n), True) == 0.0
+    assert alone.base_rate("known") < 0.1 < 0.5 < common.base_rate("known")
 
 
 def test_many_bad_servers_are_a_trouble_of_all_only_where_the_others_do_badly_too() -> None:
-    well, badly = seasoned(0.02), seasoned(COMMON + 0.1)
-    assert not well.common("known", MOST_OUT) and not badly.common("known", MOST_OUT)
-    assert not well.common("known", 0.5) and badly.common("known", 0.5)
-    assert well.common("known", MOST_ALONE + 0.01)
+    well, badly = seasoned(0.02), seasoned(COMMON_FAILURE_RATE + 0.1)
+    assert not well.is_common_cause("known", MAX_SUSPECT_SHARE) and not badly.is_common_cause(
+        "known", MAX_SUSPECT_SHARE
+    )
+    assert not well.is_common_cause("known", 0.5) and badly.is_common_cause("known", 0.5)
+    assert well.is_common_cause("known", MAX_INDEPENDENT_SHARE + 0.01)
 
 
 def test_what_is_held_against_a_server_is_forgotten() -> None:
-    doubts, record = seasoned(0.02), Record()
+    doubts, record = seasoned(0.02), Suspicion()
     for n in range(3):
-        doubts.judge(record, "known", True, 100.0 * n)
-    doubts.judge(record, "known", False, 120_000.0)
-    assert record.odds < PRIOR_ODDS
+        doubts.update(record, "known", True, 100.0 * n)
+    doubts.update(record, "known", False, 120_000.0)
+    assert record.log_odds < PRIOR_LOG_ODDS
 
 
 def test_waits_double_to_a_bound_and_are_spread_over_nodes() -> None:
-    first = [Doubts(seed).wait(Record()) for seed in range(40)]
-    assert TRIAL_MS * (1.0 - SPREAD) <= min(first) < max(first) <= TRIAL_MS
+    first = [OutlierDetector(seed).next_trial_wait(Suspicion()) for seed in range(40)]
+    assert (
+        INITIAL_TRIAL_WAIT_MS * (1.0 - TRIAL_JITTER)
+        <= min(first)
+        < max(first)
+        <= INITIAL_TRIAL_WAIT_MS
+    )
     assert (
         len({round(wait / 50.0) for wait in first}) > 10
     )  # no two dozen nodes try in the same moment
-    doubts, record = Doubts(1), Record()
-    waits = [doubts.wait(record) for _ in range(12)]
-    assert max(waits) <= TRIAL_MOST_MS and max(waits[:1]) <= TRIAL_MS < max(waits[2:])
+    doubts, record = OutlierDetector(1), Suspicion()
+    waits = [doubts.next_trial_wait(record) for _ in range(12)]
+    assert max(waits) <= MAX_TRIAL_WAIT_MS and max(waits[:1]) <= INITIAL_TRIAL_WAIT_MS < max(
+        waits[2:]
+    )
 
 
 @given(
@@ -118,15 +127,15 @@
 )
 @settings(max_examples=60, deadline=None)
 def test_all_stays_within_bounds(attempts: list[tuple[str, bool, float]]) -> None:
-    doubts, record, now = Doubts(1), Record(), 0.0
+    doubts, record, now = OutlierDetector(1), Suspicion(), 0.0
     for sort, wrong, later in attempts:
         now += later
-        before = record.odds
-        likely = doubts.judge(record, sort, wrong, now)
-        assert LOW <= record.odds <= HIGH and 0.0 <= likely <= 1.0
-        assert LEAST_USUAL <= doubts.usual(sort) <= MOST_USUAL
+        before = record.log_odds
+        likely = doubts.update(record, sort, wrong, now)
+        assert MIN_LOG_ODDS <= record.log_odds <= MAX_LOG_ODDS and 0.0 <= likely <= 1.0
+        assert MIN_BASE_RATE <= doubts.base_rate(sort) <= MAX_BASE_RATE
         if wrong and later == 0.0:
-            assert record.odds >= before
+            assert record.log_odds >= before
 
 
 def asked(
@@ -183,8 +192,11 @@
 
 def test_a_trouble_of_all_puts_nobody_out() -> None:
     balancer, _ = play({f"s{n}" for n in range(60)}, 0.9, 20_000.0)
-    assert sum(member.record.row > 0 for member in balancer.fleet.placed) <= MOST_OUT * 60
-    assert balancer.fleet.health.doubts.usual("unknown") > 0.45
+    assert (
+        sum(member.suspicion.detections > 0 for member in balancer.fleet.placed)
+        <= MAX_SUSPECT_SHARE * 60
+    )
+    assert balancer.fleet.health.detector.base_rate("unknown") > 0.45
 
 
 def test_half_a_fleet_that_fails_neither_shuts_the_gate_nor_passes_for_an_origin_in_trouble() -> (
--- a/tests/forkweir/test_allowance.py
+++ b/tests/forkweir/test_slow_start.py
@@ -7,16 +7,16 @@
 from hypothesis import strategies as st
 
 from forkweir.choice import Balancer
-from forkweir.limits.allowance import (
+from forkweir.limits.request_cost import MAX_STEP, Costs, DecayingSum
+from forkweir.limits.slow_start import (
     BURST_MS,
-    DEPTH,
-    LEAST_TRUST,
-    MOST_BOOST,
-    STARVED_MS,
-    Account,
-    Allowances,
+    MAX_BOOST,
+    MAX_STARVATION_MS,
+    MIN_BURST_REQUESTS,
+    MIN_RATE_FACTOR,
+    SlowStart,
+    TokenBucket,
 )
-from forkweir.limits.work import STEP, Costs, Faded
 from forkweir.settings import ClassSpec, Server, Settings
 
 READ = ClassSpec("read", aim_ms=750, deadline_ms=2500, worth=3)
@@ -139,7 +139,7 @@
     worst, got = cold_as_a_whole(servers, strict=False)
     assert worst < 0.5
     assert (
-        0.08 < got < 0.25 * MOST_BOOST
+        0.08 < got < 0.25 * MAX_BOOST
     )  # its capacity is 0.12 to 0.30 of the whole, and these servers bear whatever they get
 
 
@@ -181,15 +181,15 @@
 
 
 def test_what_one_cold_server_bears_is_pooled_and_taken_back_when_one_is_pressed() -> None:
-    allowances = Allowances(MULTIPLE, 8.0, 1)
-    first, second = allowances.open(0.0, 30.0), allowances.open(0.0, 30.0)
+    allowances = SlowStart(MULTIPLE, 8.0, 1)
+    first, second = allowances.open_bucket(0.0, 30.0), allowances.open_bucket(0.0, 30.0)
     for _ in range(100):
-        allowances.eased(first)
-    assert allowances.boost == MOST_BOOST
-    allowances.pressed(second, 1_000.0)
-    assert 1.0 < allowances.boost < MOST_BOOST and second.trust < first.trust == 1.0
+        allowances.record_success(first)
+    assert allowances.boost == MAX_BOOST
+    allowances.record_overload(second, 1_000.0)
+    assert 1.0 < allowances.boost < MAX_BOOST and second.rate_factor < first.rate_factor == 1.0
     for n in range(50):
-        allowances.pressed(second, 2_000.0 + 1_000.0 * n)
+        allowances.record_overload(second, 2_000.0 + 1_000.0 * n)
     assert allowances.boost == 1.0
 
 
@@ -268,25 +268,25 @@
 
 
 def test_a_class_that_floods_leaves_the_other_its_turn_within_the_stated_time() -> None:
-    allowances = Allowances(MULTIPLE, 8.0, 1)
-    account, last, longest = Account(0.0, 0.0), 0.0, 0.0
+    allowances = SlowStart(MULTIPLE, 8.0, 1)
+    account, last, longest = TokenBucket(0.0, 0.0), 0.0, 0.0
     for now in range(0, 20_000, 5):
-        if allowances.has(account, 0.2, 12.0, 3.0, float(now)):
-            allowances.pay(account, 12.0, 3.0, float(now))
+        if allowances.may_send(account, 0.2, 12.0, 3.0, float(now)):
+            allowances.spend(account, 12.0, 3.0, float(now))
             longest, last = max(longest, now - last), float(now)
-        if allowances.has(account, 0.2, 12.0, 8.0, float(now)):
-            allowances.pay(account, 12.0, 8.0, float(now))
-    assert 0.0 < longest <= STARVED_MS + 12.0 / 0.2 + 5.0
+        if allowances.may_send(account, 0.2, 12.0, 8.0, float(now)):
+            allowances.spend(account, 12.0, 8.0, float(now))
+    assert 0.0 < longest <= MAX_STARVATION_MS + 12.0 / 0.2 + 5.0
 
 
 def test_a_server_that_turns_away_gets_less_and_its_part_back_by_good_answers() -> None:
-    allowances, account = Allowances(MULTIPLE, 8.0, 1), Account(0.0, 0.0)
+    allowances, account = SlowStart(MULTIPLE, 8.0, 1), TokenBucket(0.0, 0.0)
     for n in range(1, 40):
-        allowances.pressed(account, 300.0 * n)
-    assert account.trust == LEAST_TRUST
+        allowances.record_overload(account, 300.0 * n)
+    assert account.rate_factor == MIN_RATE_FACTOR
     for _ in range(40):
-        allowances.eased(account)
-    assert account.trust == 1.0
+        allowances.record_success(account)
+    assert account.rate_factor == 1.0
 
 
 @settings(max_examples=60, deadline=None)
@@ -300,42 +300,45 @@
 def test_no_span_gets_more_than_its_rate_and_one_burst(
     steps: list[tuple[float, float, float]],
 ) -> None:
-    allowances, rate = Allowances(MULTIPLE, 8.0, 1), 0.15
-    account, now = allowances.open(0.0, 30.0), 0.0
+    allowances, rate = SlowStart(MULTIPLE, 8.0, 1), 0.15
+    account, now = allowances.open_bucket(0.0, 30.0), 0.0
     sent: list[tuple[float, float]] = []
     for gap, cost, worth in steps:
         now += gap
-        if allowances.has(account, rate, cost, worth, now):
-            allowances.pay(account, cost, worth, now)
+        if allowances.may_send(account, rate, cost, worth, now):
+            allowances.spend(account, cost, worth, now)
             sent.append((now, cost))
     for n, (begin, _) in enumerate(sent):
         total = 0.0
         for at, cost in sent[n:]:
             total += cost
-            assert total <= rate * (at - begin) + max(rate * BURST_MS, DEPTH * 30.0) + 1e-6
+            assert (
+                total
+                <= rate * (at - begin) + max(rate * BURST_MS, MIN_BURST_REQUESTS * 30.0) + 1e-6
+            )
 
 
 def test_a_cost_is_learned_from_quick_answers_and_one_bad_answer_moves_it_little() -> None:
     costs = Costs()
     for n in range(400):
-        costs.learn(READ, 12.0 + 40.0 * (n % 4 > 1))  # half of them waited
-    learned = costs.of(READ, 0.0)
+        costs.record_answer(READ, 12.0 + 40.0 * (n % 4 > 1))  # half of them waited
+    learned = costs.cost_ms(READ, 0.0)
     assert 9.0 < learned < 16.0
-    costs.learn(READ, 1e9)
-    assert costs.of(READ, 0.0) <= learned * (1.0 + STEP)
-    assert costs.of(READ, 77.0) == 77.0
-    assert costs.of(ORDER, 0.0) == pytest.approx(0.15 * 1200)
+    costs.record_answer(READ, 1e9)
+    assert costs.cost_ms(READ, 0.0) <= learned * (1.0 + MAX_STEP)
+    assert costs.cost_ms(READ, 77.0) == 77.0
+    assert costs.cost_ms(ORDER, 0.0) == pytest.approx(0.15 * 1200)
 
 
 def test_a_faded_rate_is_right_from_the_start_and_after_a_change() -> None:
-    sums = Faded(1_000.0)
+    sums = DecayingSum(1_000.0)
     for n in range(500):
         sums.add(10.0 * n, 3.0)
     assert sums.rate(1.0) == pytest.approx(0.3, rel=0.05)
     for n in range(500, 1_000):
         sums.add(10.0 * n, 9.0)
     assert sums.rate(1.0) == pytest.approx(0.9, rel=0.05)
-    first = Faded(1_000.0)
+    first = DecayingSum(1_000.0)
     first.add(0.0, 100.0)
     assert first.rate(500.0) == 0.2
 
@@ -356,7 +359,7 @@
 def test_a_cold_server_with_room_takes_keys_of_a_warm_one_that_turns_much_away() -> None:
     def homes(turned: float) -> list[str]:
         balancer = make([Server("warm"), Server("cold", started_ms=1.0)])
-        balancer.fleet.members["warm"].turned = turned
+        balancer.fleet.members["warm"].rejection_rate = turned
         balancer.fleet.members["warm"].strain, balancer.fleet.members["warm"].strain_ms = (
             1e6,
             30_000.0,
--- a/tests/forkweir/test_starts.py
+++ b/tests/forkweir/test_start_times.py
@@ -6,7 +6,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from forkweir.known.starts import MOST, NEWS_MS, Starts
+from forkweir.known.start_times import MAX_ANNOUNCEMENT_DELAY_MS, MAX_SERVERS, StartTimes
 from forkweir.settings import Server
 
 NOW, HOUR = 1_000_000_000.0, 3_600_000.0
@@ -14,34 +14,38 @@
 
 @pytest.mark.parametrize("off", [-HOUR, 0.0, HOUR])
 def test_a_server_that_appears_later_is_new_whatever_the_clock_says(off: float) -> None:
-    starts, now = Starts(), NOW + off
-    assert starts.read(Server("old"), True, now).started_ms == 0.0
-    fresh = starts.read(Server("s1", started_ms=NOW - 500.0), False, now)
+    starts, now = StartTimes(), NOW + off
+    assert starts.localize(Server("old"), True, now).started_ms == 0.0
+    fresh = starts.localize(Server("s1", started_ms=NOW - 500.0), False, now)
     assert now - 500.0 <= fresh.started_ms <= now
-    again = starts.read(Server("s1", started_ms=NOW - 500.0), False, now + 10_000.0)
+    again = starts.localize(Server("s1", started_ms=NOW - 500.0), False, now + 10_000.0)
     assert again.started_ms == fresh.started_ms  # read again it does not start again
 
 
 def test_a_clock_that_agrees_with_announced_starts_is_trusted() -> None:
-    starts = Starts()
-    starts.read(Server("s1", started_ms=NOW - HOUR), False, NOW)
+    starts = StartTimes()
+    starts.localize(Server("s1", started_ms=NOW - HOUR), False, NOW)
     assert (
-        starts.read(Server("s2", started_ms=NOW - HOUR), False, NOW).started_ms == NOW
+        starts.localize(Server("s2", started_ms=NOW - HOUR), False, NOW).started_ms == NOW
     )  # not yet known to agree
     assert (
-        starts.read(Server("s3", started_ms=NOW - NEWS_MS), False, NOW).started_ms == NOW - NEWS_MS
+        starts.localize(
+            Server("s3", started_ms=NOW - MAX_ANNOUNCEMENT_DELAY_MS), False, NOW
+        ).started_ms
+        == NOW - MAX_ANNOUNCEMENT_DELAY_MS
     )
     assert (
-        starts.read(Server("s4", started_ms=NOW - HOUR), False, NOW).started_ms == NOW - HOUR
+        starts.localize(Server("s4", started_ms=NOW - HOUR), False, NOW).started_ms == NOW - HOUR
     )  # old, and joins late
 
 
 def test_a_first_list_is_believed_but_never_ahead_of_the_clock() -> None:
-    starts = Starts()
+    starts = StartTimes()
     assert (
-        starts.read(Server("s1", started_ms=NOW - 5_000.0), True, NOW).started_ms == NOW - 5_000.0
+        starts.localize(Server("s1", started_ms=NOW - 5_000.0), True, NOW).started_ms
+        == NOW - 5_000.0
     )
-    assert starts.read(Server("s2", started_ms=NOW + HOUR), True, NOW).started_ms == NOW
+    assert starts.localize(Server("s2", started_ms=NOW + HOUR), True, NOW).started_ms == NOW
 
 
 @given(
@@ -53,12 +57,12 @@
 def test_no_start_is_ahead_of_the_clock_and_none_moves(
     steps: list[tuple[str, float, bool]],
 ) -> None:
-    starts, now = Starts(), NOW
+    starts, now = StartTimes(), NOW
     seen: dict[tuple[str, float], float] = {}
     last: dict[str, float] = {}
     for name, stated, first in steps:
         now += 1_000.0
-        got = starts.read(Server(name, started_ms=stated), first, now).started_ms
+        got = starts.localize(Server(name, started_ms=stated), first, now).started_ms
         assert got <= now
         if last.get(name) == stated:
             assert got == seen[name, stated]
@@ -66,7 +70,7 @@
 
 
 def test_starts_are_bounded() -> None:
-    starts = Starts()
-    for n in range(MOST + 5):
-        starts.read(Server(f"s{n}", started_ms=1.0), True, NOW)
-    assert len(starts._known) == MOST
+    starts = StartTimes()
+    for n in range(MAX_SERVERS + 5):
+        starts.localize(Server(f"s{n}", started_ms=1.0), True, NOW)
+    assert len(starts._known) == MAX_SERVERS
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -17,7 +17,7 @@
 from corkshift.stream import KERNEL_BUFFER
 from corkshift.upstream import Pool
 from forkweir.adapter import settings_of
-from forkweir.limits.duty import Leave
+from forkweir.limits.lifecycle import ShutdownSchedule
 from testbed.systems import standins
 from testbed.systems.scripted import ScriptedBox as CacheBox
 from testbed.systems.scripted import good, path_of, whole
@@ -165,7 +165,7 @@
         sockets: int,
         options: dict[str, Any],
         clients: int,
-        leave: Leave | None,
+        leave: ShutdownSchedule | None,
         dial_s: float,
     ) -> None:
         config = Config(
@@ -230,7 +230,7 @@
     sockets: int = 64,
     options: dict[str, Any] = OPTIONS,
     clients: int = 0,
-    leave: Leave | None = None,
+    leave: ShutdownSchedule | None = None,
     dial_s: float = 5.0,
 ) -> AsyncIterator[Rig]:
     """A node that knows these cache servers and serves. clients: its places for them, half the sockets where it is 0."""
--- a/tests/sources/test_sources.py
+++ b/tests/sources/test_sources.py
@@ -16,7 +16,7 @@
 from corkshift.sources.options import DnsTable, FileTable, GuardTable, SourcesTable
 from corkshift.upstream import CacheServer
 from forkweir import Server
-from forkweir.known.groups import RETURN_MS
+from forkweir.known.priority_groups import FAILBACK_MS
 from testbed.systems.dns import SERVICE, ZONE
 
 FILE = b'[[box]]\naddress = "127.2.0.99:8001"\nname = "spare"\n'
@@ -211,9 +211,9 @@
         await asyncio.sleep(2 * LOOK_S)
         assert node.serving == first | second
         node.down = set()
-        await asyncio.sleep(RETURN_MS / 2000.0)
+        await asyncio.sleep(FAILBACK_MS / 2000.0)
         assert node.serving == first | second
-        await asyncio.sleep(RETURN_MS / 1000.0)
+        await asyncio.sleep(FAILBACK_MS / 1000.0)
         assert node.serving == first
         sources.close()
 
--- a/tests/test_address_book.py
+++ b/tests/test_address_book.py
@@ -151,7 +151,7 @@
                 else:
                     taker.take(line)
             assert sliced.node.view() == at_once.node.view()
-            assert sliced.book._hearsay.held == at_once.book._hearsay.held
+            assert sliced.book._hearsay.held_back == at_once.book._hearsay.held_back
 
     play(test)
 
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -47,7 +47,7 @@
             assert (await made.ask("a", path="/api/one")).endswith(b"for /api/one")
             assert len(box.heads) == 2
             member = made.node._balancer.fleet.members["s0"]
-            assert not (member.strikes or member.out_until or member.warm_ms)
+            assert not (member.ejections or member.ejected_until or member.warm_ms)
             assert (await made.ask("b", path="/api/two")).endswith(b"for /api/two")
 
     play(test)
@@ -73,7 +73,7 @@
         async with rig({"s0": box}) as made:
             for n in range(3):
                 assert status(await made.ask(f"a{n}")) == 503
-            assert made.node._balancer.fleet.members["s0"].strikes > 0
+            assert made.node._balancer.fleet.members["s0"].ejections > 0
 
     play(test)
 
@@ -86,7 +86,10 @@
         async with rig({"s0": box}) as made:
             assert (await made.ask("a")).endswith(b"fine")
             assert (await made.ask("b", path="/next")).endswith(b"for /next")
-            assert made.node._balancer.fleet.members["s0"].faults == 0 and len(box.heads) == 2
+            assert (
+                made.node._balancer.fleet.members["s0"].consecutive_faults == 0
+                and len(box.heads) == 2
+            )
 
     play(test)
 
@@ -153,7 +156,7 @@
             for n in range(30):
                 answer = await made.ask(f"a{n}", path=f"/api/{n}")
                 assert answer.endswith(b"for /api/%d" % n)
-                assert not (member.strikes or member.out_until or member.warm_ms)
+                assert not (member.ejections or member.ejected_until or member.warm_ms)
             assert turn > 40
 
     play(test)
--- a/tests/test_customers.py
+++ b/tests/test_customers.py
@@ -35,7 +35,7 @@
 from corkshift.upstream import IDLE_SHARE, Pool
 from forkweir import Balancer
 from forkweir.adapter import settings_of
-from forkweir.limits.duty import Leave
+from forkweir.limits.lifecycle import ShutdownSchedule
 
 ROOT = Path(__file__).parent.parent
 SITES = sorted((ROOT / "deploy" / "sites").glob("*/*.toml"))
@@ -167,9 +167,9 @@
     assert set(node._windows) == {
         name for name, c in classes.items() if c["idempotency"] == "keyed"
     }
-    leave = Leave(longest)
-    assert leave.take < leave.answer < leave.exit < min(longest, 3_000.0) + 700.0
-    assert leave.take + longest < leave.answer or longest > 3_000.0
+    leave = ShutdownSchedule(longest)
+    assert leave.accept_ms < leave.answer_ms < leave.exit_ms < min(longest, 3_000.0) + 700.0
+    assert leave.accept_ms + longest < leave.answer_ms or longest > 3_000.0
 
 
 @pytest.mark.parametrize("path", SITES, ids=lambda path: path.stem)
@@ -394,8 +394,8 @@
 def test_what_outlives_a_planned_restart_is_answered_before_its_end() -> None:
     # Deadlines of 20 s: SIGKILL comes long before. Guards against connections that are closed on with no answer.
     async def test() -> None:
-        leave = Leave(1_000.0)
-        leave.take, leave.answer, leave.exit = 20.0, 100.0, 25_000.0
+        leave = ShutdownSchedule(1_000.0)
+        leave.accept_ms, leave.answer_ms, leave.exit_ms = 20.0, 100.0, 25_000.0
         async with rig({"s0": CacheBox(lambda head: None)}, leave=leave) as made:
             asking = asyncio.create_task(made.send(request("a")))
             await until(lambda: bool(made.boxes["s0"].heads))
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -2,7 +2,7 @@
 
 from forkweir.choice import Balancer
 from forkweir.gate import ORIGIN_SLOW
-from forkweir.known.zones import CUT_AFTER
+from forkweir.known.zones import MAX_UNANSWERED
 from forkweir.settings import ClassSpec, Server, Settings
 
 READ = ClassSpec("read", aim_ms=300, deadline_ms=1000)
@@ -74,7 +74,7 @@
         if server in far:
             lost += 1
             balancer.on_outcome(now, n, 0, True, "unreachable", server, 120.0)
-    assert lost == CUT_AFTER
+    assert lost == MAX_UNANSWERED
     assert any(ask(balancer, 5000.0, 5000 + n, f"k{n}") in far for n in range(40))
 
 
@@ -161,7 +161,7 @@
                 0 if bad else 1,
             )
         balancer.gate.part = 1.0
-        balancer.fetches.pressed = False  # the origin's budget has tests of its own
+        balancer.fetches.limiting = False  # the origin's budget has tests of its own
         after = [ask(balancer, 3.0, 20_000 + n, f"k{n}") for n in range(400)]
         return sum(a != b for a, b in zip(after, before, strict=True) if b == "s3")
 
@@ -179,7 +179,7 @@
             balancer.on_outcome(now, n, 0, False, "timed_out", str(action[2]), 300.0)
             shut.append(balancer.gate.part)
     # Only the first few, before the zone is known to be silent, count.
-    assert len(shut) > 10 and shut[0] < 1.0 and shut[-1] == shut[CUT_AFTER - 2]
+    assert len(shut) > 10 and shut[0] < 1.0 and shut[-1] == shut[MAX_UNANSWERED - 2]
 
 
 def test_a_few_time_outs_among_good_answers_do_not_shut_the_gate() -> None:
@@ -224,12 +224,12 @@
 
     def misses(first: int, status: str, took: float) -> None:
         for n in range(first, first + 40):
-            balancer.fetches.pressed = False  # the origin's budget has tests of its own
+            balancer.fetches.limiting = False  # the origin's budget has tests of its own
             server = ask(balancer, float(n), n, f"k{n}")
             balancer.on_outcome(float(n), n, 0, True, status, server, took, 2)
 
     def written(first: int) -> int:
-        balancer.fetches.pressed = False
+        balancer.fetches.limiting = False
         names = [
             balancer.on_request(100.0, n, "read", f"w{n}", 1000.0, write=True)[0][0]
             for n in range(first, first + 200)
@@ -392,7 +392,7 @@
             balancer.on_outcome(1020.0, 1, 0, True, "success", server, 20.0, 1)
             assert ask(balancer, 1030.0, 2, "k") == server
         else:
-            balancer.fetches.unknown = 0.9
+            balancer.fetches.unknown_miss_rate = 0.9
             balancer.on_departure(1010.0, 1)
             assert ask(balancer, 1030.0, 2, "k") == server
         balancer.on_outcome(1330.0, 2, 0, False, "timed_out", server, 300.0)
--- a/tests/test_lost_lines.py
+++ b/tests/test_lost_lines.py
@@ -59,7 +59,7 @@
             await until(lambda: "s1" not in serving(made))
             if answers:
                 await until(lambda: serving(made) == {*NAMES, "s9"} - {"s1", "s3"})
-                await until(lambda: not made.discovery.book._hearsay.held)
+                await until(lambda: not made.discovery.book._hearsay.held_back)
             else:
                 assert {"s0", "s2", "s4"} <= serving(made) < set(NAMES)
             assert ("s9" in made.node.servers) == answers  # nobody is added by a line that is lost
@@ -85,7 +85,9 @@
             assert now_ms() - at < WAIT_MS
             made.registry.change(drains(made, "s2"), "terminating")
             await until(lambda: "s2" not in serving(made))
-            assert len(made.registry.watches) == 1 and made.discovery.book._hearsay.held == ("s2",)
+            assert len(made.registry.watches) == 1 and made.discovery.book._hearsay.held_back == (
+                "s2",
+            )
             made.registry.mute = False
             made.registry.change(
                 entry("s2", made.boxes["s2"].port)
@@ -102,8 +104,8 @@
 def test_a_server_that_a_broken_entry_names_is_held_back_for_a_while_alone(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr("forkweir.known.hearsay.SUSPECT_MS", 200.0)
-    monkeypatch.setattr(address_book, "SUSPECT_MS", 200.0)
+    monkeypatch.setattr("forkweir.known.unconfirmed.UNREADABLE_TIMEOUT_MS", 200.0)
+    monkeypatch.setattr(address_book, "UNREADABLE_TIMEOUT_MS", 200.0)
 
     async def test() -> None:
         async with rig(boxes()) as made:
--- a/tests/test_narrow_moments.py
+++ b/tests/test_narrow_moments.py
@@ -14,7 +14,7 @@
 
 from corkshift.frontend import ClientConnection
 from corkshift.seam import now_ms
-from forkweir.limits.duty import Leave
+from forkweir.limits.lifecycle import ShutdownSchedule
 
 
 def only(made: Rig) -> ClientConnection:
@@ -22,10 +22,10 @@
     return connection
 
 
-def leaving(take_ms: float = 20.0) -> Leave:
+def leaving(take_ms: float = 20.0) -> ShutdownSchedule:
     """As of a node that has much time after it was told to end."""
-    leave = Leave(1_000.0)
-    leave.take, leave.answer, leave.exit = take_ms, 20_000.0, 25_000.0
+    leave = ShutdownSchedule(1_000.0)
+    leave.accept_ms, leave.answer_ms, leave.exit_ms = take_ms, 20_000.0, 25_000.0
     return leave
 
 
@@ -132,7 +132,7 @@
             await until(lambda: len(asked(made)) == 2)
             waiting = [client(made, request(f"b{n}", path=f"/api/b{n}")) for n in range(3)]
             draining = asyncio.create_task(made.frontend.drain())
-            await until(lambda: not made.frontend.duty.lasting)
+            await until(lambda: not made.frontend.duty.keeps_connections)
             taken = (
                 asyncio.get_running_loop().time() + 0.8
             )  # the drain has found no place for them, again and again
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -14,7 +14,7 @@
 from hypothesis import strategies as st
 
 from forkweir.choice import Balancer
-from forkweir.known.seen import NEVER_RAN
+from forkweir.known.outcomes import NOT_EXECUTED
 from forkweir.settings import Action, ClassSpec, Server, Settings
 
 CLASSES = (
@@ -79,7 +79,7 @@
             raise BrokenRule("attempt at a drained server")
         if any(status == "" for _, _, status in track.attempts):
             raise BrokenRule("two attempts out")
-        ran = [a for a in track.attempts if a[2] not in NEVER_RAN]
+        ran = [a for a in track.attempts if a[2] not in NOT_EXECUTED]
         if ran and track.spec.repeat == "unsafe":
             raise BrokenRule("unsafe repeat")
         if ran and track.spec.repeat == "keyed":
@@ -95,7 +95,7 @@
         track = self.requests[request_id]
         if track.answered:
             raise BrokenRule("two answers")
-        ran = any(status not in NEVER_RAN for _, _, status in track.attempts)
+        ran = any(status not in NOT_EXECUTED for _, _, status in track.attempts)
         binding = track.spec.repeat == "unsafe" or (
             track.spec.repeat == "keyed" and track.spec.group != "all"
         )
--- a/tests/test_silence.py
+++ b/tests/test_silence.py
@@ -33,7 +33,7 @@
 
 def out(made: Rig, name: str) -> int:
     """How many times a server was put out, for silence or for how it did, since it last answered well."""
-    return member(made, name).strikes + member(made, name).record.row
+    return member(made, name).ejections + member(made, name).suspicion.detections
 
 
 def settled(made: Rig) -> None:
@@ -101,7 +101,7 @@
             assert len(boxes["s0"].heads) >= 2 and not any(out(made, f"s{k}") for k in range(1, 6))
             # When its time is up it gets one of many requests, and all of them are served.
             before = len(boxes["s0"].heads)
-            until_ms = member(made, "s0").out_until
+            until_ms = member(made, "s0").ejected_until
             await until(lambda: now_ms() > until_ms)
             answers = await asyncio.gather(
                 *(made.ask(f"b{k}", path=f"/api/{k}", lane="brisk") for k in range(24))
@@ -115,7 +115,7 @@
                 n += 1
                 await made.ask(f"c{n}", path=f"/api/{n}", lane="brisk")
                 await asyncio.sleep(0.01)
-            assert member(made, "s0").out_until == 0.0
+            assert member(made, "s0").ejected_until == 0.0
 
     play(test)
 
@@ -142,7 +142,7 @@
             for n in range(3):
                 await batch(f"bad{n}-")
             # Found to be bad it is out until its time is up; without that it gets more than before, as some are asked again.
-            until_ms = member(made, "s0").out_until
+            until_ms = member(made, "s0").ejected_until
             await until(lambda: now_ms() > until_ms)
             assert 0 < await batch("late") < usual
 
--- a/tests/testbed/test_fleet.py
+++ b/tests/testbed/test_fleet.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from forkweir.limits.savings import BANK, ERRORS, REPEATS
+from forkweir.limits.retry_budget import MAX_SAVED, QUICK_ERROR_SHARE, RETRY_SHARE
 from testbed.nights.fleets import ALL, BOXES, NODES, night
 from testbed.nights.simulation import Result, run
 from testbed.nights.traffic import Traffic, counted
@@ -39,7 +39,10 @@
     lives = NODES * (
         2 if name in ("herd", "together") else 1
     )  # a node that starts anew has savings anew
-    assert traffic.again <= (REPEATS + ERRORS) * traffic.requests + 2.0 * BANK * lives
+    assert (
+        traffic.again
+        <= (RETRY_SHARE + QUICK_ERROR_SHARE) * traffic.requests + 2.0 * MAX_SAVED * lives
+    )
     # Nobody calls discovery in step: in no second more often than each node once, and a node that was killed once more.
     assert traffic.lists_most <= NODES * 1.1
     assert traffic.idle_most <= NODES * BOXES / 2
--- a/tests/tier/test_signals.py
+++ b/tests/tier/test_signals.py
@@ -5,7 +5,7 @@
 import pytest
 
 from forkweir.choice import Balancer
-from forkweir.known.doubt import PRIOR_ODDS
+from forkweir.known.outlier_detection import PRIOR_LOG_ODDS
 from forkweir.settings import ClassSpec, Server, Settings
 from forkweir.tier.claims import id_of
 from forkweir.tier.options import Options
@@ -50,10 +50,10 @@
     assert signals.hearsay(1.0) == {5: Hearsay(0.0, False)}
     signals.heard(2, 12, 1, [(5, 2.5)], 0.0)
     assert (
-        PRIOR_ODDS + signals.hearsay(1.0)[5].odds < 0.0
+        PRIOR_LOG_ODDS + signals.hearsay(1.0)[5].odds < 0.0
     )  # not enough alone, but with one bad attempt of one's own
     signals.heard(3, 13, 1, [(5, 2.5)], 0.0)
-    assert PRIOR_ODDS + signals.hearsay(1.0)[5].odds > 0.0
+    assert PRIOR_LOG_ODDS + signals.hearsay(1.0)[5].odds > 0.0
     for member in range(4, 200):
         signals.heard(member, 13, 1, [(5, 100.0)], 0.0)
     assert signals.hearsay(1.0)[5].odds == MOST_OF_ALL
@@ -99,17 +99,17 @@
     assert balancer.fleet.usable(member, 1_000.0)
     for n, slot in enumerate((2, 3)):
         tier.signals.heard(slot, 12 + n, 1, [(BOX, 2.5), (id_of("s4/0"), 2.5)], 1_000.0)
-    other.record.odds = -5.0  # a good answer of its own, a moment ago
+    other.suspicion.log_odds = -5.0  # a good answer of its own, a moment ago
     tier.attend(1_010.0)
     assert not balancer.fleet.usable(member, 1_010.0) and member.state(1_010.0, False) == "doubted"
     assert balancer.fleet.usable(other, 1_010.0)
     assert tier.signals.told() == []  # it tells what it saw itself, and hears no echo of it
-    due = member.out_until
+    due = member.ejected_until
     for n, slot in enumerate((1, 2, 3)):
         tier.signals.heard(slot, 11 + n, 2, [(BOX, -1.0)], 1_200.0)
     tier.attend(1_210.0)
     assert (
-        member.out_until <= 1_210.0 < due and member.state(1_210.0, False) == "due"
+        member.ejected_until <= 1_210.0 < due and member.state(1_210.0, False) == "due"
     )  # one request, to try it
     balancer.on_list(1_300.0, "changes", [Server("s3", state="draining")])
     tier.attend(1_310.0)
@@ -122,8 +122,8 @@
     balancer, tier = node(0)
     assert tier.signals is not None
     silent = balancer.fleet.members["s0"]
-    silent.strike(500.0)
-    out = silent.out_until
+    silent.eject(500.0)
+    out = silent.ejected_until
     everything = [(id_of(f"s{n}/0"), 2.5) for n in range(10)]
     for slot in (1, 2, 3, 4):
         tier.signals.heard(slot, slot, 1, everything, 600.0)
@@ -137,13 +137,13 @@
     for slot in (1, 2, 3, 4):
         tier.signals.heard(slot, slot, 2, [(id_of("s0/0"), -5.0)], 620.0)
     tier.attend(630.0)
-    assert silent.out_until == out
+    assert silent.ejected_until == out
 
 
 def test_nodes_tell_one_another_and_a_box_found_bad_by_three_is_kept_out_by_all() -> None:
     nodes = [node(slot, 6) for slot in range(6)]
     for balancer, _ in nodes[:3]:
-        balancer.fleet.members["s3"].record.odds = 2.5
+        balancer.fleet.members["s3"].suspicion.log_odds = 2.5
     now = 0.0
     while now < 4_000.0:
         now += 125.0
@@ -154,7 +154,7 @@
                 for source, to, data in sends
                 for back, more in nodes[to][1].receive(source, data, now)
             ]
-    assert all(balancer.fleet.members["s3"].record.bad for balancer, _ in nodes)
+    assert all(balancer.fleet.members["s3"].suspicion.suspect for balancer, _ in nodes)
     assert [
         not balancer.fleet.usable(balancer.fleet.members["s3"], 1_500.0)
         for balancer, _ in nodes[3:]
