--- a/forkweir/choice.py
+++ b/forkweir/choice.py
@@ -506,7 +506,7 @@
         known = self.fetches.remembers(request.position, member.info.name, member.warm_ms)
         expected = self.fetches.expected(known, request.write)
         request.fetches[request.tries] = expected, known
-        self.fetches.record_sent(expected)
+        self.fetches.record_start(expected)
         request.tries += 1
         request.servers.append(member)
         request.sent.append(now)
@@ -655,7 +655,7 @@
             return
         fetches = self.fetches
         del request.fetches[attempt]
-        fetches.record_ended(seen.miss_probability, now if seen.fetch_ended else None)
+        fetches.record_end(seen.miss_probability, now if seen.fetch_ended else None)
         jammed = (
             self.gate.slow > USUAL_SLOW
         )  # servers are slow by themselves: a time-out tells nothing of the origin
@@ -672,7 +672,7 @@
     def _settle(self, request: Request) -> None:
         """A request is over: nothing of it is expected of the origin any more."""
         for expected, _ in request.fetches.values():
-            self.fetches.record_ended(expected)
+            self.fetches.record_end(expected)
         request.fetches.clear()
 
     def _learn(self, longer: bool) -> None:
--- a/forkweir/fleet.py
+++ b/forkweir/fleet.py
@@ -425,7 +425,7 @@
             member.warm_ms = member.known_ms = now
             member.account = None
             seen.cold = True
-        self.zones.record_outcome(member.info.zone, seen, now)
+        self.zones.record_zone_answer(member.info.zone, seen, now)
 
     def doubted(self, member: Member, seen: AttemptOutcome, now: float) -> float:
         """Note how an attempt went; how likely its server is bad."""
--- a/forkweir/known/health.py
+++ b/forkweir/known/health.py
@@ -161,19 +161,19 @@
     def __init__(self, seed: int) -> None:
         self.detector = OutlierDetector(seed)
 
-    def record_outcome(self, server: Health, seen: AttemptOutcome, now: float) -> bool:
+    def record_outcome(self, server: Health, outcome: AttemptOutcome, now: float) -> bool:
         """Note what an outcome tells of whether a server is there and has room; whether it is back from the dead (see `proved`)."""
         back = False
-        if seen.alive:
+        if outcome.alive:
             back = server.record_answer(now)
-        elif seen.fault:
-            server.record_fault(seen.status, now)
-        elif seen.hung and seen.trial and server.ejections:
+        elif outcome.fault:
+            server.record_fault(outcome.status, now)
+        elif outcome.hung and outcome.trial and server.ejections:
             server.eject(now)
-        if seen.response_received:
+        if outcome.response_received:
             server.unanswered, server.last_answer_ms = 0, now
-        if seen.rejected is not None:
-            server.rejection_rate += REJECTION_WEIGHT * (seen.rejected - server.rejection_rate)
+        if outcome.rejected is not None:
+            server.rejection_rate += REJECTION_WEIGHT * (outcome.rejected - server.rejection_rate)
         return back
 
     def record_unanswered(
@@ -207,32 +207,42 @@
         )
 
     def update_suspicion(
-        self, server: Health, seen: AttemptOutcome, servers: Sequence[Health], live: int, now: float
+        self,
+        server: Health,
+        outcome: AttemptOutcome,
+        servers: Sequence[Health],
+        live: int,
+        now: float,
     ) -> float:
         """Note how an attempt went; how likely its server is bad. One that is is kept out, but for trials, where most are not."""
-        sort, wrong = seen.category, seen.adverse
-        if wrong is None:
+        category, adverse = outcome.category, outcome.adverse
+        if adverse is None:
             return 0.0
-        common = wrong and self.detector.is_common_cause(
-            sort, sum(other.present and other.suspicion.suspect for other in servers) / max(1, live)
+        common = adverse and self.detector.is_common_cause(
+            category,
+            sum(other.present and other.suspicion.suspect for other in servers) / max(1, live),
         )
-        bad = self.detector.update(server.suspicion, sort, wrong, now, common)
+        bad = self.detector.update(server.suspicion, category, adverse, now, common)
         if common:
             for other in servers:
                 if other.suspicion.detections and not other.ejections:
                     other.ejected_until, other.suspicion.detections = 0.0, 0
-        elif wrong and server.suspicion.suspect and (seen.trial or not server.suspicion.detections):
+        elif (
+            adverse
+            and server.suspicion.suspect
+            and (outcome.trial or not server.suspicion.detections)
+        ):
             server.ejected_until = max(
                 server.ejected_until, now + self.detector.next_trial_wait(server.suspicion)
             )
-        elif not wrong and not server.ejections:
+        elif not adverse and not server.ejections:
             server.ejected_until = 0.0
         return bad
 
     def apply_peer_report(
         self,
         server: Health,
-        odds: float,
+        log_odds: float,
         back: bool,
         servers: Sequence[Health],
         live: int,
@@ -244,10 +254,10 @@
         it is no trouble of single servers. One that is out for doubt and answers others is tried at once. Whoever drains, is gone or is
         silent stays so: no word of others moves that.
         """
-        server.suspicion.peer_log_odds = odds
+        server.suspicion.peer_log_odds = log_odds
         if not server.present or server.ejections:
             return
-        if server.suspicion.suspect and odds and not server.suspicion.detections:
+        if server.suspicion.suspect and log_odds and not server.suspicion.detections:
             if sum(
                 other.present and other.suspicion.suspect for other in servers
             ) <= MAX_PEER_SUSPECT_SHARE * max(1, live):
--- a/forkweir/known/outcomes.py
+++ b/forkweir/known/outcomes.py
@@ -128,11 +128,11 @@
         """Whether its time tells the work of its class: no fetch was in it, and no hint says better."""
         return self.served and not self.reported_miss and not self.work_ms
 
-    def longer_than(self, part: float) -> Optional[bool]:
+    def longer_than(self, fraction: float) -> Optional[bool]:
         """Whether it took longer than a part of its aim; None where it does not tell how long answers take."""
         if not self.aim_ms or not (self.served or self.timed_out):
             return None
-        return self.timed_out or self.elapsed_ms > part * self.aim_ms
+        return self.timed_out or self.elapsed_ms > fraction * self.aim_ms
 
     # -- of the origin and the key -------------------------------------------------------
 
@@ -141,15 +141,15 @@
         """Whether it was served by way of the origin."""
         return self.reported_miss or (self.write and self.served)
 
-    def missed(self, jammed: bool) -> Optional[bool]:
+    def missed(self, servers_slow: bool) -> Optional[bool]:
         """Whether a read missed; None where it is not told. jammed: servers are slow by themselves."""
-        if self.write or not (self.served or (self.timed_out and not jammed)):
+        if self.write or not (self.served or (self.timed_out and not servers_slow)):
             return None
         return self.fetched or self.timed_out
 
-    def fetch_failed(self, least: float) -> bool:
+    def fetch_failed(self, threshold: float) -> bool:
         """Whether a fetch came to nothing; a time-out counts from this likelihood of a miss on."""
-        return self.error or (self.timed_out and self.miss_probability > least)
+        return self.error or (self.timed_out and self.miss_probability > threshold)
 
     # -- whether again -------------------------------------------------------------------
 
--- a/forkweir/known/outlier_detection.py
+++ b/forkweir/known/outlier_detection.py
@@ -72,63 +72,63 @@
         self._random = random.Random(f"doubt/{seed}")
         self._counts: dict[str, list[float]] = {}  # by sort: attempts that went wrong, and all
 
-    def base_rate(self, sort: str) -> float:
+    def base_rate(self, category: str) -> float:
         """The part of attempts of a sort that go wrong at servers that are not bad."""
-        wrong, all_ = self._counts.get(sort, (0.0, 0.0))
+        adverse, total = self._counts.get(category, (0.0, 0.0))
         return min(
             MAX_BASE_RATE,
             max(
                 MIN_BASE_RATE,
-                (INITIAL_FAILURE_RATE * INITIAL_RATE_ATTEMPTS + wrong)
-                / (INITIAL_RATE_ATTEMPTS + all_),
+                (INITIAL_FAILURE_RATE * INITIAL_RATE_ATTEMPTS + adverse)
+                / (INITIAL_RATE_ATTEMPTS + total),
             ),
         )
 
-    def is_common_cause(self, sort: str, share: float) -> bool:
+    def is_common_cause(self, category: str, share: float) -> bool:
         """Whether it is no trouble of single servers: so large a share seems bad, and the others do badly as well.
 
         Where the others do well, it is many servers' own trouble, however many (guards against half a fleet that fails and gets
         its keys all the same). Harm: beyond MOST_ALONE what is left could not serve the keys of all.
         """
         return share > MAX_SUSPECT_SHARE and (
-            share > MAX_INDEPENDENT_SHARE or self.base_rate(sort) > COMMON_FAILURE_RATE
+            share > MAX_INDEPENDENT_SHARE or self.base_rate(category) > COMMON_FAILURE_RATE
         )
 
     def update(
-        self, record: Suspicion, sort: str, wrong: bool, now: float, common: bool = False
+        self, suspicion: Suspicion, category: str, adverse: bool, now: float, common: bool = False
     ) -> float:
         """An attempt of a sort ended well, or not; how likely its server is bad, after it.
 
         common: as many servers seem bad as can't all be: then it is no server's doing, and counts in full as what is usual (guards
         against a trouble of all that passes for many bad servers, from which nothing would be learned).
         """
-        usual = self.base_rate(sort)
-        record.log_odds = PRIOR_LOG_ODDS + (record.log_odds - PRIOR_LOG_ODDS) * exp(
-            -max(0.0, now - record.updated_ms) / DECAY_MS
+        base_rate = self.base_rate(category)
+        suspicion.log_odds = PRIOR_LOG_ODDS + (suspicion.log_odds - PRIOR_LOG_ODDS) * exp(
+            -max(0.0, now - suspicion.updated_ms) / DECAY_MS
         )
-        record.updated_ms = now
-        more = (
-            log(BAD_SERVER_FAILURE_RATE / usual)
-            if wrong
-            else log((1.0 - BAD_SERVER_FAILURE_RATE) / (1.0 - usual))
+        suspicion.updated_ms = now
+        evidence = (
+            log(BAD_SERVER_FAILURE_RATE / base_rate)
+            if adverse
+            else log((1.0 - BAD_SERVER_FAILURE_RATE) / (1.0 - base_rate))
         )
-        record.log_odds = min(
-            MAX_LOG_ODDS, max(MIN_LOG_ODDS, record.log_odds + more)
+        suspicion.log_odds = min(
+            MAX_LOG_ODDS, max(MIN_LOG_ODDS, suspicion.log_odds + evidence)
         )  # MOST_USUAL is less than BAD: wrong adds, right takes away
-        bad = 0.0 if common else 1.0 / (1.0 + exp(-record.log_odds))
-        if not wrong and record.log_odds <= 0.0:
-            record.detections = 0
-        seen = self._counts.setdefault(sort, [0.0, 0.0])
+        bad = 0.0 if common else 1.0 / (1.0 + exp(-suspicion.log_odds))
+        if not adverse and suspicion.log_odds <= 0.0:
+            suspicion.detections = 0
+        counts = self._counts.setdefault(category, [0.0, 0.0])
         weight = (1.0 - bad) ** 2
-        if seen[1] >= MAX_COUNTED_ATTEMPTS:
-            seen[0] *= 1.0 - weight / MAX_COUNTED_ATTEMPTS
-            seen[1] *= 1.0 - weight / MAX_COUNTED_ATTEMPTS
-        seen[0] += weight * wrong
-        seen[1] += weight
+        if counts[1] >= MAX_COUNTED_ATTEMPTS:
+            counts[0] *= 1.0 - weight / MAX_COUNTED_ATTEMPTS
+            counts[1] *= 1.0 - weight / MAX_COUNTED_ATTEMPTS
+        counts[0] += weight * adverse
+        counts[1] += weight
         return bad
 
-    def next_trial_wait(self, record: Suspicion) -> float:
+    def next_trial_wait(self, suspicion: Suspicion) -> float:
         """A server was found to be bad, once more: how long until it is tried, in ms."""
-        wait = min(MAX_TRIAL_WAIT_MS, INITIAL_TRIAL_WAIT_MS * 2.0 ** min(8, record.detections))
-        record.detections += 1
+        wait = min(MAX_TRIAL_WAIT_MS, INITIAL_TRIAL_WAIT_MS * 2.0 ** min(8, suspicion.detections))
+        suspicion.detections += 1
         return wait * (1.0 - TRIAL_JITTER * self._random.random())
--- a/forkweir/known/unconfirmed.py
+++ b/forkweir/known/unconfirmed.py
@@ -50,37 +50,37 @@
         return tuple(self._held)
 
     def apply(
-        self, words: Iterable[UnconfirmedEntry], in_service: int, now: float
+        self, entries: Iterable[UnconfirmedEntry], in_service: int, now: float
     ) -> tuple[list[str], list[str]]:
         """Who is to be held back, and who is cold, by these words. in_service: servers listed in service and not held back."""
         back, cold = [], []
         whole = in_service + len(self._held)
-        for word in words:
-            if not word.same_address:
+        for entry in entries:
+            if not entry.same_address:
                 continue
-            if word.state == "in":
-                if word.started_later:
-                    cold.append(word.name)
+            if entry.state == "in":
+                if entry.started_later:
+                    cold.append(entry.name)
                 continue
-            suspect = word.state == "unreadable"
-            if word.name in self._held:
+            suspect = entry.state == "unreadable"
+            if entry.name in self._held:
                 if not suspect:
-                    self._held[word.name] = float("inf")
+                    self._held[entry.name] = float("inf")
                 continue
             if in_service <= 1 or (
                 suspect and len(self._held) + 1 > max(1.0, MAX_UNREADABLE_SHARE * whole)
             ):
                 continue
             in_service -= 1
-            self._held[word.name] = now + UNREADABLE_TIMEOUT_MS if suspect else float("inf")
-            back.append(word.name)
+            self._held[entry.name] = now + UNREADABLE_TIMEOUT_MS if suspect else float("inf")
+            back.append(entry.name)
         return back, cold
 
-    def confirm(self, named: Iterable[str], all_: bool) -> list[str]:
+    def confirm(self, named: Iterable[str], complete: bool) -> list[str]:
         """A line was read whole: what it names is as it says. Who else is no longer held back, where it tells all that was missed."""
         for name in named:
             self._held.pop(name, None)
-        if not all_:
+        if not complete:
             return []
         free = list(self._held)
         self._held.clear()
--- a/forkweir/known/zones.py
+++ b/forkweir/known/zones.py
@@ -44,9 +44,9 @@
         """Whether another zone has left so many attempts in a row unanswered that it may be cut off."""
         return zone != self.own and self.consecutive_unanswered.get(zone, 0) >= MAX_UNANSWERED
 
-    def record_outcome(self, zone: str, seen: AttemptOutcome, now: float) -> None:
+    def record_zone_answer(self, zone: str, outcome: AttemptOutcome, now: float) -> None:
         """Note whether a zone answers (guards against trying each server behind a cut link in turn)."""
-        answers = seen.zone_answers
+        answers = outcome.zone_answers
         if answers is None:
             return
         if answers:
@@ -58,7 +58,11 @@
             return
         self.consecutive_unanswered[zone] = self.consecutive_unanswered.get(zone, 0) + 1
         # Time-outs count, but overload brings them too: only a failed dial declares a cut.
-        if self.consecutive_unanswered[zone] >= MAX_UNANSWERED and seen.fault and zone != self.own:
+        if (
+            self.consecutive_unanswered[zone] >= MAX_UNANSWERED
+            and outcome.fault
+            and zone != self.own
+        ):
             self.partitioned_until[zone] = now + PARTITION_RETRY_MS
 
     def record_sent(self, zone: str, aim_ms: float, now: float) -> None:
@@ -68,11 +72,11 @@
         """
         if zone == self.own:
             return
-        silent = self.since_answer.setdefault(zone, [0.0, now])
-        silent[0] += 1.0
+        pending = self.since_answer.setdefault(zone, [0.0, now])
+        pending[0] += 1.0
         if (
-            silent[0] > MAX_UNANSWERED
-            and now - silent[1] > UNANSWERED_AIMS * aim_ms
-            and self.own_answer_ms > silent[1]
+            pending[0] > MAX_UNANSWERED
+            and now - pending[1] > UNANSWERED_AIMS * aim_ms
+            and self.own_answer_ms > pending[1]
         ):
             self.partitioned_until[zone] = now + PARTITION_RETRY_MS
--- a/forkweir/limits/client_wait.py
+++ b/forkweir/limits/client_wait.py
@@ -25,14 +25,16 @@
     def __init__(self) -> None:
         self._first: dict[str, float] = {}
 
-    def waited_ms(self, name: str, budget_ms: float, repeated: bool, deadline_ms: float) -> float:
+    def waited_ms(
+        self, class_name: str, budget_ms: float, is_retry: bool, deadline_ms: float
+    ) -> float:
         """For how long the client of a request has waited before it sent it, in ms, as far as it tells."""
-        first = self._first.get(name)
-        if repeated:
-            same = first is not None and abs(budget_ms - first) <= SAME_TOLERANCE * first
-            return 0.0 if same else max(0.0, deadline_ms - budget_ms)
+        first = self._first.get(class_name)
+        if is_retry:
+            same_as_first = first is not None and abs(budget_ms - first) <= SAME_TOLERANCE * first
+            return 0.0 if same_as_first else max(0.0, deadline_ms - budget_ms)
         if first is None or budget_ms >= first:
-            self._first[name] = budget_ms
+            self._first[class_name] = budget_ms
         else:
-            self._first[name] = first + DECREASE_WEIGHT * (budget_ms - first)
+            self._first[class_name] = first + DECREASE_WEIGHT * (budget_ms - first)
         return 0.0
--- a/forkweir/limits/fetch_budget.py
+++ b/forkweir/limits/fetch_budget.py
@@ -68,7 +68,7 @@
         "_ended",
     )
 
-    def __init__(self, most_worth: float) -> None:
+    def __init__(self, max_value: float) -> None:
         self.limit = MAX_LIMIT  # in flight, while the budget presses
         self.allocated: Optional[float] = (
             None  # this node's part of what all may have in flight, where that is dealt (`limits/parts`)
@@ -80,7 +80,7 @@
         self.limiting = False
         self.slow_share = 0.0  # part of late fetches that were slow
         self._decreased_ms = 0.0
-        self._max_value = max(most_worth, 1e-9)
+        self._max_value = max(max_value, 1e-9)
         self._ended = DecayingSum(END_RATE_DECAY_MS)  # expected fetches that ended
         self._last_server: dict[
             float, tuple[str, float]
@@ -88,21 +88,21 @@
 
     def remembers(self, position: float, server: str, started_ms: float) -> bool:
         """Whether this server was the last to serve the key, since it last started."""
-        got = self._last_server.get(position)
-        return got is not None and got[0] == server and got[1] > started_ms
+        entry = self._last_server.get(position)
+        return entry is not None and entry[0] == server and entry[1] > started_ms
 
     def expected(self, known: bool, write: bool) -> float:
         """How many fetches a request is expected to cost, 0 to 1. known: what `remembers` says."""
         return 1.0 if write else self.known_miss_rate if known else self.unknown_miss_rate
 
-    def may_send(self, cost: float, worth: float) -> bool:
+    def may_send(self, cost: float, value: float) -> bool:
         """Whether a request that is expected to cost so much may be sent."""
-        return cost <= EXEMPT_COST or not self.limiting or self.in_flight < self._capacity(worth)
+        return cost <= EXEMPT_COST or not self.limiting or self.in_flight < self._capacity(value)
 
-    def _capacity(self, worth: float) -> float:
+    def _capacity(self, value: float) -> float:
         """How many may be in flight for a class worth so much to be let in."""
         limit = self.limit if self.allocated is None else self.allocated
-        return limit * (1.0 - RESERVED_SHARE * (1.0 - worth / self._max_value))
+        return limit * (1.0 - RESERVED_SHARE * (1.0 - value / self._max_value))
 
     @property
     def prospective_limit(self) -> float:
@@ -114,31 +114,31 @@
     @property
     def fetch_ms(self) -> float:
         """How long a fetch is in flight, by Little's law: those that are, over the pace at which they end."""
-        pace = self._ended.rate(END_RATE_DECAY_MS)
-        return self.in_flight / pace if pace > 0.0 else END_RATE_DECAY_MS
+        end_rate = self._ended.rate(END_RATE_DECAY_MS)
+        return self.in_flight / end_rate if end_rate > 0.0 else END_RATE_DECAY_MS
 
-    def record_sent(self, cost: float) -> None:
+    def record_start(self, cost: float) -> None:
         """An attempt goes out."""
         self.in_flight += cost
         self.usual_in_flight += USUAL_WEIGHT * (self.in_flight - self.usual_in_flight)
 
-    def record_ended(self, cost: float, now: Optional[float] = None) -> None:
+    def record_end(self, cost: float, now: Optional[float] = None) -> None:
         """It has ended, in whatever way; now: where it was answered, or its time was up."""
         self.in_flight = max(0.0, self.in_flight - cost)
         if now is not None:
             self._ended.add(now, cost)
 
-    def wait_ms(self, cost: float, worth: float) -> Optional[float]:
+    def wait_ms(self, cost: float, value: float) -> Optional[float]:
         """How long until as many fetches have ended as are over the limit, in ms; None where none ended lately."""
-        pace = self._ended.rate(END_RATE_DECAY_MS)
-        over = self.in_flight + cost - self._capacity(worth)
-        return max(0.0, over) / pace if pace > 0.0 else None
+        end_rate = self._ended.rate(END_RATE_DECAY_MS)
+        excess = self.in_flight + cost - self._capacity(value)
+        return max(0.0, excess) / end_rate if end_rate > 0.0 else None
 
     def record_served(self, position: float, server: str, write: bool, now: float) -> None:
         """A server answered for a key: it keeps it, or a write has voided all copies."""
-        got = self._last_server.get(position)
-        if got is not None:
-            if not write and got[0] == server and now - got[1] < REFRESH_MS:
+        entry = self._last_server.get(position)
+        if entry is not None:
+            if not write and entry[0] == server and now - entry[1] < REFRESH_MS:
                 return
             del self._last_server[position]
         if not write:
@@ -153,9 +153,9 @@
         else:
             self.unknown_miss_rate += MISS_RATE_WEIGHT * (missed - self.unknown_miss_rate)
 
-    def record_fetch(self, part: Optional[float], now: float) -> None:
+    def record_fetch(self, aim_fraction: Optional[float], now: float) -> None:
         """A fetch came back after this part of its request's aim; None: it failed, or not in time."""
-        late = part is None or part > SLOW_AIM_FRACTION
+        late = aim_fraction is None or aim_fraction > SLOW_AIM_FRACTION
         self.slow_share += SLOW_WEIGHT * (late - self.slow_share)
         if not self.limiting:
             if self.slow_share > SLOW_TO_LIMIT:
--- a/forkweir/limits/slow_start.py
+++ b/forkweir/limits/slow_start.py
@@ -82,13 +82,13 @@
 
     __slots__ = ("share", "boost", "_demand", "_served", "_max_value", "_random")
 
-    def __init__(self, fall_multiple: float, most_worth: float, seed: int) -> None:
+    def __init__(self, fall_multiple: float, max_value: float, seed: int) -> None:
         self._random = random.Random(f"allowance/{seed}")
         self.share = min(1.0, fall_multiple / FULL_SHARE_MULTIPLE)
         self.boost = 1.0  # of all allowances, as cold servers bear more than they must
         self._demand = DecayingSum(DEMAND_DECAY_MS)
         self._served = DecayingSum(SERVED_DECAY_MS)
-        self._max_value = max(most_worth, 1e-9)
+        self._max_value = max(max_value, 1e-9)
 
     def record_request(self, now: float, cost: float, warm_weight: float) -> None:
         """A client asked for so much work (ms). warm_weight: the weight of all servers that are warm and in use now."""
@@ -101,11 +101,11 @@
 
     def reference(self, weight: float) -> float:
         """Work a ms that a warm server of weight 1 gets from this node. weight: that of the whole fleet."""
-        asked = self._demand.rate(MIN_DEMAND_SPAN_MS) / max(weight, 1e-9)
+        demand = self._demand.rate(MIN_DEMAND_SPAN_MS) / max(weight, 1e-9)
         if self._served.span_ms < MIN_EVIDENCE_MS or self._served.total <= 0.0:
-            return UNPROVEN_SHARE * asked
+            return UNPROVEN_SHARE * demand
         proven = self._served.rate(MIN_EVIDENCE_MS)
-        return max(proven, min(asked, MAX_OVER_PROVEN * proven))
+        return max(proven, min(demand, MAX_OVER_PROVEN * proven))
 
     def open_bucket(
         self, now: float, cost: float, rate: float = 0.0, since: float = 0.0
@@ -120,39 +120,39 @@
         )
 
     def may_send(
-        self, account: TokenBucket, rate: float, cost: float, worth: float, now: float
+        self, bucket: TokenBucket, rate: float, cost: float, value: float, now: float
     ) -> bool:
         """Whether a request may be sent. rate: what the server may get now, in work a ms."""
-        rate *= self.share * account.rate_factor * self.boost
-        most = max(rate * BURST_MS, MIN_BURST_REQUESTS * cost)
-        account.level = min(most, account.level + rate * max(0.0, now - account.at))
-        account.at = now
-        left = min(RESERVED_SHARE * (1.0 - worth / self._max_value) * most, most - cost)
-        waited = now - account.low_value_ms
-        if left > 0.0 and waited > 0.0:
-            left *= max(0.0, 1.0 - waited / MAX_STARVATION_MS)
-        return account.level >= cost + left
-
-    def wait_ms(self, account: TokenBucket, rate: float, cost: float, now: float) -> float:
+        rate *= self.share * bucket.rate_factor * self.boost
+        capacity = max(rate * BURST_MS, MIN_BURST_REQUESTS * cost)
+        bucket.level = min(capacity, bucket.level + rate * max(0.0, now - bucket.at))
+        bucket.at = now
+        reserved = min(RESERVED_SHARE * (1.0 - value / self._max_value) * capacity, capacity - cost)
+        waited = now - bucket.low_value_ms
+        if reserved > 0.0 and waited > 0.0:
+            reserved *= max(0.0, 1.0 - waited / MAX_STARVATION_MS)
+        return bucket.level >= cost + reserved
+
+    def wait_ms(self, bucket: TokenBucket, rate: float, cost: float, now: float) -> float:
         """How long until the bucket holds a request's cost, in ms, if nobody else takes from it."""
-        rate *= self.share * account.rate_factor * self.boost
-        level = account.level + rate * max(0.0, now - account.at)
+        rate *= self.share * bucket.rate_factor * self.boost
+        level = bucket.level + rate * max(0.0, now - bucket.at)
         return max(0.0, cost - level) / rate if rate > 0.0 else 1e9
 
-    def spend(self, account: TokenBucket, cost: float, worth: float, now: float) -> None:
+    def spend(self, bucket: TokenBucket, cost: float, value: float, now: float) -> None:
         """A request goes out."""
-        account.level -= cost
-        if worth < self._max_value:
-            account.low_value_ms = now
+        bucket.level -= cost
+        if value < self._max_value:
+            bucket.low_value_ms = now
 
-    def record_overload(self, account: TokenBucket, now: float) -> None:
+    def record_overload(self, bucket: TokenBucket, now: float) -> None:
         """The server turned a request away, or left one without an answer in time."""
-        if now - account.reduced_ms >= OVERLOAD_INTERVAL_MS:
-            account.reduced_ms = now
-            account.rate_factor = max(MIN_RATE_FACTOR, OVERLOAD_FACTOR * account.rate_factor)
+        if now - bucket.reduced_ms >= OVERLOAD_INTERVAL_MS:
+            bucket.reduced_ms = now
+            bucket.rate_factor = max(MIN_RATE_FACTOR, OVERLOAD_FACTOR * bucket.rate_factor)
             self.boost = max(1.0, BOOST_DECREASE * self.boost)
 
-    def record_success(self, account: TokenBucket) -> None:
+    def record_success(self, bucket: TokenBucket) -> None:
         """The server answered in time."""
-        account.rate_factor = min(1.0, account.rate_factor + RECOVERY_STEP)
+        bucket.rate_factor = min(1.0, bucket.rate_factor + RECOVERY_STEP)
         self.boost = min(MAX_BOOST, self.boost + BOOST_STEP)
--- a/tests/forkweir/test_fetch_budget.py
+++ b/tests/forkweir/test_fetch_budget.py
@@ -29,7 +29,7 @@
     fetches = FetchBudget(8.0)
     for _ in range(2_000):
         fetches.in_flight = out
-        fetches.record_sent(0.0)
+        fetches.record_start(0.0)
     for n in range(60):
         fetches.record_fetch(None, 10.0 * n)
     assert fetches.limiting
@@ -63,7 +63,7 @@
 def test_nothing_is_held_back_while_fetches_are_quick_however_many_are_out() -> None:
     fetches = FetchBudget(8.0)
     for _ in range(500):
-        fetches.record_sent(1.0)
+        fetches.record_start(1.0)
         assert fetches.may_send(1.0, 1.0)
     for n in range(100):
         fetches.record_fetch(0.3, float(n))
