--- a/tests/forkweir/test_client_wait.py
+++ b/tests/forkweir/test_client_wait.py
@@ -1,4 +1,7 @@
-"""What a repeat says of its past, and that time which ran out before answers come tells of nobody."""
+"""Waits of retrying clients and retry budgets.
+
+Time-outs shorter than most answers must not count against servers.
+"""
 
 from __future__ import annotations
 
@@ -14,74 +17,72 @@
 READ = ClassSpec("read", aim_ms=800.0, deadline_ms=2500.0, worth=3.0)
 
 
-def test_until_a_first_try_came_the_deadline_is_what_they_say() -> None:
+def test_before_any_first_attempt_the_deadline_is_assumed() -> None:
     assert ClientWaits().waited_ms("read", 1_900.0, True, 2_500.0) == 600.0
 
 
-def test_a_repeat_that_says_what_first_tries_say_has_waited_for_nothing_that_is_known() -> None:
-    patience = ClientWaits()
-    assert patience.waited_ms("read", 1_956.0, False, 2_500.0) == 0.0
-    assert patience.waited_ms("read", 1_956.0, True, 2_500.0) == 0.0
-    assert (
-        patience.waited_ms("write", 1_956.0, True, 2_500.0) == 544.0
-    )  # nothing is known of another class
+def test_a_retry_that_states_what_first_attempts_state_has_no_known_wait() -> None:
+    waits = ClientWaits()
+    assert waits.waited_ms("read", 1_956.0, False, 2_500.0) == 0.0
+    assert waits.waited_ms("read", 1_956.0, True, 2_500.0) == 0.0
+    # Nothing is known about another class.
+    assert waits.waited_ms("write", 1_956.0, True, 2_500.0) == 544.0
 
 
-def test_any_other_repeat_counts_on_from_its_first_try() -> None:
-    patience = ClientWaits()
-    patience.waited_ms("read", 1_956.0, False, 2_500.0)
-    assert patience.waited_ms("read", 1_256.0, True, 2_500.0) == 1_244.0
-    assert (
-        patience.waited_ms("read", 2_100.0, True, 2_500.0) == 400.0
-    )  # more than first tries say: counted from the deadline
-    assert patience.waited_ms("read", 2_600.0, True, 2_500.0) == 0.0
+def test_any_other_retry_counts_from_its_first_attempt() -> None:
+    waits = ClientWaits()
+    waits.waited_ms("read", 1_956.0, False, 2_500.0)
+    assert waits.waited_ms("read", 1_256.0, True, 2_500.0) == 1_244.0
+    # More than first attempts state: counted from the deadline.
+    assert waits.waited_ms("read", 2_100.0, True, 2_500.0) == 400.0
+    assert waits.waited_ms("read", 2_600.0, True, 2_500.0) == 0.0
 
 
-def test_a_few_clients_in_a_hurry_do_not_pass_for_all_and_a_change_of_all_is_learned() -> None:
-    patience, rng, wrong = ClientWaits(), random.Random(1), 0
+def test_a_few_clients_in_a_hurry_change_nothing_and_a_change_of_all_is_learned() -> None:
+    waits, rng, wrong = ClientWaits(), random.Random(1), 0
     for _ in range(500):
         if rng.random() < 0.1:
-            patience.waited_ms("read", 400.0, False, 2_500.0)
+            waits.waited_ms("read", 400.0, False, 2_500.0)
         else:
-            patience.waited_ms("read", 2_000.0, False, 2_500.0)
-            wrong += patience.waited_ms("read", 2_000.0, True, 2_500.0) != 0.0
+            waits.waited_ms("read", 2_000.0, False, 2_500.0)
+            wrong += waits.waited_ms("read", 2_000.0, True, 2_500.0) != 0.0
     assert not wrong
     for _ in range(300):
-        patience.waited_ms("read", 1_200.0, False, 2_500.0)
-    assert patience.waited_ms("read", 1_200.0, True, 2_500.0) == 0.0
+        waits.waited_ms("read", 1_200.0, False, 2_500.0)
+    assert waits.waited_ms("read", 1_200.0, True, 2_500.0) == 0.0
 
 
 @given(st.lists(st.tuples(st.floats(0, 5_000), st.booleans()), max_size=50))
 @settings(max_examples=60, deadline=None)
-def test_a_wait_is_never_negative_nor_longer_than_the_most_that_was_said(
+def test_a_wait_is_never_negative_nor_longer_than_the_longest_stated_time(
     said: list[tuple[float, bool]],
 ) -> None:
-    patience, most = ClientWaits(), 2_500.0
+    waits, most = ClientWaits(), 2_500.0
     for budget, repeated in said:
-        waited = patience.waited_ms("read", budget, repeated, 2_500.0)
+        waited = waits.waited_ms("read", budget, repeated, 2_500.0)
         assert 0.0 <= waited <= most and (repeated or waited == 0.0)
         most = max(most, budget)
 
 
-def test_savings_hold_repeats_to_a_share_and_a_bank() -> None:
-    savings, sent = RetryBudget(QUICK_ERROR_SHARE), 0
+def test_a_retry_budget_limits_retries_to_a_share_and_a_maximum() -> None:
+    budget, sent = RetryBudget(QUICK_ERROR_SHARE), 0
     for _ in range(100):
-        savings.earn()
+        budget.earn()
         for _ in range(3):
-            if savings.may_retry:
-                savings.spend()
+            if budget.may_retry:
+                budget.spend()
                 sent += 1
     assert QUICK_ERROR_SHARE * 100 <= sent <= QUICK_ERROR_SHARE * 100 + MAX_SAVED
 
 
-def gate_after(patient: bool) -> Balancer:
-    """A third of the requests are repeats: of clients that wait as long as first tries, or with hardly any time."""
+def simulate(full_time: bool) -> Balancer:
+    """Simulate a node; a third of the requests are retries, with full or hardly any time."""
     balancer, rng = Balancer(Settings(classes=(READ,), may_cancel=True), 3), random.Random(3)
     balancer.on_list(0.0, "full", [Server(f"s{n}") for n in range(20)])
     for n in range(1_200):
         now = 1_000.0 + 50.0 * n
         repeated = rng.random() < 0.33
-        budget = 1_950.0 if not repeated or patient else 1_250.0
+        budget = 1_950.0 if not repeated or full_time else 1_250.0
         action = balancer.on_request(
             now, n, "read", f"k{rng.randrange(400)}", budget, repeated=repeated
         )[0]
@@ -98,11 +99,9 @@
     return balancer
 
 
-def test_time_outs_of_repeats_with_little_time_shut_no_gate_and_are_held_against_no_server() -> (
-    None
-):
-    for patient in (True, False):
-        balancer = gate_after(patient)
+def test_time_outs_of_retries_with_little_time_close_no_gate_and_blame_no_server() -> None:
+    for full_time in (True, False):
+        balancer = simulate(full_time)
         assert balancer.gate.part == 1.0 and balancer.gate.bad < 0.01
         assert all(
             member.strain == 0.0 and not member.suspicion.suspect
--- a/tests/forkweir/test_fetch_budget.py
+++ b/tests/forkweir/test_fetch_budget.py
@@ -1,4 +1,4 @@
-"""The origin's budget: what is expected to miss, when the limit holds, how it is cut and comes back."""
+"""Budget of origin fetches: expected misses, when it limits, and how the limit changes."""
 
 from __future__ import annotations
 
@@ -24,86 +24,82 @@
 )
 
 
-def jammed(out: float = 20.0) -> FetchBudget:
-    """A budget under which so much is out, and whose fetches have all been slow."""
-    fetches = FetchBudget(8.0)
+def limiting_budget(out: float = 20.0) -> FetchBudget:
+    """Return a budget with so many fetches in flight, all of which have been slow."""
+    budget = FetchBudget(8.0)
     for _ in range(2_000):
-        fetches.in_flight = out
-        fetches.record_start(0.0)
+        budget.in_flight = out
+        budget.record_start(0.0)
     for n in range(60):
-        fetches.record_fetch(None, 10.0 * n)
-    assert fetches.limiting
-    return fetches
-
-
-def test_a_key_is_remembered_where_it_was_served_last_until_that_server_starts_again_or_it_is_written() -> (
-    None
-):
-    fetches = FetchBudget(8.0)
-    fetches.record_served(0.5, "s1", False, 100.0)
-    assert fetches.remembers(0.5, "s1", 0.0) and not fetches.remembers(0.5, "s2", 0.0)
-    assert not fetches.remembers(0.5, "s1", 150.0)
-    fetches.record_served(0.5, "s2", False, 200.0)
-    assert fetches.remembers(0.5, "s2", 150.0) and not fetches.remembers(0.5, "s1", 0.0)
-    fetches.record_served(0.5, "s2", True, 300.0)
-    assert not fetches.remembers(0.5, "s2", 0.0)
-
-
-def test_no_more_keys_are_remembered_than_stated_and_those_served_longest_ago_go_first() -> None:
-    fetches = FetchBudget(8.0)
+        budget.record_fetch(None, 10.0 * n)
+    assert budget.limiting
+    return budget
+
+
+def test_the_last_server_of_a_key_is_remembered_until_it_restarts_or_the_key_is_written() -> None:
+    budget = FetchBudget(8.0)
+    budget.record_served(0.5, "s1", False, 100.0)
+    assert budget.remembers(0.5, "s1", 0.0) and not budget.remembers(0.5, "s2", 0.0)
+    assert not budget.remembers(0.5, "s1", 150.0)
+    budget.record_served(0.5, "s2", False, 200.0)
+    assert budget.remembers(0.5, "s2", 150.0) and not budget.remembers(0.5, "s1", 0.0)
+    budget.record_served(0.5, "s2", True, 300.0)
+    assert not budget.remembers(0.5, "s2", 0.0)
+
+
+def test_remembered_keys_are_bounded_and_the_oldest_are_forgotten_first() -> None:
+    budget = FetchBudget(8.0)
     for n in range(MAX_KEYS):
-        fetches.record_served(float(n), "s1", False, float(n))
-    fetches.record_served(0.0, "s1", False, MAX_KEYS + REFRESH_MS)
+        budget.record_served(float(n), "s1", False, float(n))
+    budget.record_served(0.0, "s1", False, MAX_KEYS + REFRESH_MS)
     for n in range(MAX_KEYS, MAX_KEYS + 10):
-        fetches.record_served(float(n), "s1", False, MAX_KEYS + REFRESH_MS)
-    assert len(fetches._last_server) == MAX_KEYS
-    assert fetches.remembers(0.0, "s1", 0.0) and not fetches.remembers(1.0, "s1", 0.0)
+        budget.record_served(float(n), "s1", False, MAX_KEYS + REFRESH_MS)
+    assert len(budget._last_server) == MAX_KEYS
+    assert budget.remembers(0.0, "s1", 0.0) and not budget.remembers(1.0, "s1", 0.0)
 
 
-def test_nothing_is_held_back_while_fetches_are_quick_however_many_are_out() -> None:
-    fetches = FetchBudget(8.0)
+def test_quick_fetches_are_never_limited() -> None:
+    budget = FetchBudget(8.0)
     for _ in range(500):
-        fetches.record_start(1.0)
-        assert fetches.may_send(1.0, 1.0)
+        budget.record_start(1.0)
+        assert budget.may_send(1.0, 1.0)
     for n in range(100):
-        fetches.record_fetch(0.3, float(n))
-        assert fetches.may_send(1.0, 1.0)
+        budget.record_fetch(0.3, float(n))
+        assert budget.may_send(1.0, 1.0)
 
 
-def test_a_slow_origin_holds_back_misses_first_of_the_classes_worth_least_and_never_expected_hits() -> (
-    None
-):
-    fetches = jammed()
-    fetches.in_flight = 0.9 * fetches.limit
-    assert fetches.may_send(1.0, 8.0) and not fetches.may_send(1.0, 3.0)
-    fetches.in_flight = 2.0 * fetches.limit
-    assert not fetches.may_send(1.0, 8.0)
-    assert fetches.may_send(EXEMPT_COST, 0.0)
+def test_a_slow_origin_limits_misses_of_low_value_first_and_never_expected_hits() -> None:
+    budget = limiting_budget()
+    budget.in_flight = 0.9 * budget.limit
+    assert budget.may_send(1.0, 8.0) and not budget.may_send(1.0, 3.0)
+    budget.in_flight = 2.0 * budget.limit
+    assert not budget.may_send(1.0, 8.0)
+    assert budget.may_send(EXEMPT_COST, 0.0)
 
 
-def test_a_limit_is_cut_once_in_its_time_and_never_below_the_least() -> None:
-    fetches = jammed()
-    before, at = fetches.limit, fetches._decreased_ms
+def test_the_limit_decreases_once_per_interval_down_to_its_minimum() -> None:
+    budget = limiting_budget()
+    before, at = budget.limit, budget._decreased_ms
     for n in range(10):
-        fetches.record_fetch(None, at + 1.0 + n)
-    assert fetches.limit == before
-    fetches.record_fetch(None, at + DECREASE_INTERVAL_MS)
-    assert fetches.limit == pytest.approx(LIMIT_DECREASE * before)
+        budget.record_fetch(None, at + 1.0 + n)
+    assert budget.limit == before
+    budget.record_fetch(None, at + DECREASE_INTERVAL_MS)
+    assert budget.limit == pytest.approx(LIMIT_DECREASE * before)
     for n in range(100):
-        fetches.record_fetch(None, at + (2 + n) * DECREASE_INTERVAL_MS)
-    assert fetches.limit == MIN_LIMIT
+        budget.record_fetch(None, at + (2 + n) * DECREASE_INTERVAL_MS)
+    assert budget.limit == MIN_LIMIT
 
 
-def test_an_origin_that_is_well_again_frees_the_budget_within_few_good_fetches() -> None:
-    fetches = jammed()
+def test_a_recovered_origin_ends_limiting_after_few_good_fetches() -> None:
+    budget = limiting_budget()
     good = 0
-    while fetches.limiting:
+    while budget.limiting:
         good += 1
-        fetches.record_fetch(0.3, 5_000.0 + good)
-    assert good <= 30 and fetches.slow_share < SLOW_TO_RELEASE < SLOW_TO_LIMIT
+        budget.record_fetch(0.3, 5_000.0 + good)
+    assert good <= 30 and budget.slow_share < SLOW_TO_RELEASE < SLOW_TO_LIMIT
 
 
-def test_the_module_keeps_its_books_of_fetches_whatever_becomes_of_a_request() -> None:
+def test_fetches_in_flight_return_to_zero_for_any_outcome() -> None:
     told = Settings(classes=(READ, ORDER), max_attempts=3, may_cancel=True)
     balancer = Balancer(told, 1)
     balancer.on_list(0.0, "full", [Server(f"s{n}") for n in range(5)])
@@ -139,8 +135,9 @@
     assert balancer.fetches.in_flight == pytest.approx(0.0, abs=1e-6)
 
 
-def test_a_jammed_origin_does_not_take_the_hits_along() -> None:
-    # Guards against the collapse in which all that is let in misses, times out, is given up, and leaves nothing cached.
+def test_an_overloaded_origin_does_not_affect_hits() -> None:
+    # Guards against a collapse in which every request that is let in misses, times out and leaves
+    # nothing cached.
     balancer = Balancer(Settings(classes=(READ, ORDER), max_attempts=3, backoff_max_ms=600.0), 1)
     balancer.on_list(0.0, "full", [Server(f"s{n}") for n in range(6)])
     now, number = 0.0, 0
@@ -162,7 +159,7 @@
     for n in range(1_500):  # a hundred keys are warm
         ask(f"warm{n % 100}", "success", 30.0, 1)
     served = fetched = 0
-    for n in range(3_000):  # then the origin jams: every miss times out
+    for n in range(3_000):  # then every miss times out at the origin
         served += ask(f"warm{n % 100}", "success", 30.0, 1)
         fetched += ask(f"new{n}", "timed_out", 700.0, 0)
     assert balancer.fetches.limiting
--- a/tests/forkweir/test_health.py
+++ b/tests/forkweir/test_health.py
@@ -1,4 +1,7 @@
-"""One health for each server: drawn sequences of lists, sends and outcomes against what the table says, and planted defects found."""
+"""Health states: random sequences of lists, requests and outcomes against the state table.
+
+Planted defects show that the checks detect deviations.
+"""
 
 from __future__ import annotations
 
@@ -45,8 +48,8 @@
 USABLE = {"in_service", "cold", "due"}
 
 
-class Walk:
-    """Drawn steps on some servers, each held against the table."""
+class RandomWalk:
+    """Random steps on some servers, each checked against the state table."""
 
     def __init__(self, seed: int, many: int) -> None:
         self.rng = random.Random(seed)
@@ -54,7 +57,7 @@
         self.table = HealthTable(seed)
         self.now = 1_000.0
         self.ids = 0
-        self.listed = ["in"] * many  # as the list last had it
+        self.listed = ["in"] * many  # the latest list
 
     @property
     def live(self) -> int:
@@ -93,7 +96,7 @@
         tried = server.on_probation
         server.record_sent(self.ids, AIM_MS, self.now)
         assert (server.trial_request == self.ids) == tried
-        if tried:  # and the next is not let through before its aim is over
+        if tried:  # no other request may go before the aim is over
             assert (
                 not server.may_get_requests(self.now + 0.99 * AIM_MS)
                 and server.state(self.now, False) == "on_trial"
@@ -101,13 +104,13 @@
 
     def wait(self, n: int, server: Health) -> None:
         for _ in range(self.rng.randint(1, MAX_UNANSWERED + 1)):
-            row, struck, out = server.unanswered, server.ejections, self.out()
+            row, ejections, out = server.unanswered, server.ejections, self.out()
             found = self.table.record_unanswered(
                 server, self.now - 2 * AIM_MS, AIM_MS, self.servers, self.live, self.now
             )
             assert server.unanswered == row + 1
             assert not found or (
-                not struck
+                not ejections
                 and row + 1 >= MAX_UNANSWERED
                 and out < MAX_UNRESPONSIVE_SHARE * self.live
             )
@@ -117,29 +120,29 @@
     def outcome(self, n: int, server: Health) -> None:
         status, elapsed_ms = self.rng.choice(OUTCOMES), self.rng.choice((10.0, 100.0, 500.0, 900.0))
         trial = server.trial_request >= 0 and self.rng.random() < 0.7
-        seen = OUTCOME_TYPES[status](0, elapsed_ms, READ, trial=trial)
-        struck, faults, odds, out_until = (
+        outcome = OUTCOME_TYPES[status](0, elapsed_ms, READ, trial=trial)
+        ejections, faults, log_odds, out_until = (
             server.ejections,
             server.consecutive_faults,
             server.suspicion.log_odds,
             server.ejected_until,
         )
         away_ms = self.now - server.ejected_since
-        back = self.table.record_outcome(server, seen, self.now)
-        if seen.alive:
+        back = self.table.record_outcome(server, outcome, self.now)
+        if outcome.alive:
             assert (server.ejections, server.consecutive_faults, server.trial_request) == (0, 0, -1)
-            assert not struck or server.ejected_until == 0.0
-            assert back == bool(struck and out_until and away_ms > PRESUMED_RESTART_MS)
+            assert not ejections or server.ejected_until == 0.0
+            assert back == bool(ejections and out_until and away_ms > PRESUMED_RESTART_MS)
         elif status in MAX_CONSECUTIVE_FAULTS:
             assert server.consecutive_faults == faults + 1 and not back
-            assert server.ejections == struck + (faults + 1 >= MAX_CONSECUTIVE_FAULTS[status])
-        elif status == "timed_out" and trial and struck and elapsed_ms > AIM_MS:
-            assert server.ejections == struck + 1
-        if server.ejections > struck:
+            assert server.ejections == ejections + (faults + 1 >= MAX_CONSECUTIVE_FAULTS[status])
+        elif status == "timed_out" and trial and ejections and elapsed_ms > AIM_MS:
+            assert server.ejections == ejections + 1
+        if server.ejections > ejections:
             assert server.ejected_until == self.now + min(
                 MAX_EJECT_MS, EJECT_MS * 2.0 ** (server.ejections - 1)
             )
-        bad = self.table.update_suspicion(server, seen, self.servers, self.live, self.now)
+        bad = self.table.update_suspicion(server, outcome, self.servers, self.live, self.now)
         assert 0.0 <= bad <= 1.0
         told = {
             "success": True,
@@ -147,16 +150,16 @@
             "timed_out": elapsed_ms >= 500.0,
             "withdrawn": elapsed_ms >= 500.0,
         }.get(status, False)
-        assert told or server.suspicion.log_odds == odds  # what tells nothing moves nothing
+        # An outcome without information changes nothing.
+        assert told or server.suspicion.log_odds == log_odds
         if status == "failure" or (status == "timed_out" and elapsed_ms > AIM_MS):
-            assert server.suspicion.log_odds >= min(
-                odds, Suspicion().log_odds
-            )  # wrong never speaks for a server, but for what time forgets
-        if not seen.adverse and told and not server.ejections:
+            # An adverse outcome never lowers the log odds, apart from their decay.
+            assert server.suspicion.log_odds >= min(log_odds, Suspicion().log_odds)
+        if not outcome.adverse and told and not server.ejections:
             assert server.ejected_until == 0.0
 
     def hold(self) -> None:
-        """What is true of every server after every step."""
+        """Check the invariants of every server."""
         for n, server in enumerate(self.servers):
             state = server.state(self.now, cold=False)
             assert state in STATES
@@ -167,29 +170,29 @@
             assert server.on_probation or state == "in_service"
             assert server.ejected_until <= self.now + max(MAX_EJECT_MS, MAX_TRIAL_WAIT_MS, AIM_MS)
             assert 0.0 <= server.rejection_rate <= 1.0
-        doubted = sum(
+        suspect = sum(
             s.present
             and not s.ejections
             and s.suspicion.detections > 0
             and s.ejected_until > self.now
             for s in self.servers
         )
-        assert doubted <= MAX_INDEPENDENT_SHARE * len(self.servers) + 2
+        assert suspect <= MAX_INDEPENDENT_SHARE * len(self.servers) + 2
 
 
 def walk(seed: int, many: int = 8, steps: int = 300) -> None:
-    way = Walk(seed, many)
+    walker = RandomWalk(seed, many)
     for _ in range(steps):
-        way.step()
+        walker.step()
 
 
 @settings(max_examples=60, deadline=None)
 @given(st.integers(0, 2**32), st.integers(1, 24))
-def test_every_sequence_moves_servers_as_the_table_says(seed: int, many: int) -> None:
+def test_every_sequence_follows_the_state_table(seed: int, many: int) -> None:
     walk(seed, many)
 
 
-def test_all_doubted_at_once_are_let_in_again() -> None:
+def test_servers_that_all_become_suspect_at_once_are_used_again() -> None:
     servers, table, now = [Health(True, False) for _ in range(10)], HealthTable(1), 0.0
     for _ in range(12):
         for server in servers:
@@ -200,7 +203,7 @@
     assert sum(server.may_get_requests(now) for server in servers) >= 4
 
 
-def test_a_trial_whose_answer_comes_after_the_drain_brings_nobody_back() -> None:
+def test_an_answer_to_a_trial_does_not_end_a_drain() -> None:
     server, table = Health(True, False), HealthTable(1)
     server.eject(0.0)
     server.record_sent(7, AIM_MS, 1_000.0)
@@ -211,18 +214,17 @@
     assert server.state(1_051.0, False) == "in_service"
 
 
-def test_a_node_that_stood_still_in_the_middle_of_a_trial_gives_one_more() -> None:
+def test_a_node_paused_during_a_trial_sends_another_one() -> None:
     server = Health(True, False)
     server.eject(0.0)
     server.record_sent(7, AIM_MS, 1_000.0)
-    assert (
-        server.state(2_500.0, True) == "due"
-    )  # 1.5 s later the trial's aim is over, and one more request may go
+    # 1.5 s later the trial's aim is over, and another request may go.
+    assert server.state(2_500.0, True) == "due"
     server.record_sent(8, AIM_MS, 2_500.0)
     assert server.state(2_501.0, True) == "on_trial" and server.trial_request == 8
 
 
-# -- the checker is checked ----------------------------------------------------------------
+# -- planted defects ----------------------------------------------------------------
 
 
 def eject_flat(self: Health, now: float) -> None:
@@ -281,31 +283,39 @@
 
 ADVERSE = vars(AttemptOutcome)["adverse"].fget
 DEFECTS: dict[str, tuple[Any, str, Any]] = {
-    "a strike does not double": (Health, "eject", eject_flat),
-    "an answer does not end strikes": (Health, "record_answer", answer_keeps_ejections),
+    "an ejection does not double": (Health, "eject", eject_flat),
+    "an answer does not end an ejection": (Health, "record_answer", answer_keeps_ejections),
     "an answer does not end a trial": (Health, "record_answer", answer_keeps_trial),
-    "a restart keeps doubts": (Health, "record_restart", restart_keeps_suspicion),
-    "a server that the list took away is usable": (
+    "a restart keeps the suspicion": (Health, "record_restart", restart_keeps_suspicion),
+    "a server that the list removed is usable": (
         Health,
         "may_get_requests",
         lambda self, now: self.ejected_until <= now,
     ),
-    "health goes before the list": (Health, "state", state_of_the_drained_by_health),
-    "a trial lets all through": (Health, "record_sent", sent_lets_all_through),
-    "silence has no bound": (HealthTable, "record_unanswered", unanswered_without_bound),
-    "one fault is enough": (Health, "record_fault", fault_at_once),
-    "doubt has no bound": (OutlierDetector, "is_common_cause", lambda self, category, share: False),
-    "brief time-outs tell of their server": (
+    "health takes precedence over the list": (Health, "state", state_of_the_drained_by_health),
+    "a trial lets every request through": (Health, "record_sent", sent_lets_all_through),
+    "ejection of unresponsive servers has no bound": (
+        HealthTable,
+        "record_unanswered",
+        unanswered_without_bound,
+    ),
+    "one fault ejects a server": (Health, "record_fault", fault_at_once),
+    "suspicion has no bound": (
+        OutlierDetector,
+        "is_common_cause",
+        lambda self, category, share: False,
+    ),
+    "brief time-outs count against their server": (
         AttemptOutcome,
         "adverse",
         property(lambda self: True if self.timed_out else ADVERSE(self)),
     ),
-    "being turned away is held against a server": (
+    "rejections count against their server": (
         AttemptOutcome,
         "adverse",
         property(lambda self: True if self.overloaded else ADVERSE(self)),
     ),
-    "a trial that hangs is no strike": (AttemptOutcome, "hung", property(lambda self: False)),
+    "a trial that hangs ejects nobody": (AttemptOutcome, "hung", property(lambda self: False)),
 }
 
 
@@ -316,9 +326,9 @@
     with pytest.raises(AssertionError):
         for seed in range(40):
             walk(seed)
-            test_all_doubted_at_once_are_let_in_again()
+            test_servers_that_all_become_suspect_at_once_are_used_again()
 
 
 @pytest.mark.parametrize("seed", range(40))
-def test_without_a_defect_the_same_walks_are_good(seed: int) -> None:
+def test_without_a_defect_the_same_walks_pass(seed: int) -> None:
     walk(seed)
--- a/tests/forkweir/test_membership.py
+++ b/tests/forkweir/test_membership.py
@@ -1,4 +1,4 @@
-"""The merge of several sources: its rules by name, and what holds whatever sources say."""
+"""Merge of several sources: each rule, and the invariants for any updates."""
 
 from __future__ import annotations
 
@@ -38,14 +38,14 @@
 
 
 def seen(merged: Membership, now: float) -> dict[int, tuple[str, str]]:
-    """Of each box by its number: state and rule."""
+    """Return the state and rule of each box, by its number."""
     return {
         int(box.address[0].rpartition(".")[2]): (box.server.state, box.rule)
         for box in merged.merge(now)
     }
 
 
-def test_ids_and_weights_come_from_the_best_source_that_has_them() -> None:
+def test_ids_and_weights_come_from_the_best_source_that_gives_them() -> None:
     merged = made()
     merged.update("dns", [Claim(at(1), weight=2.0, priority=3)], 0.0)
     assert merged.merge(0.0)[0].server.name == "10.0.0.1:8001"
@@ -63,14 +63,14 @@
     assert merged.merge(2.0)[0].server.weight == 1.5
 
 
-def test_a_box_of_one_source_alone_needs_its_right_to_add() -> None:
+def test_a_box_of_a_single_source_needs_the_right_to_add() -> None:
     merged = Membership({"list": LIST, "dns": Rights(10, add=False)})
     merged.update("list", claims(1), 0.0)
     merged.update("dns", claims(1, 2), 0.0)
     assert seen(merged, 0.0) == {1: ("in", "agreed")}
 
 
-def test_a_drain_holds_whoever_says_otherwise_until_its_source_takes_it_back() -> None:
+def test_a_drain_applies_until_its_source_ends_it() -> None:
     merged = made()
     merged.update("list", claims(1, 2, draining=(1,)), 0.0)
     merged.update("dns", claims(1, 2), 1.0)
@@ -83,21 +83,22 @@
     assert seen(merged, 1e9)[2] == ("in", "agreed")
 
 
-def test_what_drained_and_went_stays_away_while_dns_names_it_on() -> None:
+def test_a_drained_and_removed_box_stays_removed_while_dns_names_it() -> None:
     merged = made()
     merged.update("dns", claims(1, 2, 3), 0.0)
     merged.update("list", claims(1, 2, 3, draining=(1,)), 0.0)
     merged.update("list", claims(2, 3), 10.0)
     merged.update("dns", claims(1, 2, 3), 20.0)
     assert set(seen(merged, 20.0)) == {2, 3}
+    # By then it is another box, or the list would report it again.
     assert set(seen(merged, 10.0 + TOMBSTONE_MS)) == {
         1,
         2,
         3,
-    }  # by then it is another one, or the list would say so again
+    }
 
 
-def test_a_removal_ends_where_the_other_source_names_the_box_anew() -> None:
+def test_a_removal_ends_when_the_other_source_names_the_box_anew() -> None:
     merged = made()
     merged.update("dns", claims(1, 2, 3), 0.0)
     merged.update("list", claims(1, 2, 3), 0.0)
@@ -106,9 +107,8 @@
     merged.update("dns", claims(2, 3), 20.0)
     merged.update("dns", claims(1, 2, 3), 30.0)
     assert set(seen(merged, 30.0)) == {1, 2, 3}
-    merged.update(
-        "list", [*claims(1), Claim(at(2), "gone")], 40.0, full=False
-    )  # by name: no other source brings it back
+    # After a removal by name no other source brings the box back.
+    merged.update("list", [*claims(1), Claim(at(2), "gone")], 40.0, full=False)
     merged.update("dns", claims(1, 3), 50.0)
     merged.update("dns", claims(1, 2, 3), 60.0)
     assert set(seen(merged, 60.0)) == {1, 3}
@@ -124,7 +124,7 @@
     assert seen(merged, 1.0)[1] == ("in", "only list")
 
 
-def test_a_fall_is_held_and_told_then_believed() -> None:
+def test_a_fall_is_held_and_reported_then_applied() -> None:
     merged = made(Guard(0.5, 10_000.0, 30_000.0))
     merged.update("list", claims(1, 2, 3, 4), 0.0)
     merged.update("list", claims(1), 100.0)
@@ -137,7 +137,7 @@
     assert set(seen(merged, 30_100.0)) == {1}
 
 
-def test_a_slow_fall_and_one_said_by_name_are_no_fall() -> None:
+def test_slow_removals_and_removals_by_name_are_no_fall() -> None:
     merged = made(Guard(0.5, 10_000.0, 30_000.0))
     merged.update("list", claims(1, 2, 3, 4), 0.0)
     for n, now in ((2, 20_000.0), (3, 40_000.0), (4, 60_000.0)):
@@ -177,7 +177,7 @@
     assert set(seen(merged, 1.0)) == {2, 9}
 
 
-def test_a_flapping_box_is_kept_and_marked_for_a_while() -> None:
+def test_a_flapping_box_is_kept_for_a_while() -> None:
     merged, now = made(Guard(1.0)), 0.0
     others = (2, 3, 4)
     for _ in range(int(FLAP_SUPPRESS) + 1):
@@ -187,12 +187,12 @@
     assert seen(merged, now)[1] == ("in", "held: flapping")
     while 1 in seen(merged, now):
         due = merged.next_change_ms(now)
-        assert due is not None and now < due < 100_000.0  # by the cost that is stated
+        assert due is not None and now < due < 100_000.0  # the stated cost
         now = due
     assert now > 30_000.0
 
 
-def test_a_stale_or_failed_source_loses_its_say_in_weights_alone() -> None:
+def test_a_stale_or_failed_source_loses_only_its_influence_on_weights() -> None:
     merged = Membership({"list": Rights(0, stale_ms=1_000.0), "dns": DNS})
     merged.update("list", [Claim(at(1), name="s1", weight=3.0)], 0.0)
     merged.update("dns", [Claim(at(1), weight=0.5)], 0.0)
@@ -208,10 +208,10 @@
 
 
 Step = tuple[str, tuple[tuple[int, str], ...], bool]
-WORDS = st.tuples(st.integers(1, 6), st.sampled_from(["in", "in", "in", "draining", "gone"]))
+STATEMENTS = st.tuples(st.integers(1, 6), st.sampled_from(["in", "in", "in", "draining", "gone"]))
 STEPS = st.lists(
     st.tuples(
-        st.sampled_from(sorted(RIGHTS)), st.lists(WORDS, max_size=5).map(tuple), st.booleans()
+        st.sampled_from(sorted(RIGHTS)), st.lists(STATEMENTS, max_size=5).map(tuple), st.booleans()
     ),
     max_size=12,
 )
@@ -219,10 +219,10 @@
 
 def played(steps: list[tuple[float, Step]]) -> Membership:
     merged = made(Guard(0.5, 5_000.0, 4_000.0))
-    for now, (source, words, full) in steps:
+    for now, (source, statements, full) in steps:
         merged.update(
             source,
-            [Claim(at(n), state, f"{source}{n}") for n, state in words],  # type: ignore[arg-type]
+            [Claim(at(n), state, f"{source}{n}") for n, state in statements],  # type: ignore[arg-type]
             now,
             full,
         )
@@ -250,15 +250,15 @@
 
 @settings(max_examples=300, deadline=None, derandomize=True)
 @given(STEPS)
-def test_the_set_is_never_empty_but_by_drains_and_settles(steps: list[Step]) -> None:
+def test_only_drains_empty_the_set_and_it_settles(steps: list[Step]) -> None:
     order = timed(steps)
     merged, last = (
         made(Guard(0.5, 5_000.0, 4_000.0)),
         {name: dict[Address, str]() for name in RIGHTS},
     )
     named, ever_in = {name: set[Address]() for name in RIGHTS}, set[Address]()
-    for now, (source, words, full) in order:
-        states = {at(n): state for n, state in words}
+    for now, (source, statements, full) in order:
+        states = {at(n): state for n, state in statements}
         merged.update(source, [Claim(a, state) for a, state in states.items()], now, full)  # type: ignore[arg-type]
         for address, state in states.items():
             last[source][address] = state
@@ -274,7 +274,7 @@
         }
         if ever_in - said_away:
             assert any(box.server.state == "in" for box in boxes)
-        for box in boxes:  # nobody that no source ever named; drains obeyed
+        for box in boxes:  # every box was named by a source, and drains are applied
             assert any(box.address in view for view in last.values())
             if any(
                 RIGHTS[n].drain and box.address in named[n] and view[box.address] == "draining"
@@ -283,17 +283,17 @@
                 assert box.server.state == "draining"
         assert len({box.server.name for box in boxes}) == len(boxes)
     now = 700.0 * len(steps)
-    for _ in range(400):  # without another word it comes to rest
+    for _ in range(400):  # without further updates the set settles
         merged.merge(now)
         if (due := merged.next_change_ms(now)) is None:
             break
         assert due > now
         now = due
     else:
-        raise AssertionError("it does not settle")
+        raise AssertionError("the merged set does not settle")
 
 
-def test_what_is_kept_is_bounded() -> None:
+def test_memory_is_bounded() -> None:
     merged = Membership({"list": LIST})
     for generation in range(4):
         base = generation * 5_000
@@ -319,7 +319,7 @@
     assert groups.level([(10, True), (20, True)], 0.0) == 10
     assert groups.level([(10, False), (10, True), (20, True)], 1.0) == 10
     assert groups.level([(10, False), (20, True)], 2.0) == 20
-    assert groups.level([(10, True), (20, True)], 3.0) == 20  # not at the first sign
+    assert groups.level([(10, True), (20, True)], 3.0) == 20  # not at the first success
     assert groups.level([(10, False), (20, True)], 4_000.0) == 20
     assert groups.level([(10, True), (20, True)], 5_000.0) == 20
     assert groups.level([(10, True), (20, True)], 5_000.0 + FAILBACK_MS) == 10
@@ -328,9 +328,9 @@
     assert groups.level([], 40_000.0) == 0
 
 
-def test_boxes_are_told_apart_by_address() -> None:
+def test_boxes_are_identified_by_address() -> None:
     merged = made()
     merged.update("list", [Claim(at(1), name="x")], 0.0)
-    merged.update("dns", [Claim(at(2), name="x")], 0.0)  # another box by the same id
+    merged.update("dns", [Claim(at(2), name="x")], 0.0)  # another box with the same id
     boxes: list[Box] = merged.merge(0.0)
     assert {box.server.name for box in boxes} == {"x", "10.0.0.2:8001"}
--- a/tests/forkweir/test_outcomes.py
+++ b/tests/forkweir/test_outcomes.py
@@ -1,4 +1,4 @@
-"""Outcomes judged once: what each tells, in the words of the table at the head of the module."""
+"""Classification of outcomes, as the table in the module's docstring states it."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 
 
 @pytest.mark.parametrize("status", STATUSES)
-def test_each_outcome_says_what_the_table_says(status: str) -> None:
+def test_each_outcome_follows_the_table(status: str) -> None:
     one = seen(status)
     assert one.alive == (status in ("success", "overloaded", "failure", "absent"))
     assert one.response_received == (
@@ -60,7 +60,7 @@
 
 
 @pytest.mark.parametrize("status", ["timed_out", "withdrawn"])
-def test_time_that_ran_out_early_tells_of_nobody(status: str) -> None:
+def test_a_brief_attempt_says_nothing_about_its_server(status: str) -> None:
     brief, long = (
         seen(status, 0.99 * MIN_AIM_FRACTION * READ.aim_ms, miss_probability=1.0),
         seen(status, MIN_AIM_FRACTION * READ.aim_ms, miss_probability=1.0),
@@ -69,7 +69,7 @@
     assert brief.adverse is None and long.adverse is True
 
 
-def test_a_late_answer_is_wrong_and_too_much() -> None:
+def test_a_late_answer_is_adverse_and_a_sign_of_overload() -> None:
     late = seen("success", 801.0, 1)
     assert late.adverse and late.overload and not late.in_time
     assert (
@@ -79,7 +79,7 @@
     )
 
 
-def test_what_a_read_tells_of_its_key_and_a_write_of_the_origin() -> None:
+def test_what_a_read_says_about_its_key_and_a_write_about_the_origin() -> None:
     assert (
         seen("success", note=1).missed(False) is False
         and seen("success", note=2).missed(True) is True
@@ -92,7 +92,7 @@
     ).fetch_failed(0.15)
 
 
-def test_an_error_is_quick_within_a_part_of_the_aim() -> None:
+def test_an_error_is_quick_within_a_fraction_of_the_aim() -> None:
     assert seen("failure", 0.9 * QUICK_ERROR_FRACTION * READ.aim_ms).quick_error(READ.aim_ms)
     assert not seen("failure", 1.1 * QUICK_ERROR_FRACTION * READ.aim_ms).quick_error(READ.aim_ms)
     assert not seen("overloaded", 1.0).quick_error(READ.aim_ms)
@@ -128,7 +128,7 @@
         miss_probability=miss_probability,
         cold=cold,
     )
-    gone = OUTCOME_TYPES[status](note, elapsed_ms, None)
+    request_over = OUTCOME_TYPES[status](note, elapsed_ms, None)
     assert one.alive <= one.response_received and not (one.alive and one.fault)
     assert not (one.in_time and one.overload) and one.category in CATEGORIES
     assert one.adverse is not True or not one.in_time
@@ -136,16 +136,20 @@
     assert one.longer_than(1.0) is None or one.longer_than(1.0) == (
         one.timed_out or not one.in_time
     )
-    # Of a request that is over nothing is held against anybody, but that its server and zone are there.
-    assert gone.adverse is None and gone.longer_than(0.0) is None and not gone.brief
-    assert (gone.alive, gone.response_received, gone.zone_answers) == (
+    # An outcome of a request that is over only shows that its server and zone answer.
+    assert (
+        request_over.adverse is None
+        and request_over.longer_than(0.0) is None
+        and not request_over.brief
+    )
+    assert (request_over.alive, request_over.response_received, request_over.zone_answers) == (
         one.alive,
         one.response_received,
         one.zone_answers,
     )
 
 
-def test_every_word_of_the_wire_has_its_class() -> None:
+def test_every_status_of_the_wire_has_its_class() -> None:
     assert set(OUTCOME_TYPES) == set(STATUSES) and NOT_EXECUTED == {
         "overloaded",
         "unreachable",
--- a/tests/forkweir/test_outlier_detection.py
+++ b/tests/forkweir/test_outlier_detection.py
@@ -1,4 +1,4 @@
-"""Bad servers are known by few attempts, and a trouble of all is nobody's fault."""
+"""Outlier detection: few attempts reveal a bad server, and a common cause blames none."""
 
 from __future__ import annotations
 
@@ -28,53 +28,53 @@
 READ = ClassSpec("read", aim_ms=800.0, deadline_ms=2500.0, worth=3.0)
 
 
-def seasoned(wrong_part: float, seed: int = 1) -> OutlierDetector:
-    """After 400 attempts at good servers, of which this part went wrong."""
-    doubts, rng = OutlierDetector(seed), random.Random(seed)
+def trained(adverse_share: float, seed: int = 1) -> OutlierDetector:
+    """Return a detector after 400 attempts at good servers, of which this share failed."""
+    detector, rng = OutlierDetector(seed), random.Random(seed)
     for n in range(400):
-        doubts.update(Suspicion(), "known", rng.random() < wrong_part, float(n))
-    return doubts
+        detector.update(Suspicion(), "known", rng.random() < adverse_share, float(n))
+    return detector
 
 
-def test_a_bad_server_is_known_by_its_second_attempt_and_cleared_by_two_good_ones() -> None:
-    doubts, record = seasoned(0.02), Suspicion()
-    doubts.update(record, "known", True, 1_000.0)
-    assert not record.suspect
-    doubts.update(record, "known", True, 2_000.0)
-    assert record.suspect
-    doubts.update(record, "known", False, 3_000.0)
-    doubts.update(record, "known", False, 3_500.0)
-    assert not record.suspect
+def test_two_failures_make_a_server_suspect_and_two_good_answers_clear_it() -> None:
+    detector, suspicion = trained(0.02), Suspicion()
+    detector.update(suspicion, "known", True, 1_000.0)
+    assert not suspicion.suspect
+    detector.update(suspicion, "known", True, 2_000.0)
+    assert suspicion.suspect
+    detector.update(suspicion, "known", False, 3_000.0)
+    detector.update(suspicion, "known", False, 3_500.0)
+    assert not suspicion.suspect
 
 
-def test_one_wrong_answer_among_good_ones_is_forgiven() -> None:
-    doubts, record, rng = seasoned(0.05), Suspicion(), random.Random(3)
+def test_single_failures_among_good_answers_are_tolerated() -> None:
+    detector, suspicion, rng = trained(0.05), Suspicion(), random.Random(3)
     found = 0
     for n in range(2_000):
-        wrong = rng.random() < 0.08
-        doubts.update(record, "known", wrong, 300.0 * n)
-        found += wrong and record.suspect
-    assert found < 0.01 * 2_000  # twice in a row, by chance
+        adverse = rng.random() < 0.08
+        detector.update(suspicion, "known", adverse, 300.0 * n)
+        found += adverse and suspicion.suspect
+    assert found < 0.01 * 2_000  # two failures in a row by chance
 
 
-def test_where_most_goes_wrong_at_large_it_tells_nothing_of_one() -> None:
-    doubts, record = seasoned(0.7), Suspicion()
+def test_a_high_base_rate_makes_no_server_suspect() -> None:
+    detector, suspicion = trained(0.7), Suspicion()
     for n in range(10):
-        doubts.update(record, "known", True, 100.0 * n)
-    assert not record.suspect
+        detector.update(suspicion, "known", True, 100.0 * n)
+    assert not suspicion.suspect
 
 
-def test_a_few_bad_servers_do_not_pass_for_what_is_usual() -> None:
-    doubts, rng = OutlierDetector(1), random.Random(1)
+def test_a_few_bad_servers_do_not_raise_the_base_rate() -> None:
+    detector, rng = OutlierDetector(1), random.Random(1)
     records = [Suspicion() for _ in range(60)]
     for n in range(1_500):
         server = rng.randrange(60)
-        doubts.update(records[server], "known", server < 9 or rng.random() < 0.02, 33.0 * n)
-    assert [record.suspect for record in records] == [True] * 9 + [False] * 51
-    assert doubts.base_rate("known") < 0.06
+        detector.update(records[server], "known", server < 9 or rng.random() < 0.02, 33.0 * n)
+    assert [suspicion.suspect for suspicion in records] == [True] * 9 + [False] * 51
+    assert detector.base_rate("known") < 0.06
 
 
-def test_a_common_trouble_counts_in_full_as_what_is_usual() -> None:
+def test_a_common_cause_counts_in_full_towards_the_base_rate() -> None:
     alone, common = OutlierDetector(1), OutlierDetector(1)
     bad = Suspicion()
     bad.log_odds = MAX_LOG_ODDS
@@ -84,8 +84,8 @@
     assert alone.base_rate("known") < 0.1 < 0.5 < common.base_rate("known")
 
 
-def test_many_bad_servers_are_a_trouble_of_all_only_where_the_others_do_badly_too() -> None:
-    well, badly = seasoned(0.02), seasoned(COMMON_FAILURE_RATE + 0.1)
+def test_many_suspect_servers_have_a_common_cause_only_if_the_others_do_badly() -> None:
+    well, badly = trained(0.02), trained(COMMON_FAILURE_RATE + 0.1)
     assert not well.is_common_cause("known", MAX_SUSPECT_SHARE) and not badly.is_common_cause(
         "known", MAX_SUSPECT_SHARE
     )
@@ -93,15 +93,15 @@
     assert well.is_common_cause("known", MAX_INDEPENDENT_SHARE + 0.01)
 
 
-def test_what_is_held_against_a_server_is_forgotten() -> None:
-    doubts, record = seasoned(0.02), Suspicion()
+def test_evidence_against_a_server_decays() -> None:
+    detector, suspicion = trained(0.02), Suspicion()
     for n in range(3):
-        doubts.update(record, "known", True, 100.0 * n)
-    doubts.update(record, "known", False, 120_000.0)
-    assert record.log_odds < PRIOR_LOG_ODDS
+        detector.update(suspicion, "known", True, 100.0 * n)
+    detector.update(suspicion, "known", False, 120_000.0)
+    assert suspicion.log_odds < PRIOR_LOG_ODDS
 
 
-def test_waits_double_to_a_bound_and_are_spread_over_nodes() -> None:
+def test_trial_waits_double_up_to_a_bound_with_jitter() -> None:
     first = [OutlierDetector(seed).next_trial_wait(Suspicion()) for seed in range(40)]
     assert (
         INITIAL_TRIAL_WAIT_MS * (1.0 - TRIAL_JITTER)
@@ -109,11 +109,10 @@
         < max(first)
         <= INITIAL_TRIAL_WAIT_MS
     )
-    assert (
-        len({round(wait / 50.0) for wait in first}) > 10
-    )  # no two dozen nodes try in the same moment
-    doubts, record = OutlierDetector(1), Suspicion()
-    waits = [doubts.next_trial_wait(record) for _ in range(12)]
+    # At least a dozen different moments.
+    assert len({round(wait / 50.0) for wait in first}) > 10
+    detector, suspicion = OutlierDetector(1), Suspicion()
+    waits = [detector.next_trial_wait(suspicion) for _ in range(12)]
     assert max(waits) <= MAX_TRIAL_WAIT_MS and max(waits[:1]) <= INITIAL_TRIAL_WAIT_MS < max(
         waits[2:]
     )
@@ -127,18 +126,18 @@
 )
 @settings(max_examples=60, deadline=None)
 def test_all_stays_within_bounds(attempts: list[tuple[str, bool, float]]) -> None:
-    doubts, record, now = OutlierDetector(1), Suspicion(), 0.0
-    for sort, wrong, later in attempts:
+    detector, suspicion, now = OutlierDetector(1), Suspicion(), 0.0
+    for category, adverse, later in attempts:
         now += later
-        before = record.log_odds
-        likely = doubts.update(record, sort, wrong, now)
-        assert MIN_LOG_ODDS <= record.log_odds <= MAX_LOG_ODDS and 0.0 <= likely <= 1.0
-        assert MIN_BASE_RATE <= doubts.base_rate(sort) <= MAX_BASE_RATE
-        if wrong and later == 0.0:
-            assert record.log_odds >= before
+        before = suspicion.log_odds
+        likely = detector.update(suspicion, category, adverse, now)
+        assert MIN_LOG_ODDS <= suspicion.log_odds <= MAX_LOG_ODDS and 0.0 <= likely <= 1.0
+        assert MIN_BASE_RATE <= detector.base_rate(category) <= MAX_BASE_RATE
+        if adverse and later == 0.0:
+            assert suspicion.log_odds >= before
 
 
-def asked(
+def send_request(
     balancer: Balancer,
     now: float,
     n: int,
@@ -146,9 +145,9 @@
     after_ms: float,
     answer: Callable[[str], tuple[str, int, float]],
 ) -> bool:
-    """One request with all its attempts, each over `after_ms` later with the status, note and time that its server gives.
+    """Send a request; each attempt ends `after_ms` later as its server's `answer` says.
 
-    Whether it was served.
+    answer gives the status, note and elapsed time. Returns whether the request was served.
     """
     action, attempt = balancer.on_request(now, n, "read", key, 2_500.0)[0], 0
     while action[0] == "attempt":
@@ -163,8 +162,11 @@
     return False
 
 
-def play(failing: set[str], part: float, until_ms: float) -> tuple[Balancer, dict[str, int]]:
-    """One node that gets 20 requests a second for 60 servers, some of which fail; how many of each went out in the last half."""
+def simulate(failing: set[str], part: float, until_ms: float) -> tuple[Balancer, dict[str, int]]:
+    """Simulate a node with 20 requests a second and 60 servers, some of which fail.
+
+    Returns the balancer and the attempts at each server in the second half.
+    """
     balancer, rng = Balancer(Settings(classes=(READ,), may_cancel=True), 5), random.Random(5)
     balancer.on_list(0.0, "full", [Server(f"s{n}") for n in range(60)])
     sent = dict.fromkeys((f"s{n}" for n in range(60)), 0)
@@ -172,26 +174,26 @@
 
     def answer(server: str) -> tuple[str, int, float]:
         sent[server] += now > until_ms / 2.0
-        wrong = server in failing and rng.random() < part
-        return ("failure", 0, 60.0) if wrong else ("success", 1, 60.0)
+        adverse = server in failing and rng.random() < part
+        return ("failure", 0, 60.0) if adverse else ("success", 1, 60.0)
 
     while now < until_ms:
         n += 1
         now += rng.expovariate(1 / 50.0)
-        asked(balancer, now, n, f"k{rng.randrange(4_000)}", 60.0, answer)
+        send_request(balancer, now, n, f"k{rng.randrange(4_000)}", 60.0, answer)
     return balancer, sent
 
 
-def test_a_node_that_meets_each_server_rarely_leaves_those_that_fail() -> None:
+def test_a_node_with_few_requests_per_server_avoids_failing_servers() -> None:
     failing = {f"s{n}" for n in range(0, 54, 6)}
-    balancer, sent = play(failing, 0.8, 40_000.0)
+    balancer, sent = simulate(failing, 0.8, 40_000.0)
     usual = sum(sent[name] for name in sent if name not in failing) / 51.0
     assert sum(sent[name] for name in failing) / 9.0 < 0.45 * usual
-    assert balancer.gate.part == 1.0  # a few bad servers shut no gate
+    assert balancer.gate.part == 1.0  # a few bad servers don't close the gate
 
 
-def test_a_trouble_of_all_puts_nobody_out() -> None:
-    balancer, _ = play({f"s{n}" for n in range(60)}, 0.9, 20_000.0)
+def test_a_failure_of_all_servers_ejects_none() -> None:
+    balancer, _ = simulate({f"s{n}" for n in range(60)}, 0.9, 20_000.0)
     assert (
         sum(member.suspicion.detections > 0 for member in balancer.fleet.placed)
         <= MAX_SUSPECT_SHARE * 60
@@ -199,10 +201,8 @@
     assert balancer.fleet.health.detector.base_rate("unknown") > 0.45
 
 
-def test_half_a_fleet_that_fails_neither_shuts_the_gate_nor_passes_for_an_origin_in_trouble() -> (
-    None
-):
-    """A node of 20 requests a second before 60 servers, of which 27 fail most of what they are asked, hit or miss."""
+def test_a_failing_half_of_the_fleet_closes_no_gate_and_blames_no_origin() -> None:
+    """A node has 20 requests a second and 60 servers, 27 of which fail most hits and misses."""
     rng = random.Random(11)
     balancer = Balancer(Settings(classes=(READ,)), 1)
     balancer.on_list(0.0, "full", [Server(f"s{i}") for i in range(60)])
@@ -216,7 +216,7 @@
 
     for n in range(500):
         failing = n >= 200  # from 10 s on
-        good = asked(balancer, 1_000.0 + 50.0 * n, n, f"k{rng.randrange(400)}", 0.0, answer)
+        good = send_request(balancer, 1_000.0 + 50.0 * n, n, f"k{rng.randrange(400)}", 0.0, answer)
         served += failing and good
         refused += failing and not good
     assert balancer.gate.part == 1.0
--- a/tests/forkweir/test_slow_start.py
+++ b/tests/forkweir/test_slow_start.py
@@ -1,4 +1,4 @@
-"""What a cold server is allowed, as a bucket and in the module: whole fleets cold, pauses, floods, classes."""
+"""Slow start of cold servers, of one bucket and in whole fleets: pauses, floods and classes."""
 
 from __future__ import annotations
 
@@ -33,10 +33,10 @@
     return balancer
 
 
-class Day:
-    """Some nodes before a fleet; each server does 1 ms of work in a ms when warm.
+class Simulation:
+    """Nodes in front of a fleet in which a warm server does 1 ms of work per ms.
 
-    All that is sent is served in 20 ms; by strict servers only what they can do, and the rest is turned away.
+    Every request is served in 20 ms. Strict servers reject what exceeds their capacity.
     """
 
     def __init__(self, nodes: int, servers: int, strict: bool = False) -> None:
@@ -65,7 +65,7 @@
     def run(
         self, begin: float, end: float, load: float, work: float = 12.0, paused: int = -1
     ) -> None:
-        """Offer so much work a ms (1: what one warm server does); a paused node takes all that came at the end."""
+        """Offer load, in units of one warm server; a paused node takes its requests at the end."""
         gap, now, n = work / load, begin, 0
         held: list[tuple[str, str]] = []
         while now < end:
@@ -81,15 +81,15 @@
         for asks in held:
             self._ask(paused, end, *asks, work)
 
-    def _ask(self, n: int, now: float, lane: str, key: str, work: float) -> None:
+    def _ask(self, n: int, now: float, class_name: str, key: str, work: float) -> None:
         node = self.nodes[n]
         while self.out[n] and self.out[n][0][0] <= now:
             due, number, name, status = self.out[n].pop(0)
             node.on_outcome(due, number, 0, True, status, name, 20.0, status == "success")
         self.number += 1
-        self.asked[lane] += 1
+        self.asked[class_name] += 1
         for action in node.on_request(
-            now, self.number, lane, key, 2500.0, work, "", lane == "order"
+            now, self.number, class_name, key, 2500.0, work, "", class_name == "order"
         ):
             if action[0] == "attempt":
                 self.sent.append((now, action[2], work))
@@ -97,10 +97,10 @@
                     (now + 20.0, self.number, action[2], self._serve(action[2], now, work))
                 )
             elif action[0] == "refuse":
-                self.refused[lane] += 1
+                self.refused[class_name] += 1
 
     def _serve(self, name: str, now: float, work: float) -> str:
-        """How a strict server takes a request: it turns away what it could not begin within 300 ms."""
+        """Return the status; a strict server rejects what it can't start within 300 ms."""
         begins = max(now, self.busy_until.get(name, 0.0))
         if self.strict and begins > now + 300.0:
             return "overloaded"
@@ -108,7 +108,7 @@
         return "success"
 
     def worst(self) -> float:
-        """The most that a cold server got in a span of the rule, as a part of what makes it fall."""
+        """Return the highest load of a cold server, as a fraction of what makes it fail."""
         worst = 0.0
         for name, since in self.started.items():
             mine = [(at, work) for at, to, work in self.sent if to == name and at >= since]
@@ -123,170 +123,172 @@
 
 
 def cold_as_a_whole(servers: int, strict: bool) -> tuple[float, float]:
-    """All servers start anew at once: the worst span of the rule, and what each got a ms in the 5 s after."""
-    day = Day(4, servers, strict)
-    day.run(0.0, 4_000.0, 0.9 * servers)
-    day.restart(4_000.0, day.names)
-    before = len(day.sent)
-    day.run(4_000.0, 9_000.0, 0.9 * servers)
-    return day.worst(), sum(work for _, _, work in day.sent[before:]) / 5_000.0 / servers
+    """Restart all servers at once; return the highest load and each one's work per ms in 5 s."""
+    sim = Simulation(4, servers, strict)
+    sim.run(0.0, 4_000.0, 0.9 * servers)
+    sim.restart(4_000.0, sim.names)
+    before = len(sim.sent)
+    sim.run(4_000.0, 9_000.0, 0.9 * servers)
+    return sim.worst(), sum(work for _, _, work in sim.sent[before:]) / 5_000.0 / servers
 
 
 @pytest.mark.parametrize("servers", [2, 3, 6, 17])
-def test_a_fleet_that_is_cold_as_a_whole_gets_what_it_can_do_and_no_server_falls(
+def test_a_completely_cold_fleet_gets_what_it_can_serve_and_no_server_fails(
     servers: int,
 ) -> None:
     worst, got = cold_as_a_whole(servers, strict=False)
     assert worst < 0.5
-    assert (
-        0.08 < got < 0.25 * MAX_BOOST
-    )  # its capacity is 0.12 to 0.30 of the whole, and these servers bear whatever they get
+    # The capacity is 0.12 to 0.30 of a warm server's, and these servers accept any load.
+    assert 0.08 < got < 0.25 * MAX_BOOST
 
 
 @pytest.mark.parametrize("servers", [3, 6, 17])
-def test_what_cold_servers_turn_away_holds_the_boost_back(servers: int) -> None:
+def test_rejections_by_cold_servers_limit_the_boost(servers: int) -> None:
     worst, got = cold_as_a_whole(servers, strict=True)
     assert worst < 0.5
-    assert 0.1 < got < 0.32  # of a capacity of 0.12 to 0.30
+    assert 0.1 < got < 0.32  # the capacity is 0.12 to 0.30 of a warm server's
 
 
 def replaced(nodes: int, strict: bool) -> tuple[float, float]:
-    """36 of 60 servers start anew within 7 s, at six tenths of what the fleet can do.
+    """Restart 36 of 60 servers within 7 s, at six tenths of the fleet's capacity.
 
-    The worst span of the rule, and what a cold server got in the last 2 s for what it could do, over that of a warm one.
+    Returns the highest load, and the utilization of cold servers in the last 2 s over that of warm
+    ones.
     """
-    day = Day(nodes, 60, strict)
-    day.run(0.0, 3_000.0, 36.0, 24.0)
-    for n, name in enumerate(day.names[:36]):
-        day.run(3_000.0 + 200.0 * n, 3_200.0 + 200.0 * n, 36.0, 24.0)
-        day.restart(3_200.0 + 200.0 * n, [name])
-    day.run(10_200.0, 12_200.0, 36.0, 24.0)
-    late = [(to, work) for at, to, work in day.sent if at > 10_200.0]
-    cold = sum(work for to, work in late if to in day.started) / sum(
-        day.capacity(name, 11_200.0) for name in day.started
+    sim = Simulation(nodes, 60, strict)
+    sim.run(0.0, 3_000.0, 36.0, 24.0)
+    for n, name in enumerate(sim.names[:36]):
+        sim.run(3_000.0 + 200.0 * n, 3_200.0 + 200.0 * n, 36.0, 24.0)
+        sim.restart(3_200.0 + 200.0 * n, [name])
+    sim.run(10_200.0, 12_200.0, 36.0, 24.0)
+    late = [(to, work) for at, to, work in sim.sent if at > 10_200.0]
+    cold = sum(work for to, work in late if to in sim.started) / sum(
+        sim.capacity(name, 11_200.0) for name in sim.started
     )
-    warm = sum(work for to, work in late if to not in day.started) / 24.0
-    return day.worst(), cold / warm
+    warm = sum(work for to, work in late if to not in sim.started) / 24.0
+    return sim.worst(), cold / warm
 
 
 @pytest.mark.parametrize(("nodes", "least"), [(10, 0.6), (40, 0.4), (160, 0.2)])
-def test_many_nodes_use_what_36_cold_servers_of_60_can_do_and_push_none_over(
+def test_many_nodes_use_36_cold_servers_of_60_without_overloading_one(
     nodes: int, least: float
 ) -> None:
     worst, part = replaced(nodes, strict=True)
     assert worst < 0.5
-    assert (
-        part > least
-    )  # a bucket of one request, behind keys thinned by the ramp as well, gave 0.07 before 40 nodes
+    # With a bucket of one request and the keys reduced by the ramp as well, 40 nodes gave 0.07.
+    assert part > least
 
 
-def test_what_one_cold_server_bears_is_pooled_and_taken_back_when_one_is_pressed() -> None:
-    allowances = SlowStart(MULTIPLE, 8.0, 1)
-    first, second = allowances.open_bucket(0.0, 30.0), allowances.open_bucket(0.0, 30.0)
+def test_the_boost_is_pooled_over_cold_servers_and_reduced_by_overload() -> None:
+    slow_start = SlowStart(MULTIPLE, 8.0, 1)
+    first, second = slow_start.open_bucket(0.0, 30.0), slow_start.open_bucket(0.0, 30.0)
     for _ in range(100):
-        allowances.record_success(first)
-    assert allowances.boost == MAX_BOOST
-    allowances.record_overload(second, 1_000.0)
-    assert 1.0 < allowances.boost < MAX_BOOST and second.rate_factor < first.rate_factor == 1.0
+        slow_start.record_success(first)
+    assert slow_start.boost == MAX_BOOST
+    slow_start.record_overload(second, 1_000.0)
+    assert 1.0 < slow_start.boost < MAX_BOOST and second.rate_factor < first.rate_factor == 1.0
     for n in range(50):
-        allowances.record_overload(second, 2_000.0 + 1_000.0 * n)
-    assert allowances.boost == 1.0
+        slow_start.record_overload(second, 2_000.0 + 1_000.0 * n)
+    assert slow_start.boost == 1.0
 
 
-def test_one_warm_server_left_of_six_does_not_bring_the_cold_ones_down() -> None:
-    day = Day(4, 6)
-    day.run(0.0, 4_000.0, 4.0)
-    day.restart(4_000.0, day.names[1:])
-    day.run(4_000.0, 8_000.0, 4.0)
-    assert 0.0 < day.worst() < 0.75
+def test_five_cold_servers_of_six_are_not_overloaded() -> None:
+    sim = Simulation(4, 6)
+    sim.run(0.0, 4_000.0, 4.0)
+    sim.restart(4_000.0, sim.names[1:])
+    sim.run(4_000.0, 8_000.0, 4.0)
+    assert 0.0 < sim.worst() < 0.75
 
 
 def test_ten_nodes_of_which_three_restart_together_with_the_fleet() -> None:
-    day = Day(10, 6)
-    day.run(0.0, 4_000.0, 5.0)
-    day.started = {name: 4_000.0 for name in day.names}
+    sim = Simulation(10, 6)
+    sim.run(0.0, 4_000.0, 5.0)
+    sim.started = {name: 4_000.0 for name in sim.names}
     for n in (0, 1, 2):
-        day.nodes[n], day.out[n] = (
-            make([Server(name, started_ms=4_000.0) for name in day.names], 50 + n),
+        sim.nodes[n], sim.out[n] = (
+            make([Server(name, started_ms=4_000.0) for name in sim.names], 50 + n),
             [],
         )
-    day.restart(4_000.0, day.names)
-    day.run(4_000.0, 8_000.0, 5.0)
-    assert 0.0 < day.worst() < 0.75
-
-
-def test_what_queued_up_in_a_pause_of_a_node_is_not_let_out_at_once() -> None:
-    day = Day(2, 4)
-    day.run(0.0, 4_000.0, 3.5)
-    day.restart(4_000.0, day.names)
-    day.run(4_000.0, 4_500.0, 3.5)
-    before = len(day.sent)
-    day.run(4_500.0, 6_000.0, 3.5, paused=0)
-    burst = [work for at, _, work in day.sent[before:] if at == 6_000.0]
+    sim.restart(4_000.0, sim.names)
+    sim.run(4_000.0, 8_000.0, 5.0)
+    assert 0.0 < sim.worst() < 0.75
+
+
+def test_requests_queued_during_a_pause_of_a_node_are_not_sent_at_once() -> None:
+    sim = Simulation(2, 4)
+    sim.run(0.0, 4_000.0, 3.5)
+    sim.restart(4_000.0, sim.names)
+    sim.run(4_000.0, 4_500.0, 3.5)
+    before = len(sim.sent)
+    sim.run(4_500.0, 6_000.0, 3.5, paused=0)
+    burst = [work for at, _, work in sim.sent[before:] if at == 6_000.0]
     assert sum(burst) <= 4 * max(2 * 12.0, 0.2 * BURST_MS)
-    assert day.worst() < 0.5
-
-
-def test_a_load_of_four_times_the_fleets_capacity_does_not_bring_cold_servers_down() -> None:
-    day = Day(3, 5)
-    day.run(0.0, 4_000.0, 4.0)
-    day.restart(4_000.0, day.names)
-    day.run(4_000.0, 8_000.0, 20.0)
-    assert 0.0 < day.worst() < 0.75
-
-
-def test_a_fleet_that_doubles_cold_takes_its_part_and_none_is_pushed_over() -> None:
-    day = Day(3, 6)
-    day.run(0.0, 4_000.0, 5.0)
-    day.names += [f"t{n}" for n in range(6)]
-    day.restart(4_000.0, day.names[6:])
-    day.run(4_000.0, 8_000.0, 5.0)
-    assert 0.0 < day.worst() < 0.5
-
-
-def test_a_fleet_that_halves_in_one_list_change_leaves_its_cold_servers_within_their_part() -> None:
-    day = Day(3, 12)
-    day.run(0.0, 4_000.0, 9.0)
-    day.restart(4_000.0, day.names[:3])
-    day.run(4_000.0, 5_000.0, 9.0)
-    for node in day.nodes:
-        node.on_list(5_000.0, "changes", [Server(name, state="gone") for name in day.names[6:]])
-    before = len(day.sent)
-    day.run(5_000.0, 8_000.0, 9.0)
-    assert {name for _, name, _ in day.sent[before:]} <= set(day.names[:6])
-    assert 0.0 < day.worst() < 0.75
-
-
-def test_orders_are_let_in_before_reads_and_reads_do_not_starve() -> None:
-    day = Day(2, 4)
-    day.run(0.0, 4_000.0, 3.5)
-    day.restart(4_000.0, day.names)
-    day.refused, day.asked = {"read": 0, "order": 0}, {"read": 0, "order": 0}
-    day.run(4_000.0, 10_000.0, 3.5)
-    part = {lane: 1.0 - day.refused[lane] / day.asked[lane] for lane in day.asked}
+    assert sim.worst() < 0.5
+
+
+def test_four_times_the_fleets_capacity_does_not_overload_cold_servers() -> None:
+    sim = Simulation(3, 5)
+    sim.run(0.0, 4_000.0, 4.0)
+    sim.restart(4_000.0, sim.names)
+    sim.run(4_000.0, 8_000.0, 20.0)
+    assert 0.0 < sim.worst() < 0.75
+
+
+def test_doubling_the_fleet_with_cold_servers_overloads_none() -> None:
+    sim = Simulation(3, 6)
+    sim.run(0.0, 4_000.0, 5.0)
+    sim.names += [f"t{n}" for n in range(6)]
+    sim.restart(4_000.0, sim.names[6:])
+    sim.run(4_000.0, 8_000.0, 5.0)
+    assert 0.0 < sim.worst() < 0.5
+
+
+def test_removing_half_of_the_fleet_does_not_overload_its_cold_servers() -> None:
+    sim = Simulation(3, 12)
+    sim.run(0.0, 4_000.0, 9.0)
+    sim.restart(4_000.0, sim.names[:3])
+    sim.run(4_000.0, 5_000.0, 9.0)
+    for node in sim.nodes:
+        node.on_list(5_000.0, "changes", [Server(name, state="gone") for name in sim.names[6:]])
+    before = len(sim.sent)
+    sim.run(5_000.0, 8_000.0, 9.0)
+    assert {name for _, name, _ in sim.sent[before:]} <= set(sim.names[:6])
+    assert 0.0 < sim.worst() < 0.75
+
+
+def test_orders_take_precedence_over_reads_and_reads_do_not_starve() -> None:
+    sim = Simulation(2, 4)
+    sim.run(0.0, 4_000.0, 3.5)
+    sim.restart(4_000.0, sim.names)
+    sim.refused, sim.asked = {"read": 0, "order": 0}, {"read": 0, "order": 0}
+    sim.run(4_000.0, 10_000.0, 3.5)
+    part = {
+        class_name: 1.0 - sim.refused[class_name] / sim.asked[class_name]
+        for class_name in sim.asked
+    }
     assert part["order"] > 2.0 * part["read"] > 0.1
 
 
-def test_a_class_that_floods_leaves_the_other_its_turn_within_the_stated_time() -> None:
-    allowances = SlowStart(MULTIPLE, 8.0, 1)
-    account, last, longest = TokenBucket(0.0, 0.0), 0.0, 0.0
+def test_a_flooding_class_starves_another_no_longer_than_stated() -> None:
+    slow_start = SlowStart(MULTIPLE, 8.0, 1)
+    bucket, last, longest = TokenBucket(0.0, 0.0), 0.0, 0.0
     for now in range(0, 20_000, 5):
-        if allowances.may_send(account, 0.2, 12.0, 3.0, float(now)):
-            allowances.spend(account, 12.0, 3.0, float(now))
+        if slow_start.may_send(bucket, 0.2, 12.0, 3.0, float(now)):
+            slow_start.spend(bucket, 12.0, 3.0, float(now))
             longest, last = max(longest, now - last), float(now)
-        if allowances.may_send(account, 0.2, 12.0, 8.0, float(now)):
-            allowances.spend(account, 12.0, 8.0, float(now))
+        if slow_start.may_send(bucket, 0.2, 12.0, 8.0, float(now)):
+            slow_start.spend(bucket, 12.0, 8.0, float(now))
     assert 0.0 < longest <= MAX_STARVATION_MS + 12.0 / 0.2 + 5.0
 
 
-def test_a_server_that_turns_away_gets_less_and_its_part_back_by_good_answers() -> None:
-    allowances, account = SlowStart(MULTIPLE, 8.0, 1), TokenBucket(0.0, 0.0)
+def test_overload_reduces_the_rate_and_good_answers_restore_it() -> None:
+    slow_start, bucket = SlowStart(MULTIPLE, 8.0, 1), TokenBucket(0.0, 0.0)
     for n in range(1, 40):
-        allowances.record_overload(account, 300.0 * n)
-    assert account.rate_factor == MIN_RATE_FACTOR
+        slow_start.record_overload(bucket, 300.0 * n)
+    assert bucket.rate_factor == MIN_RATE_FACTOR
     for _ in range(40):
-        allowances.record_success(account)
-    assert account.rate_factor == 1.0
+        slow_start.record_success(bucket)
+    assert bucket.rate_factor == 1.0
 
 
 @settings(max_examples=60, deadline=None)
@@ -297,16 +299,16 @@
         max_size=200,
     )
 )
-def test_no_span_gets_more_than_its_rate_and_one_burst(
+def test_no_time_span_exceeds_its_rate_and_one_burst(
     steps: list[tuple[float, float, float]],
 ) -> None:
-    allowances, rate = SlowStart(MULTIPLE, 8.0, 1), 0.15
-    account, now = allowances.open_bucket(0.0, 30.0), 0.0
+    slow_start, rate = SlowStart(MULTIPLE, 8.0, 1), 0.15
+    bucket, now = slow_start.open_bucket(0.0, 30.0), 0.0
     sent: list[tuple[float, float]] = []
     for gap, cost, worth in steps:
         now += gap
-        if allowances.may_send(account, rate, cost, worth, now):
-            allowances.spend(account, cost, worth, now)
+        if slow_start.may_send(bucket, rate, cost, worth, now):
+            slow_start.spend(bucket, cost, worth, now)
             sent.append((now, cost))
     for n, (begin, _) in enumerate(sent):
         total = 0.0
@@ -321,7 +323,7 @@
 def test_a_cost_is_learned_from_quick_answers_and_one_bad_answer_moves_it_little() -> None:
     costs = Costs()
     for n in range(400):
-        costs.record_answer(READ, 12.0 + 40.0 * (n % 4 > 1))  # half of them waited
+        costs.record_answer(READ, 12.0 + 40.0 * (n % 4 > 1))  # half of the answers waited
     learned = costs.cost_ms(READ, 0.0)
     assert 9.0 < learned < 16.0
     costs.record_answer(READ, 1e9)
@@ -330,7 +332,7 @@
     assert costs.cost_ms(ORDER, 0.0) == pytest.approx(0.15 * 1200)
 
 
-def test_a_faded_rate_is_right_from_the_start_and_after_a_change() -> None:
+def test_a_decaying_rate_is_right_from_the_start_and_after_a_change() -> None:
     sums = DecayingSum(1_000.0)
     for n in range(500):
         sums.add(10.0 * n, 3.0)
@@ -343,27 +345,29 @@
     assert first.rate(500.0) == 0.2
 
 
-def test_a_clock_that_is_behind_keeps_a_server_cold_no_longer_than_a_start_takes() -> None:
-    told = Server("a", started_ms=3_600_000.0)  # by a clock that is an hour ahead of the node's
+def test_a_slow_clock_does_not_prolong_the_warm_up() -> None:
+    told = Server("a", started_ms=3_600_000.0)  # the list's clock is an hour ahead
     balancer = make([Server("a"), Server("b")])
     balancer.on_list(1_000.0, "changes", [told])
-    balancer.on_list(9_000.0, "full", [told, Server("b")])  # word of the same start, once more
+    balancer.on_list(9_000.0, "full", [told, Server("b")])  # the same start again
     member = balancer.fleet.members["a"]
     assert member.info.started_ms == member.warm_ms == 1_000.0
     assert balancer.fleet.is_cold(member, 1_000.0 + COLD_MS - 1.0)
     assert not balancer.fleet.is_cold(member, 1_000.0 + COLD_MS)
-    balancer.on_list(40_000.0, "changes", [Server("a", started_ms=3_700_000.0)])  # it started again
+    # The server has restarted.
+    balancer.on_list(40_000.0, "changes", [Server("a", started_ms=3_700_000.0)])
     assert balancer.fleet.is_cold(balancer.fleet.members["a"], 60_000.0)
 
 
-def test_a_cold_server_with_room_takes_keys_of_a_warm_one_that_turns_much_away() -> None:
+def test_a_cold_server_with_capacity_takes_keys_of_a_warm_one_that_rejects_many() -> None:
     def homes(turned: float) -> list[str]:
         balancer = make([Server("warm"), Server("cold", started_ms=1.0)])
         balancer.fleet.members["warm"].rejection_rate = turned
+        # The strain leaves it no keys of its own.
         balancer.fleet.members["warm"].strain, balancer.fleet.members["warm"].strain_ms = (
             1e6,
             30_000.0,
-        )  # it keeps no key as its home
+        )
         went = []
         for n in range(160):
             now = 12_001.0 + 62.5 * n
--- a/tests/forkweir/test_start_times.py
+++ b/tests/forkweir/test_start_times.py
@@ -1,4 +1,4 @@
-"""Starts stated in Unix time, read on a clock that may be an hour off in either direction."""
+"""Listed start times read on a clock that may be an hour off in either direction."""
 
 from __future__ import annotations
 
@@ -13,33 +13,31 @@
 
 
 @pytest.mark.parametrize("off", [-HOUR, 0.0, HOUR])
-def test_a_server_that_appears_later_is_new_whatever_the_clock_says(off: float) -> None:
+def test_a_server_that_appears_later_is_new_on_any_clock(off: float) -> None:
     starts, now = StartTimes(), NOW + off
     assert starts.localize(Server("old"), True, now).started_ms == 0.0
     fresh = starts.localize(Server("s1", started_ms=NOW - 500.0), False, now)
     assert now - 500.0 <= fresh.started_ms <= now
     again = starts.localize(Server("s1", started_ms=NOW - 500.0), False, now + 10_000.0)
-    assert again.started_ms == fresh.started_ms  # read again it does not start again
+    assert again.started_ms == fresh.started_ms  # reading the start again doesn't change it
 
 
 def test_a_clock_that_agrees_with_announced_starts_is_trusted() -> None:
     starts = StartTimes()
     starts.localize(Server("s1", started_ms=NOW - HOUR), False, NOW)
-    assert (
-        starts.localize(Server("s2", started_ms=NOW - HOUR), False, NOW).started_ms == NOW
-    )  # not yet known to agree
+    # The clock isn't known to agree yet.
+    assert starts.localize(Server("s2", started_ms=NOW - HOUR), False, NOW).started_ms == NOW
     assert (
         starts.localize(
             Server("s3", started_ms=NOW - MAX_ANNOUNCEMENT_DELAY_MS), False, NOW
         ).started_ms
         == NOW - MAX_ANNOUNCEMENT_DELAY_MS
     )
-    assert (
-        starts.localize(Server("s4", started_ms=NOW - HOUR), False, NOW).started_ms == NOW - HOUR
-    )  # old, and joins late
+    # An old server that joins late.
+    assert starts.localize(Server("s4", started_ms=NOW - HOUR), False, NOW).started_ms == NOW - HOUR
 
 
-def test_a_first_list_is_believed_but_never_ahead_of_the_clock() -> None:
+def test_a_first_list_is_trusted_but_never_ahead_of_the_clock() -> None:
     starts = StartTimes()
     assert (
         starts.localize(Server("s1", started_ms=NOW - 5_000.0), True, NOW).started_ms
@@ -54,7 +52,7 @@
         max_size=20,
     )
 )
-def test_no_start_is_ahead_of_the_clock_and_none_moves(
+def test_no_start_is_ahead_of_the_clock_and_none_changes(
     steps: list[tuple[str, float, bool]],
 ) -> None:
     starts, now = StartTimes(), NOW
