--- a/forkweir/known/health.py
+++ b/forkweir/known/health.py
@@ -5,7 +5,7 @@
 
 | state | meaning | receives | left when |
 |---|---|---|---|
-| in_service | listed, nothing held against it | its keys (fewer under strain) | any below applies |
+| in_service | listed, nothing against it | its keys (fewer if strained) | drained, gone, ejected |
 | cold | the same, but started recently | what its slow start allows | its warm-up has ended |
 | silent | ejected: faults or unanswered requests | nothing | the ejection is over |
 | doubted | ejected: suspect (`outlier_detection`) | nothing | the wait for a trial is over |
