--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -221,7 +221,7 @@
     ]
     options = SourcesTable(dns=DnsTable(service=SERVICE))
     merged = Membership(options.rights(), options.guard.guard())
-    merged.tell("list", [Claim(address, name=name) for name, address in boxes.items()], 0.0)
+    merged.update("list", [Claim(address, name=name) for name, address in boxes.items()], 0.0)
     begun = time.process_time()
     for n in range(rounds):
         answer = parse_answer(wire, make_query(SERVICE, "SRV", 1, 0), over_tcp=True)
@@ -229,7 +229,7 @@
             target: CachedAnswer(Answer(life, addresses=addresses), 0.0, 1.0)
             for target, (life, addresses) in answer.additional_addresses.items()
         }
-        merged.tell("dns", claims_of_records(answer.srv_records, dict(found)), float(n))
+        merged.update("dns", claims_of_records(answer.srv_records, dict(found)), float(n))
         assert len(merged.merge(float(n))) == BOXES
     return 1_000.0 * (time.process_time() - begun) / rounds
 
--- a/corkshift/cli/members.py
+++ b/corkshift/cli/members.py
@@ -126,10 +126,10 @@
         self.failures: list[tuple[str, str]] = []
 
     def update(self, source: str, claims: Iterable[Claim], full: bool = True) -> None:
-        self.merged.tell(source, claims, now_ms(), full)
+        self.merged.update(source, claims, now_ms(), full)
 
     def failed(self, source: str, reason: str) -> None:
-        self.merged.failed(source, reason)
+        self.merged.mark_failed(source, reason)
         self.failures.append((source, reason))
 
 
--- a/corkshift/frontend.py
+++ b/corkshift/frontend.py
@@ -22,7 +22,7 @@
 from corkshift.relay import Relay
 from corkshift.seam import Address, Socket, now_ms
 from corkshift.stream import READ_BYTES, Stream
-from forkweir.limits.duty import LONGEST_MS, Duty, Leave
+from forkweir.limits.lifecycle import MAX_COUNTED_DEADLINE_MS, Lifecycle, ShutdownSchedule
 
 log = logging.getLogger(__name__)
 
@@ -326,7 +326,7 @@
                 parser,
                 _completed(
                     Response(200, b"ok\n")
-                    if self._frontend.duty.welcome
+                    if self._frontend.duty.accepts_clients
                     else Response(503, b"draining\n")
                 ),
             )
@@ -442,7 +442,7 @@
     async def _send(self, parser: Parser, response: Response) -> bool:
         """Write one response; return whether the connection is kept after it."""
         last = (
-            not self._frontend.duty.lasting
+            not self._frontend.duty.keeps_connections
             and self._pending == 1
             and not self.partial
             and not self._stream.has_input
@@ -506,14 +506,14 @@
     """
 
     def __init__(
-        self, node: Node, listener: Socket, limit: int, body_bytes: int, shared: bool = False, leave: Optional[Leave] = None,
+        self, node: Node, listener: Socket, limit: int, body_bytes: int, shared: bool = False, leave: Optional[ShutdownSchedule] = None,
         loop_lag: Optional[Presence] = None,
     ) -> None:  # fmt: skip
         self.node = node
         self.loop_lag = loop_lag or Presence()
-        self._leave = leave or Leave(LONGEST_MS)
+        self._leave = leave or ShutdownSchedule(MAX_COUNTED_DEADLINE_MS)
         self.budget = BodyBudget(body_bytes)
-        self.duty = Duty()
+        self.duty = Lifecycle()
         self.started = False
         self._shared = shared
         self._limit = limit
@@ -550,12 +550,12 @@
         if self._shared:
             # The next process accepts what waits in the shared queue.
             self._listener.close()
-        await asyncio.sleep(leave.take / 1000.0)
+        await asyncio.sleep(leave.accept_ms / 1000.0)
         if not self._shared:
             # Connections in the kernel's queue may hold requests that count as accepted, so all
             # of them are accepted as capacity allows.
             with suppress(TimeoutError):
-                async with asyncio.timeout_at(started_s + leave.answer / 1000.0):
+                async with asyncio.timeout_at(started_s + leave.answer_ms / 1000.0):
                     await self._listener.accept_queued()
             self._listener.close()
         await asyncio.sleep(LAST_READ_DELAY_S)
@@ -563,9 +563,9 @@
         for connection in list(self._connections):
             if not connection.partial:
                 connection.close_if_no_input("ending")
-        await self._wait_until_closed(started_s + leave.answer / 1000.0)
+        await self._wait_until_closed(started_s + leave.answer_ms / 1000.0)
         self.node.fail_open_requests()
-        await self._wait_until_closed(started_s + leave.exit / 1000.0)
+        await self._wait_until_closed(started_s + leave.exit_ms / 1000.0)
         for connection in list(self._connections):
             connection.abort()
 
@@ -664,10 +664,10 @@
             if now - connection.since_ms <= EVICTION_GRACE_MS:
                 break
             connection.close_if_no_input("share")
-        if part := self.duty.due(now, SWEEP_INTERVAL_S * 1000.0):
+        if part := self.duty.share_to_close(now, SWEEP_INTERVAL_S * 1000.0):
             for connection in kept[: ceil(part * len(kept))]:
                 connection.close_if_no_input("draining")
-        if self.duty.shed(now):
+        if self.duty.drain_over(now):
             for connection in [c for c in self._unused if now - c.since_ms > EVICTION_GRACE_MS]:
                 connection.close_if_no_input("draining")
 
--- a/corkshift/sources/boxlist.py
+++ b/corkshift/sources/boxlist.py
@@ -12,14 +12,14 @@
 from corkshift.sources import Sink
 from corkshift.upstream import CacheServer
 from forkweir import Server
-from forkweir.known.membership import Claim, Said
+from forkweir.known.membership import BoxState, Claim
 
 MAX_UNCONFIRMED = 4_096  # addresses of servers that the list never named
 
 
 def claim_of(server: Server, address: Address) -> Claim:
     """The claim for a listed server that is in service or drains."""
-    state: Said = "draining" if server.state == "draining" else "in"
+    state: BoxState = "draining" if server.state == "draining" else "in"
     return Claim(
         address,
         state,
--- a/corkshift/sources/hub.py
+++ b/corkshift/sources/hub.py
@@ -22,8 +22,8 @@
 from corkshift.sources.view_socket import ViewSocket
 from corkshift.upstream import CacheServer, Pool
 from forkweir import Server
-from forkweir.known.groups import Groups
 from forkweir.known.membership import Box, Claim, Membership
+from forkweir.known.priority_groups import PriorityGroups
 
 log = logging.getLogger(__name__)
 
@@ -39,7 +39,7 @@
         self._pool = pool
         self._options = options
         self._membership = Membership(options.rights(), options.guard.guard())
-        self._groups = Groups()
+        self._groups = PriorityGroups()
         self._reported: dict[str, Server] = {}
         self._boxes: list[Box] = []
         self._level = 0
@@ -102,12 +102,12 @@
 
     def update(self, source: str, claims: Iterable[Claim], full: bool = True) -> None:
         """See `Sink.update`."""
-        self._membership.tell(source, claims, now_ms(), full)
+        self._membership.update(source, claims, now_ms(), full)
         self._apply_merge({"known": "saved", "list": "changes"}.get(source, "hearsay"))
 
     def failed(self, source: str, reason: str) -> None:
         """See `Sink.failed`. The last view of the source stays in use."""
-        self._membership.failed(source, reason)
+        self._membership.mark_failed(source, reason)
         self._apply_merge("hearsay")
 
     def _report_list_state(self, form: str) -> None:
@@ -125,7 +125,7 @@
         """Update address book and module to the merged set. form: as in `Balancer.on_list`."""
         now = now_ms()
         self._boxes = self._membership.merge(now)
-        for report in self._membership.reports():
+        for report in self._membership.take_reports():
             log.info("sources: %s", report)
         serving = [box for box in self._boxes if box.server.state == "in"]
         level = self._groups.level(
@@ -182,7 +182,7 @@
             self._timer = None
         if self._closed:
             return
-        due = self._membership.due(now)
+        due = self._membership.next_change_ms(now)
         wait_s = GROUP_CHECK_S if several_groups else None
         if due is not None:
             wait_s = min(max(0.0, due - now) / 1000.0 + 0.001, wait_s or float("inf"))
@@ -214,7 +214,7 @@
     """
     names = ("name", "state", "age_ms", "boxes", "held")
     return {
-        "sources": [dict(zip(names, row, strict=True)) for row in merged.sources(now)],
+        "sources": [dict(zip(names, row, strict=True)) for row in merged.source_status(now)],
         "boxes": [_box_row(box, box.priority <= level, now) for box in boxes],
     }
 
@@ -228,6 +228,6 @@
         "priority": box.priority,
         "weight": round(box.server.weight, 3),
         "rule": box.rule,
-        "said": dict(box.said),
+        "said": dict(box.states),
         "known_for_ms": round(now - box.since_ms),
     }
--- a/forkweir/known/health.py
+++ b/forkweir/known/health.py
@@ -1,25 +1,35 @@
-"""The health of servers: one state for each, and who may move it. Pure, no I/O, no clock.
+"""Health states of cache servers and their transitions. Pure: no I/O, no clock.
 
-What the list says and how a server did come together in one state. It is the only answer to "may this server get this request".
+The server list and the outcomes of attempts are combined into one state for each server. The state
+alone decides whether the server may get a request.
 
-| state | who is in it | gets | left when |
+| state | meaning | receives | left when |
 |---|---|---|---|
-| in service | listed, and nothing is held against it | its keys (a part of them where it strains) | it drains, goes, or is put out |
-| cold | likewise, started a short while ago | what its allowance has | its warm-up is over |
-| silent | FAULTS_ROW faults in a row, or SILENT_ROW requests out over an aim | nothing | EJECT_MS, doubled to EJECT_MAX_MS, is over |
-| doubted | more likely bad than good (`doubt`) | nothing | 0.75 to 1.5 s, doubled to 12 s, are over |
-| due | put out before, and its time is over | one request, to try it | that request goes out |
-| on trial | that one request is out | nothing more until its aim is over | an answer of any kind: in service; none: put out again |
+| in_service | listed, nothing against it | its keys (fewer if strained) | drained, gone, ejected |
+| cold | the same, but started recently | what its slow start allows | its warm-up has ended |
+| silent | ejected: faults or unanswered requests | nothing | the ejection is over |
+| doubted | ejected: suspect (`outlier_detection`) | nothing | the wait for a trial is over |
+| due | was ejected and that time is over | one trial request | the trial request is sent |
+| on_trial | the trial request is in flight | nothing for one aim | see below |
 | draining | the list says so | nothing | the list says otherwise |
-| gone | the list says so, or leaves it out | nothing | the list names it again |
-
-Who may move it: the list (`present`, `restarted`), an outcome (`HealthTable.judge`, `doubted`), a request that is out for long
-(`silent_for`, `strike`), and one that is sent (`sent`). Draining and gone come before all others: no outcome brings a server back
-that the list has taken away. A restart told by the list ends whatever was held against it.
-
-Bounds over the fleet: no more than SILENT_MOST of the servers are put out for silence; where MOST_OUT of them seem bad and the others do
-badly as well, or MOST_ALONE seem bad, nobody is kept out for doubt (`Doubts.common`). Faults of a dead process have no such bound:
-nothing answers there. Eleven numbers and a `Record` a server.
+| gone | the list says so or leaves it out | nothing | the list names it again |
+
+A server is ejected as silent after MAX_CONSECUTIVE_FAULTS or MAX_UNANSWERED, for EJECT_MS, doubled
+up to MAX_EJECT_MS. A suspect server waits for 0.75 to 1.5 s, doubled up to 12 s. Any answer to a
+trial request brings the server back into service; without one it is ejected again.
+
+Transitions are caused by the list (`present`, `record_restart`), by outcomes
+(`HealthTable.record_outcome`, `HealthTable.update_suspicion`), by requests that have long been
+unanswered (`HealthTable.record_unanswered`, `Health.eject`) and by requests that are sent
+(`Health.record_sent`). Draining and gone take precedence over every other state: no outcome brings
+back a server that the list has taken away. A restart reported by the list clears whatever was held
+against the server.
+
+Fleet-wide bounds: at most MAX_UNRESPONSIVE_SHARE of the servers are ejected for leaving requests
+unanswered. Where MAX_SUSPECT_SHARE of the servers are suspect and the others do badly as well, or
+where MAX_INDEPENDENT_SHARE are suspect, no server is ejected for suspicion
+(`OutlierDetector.is_common_cause`). Faults have no such bound, since they mean that nothing answers
+at that address. Memory: eleven numbers and a `Suspicion` for each server.
 """
 
 from __future__ import annotations
@@ -27,22 +37,32 @@
 from collections.abc import Sequence
 from typing import Literal
 
-from forkweir.known.doubt import Doubts, Record
-from forkweir.known.seen import Seen
+from forkweir.known.outcomes import AttemptOutcome
+from forkweir.known.outlier_detection import OutlierDetector, Suspicion
 
-EJECT_MS = 1_000.0  # first ejection; doubles up to the longest
-EJECT_MAX_MS = 8_000.0
-FAULTS_ROW = {
+# Duration of the first ejection. Each further one is twice as long, up to MAX_EJECT_MS.
+EJECT_MS = 1_000.0
+MAX_EJECT_MS = 8_000.0
+# Number of faults of a kind in a row, without an answer in between, after which a server is
+# ejected.
+MAX_CONSECUTIVE_FAULTS = {
     "unreachable": 2,
     "broken": 3,
     "spoilt": 4,
-}  # so many faults in a row, with no answer between: the server is out
-TURNED_STEP = 0.1  # weight of one outcome in the part of attempts that a server turns away
-CALM = 0.15  # a server that turns away less than this lately has room
-SILENT_ROW = 4  # so many requests out for that long in a row, with no answer between, over a whole aim: the server is silent
-SILENT_MOST = 0.25  # of the servers that may be put out for silence at once
-MOST_HEARD = 0.34  # of the servers seem bad: no more are put out by what others say
-AWAY_MS = 2_000.0  # out for longer than this it may have started anew without word from the list
+}
+# Weight of one outcome in the moving average of rejected attempts.
+REJECTION_WEIGHT = 0.1
+# A server that rejects a smaller share of attempts than this has capacity.
+LOW_REJECTION_RATE = 0.15
+# A server is unresponsive when so many requests in a row have been out for long without any answer
+# in between, over more than a whole aim.
+MAX_UNANSWERED = 4
+# Share of the servers that may be ejected as unresponsive at the same time.
+MAX_UNRESPONSIVE_SHARE = 0.25
+# Where more than this share of the servers is suspect, reports of peers eject no further server.
+MAX_PEER_SUSPECT_SHARE = 0.34
+# A server that was ejected for longer than this may have restarted before the list said so.
+PRESUMED_RESTART_MS = 2_000.0
 
 State = Literal["in_service", "cold", "silent", "doubted", "due", "on_trial", "draining", "gone"]
 STATES: tuple[State, ...] = (
@@ -58,121 +78,138 @@
 
 
 class Health:
-    """What is held against one server, and what it may get because of it."""
+    """The health of one server, which decides what the server may get. Times are in ms."""
 
     __slots__ = (
-        "present", "draining", "strikes", "faults", "turned", "waited", "waited_ms", "heard_ms", "trial", "out_until", "out_since",
-        "record",
+        "present", "draining", "ejections", "consecutive_faults", "rejection_rate", "unanswered", "unanswered_since_ms",
+        "last_answer_ms", "trial_request", "ejected_until", "ejected_since", "suspicion",
     )  # fmt: skip
 
     def __init__(self, present: bool, draining: bool) -> None:
-        self.present = present  # listed in service
+        self.present = present  # listed as in service
         self.draining = draining
-        self.strikes = 0  # times it was put out, with no answer between
-        self.faults = 0  # in a row
-        self.turned = 0.0  # part of late attempts that it turned away
-        self.waited = 0  # requests out for long, in a row,
-        self.waited_ms = 0.0  # and when the first of them was sent
-        self.heard_ms = 0.0  # when it last answered
-        self.trial = -1  # the one request that a server that was put out gets at a time
-        self.out_until = 0.0
-        self.out_since = 0.0
-        self.record = Record()  # of how it did
+        self.ejections = 0  # since the last answer
+        self.consecutive_faults = 0
+        self.rejection_rate = 0.0  # moving average of the share of attempts that it rejected
+        self.unanswered = 0  # requests in a row that have been out for long
+        self.unanswered_since_ms = 0.0  # when the first of these was sent
+        self.last_answer_ms = 0.0
+        self.trial_request = -1  # id of the one request allowed on probation, -1 for none
+        self.ejected_until = 0.0
+        self.ejected_since = 0.0
+        self.suspicion = Suspicion()
 
     def state(self, now: float, cold: bool) -> State:
-        """Its state; cold: whether its warm-up may be going on."""
+        """Return the state; cold tells whether the server may still be in its warm-up."""
         if not self.present:
             return "draining" if self.draining else "gone"
-        if self.restricted:
-            if self.out_until <= now:
+        if self.on_probation:
+            if self.ejected_until <= now:
                 return "due"
-            return "on_trial" if self.trial >= 0 else "silent" if self.strikes else "doubted"
+            return (
+                "on_trial" if self.trial_request >= 0 else "silent" if self.ejections else "doubted"
+            )
         return "cold" if cold else "in_service"
 
-    def free(self, now: float) -> bool:
-        """Whether it may get a request at all, as far as its health goes."""
-        return self.present and self.out_until <= now
+    def may_get_requests(self, now: float) -> bool:
+        """Return whether health permits sending the server any request."""
+        return self.present and self.ejected_until <= now
 
     @property
-    def restricted(self) -> bool:
-        """Whether it gets one request at a time, to try it."""
-        return bool(self.strikes or self.record.row)
+    def on_probation(self) -> bool:
+        """Whether the server gets one trial request at a time."""
+        return bool(self.ejections or self.suspicion.detections)
 
     @property
-    def calm(self) -> bool:
-        """Whether it turns away little."""
-        return self.turned < CALM
-
-    def restarted(self) -> None:
-        """The list says that it has started anew: whatever was held against it is over."""
-        self.strikes = 0
-        self.waited, self.trial = 0, -1
-        self.record.clear()
-        self.out_until = 0.0
-
-    def sent(self, request_id: int, aim_ms: float, now: float) -> None:
-        """A request goes out to it. One at a time goes to a server that was put out, until it answers (guards against all its keys
-        falling on one that is still dead each time its time is up)."""
-        if self.restricted:
-            self.trial = request_id
-            self.out_until = max(self.out_until, now + aim_ms)
-
-    def strike(self, now: float) -> None:
-        """Note an attempt that found no working server; eject after repeated ones."""
-        if not self.strikes:
-            self.out_since = now
-        self.strikes += 1
-        self.trial = -1
-        self.out_until = now + min(EJECT_MAX_MS, EJECT_MS * 2.0 ** min(8, self.strikes - 1))
-
-    def fault(self, status: str, now: float) -> None:
-        """Note a connection that failed, or an answer that could not be read.
-
-        A few of them among good answers tell of the network or of the connection: the server is alive, and its cache is worth
-        keeping (guards against ejections, and a warm-up that never was, for a fault of one attempt in many). A server that is
-        dead, or speaks nothing but noise, is soon struck: nothing good comes between. Harm: it costs a few more attempts,
-        which are made again elsewhere.
+    def rejects_little(self) -> bool:
+        """Whether the server has lately rejected few attempts, and so has capacity."""
+        return self.rejection_rate < LOW_REJECTION_RATE
+
+    def record_restart(self) -> None:
+        """Clear what was held against the server: the list says that it has restarted."""
+        self.ejections = 0
+        self.unanswered, self.trial_request = 0, -1
+        self.suspicion.clear()
+        self.ejected_until = 0.0
+
+    def record_sent(self, request_id: int, aim_ms: float, now: float) -> None:
+        """Record a request that is sent to the server.
+
+        A server on probation gets one request at a time until it answers. Otherwise all its keys
+        would go to a server that is still dead each time an ejection ends.
+        """
+        if self.on_probation:
+            self.trial_request = request_id
+            self.ejected_until = max(self.ejected_until, now + aim_ms)
+
+    def eject(self, now: float) -> None:
+        """Eject the server; each ejection without an answer in between lasts twice as long."""
+        if not self.ejections:
+            self.ejected_since = now
+        self.ejections += 1
+        self.trial_request = -1
+        self.ejected_until = now + min(MAX_EJECT_MS, EJECT_MS * 2.0 ** min(8, self.ejections - 1))
+
+    def record_fault(self, status: str, now: float) -> None:
+        """Record a failed connection or an answer that could not be read.
+
+        A few faults among good answers point to the network or to the connection: the server is
+        alive and its cache is worth keeping. Ejecting it for one bad attempt in many would also
+        treat it as cold afterwards. A server that is dead or sends only noise is soon ejected,
+        since no good answer comes in between. The cost is a few more attempts, which are retried
+        on another server.
         """
-        self.faults += 1
-        if self.faults >= FAULTS_ROW[status]:
-            self.strike(now)
-
-    def proved(self, now: float) -> bool:
-        """Note an attempt that it answered. Whether it is back from the dead without word from the list, and so may be cold."""
-        self.faults = 0
-        self.trial = -1
-        if not self.strikes:
+        self.consecutive_faults += 1
+        if self.consecutive_faults >= MAX_CONSECUTIVE_FAULTS[status]:
+            self.eject(now)
+
+    def record_answer(self, now: float) -> bool:
+        """Record an answered attempt; return whether the server may have restarted unannounced.
+
+        A server that answers after a long ejection may have restarted before the list said so, and
+        may therefore be cold.
+        """
+        self.consecutive_faults = 0
+        self.trial_request = -1
+        if not self.ejections:
             return False
-        back = bool(self.out_until) and now - self.out_since > AWAY_MS
-        self.strikes = 0
-        self.out_until = 0.0
+        back = bool(self.ejected_until) and now - self.ejected_since > PRESUMED_RESTART_MS
+        self.ejections = 0
+        self.ejected_until = 0.0
         return back
 
 
 class HealthTable:
-    """What is decided over all servers of a node together. servers: those that may be home to keys."""
+    """Health decisions that depend on all servers of a node.
+
+    The parameter `servers` holds those that may own keys; `live` is how many of them are in
+    service.
+    """
 
-    __slots__ = ("doubts",)
+    __slots__ = ("detector",)
 
     def __init__(self, seed: int) -> None:
-        self.doubts = Doubts(seed)
+        self.detector = OutlierDetector(seed)
 
-    def judge(self, server: Health, seen: Seen, now: float) -> bool:
-        """Note what an outcome tells of whether a server is there and has room; whether it is back from the dead (see `proved`)."""
+    def record_outcome(self, server: Health, outcome: AttemptOutcome, now: float) -> bool:
+        """Record what an outcome tells of a server's reachability and capacity.
+
+        Returns whether the server may have restarted unannounced (see `Health.record_answer`).
+        """
         back = False
-        if seen.alive:
-            back = server.proved(now)
-        elif seen.fault:
-            server.fault(seen.status, now)
-        elif seen.hung and seen.trial and server.strikes:
-            server.strike(now)
-        if seen.heard:
-            server.waited, server.heard_ms = 0, now
-        if seen.away is not None:
-            server.turned += TURNED_STEP * (seen.away - server.turned)
+        if outcome.alive:
+            back = server.record_answer(now)
+        elif outcome.fault:
+            server.record_fault(outcome.status, now)
+        elif outcome.hung and outcome.trial and server.ejections:
+            server.eject(now)
+        if outcome.response_received:
+            server.unanswered, server.last_answer_ms = 0, now
+        if outcome.rejected is not None:
+            server.rejection_rate += REJECTION_WEIGHT * (outcome.rejected - server.rejection_rate)
         return back
 
-    def silent_for(
+    def record_unanswered(
         self,
         server: Health,
         sent_ms: float,
@@ -181,66 +218,91 @@
         live: int,
         now: float,
     ) -> bool:
-        """Note a request out for long; whether the server is to be put out for saying nothing.
-
-        Guards against a server that has vanished or hangs while the list still names it: its connections stay open, so nothing
-        fails, and each attempt waits for its whole time. It should catch whatever silences a process or the way to it. Harm:
-        a pause longer than an aim costs a second of its keys; so that overload of all, or an origin that keeps every miss
-        waiting, can't empty the fleet, only a part of it may be out for this.
+        """Record a request that has long been unanswered; return whether to eject the server.
+
+        This detects a server that has vanished or hangs while the list still names it. Its
+        connections stay open, so nothing fails and each attempt waits for its whole time. Whatever
+        stops a process or cuts the path to it should be caught. The cost is that a pause longer
+        than an aim takes the server's keys away for a second. Overload of the whole fleet, or an
+        origin that delays every miss, must not eject all servers: only MAX_UNRESPONSIVE_SHARE of
+        them may be ejected for this reason.
         """
-        if not server.waited:
-            server.waited_ms = sent_ms
-        server.waited += 1
-        if server.strikes or server.waited < SILENT_ROW or now - server.waited_ms <= aim_ms:
+        if not server.unanswered:
+            server.unanswered_since_ms = sent_ms
+        server.unanswered += 1
+        if (
+            server.ejections
+            or server.unanswered < MAX_UNANSWERED
+            or now - server.unanswered_since_ms <= aim_ms
+        ):
             return False
         return (
-            sum(1 for other in servers if other.present and other.out_until > now)
-            < SILENT_MOST * live
+            sum(1 for other in servers if other.present and other.ejected_until > now)
+            < MAX_UNRESPONSIVE_SHARE * live
         )
 
-    def doubted(
-        self, server: Health, seen: Seen, servers: Sequence[Health], live: int, now: float
+    def update_suspicion(
+        self,
+        server: Health,
+        outcome: AttemptOutcome,
+        servers: Sequence[Health],
+        live: int,
+        now: float,
     ) -> float:
-        """Note how an attempt went; how likely its server is bad. One that is is kept out, but for trials, where most are not."""
-        sort, wrong = seen.sort, seen.wrong
-        if wrong is None:
+        """Update a server's suspicion by an outcome; return the probability that it is bad.
+
+        A suspect server gets trial requests only, unless most servers are suspect.
+        """
+        category, adverse = outcome.category, outcome.adverse
+        if adverse is None:
             return 0.0
-        common = wrong and self.doubts.common(
-            sort, sum(other.present and other.record.bad for other in servers) / max(1, live)
+        common = adverse and self.detector.is_common_cause(
+            category,
+            sum(other.present and other.suspicion.suspect for other in servers) / max(1, live),
         )
-        bad = self.doubts.judge(server.record, sort, wrong, now, common)
+        bad = self.detector.update(server.suspicion, category, adverse, now, common)
         if common:
             for other in servers:
-                if other.record.row and not other.strikes:
-                    other.out_until, other.record.row = 0.0, 0
-        elif wrong and server.record.bad and (seen.trial or not server.record.row):
-            server.out_until = max(server.out_until, now + self.doubts.wait(server.record))
-        elif not wrong and not server.strikes:
-            server.out_until = 0.0
+                if other.suspicion.detections and not other.ejections:
+                    other.ejected_until, other.suspicion.detections = 0.0, 0
+        elif (
+            adverse
+            and server.suspicion.suspect
+            and (outcome.trial or not server.suspicion.detections)
+        ):
+            server.ejected_until = max(
+                server.ejected_until, now + self.detector.next_trial_wait(server.suspicion)
+            )
+        elif not adverse and not server.ejections:
+            server.ejected_until = 0.0
         return bad
 
-    def heard(
+    def apply_peer_report(
         self,
         server: Health,
-        odds: float,
+        log_odds: float,
         back: bool,
         servers: Sequence[Health],
         live: int,
         now: float,
     ) -> None:
-        """Other nodes say this of a server (`forkweir/tier/signals`). odds: to be added to those of our own test; back: it answers again.
+        """Apply what other nodes report of a server (`forkweir/tier/signals`).
 
-        One that is more likely bad than good by both is kept out and tried, as by an attempt of our own; not where so many seem bad that
-        it is no trouble of single servers. One that is out for doubt and answers others is tried at once. Whoever drains, is gone or is
-        silent stays so: no word of others moves that.
+        log_odds is added to the result of this node's own test; back means that the server answers
+        again. A server that is more likely bad than good by both is ejected and then tried, as
+        after an attempt of this node, unless so many servers are suspect that the cause must be
+        common. A suspect server that answers other nodes is tried at once. Reports of peers never
+        change the state of a server that drains, is gone or is unresponsive.
         """
-        server.record.heard = odds
-        if not server.present or server.strikes:
+        server.suspicion.peer_log_odds = log_odds
+        if not server.present or server.ejections:
             return
-        if server.record.bad and odds and not server.record.row:
-            if sum(other.present and other.record.bad for other in servers) <= MOST_HEARD * max(
-                1, live
-            ):
-                server.out_until = max(server.out_until, now + self.doubts.wait(server.record))
-        elif back and server.record.row and server.trial < 0:
-            server.out_until = min(server.out_until, now)
+        if server.suspicion.suspect and log_odds and not server.suspicion.detections:
+            if sum(
+                other.present and other.suspicion.suspect for other in servers
+            ) <= MAX_PEER_SUSPECT_SHARE * max(1, live):
+                server.ejected_until = max(
+                    server.ejected_until, now + self.detector.next_trial_wait(server.suspicion)
+                )
+        elif back and server.suspicion.detections and server.trial_request < 0:
+            server.ejected_until = min(server.ejected_until, now)
--- a/tests/admin/test_admin.py
+++ b/tests/admin/test_admin.py
@@ -11,7 +11,7 @@
 
 from corkshift.admin import Admin, Status
 from corkshift.admin.server import MAX_CONNECTIONS
-from forkweir.limits.duty import SHED_MS
+from forkweir.limits.lifecycle import DRAIN_MS
 
 
 class AdminFixture:
@@ -166,7 +166,7 @@
     async def test() -> None:
         async with admin_fixture({"s1": CacheBox()}) as fixture:
             assert status(await fixture.send(data)) == expected
-            assert fixture.rig.frontend.duty.welcome
+            assert fixture.rig.frontend.duty.accepts_clients
             assert await fixture.call("/admin/health") == 200
 
     run_async(test)
@@ -183,7 +183,9 @@
             writer.write(head)
             assert await reader.readuntil(b"\r\n\r\n") == b"HTTP/1.1 100 Continue\r\n\r\n"
             writer.write(b"{}")
-            assert status(await reader.read()) == 200 and not fixture.rig.frontend.duty.welcome
+            assert (
+                status(await reader.read()) == 200 and not fixture.rig.frontend.duty.accepts_clients
+            )
             writer.transport.abort()
 
     run_async(test)
@@ -235,7 +237,7 @@
                 await reader.read()
                 ends.append(loop.time() - began)
             # The connections are closed spread over time, not all at once.
-            assert ends[-1] < SHED_MS / 1000.0 + 0.2 and ends[0] < ends[-1] - 0.5
+            assert ends[-1] < DRAIN_MS / 1000.0 + 0.2 and ends[0] < ends[-1] - 0.5
             release.set()
             answer = await busy_reader.read()
             assert status(answer) == 200 and b"connection: close" in answer.lower()
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -47,7 +47,7 @@
             assert (await made.ask("a", path="/api/one")).endswith(b"for /api/one")
             assert len(box.heads) == 2
             member = made.node._balancer.fleet.members["s0"]
-            assert not (member.strikes or member.out_until or member.warm_ms)
+            assert not (member.ejections or member.ejected_until or member.warm_ms)
             assert (await made.ask("b", path="/api/two")).endswith(b"for /api/two")
 
     run_async(test)
@@ -74,7 +74,7 @@
         async with rig({"s0": box}) as made:
             for n in range(3):
                 assert status(await made.ask(f"a{n}")) == 503
-            assert made.node._balancer.fleet.members["s0"].strikes > 0
+            assert made.node._balancer.fleet.members["s0"].ejections > 0
 
     run_async(test)
 
@@ -87,7 +87,10 @@
         async with rig({"s0": box}) as made:
             assert (await made.ask("a")).endswith(b"fine")
             assert (await made.ask("b", path="/next")).endswith(b"for /next")
-            assert made.node._balancer.fleet.members["s0"].faults == 0 and len(box.heads) == 2
+            assert (
+                made.node._balancer.fleet.members["s0"].consecutive_faults == 0
+                and len(box.heads) == 2
+            )
 
     run_async(test)
 
@@ -156,7 +159,7 @@
             for n in range(30):
                 answer = await made.ask(f"a{n}", path=f"/api/{n}")
                 assert answer.endswith(b"for /api/%d" % n)
-                assert not (member.strikes or member.out_until or member.warm_ms)
+                assert not (member.ejections or member.ejected_until or member.warm_ms)
             assert turn > 40
 
     run_async(test)
