--- a/benchmarks/module.py
+++ b/benchmarks/module.py
@@ -29,14 +29,14 @@
     from forkweir.settings import ClassSpec, Server, Settings
 
     classes = (
-        ClassSpec("menu-read", aim_ms=750, deadline_ms=2500, worth=3),
+        ClassSpec("menu-read", aim_ms=750, deadline_ms=2500, value=3),
         ClassSpec(
             "order-place",
             aim_ms=1200,
             deadline_ms=2500,
             repeat="keyed",
             repeat_window_ms=2500,
-            worth=8,
+            value=8,
         ),
     )
     balancer = Balancer(
--- a/corkshift/config.py
+++ b/corkshift/config.py
@@ -13,7 +13,7 @@
 from corkshift import seam
 from corkshift.seam import Address
 from forkweir import Settings
-from forkweir.adapter import given, settings_of
+from forkweir.adapter import settings_of, value_or_default
 
 _OCTET = r"(?:25[0-5]|2[0-4][0-9]|1[0-9][0-9]|[1-9]?[0-9])"
 _IPV4 = re.compile(
@@ -114,8 +114,10 @@
         dial_timeout_ms=float(
             allowed.get("dialTimeoutMs") or 250.0
         ),  # a dial that may take no time can't be meant
-        conn_idle_ms=float(given(allowed, "connIdleMs", 15_000.0)),  # but no rest, or no grace, can
-        drain_grace_ms=float(given(contract, "stopSendingWithinMs", 250.0)),
+        conn_idle_ms=float(
+            value_or_default(allowed, "connIdleMs", 15_000.0)
+        ),  # but no rest, or no grace, can
+        drain_grace_ms=float(value_or_default(contract, "stopSendingWithinMs", 250.0)),
         admin=address_of(admin) if admin else None,
         socket_fd=_descriptor(descriptor) if descriptor else None,
         neighbours=_neighbours(data, options)
--- a/corkshift/figures.py
+++ b/corkshift/figures.py
@@ -5,10 +5,10 @@
 from collections import Counter
 from collections.abc import Iterable
 
-from forkweir.advice import CAUSES
+from forkweir.retry_after import REFUSAL_CAUSES
 
 OK, SHED, ERRORS = range(3)
-REFUSALS = (*CAUSES, "full", "no-room", "late", "behind")
+REFUSALS = (*REFUSAL_CAUSES, "full", "no-room", "late", "behind")
 """Why a request was refused: the module's causes (forkweir/advice.py), as many open as the node may hold, no room for
 bodies, out of time before it was read, too little time left for how slowly the loop turns."""
 MOST_CAUSES = 512  # kept between two lines of the log
--- a/corkshift/node.py
+++ b/corkshift/node.py
@@ -348,12 +348,12 @@
     def _send_state(self, call: Call, server: CacheServer, told_ms: int) -> SendState:
         flowing = call.feed is not None and not call.sent  # its time runs from its last byte
         return SendState(
-            wanted=call.open,
-            leaving_ms=server.leaving_ms,
+            client_waiting=call.open,
+            departure_ms=server.leaving_ms,
             first_sent_ms=call.ran_ms,
             repeat_window_ms=self._windows.get(call.lane),
             deadline_ms=inf if flowing else call.deadline_ms,
-            told_ms=told_ms,
+            announced_ms=told_ms,
         )
 
     def _done(self, call: Call, n: int, attempt: Attempt, task: asyncio.Task[Outcome]) -> None:
@@ -380,7 +380,7 @@
 
     def spent(self, call: Call) -> None:
         """See Owner."""
-        self._decide(call, lambda: self._balancer.on_spent(now_ms(), call.id))
+        self._decide(call, lambda: self._balancer.on_body_consumed(now_ms(), call.id))
 
     def sent(self, call: Call) -> None:
         """See Owner."""
--- a/corkshift/service.py
+++ b/corkshift/service.py
@@ -72,7 +72,7 @@
             book,
             self.pool,
             config.discovery,
-            agent=not config.settings.asked,
+            agent=not config.settings.poll_list,
             presence=self.presence,
         )
         self.node.follow = self.discovery.follow
@@ -120,7 +120,7 @@
             self.sources.start()
         if self.tier is not None:
             self.tier.start()
-        if not self.config.settings.asked:
+        if not self.config.settings.poll_list:
             # Lists are pushed to an agent on this machine, and what it has counts as told from the first moment on.
             self.discovery.follow()
             await self._first_list()
--- a/corkshift/upstream.py
+++ b/corkshift/upstream.py
@@ -19,7 +19,7 @@
 from corkshift.seam import Address, now_ms
 from corkshift.seam.errors import LOCAL, name_of
 from corkshift.stream import CHUNK, KERNEL_BUFFER, Stream
-from forkweir.send_guard import Denial, deadline_told_ms
+from forkweir.send_guard import Denial, announced_wait_ms
 
 MAX_HEAD = 16_384  # bytes of an answer's head, of a chunk's header or of trailers
 MOST_NOTICES = 8  # 1xx answers ahead of the final one
@@ -296,7 +296,7 @@
         """The request's headers; its body has so many bytes, or an unknown number."""
         call = self.call
         if not self._told_ms:  # worded once, as the head is written
-            self._told_ms = deadline_told_ms(self._left_ms(), self._client_left_ms())
+            self._told_ms = announced_wait_ms(self._left_ms(), self._client_left_ms())
         headers = [
             (b"Host", b"%s:%d" % (self.server.address[0].encode(), self.server.address[1])),
             (b"X-Txn", call.txn),
--- a/forkweir/adapter.py
+++ b/forkweir/adapter.py
@@ -13,9 +13,9 @@
 if TYPE_CHECKING:
     from forkweir.tier.tier import Send, Tier
 
-STATES = {"IN": "in", "LAME": "draining", "OUT": "gone"}
-FORMS = {"SAVED": "saved", "FULL": "full", "INCREMENTAL": "changes", "FAILED": "failed"}
-WORDS = {
+SERVER_STATES = {"IN": "in", "LAME": "draining", "OUT": "gone"}
+LIST_FORMS = {"SAVED": "saved", "FULL": "full", "INCREMENTAL": "changes", "FAILED": "failed"}
+ACTION_NAMES = {
     "attempt": "ATTEMPT",
     "refuse": "BOUNCE",
     "fail": "FAIL",
@@ -29,11 +29,11 @@
 TIER_TIMER = 4  # token of the timer on which an instance's tier is asked again
 
 
-class Malformed(Exception):
+class MalformedInput(Exception):
     """The input breaks the wire's form."""
 
 
-def given(options: dict[str, Any], key: str, default: Any) -> Any:
+def value_or_default(options: dict[str, Any], key: str, default: Any) -> Any:
     """A figure as it is stated, also where it is 0; the default where none is."""
     value = options.get(key)
     return default if value is None else value
@@ -45,42 +45,42 @@
     contract = options.get("contract") or {}
     specifics = options.get("specifics") or {}
     kinds = options.get("kinds") or []
-    at = specifics.get("originKind", -1)
+    origin_index = specifics.get("originKind", -1)
     classes = tuple(
         ClassSpec(
-            name=c.get("name", ""),
-            aim_ms=c.get("promiseMs") or c.get("deadlineMs") or 1000.0,
-            deadline_ms=c.get("deadlineMs") or 1000.0,
-            repeat=c.get("idempotency") or "unsafe",
-            group=c.get("group") or "",
-            repeat_window_ms=c.get("windowMs") or 0.0,
-            late_worth=c.get("lateValue") or 0.0,
-            worth=given(c, "worth", 1.0),
-            aim_stretch=c.get("aimStretch") or 0.0,
+            name=service.get("name", ""),
+            aim_ms=service.get("promiseMs") or service.get("deadlineMs") or 1000.0,
+            deadline_ms=service.get("deadlineMs") or 1000.0,
+            repeat=service.get("idempotency") or "unsafe",
+            group=service.get("group") or "",
+            repeat_window_ms=service.get("windowMs") or 0.0,
+            late_value=service.get("lateValue") or 0.0,
+            value=value_or_default(service, "worth", 1.0),
+            aim_stretch=service.get("aimStretch") or 0.0,
         )
-        for c in options.get("services") or []
+        for service in options.get("services") or []
     )
     return Settings(
         classes=classes,
         zone=options.get("zone") or "",
-        asked=options.get("discovery") == "subscribe",
-        ask_within_ms=given(contract, "mustAskInMs", 10_000.0),
+        poll_list=options.get("discovery") == "subscribe",
+        poll_within_ms=value_or_default(contract, "mustAskInMs", 10_000.0),
         max_attempts=allowed.get("mostTries") or 1,
         may_cancel=bool(allowed.get("mayCancel")),
-        second_copies=bool(allowed.get("parallelTries", True)),
+        parallel_attempts=bool(allowed.get("parallelTries", True)),
         may_probe=bool(allowed.get("probes")),
         backoff_max_ms=(allowed.get("maxRetryAfterMs") or 0.0)
         if allowed.get("retryAfter")
         else 0.0,
-        cold_from=given(contract, "coldFrom", 0.1),
-        cold_ms=given(contract, "coldMs", 30_000.0),
+        cold_start_capacity=value_or_default(contract, "coldFrom", 0.1),
+        cold_ms=value_or_default(contract, "coldMs", 30_000.0),
         fall_multiple=contract.get("fallMultiple") or 4.0,
         tick_ms=options.get("granularityMs") or 1.0,
-        aside=specifics.get("mode") == "aside",
-        origin_kind=kinds[at] if 0 <= at < len(kinds) else "",
-        columns=tuple((options.get("loadReport") or {}).get("columns") or ()),
-        reports=(options.get("loadReport") or {}).get("how") or "off",
-        weighted=options.get("weights", "off") not in ("off", "live"),
+        cache_aside=specifics.get("mode") == "aside",
+        origin_kind=kinds[origin_index] if 0 <= origin_index < len(kinds) else "",
+        load_columns=tuple((options.get("loadReport") or {}).get("columns") or ()),
+        load_reports=(options.get("loadReport") or {}).get("how") or "off",
+        use_weights=options.get("weights", "off") not in ("off", "live"),
     )
 
 
@@ -93,13 +93,13 @@
         zone or "",
         kind or "",
         cell or 0,
-        STATES[state],
+        SERVER_STATES[state],
         1.0 if weight is None else weight,
         started or 0.0,
     )
 
 
-def said(sends: list[Send]) -> list[Action]:
+def publish_actions(sends: list[Send]) -> list[Action]:
     """Datagrams of a tier, as actions."""
     return [("publish", slot, data.hex()) for slot, data in sends]
 
@@ -109,70 +109,80 @@
 
     def __init__(self) -> None:
         self.instances: dict[int, Balancer] = {}
-        self.lists: dict[int, list[Server]] = {}
+        self.manifests: dict[int, list[Server]] = {}
         self.tiers: dict[int, Tier] = {}  # of instances that may talk to one another
 
     def event(self, now: float, message: list[Any]) -> tuple[int, list[Action]]:
         """Pass one event to its instance."""
         name = message[0]
         if name == "MANIFEST":
-            self.lists[message[1]] = [server_of(row) for row in message[2]]
+            self.manifests[message[1]] = [server_of(row) for row in message[2]]
             return -1, []
-        i = message[1]
+        instance = message[1]
         if name == "INIT":
-            self.instances[i] = Balancer(settings_of(message[3]), message[2])
-            return i, self._join(now, i, message[3], message[2])
+            self.instances[instance] = Balancer(settings_of(message[3]), message[2])
+            return instance, self._join(now, instance, message[3], message[2])
         if name == "EXIT":
-            self.instances.pop(i, None)
-            self.tiers.pop(i, None)
-            return i, []
-        balancer = self.instances.get(i)
+            self.instances.pop(instance, None)
+            self.tiers.pop(instance, None)
+            return instance, []
+        balancer = self.instances.get(instance)
         if balancer is None:
-            raise Malformed(f"event {name} for unknown instance {i}")
+            raise MalformedInput(f"event {name} for unknown instance {instance}")
         if name == "REQUEST":
-            m = message + [None] * (11 - len(message))
-            return i, balancer.on_request(
+            fields = message + [None] * (11 - len(message))
+            return instance, balancer.on_request(
                 now,
-                m[2],
-                m[8] or "",
-                m[10],
-                m[5] or 0.0,
-                m[6] or 0.0,
-                m[4] or "",
-                bool(m[9]),
-                bool(m[3]),
+                fields[2],
+                fields[8] or "",
+                fields[10],
+                fields[5] or 0.0,
+                fields[6] or 0.0,
+                fields[4] or "",
+                bool(fields[9]),
+                bool(fields[3]),
             )
         if name == "ANSWER":
-            m = message + [None] * (10 - len(message))
-            return i, balancer.on_outcome(
-                now, m[2], m[3], bool(m[4]), m[6], m[7], m[5] or 0.0, m[8] or 0, m[9]
+            fields = message + [None] * (10 - len(message))
+            return instance, balancer.on_outcome(
+                now,
+                fields[2],
+                fields[3],
+                bool(fields[4]),
+                fields[6],
+                fields[7],
+                fields[5] or 0.0,
+                fields[8] or 0,
+                fields[9],
             )
         if name == "MEMBERSHIP":
-            form = FORMS[message[4]]
-            return i, balancer.on_list(
-                now, form, [] if form == "failed" else self.lists[message[3]]
+            form = LIST_FORMS[message[4]]
+            return instance, balancer.on_list(
+                now, form, [] if form == "failed" else self.manifests[message[3]]
             )
         if name == "TICK_DUE":
-            return i, self._tick(now, i) if message[2] == TIER_TIMER else balancer.on_timer(
-                now, message[2]
-            )
+            return instance, self._tick(now, instance) if message[
+                2
+            ] == TIER_TIMER else balancer.on_timer(now, message[2])
         if name == "CLIENT_GONE":
-            return i, balancer.on_departure(now, message[2])
+            return instance, balancer.on_departure(now, message[2])
         if name == "UNDER_WAY":
-            return i, balancer.on_started(now, message[2], message[5], message[4])
+            return instance, balancer.on_started(now, message[2], message[5], message[4])
         if name == "PEER":
-            tier = self.tiers.get(i)
-            return i, [] if tier is None else said(
+            tier = self.tiers.get(instance)
+            return instance, [] if tier is None else publish_actions(
                 tier.receive(message[2], bytes.fromhex(message[3]), now)
             )
         if name == "PONG":
-            m = message + [None] * (6 - len(message))
-            return i, balancer.on_probe(now, m[3], m[2], m[4] or 0.0, m[5])
-        return i, []
+            fields = message + [None] * (6 - len(message))
+            return instance, balancer.on_probe(
+                now, fields[3], fields[2], fields[4] or 0.0, fields[5]
+            )
+        return instance, []
 
-    def _join(self, now: float, i: int, options: dict[str, Any], seed: int) -> list[Action]:
+    def _join(self, now: float, instance: int, options: dict[str, Any], seed: int) -> list[Action]:
         """Take part in the tier, where instances may talk to one another."""
-        self.tiers.pop(i, None)
+        self.tiers.pop(instance, None)
         if not (options.get("allowed") or {}).get("peers"):
             return []
         # Only there: what is off costs nothing.
@@ -187,61 +197,66 @@
             now,
             tier=options.get("tier") or 0,
         )
-        self.tiers[i] = Seat(self.instances[i], tier).tier
-        return self._tick(now, i)
+        self.tiers[instance] = Seat(self.instances[instance], tier).tier
+        return self._tick(now, instance)
 
-    def _tick(self, now: float, i: int) -> list[Action]:
+    def _tick(self, now: float, instance: int) -> list[Action]:
         from forkweir.tier.options import TICKS
 
-        tier = self.tiers[i]
-        return [*said(tier.tick(now)), ("timer", TIER_TIMER, now + tier.options.period_ms / TICKS)]
+        tier = self.tiers[instance]
+        return [
+            *publish_actions(tier.tick(now)),
+            ("timer", TIER_TIMER, now + tier.options.period_ms / TICKS),
+        ]
 
     def run(self, source: BinaryIO, sink: BinaryIO) -> None:
         """Serve batches until the input ends."""
-        now, batch, inside = 0.0, 0, False
+        now, batch, in_batch = 0.0, 0, False
         replies: list[bytes] = []
         for line in source:
             try:
                 message = orjson.loads(line)
             except orjson.JSONDecodeError as error:
-                raise Malformed(f"not JSON: {error}") from None
+                raise MalformedInput(f"not JSON: {error}") from None
             if not isinstance(message, list) or not message or not isinstance(message[0], str):
-                raise Malformed("a message is not an array that opens with its name")
+                raise MalformedInput("a message is not an array that opens with its name")
             name = message[0]
-            if (name == "BEGIN_BATCH") == inside:
-                raise Malformed(f"unexpected {name}")
+            if (name == "BEGIN_BATCH") == in_batch:
+                raise MalformedInput(f"unexpected {name}")
             try:
                 if name == "BEGIN_BATCH":
-                    now, batch, inside = float(message[1]), int(message[2]), True
+                    now, batch, in_batch = float(message[1]), int(message[2]), True
                     continue
             except (IndexError, TypeError, ValueError):
-                raise Malformed("BEGIN_BATCH without clock and number") from None
+                raise MalformedInput("BEGIN_BATCH without clock and number") from None
             if name == "YOUR_TURN":
                 replies.append(orjson.dumps(["DONE", batch]))
                 sink.write(b"\n".join(replies) + b"\n")
                 sink.flush()
-                replies, inside = [], False
+                replies, in_batch = [], False
                 continue
             try:
-                i, actions = self.event(now, message)
-            except Malformed:
+                instance, actions = self.event(now, message)
+            except MalformedInput:
                 raise
             except Exception as error:
-                i = message[1] if len(message) > 1 and isinstance(message[1], int) else 0
-                replies.append(orjson.dumps(["GIVE_IN", i, f"{type(error).__name__}: {error}"]))
+                instance = message[1] if len(message) > 1 and isinstance(message[1], int) else 0
+                replies.append(
+                    orjson.dumps(["GIVE_IN", instance, f"{type(error).__name__}: {error}"])
+                )
                 continue
             for action in actions:
-                words = (
+                fields = (
                     action[:3] if action[0] == "refuse" else action
                 )  # this wire has no place for a cause
-                replies.append(orjson.dumps([WORDS[str(action[0])], i, *words[1:]]))
+                replies.append(orjson.dumps([ACTION_NAMES[str(action[0])], instance, *fields[1:]]))
 
 
 def main() -> int:
     """Run on standard input and output."""
     try:
         Adapter().run(sys.stdin.buffer, sys.stdout.buffer)
-    except Malformed as error:
+    except MalformedInput as error:
         print(f"forkweir.adapter: {error}", file=sys.stderr)
         return 2
     return 0
--- a/forkweir/known/speeds.py
+++ b/forkweir/known/speeds.py
@@ -34,7 +34,7 @@
         self.served: dict[str, list[float]] = {}  # of a kind: hinted work and time taken by hits
         self.kinds: dict[str, list[float]] = {}
         self.best = 0.0  # capacity for each unit of weight of the quickest kind
-        columns = settings.columns
+        columns = settings.load_columns
         self.rate_at = columns.index("rate") if "rate" in columns else -1
         self.busy_at = columns.index("busy") if "busy" in columns else -1
 
--- a/forkweir/limits/parts.py
+++ b/forkweir/limits/parts.py
@@ -4,7 +4,7 @@
 
 from typing import Optional, Protocol
 
-from forkweir.line import Shared
+from forkweir.line import SharedLine
 
 
 class Parts(Protocol):
@@ -26,7 +26,7 @@
         """Fetches that may be in flight from here. own: the limit that this node would keep to by itself."""
         ...
 
-    def line(self, position: float, ranges: int, now: float) -> Optional[Shared]:
+    def line(self, position: float, ranges: int, now: float) -> Optional[SharedLine]:
         """A request for a position on the line has come; the common line of all nodes in so many ranges, if there is one.
 
         The same object until it changes.
--- a/forkweir/line.py
+++ b/forkweir/line.py
@@ -9,14 +9,14 @@
 from typing import Optional, Protocol
 
 WINDOW_PER_RANGE = 8  # WS = this x ranges: WS >> N, as the paper asks
-UPDATE_EVERY = 128  # UI, in arrivals
+UPDATE_INTERVAL = 128  # UI, in arrivals
 ALPHA = 0.3  # the weight of new cuts
-HOT_MIN = 8  # sightings before a key may be judged hot
-HOT_MEMORY = 512  # recent arrivals in which hot keys are counted
+HOT_KEY_MIN_COUNT = 8  # sightings before a key may be judged hot
+HOT_KEY_WINDOW = 512  # recent arrivals in which hot keys are counted
 SLICE_POINTS = 8_192  # of a new window between two yields: some 1 ms
 
 
-class Shared(Protocol):
+class SharedLine(Protocol):
     """The line of many nodes together: cuts of their merged window, and what part of all requests goes to a position."""
 
     @property
@@ -48,8 +48,8 @@
     last = size - 1
     cuts = []
     for i in range(1, ranges):
-        at = size * i // ranges
-        cuts.append((window[max(0, at - 1)] + window[min(at, last)]) / 2.0)
+        index = size * i // ranges
+        cuts.append((window[max(0, index - 1)] + window[min(index, last)]) / 2.0)
     return cuts
 
 
@@ -64,105 +64,115 @@
     __slots__ = (
         "ranges",
         "window",
-        "prior",
-        "real",
-        "oldest",
+        "initial_points",
+        "arrivals",
+        "oldest_index",
         "cuts",
-        "since",
-        "counts",
-        "recent",
-        "at",
+        "arrivals_since_update",
+        "key_counts",
+        "recent_keys",
+        "recent_index",
         "shared",
     )
 
-    def __init__(self, ranges: int, prior: Optional[array[float]] = None) -> None:
+    def __init__(self, ranges: int, initial_points: Optional[array[float]] = None) -> None:
         """prior: the evenly spaced window, if it has been made already (see `build`)."""
         self.ranges = ranges
         # A node starts with the same evenly spaced window as its peers (guards against a
         # restarted or quiet node cutting from a handful of requests).
         size = ranges * WINDOW_PER_RANGE
-        self.prior = _evenly_spaced(0, size, size) if prior is None else prior
-        self.window = self.prior[:]  # arrays: a third of the memory that lists of floats take
-        self.real = array("d")  # real positions in order of arrival, a ring once full
-        self.oldest = 0
+        self.initial_points = (
+            _evenly_spaced(0, size, size) if initial_points is None else initial_points
+        )
+        self.window = self.initial_points[
+            :
+        ]  # arrays: a third of the memory that lists of floats take
+        self.arrivals = array("d")  # real positions in order of arrival, a ring once full
+        self.oldest_index = 0
         self.cuts = equal_cuts(self.window, ranges)
-        self.since = 0
-        self.counts: dict[str, int] = {}
-        self.recent: list[str] = []
-        self.at = 0
-        self.shared: Optional[Shared] = None
+        self.arrivals_since_update = 0
+        self.key_counts: dict[str, int] = {}
+        self.recent_keys: list[str] = []
+        self.recent_index = 0
+        self.shared: Optional[SharedLine] = None
 
     @staticmethod
     def build(ranges: int) -> Generator[None, None, Line]:
         """A new line, made with a yield between slices of SLICE_POINTS (its window has 8 points for each range)."""
         size = ranges * WINDOW_PER_RANGE
-        prior = array("d")
+        initial_points = array("d")
         for first in range(0, size, SLICE_POINTS):
-            prior += _evenly_spaced(first, min(size, first + SLICE_POINTS), size)
+            initial_points += _evenly_spaced(first, min(size, first + SLICE_POINTS), size)
             yield
-        return Line(ranges, prior)
+        return Line(ranges, initial_points)
 
-    def merge(self, shared: Optional[Shared]) -> None:
+    def use_shared(self, shared: Optional[SharedLine]) -> None:
         """The nodes' common line is this from now on; None: there is none, and this node's own window counts again."""
-        self.shared, self.since = shared, 0
+        self.shared, self.arrivals_since_update = shared, 0
         self.update()
 
-    def arrive(self, position: float, key: str) -> None:
+    def record_arrival(self, position: float, key: str) -> None:
         """Put one arrival into the window and re-cut every UI arrivals."""
         window = self.window
-        if self.prior:
+        if self.initial_points:
             # The nearest prior point makes room, so evidence moves the cuts near it and not
             # the whole line (guards against the cuts of quiet nodes drifting apart).
-            prior = self.prior
-            at = bisect_left(prior, position)
-            if at == len(prior) or (at and position - prior[at - 1] < prior[at] - position):
-                at -= 1
-            gone = prior.pop(at)
-            self.real.append(position)
+            initial_points = self.initial_points
+            index = bisect_left(initial_points, position)
+            if index == len(initial_points) or (
+                index and position - initial_points[index - 1] < initial_points[index] - position
+            ):
+                index -= 1
+            evicted = initial_points.pop(index)
+            self.arrivals.append(position)
         else:
-            gone = self.real[self.oldest]
-            self.real[self.oldest] = position
-            self.oldest = (self.oldest + 1) % len(self.real)
-        window.pop(bisect_left(window, gone))
+            evicted = self.arrivals[self.oldest_index]
+            self.arrivals[self.oldest_index] = position
+            self.oldest_index = (self.oldest_index + 1) % len(self.arrivals)
+        window.pop(bisect_left(window, evicted))
         insort(window, position)
-        counts = self.counts
-        if len(self.recent) < HOT_MEMORY:
-            self.recent.append(key)
+        key_counts = self.key_counts
+        if len(self.recent_keys) < HOT_KEY_WINDOW:
+            self.recent_keys.append(key)
         else:
-            old = self.recent[self.at]
-            left = counts[old] - 1
-            if left:
-                counts[old] = left
+            evicted_key = self.recent_keys[self.recent_index]
+            remaining = key_counts[evicted_key] - 1
+            if remaining:
+                key_counts[evicted_key] = remaining
             else:
-                del counts[old]
-            self.recent[self.at] = key
-            self.at = (self.at + 1) % HOT_MEMORY
-        counts[key] = counts.get(key, 0) + 1
-        self.since += 1
+                del key_counts[evicted_key]
+            self.recent_keys[self.recent_index] = key
+            self.recent_index = (self.recent_index + 1) % HOT_KEY_WINDOW
+        key_counts[key] = key_counts.get(key, 0) + 1
+        self.arrivals_since_update += 1
         if (
-            self.since >= UPDATE_EVERY and self.shared is None
+            self.arrivals_since_update >= UPDATE_INTERVAL and self.shared is None
         ):  # a common line moves with each word of it, alike at all nodes
-            self.since = 0
+            self.arrivals_since_update = 0
             self.update()
 
     def update(self) -> None:
         """BOUNDARY = alpha x CUR_BOUND + (1 - alpha) x BOUNDARY (Algorithm 1)."""
-        keep = 1.0 - ALPHA
-        fresh = equal_cuts(self.window, self.ranges) if self.shared is None else self.shared.cuts
-        self.cuts = [ALPHA * new + keep * old for new, old in zip(fresh, self.cuts, strict=True)]
+        old_weight = 1.0 - ALPHA
+        new_cuts = equal_cuts(self.window, self.ranges) if self.shared is None else self.shared.cuts
+        self.cuts = [
+            ALPHA * new + old_weight * old for new, old in zip(new_cuts, self.cuts, strict=True)
+        ]
 
     def range_of(self, position: float) -> int:
         """The range that holds a position."""
         return bisect_right(self.cuts, position)
 
-    def copies(self, key: str, servers: int, position: float = -1.0) -> int:
+    def servers_for_key(self, key: str, servers: int, position: float = -1.0) -> int:
         """How many servers a key's recent share fills (1 for an ordinary key)."""
         if self.shared is not None and position >= 0.0:
             share = self.shared.share(position)
             return (
-                min(servers, max(1, round(share * servers))) if share * HOT_MEMORY >= HOT_MIN else 1
+                min(servers, max(1, round(share * servers)))
+                if share * HOT_KEY_WINDOW >= HOT_KEY_MIN_COUNT
+                else 1
             )
-        seen = self.counts.get(key, 0)
-        if seen < HOT_MIN:
+        count = self.key_counts.get(key, 0)
+        if count < HOT_KEY_MIN_COUNT:
             return 1
-        return min(servers, max(1, round(seen * servers / len(self.recent))))
+        return min(servers, max(1, round(count * servers / len(self.recent_keys))))
--- a/forkweir/placement.py
+++ b/forkweir/placement.py
@@ -20,34 +20,34 @@
 from forkweir.settings import Server
 
 POINTS_PER_SERVER = 24
-ROOM = 1.12  # a server may be home to this times its exact share of ranges
-NEIGHBOURS = 8  # servers known ahead for a range, home included
-SMALLEST_RANGES = 2_048  # constant for every fleet up to 256, so nodes with other lists agree
+CAPACITY_FACTOR = 1.12  # a server may be home to this times its exact share of ranges
+MAX_NEIGHBOURS = 8  # servers known ahead for a range, home included
+MIN_RANGES = 2_048  # constant for every fleet up to 256, so nodes with other lists agree
 RANGES_PER_SERVER = 8  # ranges are at least this many times the servers that they are dealt to
 SLICE_SERVERS = 16  # whose points are hashed between two yields,
-MERGED_SERVERS = 128  # and whose points are sorted in together: either takes under 1 ms
+MERGE_BATCH_SERVERS = 128  # and whose points are sorted in together: either takes under 1 ms
 SLICE_RANGES = (
     256  # that get their homes between two yields: under 1 ms, the hashes of their places included
 )
 SLICE_POINTS = (
     8_192  # that are looked through between two yields, where many came or left: some 1 ms
 )
-SLICE_DELETED = 768  # points that are deleted between two yields: under 1 ms
-FEW_CHANGES = 8  # servers whose points are put in or deleted one by one; beyond, passes over all points are cheaper
+SLICE_DELETED_POINTS = 768  # points that are deleted between two yields: under 1 ms
+MAX_SINGLE_CHANGES = 8  # servers whose points are put in or deleted one by one; beyond, passes over all points are cheaper
 
 
-class Placed(Protocol):
+class PlacedServer(Protocol):
     """What a placement needs of a server."""
 
     info: Server
 
 
-Member = TypeVar("Member", bound=Placed)
+Member = TypeVar("Member", bound=PlacedServer)
 
 
-def ranges_for(servers: int, at_least: int = SMALLEST_RANGES) -> int:
+def ranges_for(servers: int, minimum: int = MIN_RANGES) -> int:
     """How many ranges so many servers need: doubled from `at_least` on, so that keys move seldom."""
-    ranges = at_least
+    ranges = minimum
     while ranges < servers * RANGES_PER_SERVER:
         ranges *= 2
     return ranges
@@ -75,10 +75,10 @@
 
     def change(self, leaving: Sequence[Member], entering: Sequence[Member]) -> Iterator[None]:
         """Take servers off the ring and put others on it, in slices. `members` is whole again at the end."""
-        few = len(leaving) + len(entering) <= FEW_CHANGES
-        yield from self._remove(leaving, few)
-        yield from self._add(entering, few)
-        if few:
+        single_changes = len(leaving) + len(entering) <= MAX_SINGLE_CHANGES
+        yield from self._remove(leaving, single_changes)
+        yield from self._add(entering, single_changes)
+        if single_changes:
             return
         members: list[Member] = []
         for first in range(0, len(self.points), SLICE_POINTS):
@@ -86,47 +86,47 @@
             yield
         self.members = members
 
-    def _remove(self, leaving: Sequence[Member], few: bool) -> Iterator[None]:
-        gone = [point for member in leaving for point in self._points_of.pop(member)]
-        for first in range(0, len(gone), SLICE_DELETED):
-            for point in gone[first : first + SLICE_DELETED]:
+    def _remove(self, leaving: Sequence[Member], single_changes: bool) -> Iterator[None]:
+        removed_points = [point for member in leaving for point in self._points_of.pop(member)]
+        for first in range(0, len(removed_points), SLICE_DELETED_POINTS):
+            for point in removed_points[first : first + SLICE_DELETED_POINTS]:
                 del self._member_at[point]
-                if few:
+                if single_changes:
                     index = bisect_left(self.points, point)
                     del self.points[index], self.members[index]
             yield
-        if few or not gone:
+        if single_changes or not removed_points:
             return
-        staying: list[float] = []
+        remaining_points: list[float] = []
         for first in range(0, len(self.points), SLICE_POINTS):
-            staying += [
+            remaining_points += [
                 point
                 for point in self.points[first : first + SLICE_POINTS]
                 if point in self._member_at
             ]
             yield
-        self.points = staying
-
-    def _add(self, entering: Sequence[Member], few: bool) -> Iterator[None]:
-        for merged in range(0, len(entering), MERGED_SERVERS):
-            together = entering[merged : merged + MERGED_SERVERS]
-            fresh: list[float] = []
-            for first in range(0, len(together), SLICE_SERVERS):
-                for member in together[first : first + SLICE_SERVERS]:
+        self.points = remaining_points
+
+    def _add(self, entering: Sequence[Member], single_changes: bool) -> Iterator[None]:
+        for batch_start in range(0, len(entering), MERGE_BATCH_SERVERS):
+            batch = entering[batch_start : batch_start + MERGE_BATCH_SERVERS]
+            new_points: list[float] = []
+            for first in range(0, len(batch), SLICE_SERVERS):
+                for member in batch[first : first + SLICE_SERVERS]:
                     points = self._points_of[member] = _points_of(member)
                     self._member_at.update(dict.fromkeys(points, member))
-                    fresh += points
+                    new_points += points
                 yield
-            if few:
-                self._insert(fresh)
+            if single_changes:
+                self._insert(new_points)
                 continue
-            fresh.sort()
-            self.points += fresh
+            new_points.sort()
+            self.points += new_points
             self.points.sort()  # two runs that are in order: a merge
             yield
 
-    def _insert(self, fresh: list[float]) -> None:
-        for point in fresh:
+    def _insert(self, new_points: list[float]) -> None:
+        for point in new_points:
             index = bisect_left(self.points, point)
             self.points.insert(index, point)
             self.members.insert(index, self._member_at[point])
@@ -139,17 +139,17 @@
         """Where on the ring a range begins to look for its home."""
         return bisect_left(self.points, _point_of_range(range_number))
 
-    def owners_of(self, range_numbers: range, room: dict[Member, int]) -> list[Member]:
+    def owners_of(self, range_numbers: range, capacity: dict[Member, int]) -> list[Member]:
         """The homes of some ranges, each the next server with room, which it takes up."""
         points, members, size = self.points, self.members, len(self.points)
         owners: list[Member] = []
         for range_point in _points_of_ranges(range_numbers):
             index = bisect_left(points, range_point) % size
             owner = members[index]
-            while not room[owner]:
+            while not capacity[owner]:
                 index = (index + 1) % size
                 owner = members[index]
-            room[owner] -= 1
+            capacity[owner] -= 1
             owners.append(owner)
         return owners
 
@@ -176,10 +176,10 @@
 
     def neighbours(self, range_number: int) -> tuple[Member, ...]:
         """The home of a range and the servers next to it in the shared order, NEIGHBOURS at most."""
-        known = self._neighbours.get(range_number)
-        if known is None:
-            known = self._neighbours[range_number] = self._find_neighbours(range_number)
-        return known
+        cached = self._neighbours.get(range_number)
+        if cached is None:
+            cached = self._neighbours[range_number] = self._find_neighbours(range_number)
+        return cached
 
     def _find_neighbours(self, range_number: int) -> tuple[Member, ...]:
         found = [self.owners[range_number]]
@@ -188,51 +188,53 @@
             member = self.ring.member(start + step)
             if member not in found:
                 found.append(member)
-                if len(found) >= NEIGHBOURS:
+                if len(found) >= MAX_NEIGHBOURS:
                     break
         return tuple(found)
 
 
 def build(
-    before: Optional[Placement[Member]],
+    previous: Optional[Placement[Member]],
     members: Sequence[Member],
     weights: Sequence[float],
     ranges: int,
 ) -> Generator[None, None, Placement[Member]]:
     """The placement of these servers, made from the one before. Yields between slices; the one before stays whole."""
-    there = set(before.members) if before is not None else set()
-    staying = set(members)
+    previous_members = set(previous.members) if previous is not None else set()
+    current_members = set(members)
     leaving = [
-        member for member in (before.members if before is not None else ()) if member not in staying
+        member
+        for member in (previous.members if previous is not None else ())
+        if member not in current_members
     ]
-    entering = [member for member in members if member not in there]
-    ring: HashRing[Member] = before.ring if before is not None else HashRing()
+    entering = [member for member in members if member not in previous_members]
+    ring: HashRing[Member] = previous.ring if previous is not None else HashRing()
     if leaving or entering:
         ring = ring.copy()
         yield
         yield from ring.change(leaving, entering)
-    share = ranges * ROOM / sum(weights, 1e-9)
-    room = {
+    share = ranges * CAPACITY_FACTOR / sum(weights, 1e-9)
+    capacity = {
         member: int(weight * share) + 1 for member, weight in zip(members, weights, strict=True)
     }
     owners: list[Member] = []
     for first in range(0, ranges if members else 0, SLICE_RANGES):
-        owners += ring.owners_of(range(first, first + SLICE_RANGES), room)
+        owners += ring.owners_of(range(first, first + SLICE_RANGES), capacity)
         yield
     return Placement(members, weights, ranges, ring, owners)
 
 
-def _points_of(member: Placed) -> tuple[float, ...]:
+def _points_of(member: PlacedServer) -> tuple[float, ...]:
     """The places of a server on the ring: digests of its name, a slash and the number of the point."""
     return _digests(f"{member.info.name}/", _POINT_NUMBERS)
 
 
 def _digests(prefix: str, suffixes: Iterable[bytes]) -> tuple[float, ...]:
     """Digests of texts that begin alike, each as `line.digest` has it; the common beginning is hashed once."""
-    begun = blake2b(prefix.encode(), digest_size=8)
+    prefix_hasher = blake2b(prefix.encode(), digest_size=8)
     digests = []
     for suffix in suffixes:
-        hasher = begun.copy()
+        hasher = prefix_hasher.copy()
         hasher.update(suffix)
         digests.append(hasher.digest())
     return tuple(map(float, unpack(f">{len(digests)}Q", b"".join(digests))))
@@ -252,4 +254,4 @@
 
 _POINT_NUMBERS = [b"%d" % number for number in range(POINTS_PER_SERVER)]
 _RANGE_POINTS: list[float] = []  # grows to as many as the largest fleet has had
-_points_of_ranges(range(SMALLEST_RANGES))
+_points_of_ranges(range(MIN_RANGES))
--- a/forkweir/request.py
+++ b/forkweir/request.py
@@ -19,17 +19,17 @@
         "aim_at",
         "deadline",
         "tries",
-        "out",
-        "ran",
-        "first_ran",
+        "outstanding",
+        "first_run_server",
+        "first_run_ms",
         "servers",
         "streaming",
-        "sent",
-        "work",
-        "cost",
-        "fetches",
+        "sent_ms",
+        "work_ms",
+        "cost_ms",
+        "expected_fetches",
         "write",
-        "once",
+        "body_consumed",
     )
 
     def __init__(
@@ -44,9 +44,9 @@
         write: bool,
     ) -> None:
         self.id = request_id
-        self.work = work  # as hinted, in ms; 0 where it is not
-        self.cost = work  # as expected of a server, in ms
-        self.fetches: dict[
+        self.work_ms = work  # as hinted, in ms; 0 where it is not
+        self.cost_ms = work  # as expected of a server, in ms
+        self.expected_fetches: dict[
             int, tuple[float, bool]
         ] = {}  # by attempt: expected of the origin, and whether the key was known
         self.write = write
@@ -56,10 +56,10 @@
         self.aim_at = aim_at
         self.deadline = deadline
         self.tries = 0
-        self.out: set[int] = set()
-        self.ran: Optional[Member] = None
-        self.first_ran = 0.0
+        self.outstanding: set[int] = set()
+        self.first_run_server: Optional[Member] = None
+        self.first_run_ms = 0.0
         self.servers: list[Member] = []
-        self.sent: list[float] = []
+        self.sent_ms: list[float] = []
         self.streaming = False
-        self.once = False  # its body is gone in part: it can't be sent again
+        self.body_consumed = False  # its body is gone in part: it can't be sent again
--- a/forkweir/advice.py
+++ b/forkweir/retry_after.py
@@ -15,23 +15,30 @@
 import random
 from typing import Literal, Optional
 
-Cause = Literal["no-server", "cold", "gate", "origin", "origin-down", "tries"]
-CAUSES: tuple[Cause, ...] = ("no-server", "cold", "gate", "origin", "origin-down", "tries")
+RefusalCause = Literal["no-server", "cold", "gate", "origin", "origin-down", "tries"]
+REFUSAL_CAUSES: tuple[RefusalCause, ...] = (
+    "no-server",
+    "cold",
+    "gate",
+    "origin",
+    "origin-down",
+    "tries",
+)
 """Why the module refuses: no server is listed or usable; those that are left are cold and have no room; the gate keeps the key
 out; a likely miss at a jammed origin; a write at an origin that is down; no attempt is left that may be made."""
 
-SPREAD = 0.5
-LAST = 0.1
-LEAST_MS = 20.0
+FORECAST_JITTER = 0.5
+MAX_WAIT_JITTER = 0.1
+MIN_WAIT_MS = 20.0
 
 
-class Advice:
+class RetryAfter:
     """Spreads what clients are told."""
 
-    __slots__ = ("_most_ms", "_random")
+    __slots__ = ("_max_wait_ms", "_random")
 
-    def __init__(self, most_ms: float, seed: int) -> None:
-        self._most_ms = most_ms
+    def __init__(self, max_wait_ms: float, seed: int) -> None:
+        self._max_wait_ms = max_wait_ms
         self._random = random.Random(f"advice/{seed}")
 
     def wait(self, forecast_ms: Optional[float], left_ms: float) -> float:
@@ -39,10 +46,10 @@
 
         forecast_ms: when its request may be let in, None where nobody knows. left_ms: how long it can still be answered in time.
         """
-        most = self._most_ms
-        if most <= 0.0:
+        max_wait_ms = self._max_wait_ms
+        if max_wait_ms <= 0.0:
             return 0.0
         draw = self._random.random()
-        if forecast_ms is None or forecast_ms >= min(left_ms, most):
-            return most * (1.0 - LAST * draw)
-        return min(most, max(LEAST_MS, forecast_ms * (1.0 + SPREAD * draw)))
+        if forecast_ms is None or forecast_ms >= min(left_ms, max_wait_ms):
+            return max_wait_ms * (1.0 - MAX_WAIT_JITTER * draw)
+        return min(max_wait_ms, max(MIN_WAIT_MS, forecast_ms * (1.0 + FORECAST_JITTER * draw)))
--- a/forkweir/send_guard.py
+++ b/forkweir/send_guard.py
@@ -13,14 +13,14 @@
 from enum import StrEnum
 from typing import Optional
 
-STALL_MS = (
+MAX_STALL_MS = (
     150.0  # STANDING.md: between reading its clock and writing a node may be held up for so long
 )
 SOCKET_SLACK_MS = 50.0  # PROTOCOL.md: each time limit of the rules is this much longer on sockets
 DEADLINE_SLACK_MS = (
     150.0  # STANDING.md: by so much a server may be told more than its client has left;
 )
-WORDING_MS = (
+HEAD_TO_SEND_MS = (
     50.0  # of it, what may pass between the wording of a head and the last byte of its request
 )
 CLIENT_MARGIN_MS = (
@@ -44,12 +44,12 @@
 class SendState:
     """What is known of one attempt in the moment in which it is to go out."""
 
-    wanted: bool  # the request is open and its client is there
-    leaving_ms: Optional[float]  # when this node was notified that the server drains or is gone
+    client_waiting: bool  # the request is open and its client is there
+    departure_ms: Optional[float]  # when this node was notified that the server drains or is gone
     first_sent_ms: Optional[float]  # when the request was first sent whole, if it was
     repeat_window_ms: Optional[float]  # of a keyed class; None where there is no such bound
     deadline_ms: float  # until when the client waits; inf while a large body still flows
-    told_ms: int = 0  # how long the server was told that this node waits; 0 before it was
+    announced_ms: int = 0  # how long the server was told that this node waits; 0 before it was
 
 
 class SendGuard:
@@ -65,36 +65,36 @@
 
     def check(self, state: SendState, now: float) -> Optional[Denial]:
         """Why the next byte may not go out now; None where it may. Counts each refusal."""
-        denial = self._broken(state, now, STALL_MS, WORDING_MS)
+        denial = self._exceeded(state, now, MAX_STALL_MS, HEAD_TO_SEND_MS)
         if denial is not None:
             self.denied[denial] += 1
         return denial
 
     def violated(self, state: SendState, now: float) -> Optional[Denial]:
         """Which bound itself was over when a write had ended; None where none was. Counts each violation."""
-        broken = self._broken(state, now, -SOCKET_SLACK_MS, DEADLINE_SLACK_MS)
-        if broken in (None, Denial.CLIENT_GONE, Denial.OUT_OF_TIME):
+        exceeded = self._exceeded(state, now, -SOCKET_SLACK_MS, DEADLINE_SLACK_MS)
+        if exceeded in (None, Denial.CLIENT_GONE, Denial.OUT_OF_TIME):
             return None  # neither is a broken rule by itself: the write began while the client was there
-        self.violations[broken] += 1
-        return broken
+        self.violations[exceeded] += 1
+        return exceeded
 
-    def _broken(
-        self, state: SendState, now: float, margin_ms: float, told_slack_ms: float
+    def _exceeded(
+        self, state: SendState, now: float, margin_ms: float, announced_slack_ms: float
     ) -> Optional[Denial]:
-        if not state.wanted:
+        if not state.client_waiting:
             return Denial.CLIENT_GONE
-        if state.leaving_ms is not None and now - state.leaving_ms > self._grace_ms - margin_ms:
+        if state.departure_ms is not None and now - state.departure_ms > self._grace_ms - margin_ms:
             return Denial.DRAINING
         if state.repeat_window_ms is not None and state.first_sent_ms is not None:
             if now - state.first_sent_ms > state.repeat_window_ms - margin_ms:
                 return Denial.REPEAT_WINDOW
         if now >= state.deadline_ms:
             return Denial.OUT_OF_TIME
-        if state.told_ms and now + state.told_ms > state.deadline_ms + told_slack_ms:
+        if state.announced_ms and now + state.announced_ms > state.deadline_ms + announced_slack_ms:
             return Denial.STALE_DEADLINE
         return None
 
 
-def deadline_told_ms(within_ms: float, client_left_ms: float) -> int:
+def announced_wait_ms(within_ms: float, client_left_ms: float) -> int:
     """How long a server is told that this node will wait: at most what is left to the client, and 1 ms at the least."""
     return max(1, int(min(within_ms, client_left_ms - CLIENT_MARGIN_MS)))
--- a/forkweir/settings.py
+++ b/forkweir/settings.py
@@ -5,10 +5,12 @@
 from dataclasses import dataclass
 from typing import Literal
 
-from forkweir.advice import Cause
+from forkweir.retry_after import RefusalCause
 
 Attempt = tuple[Literal["attempt"], int, str, float]  # request, server, time-out in ms
-Refuse = tuple[Literal["refuse"], int, float, Cause]  # request, advice when to come back in ms, why
+Refuse = tuple[
+    Literal["refuse"], int, float, RefusalCause
+]  # request, advice when to come back in ms, why
 Fail = tuple[Literal["fail"], int]  # request
 Cancel = tuple[Literal["cancel"], int, int]  # request, which attempt (from 0)
 Timer = tuple[Literal["timer"], int, float]  # token, when due in ms
@@ -31,8 +33,8 @@
     repeat: str = "safe"  # safe, keyed or unsafe
     group: str = "all"  # for keyed: who discards repeats (all, zone or cell)
     repeat_window_ms: float = 0.0
-    late_worth: float = 0.0
-    worth: float = 1.0
+    late_value: float = 0.0
+    value: float = 1.0
     aim_stretch: float = 0.0
 
 
@@ -42,24 +44,24 @@
 
     classes: tuple[ClassSpec, ...] = ()
     zone: str = ""
-    asked: bool = False  # the server list must be asked for
-    ask_within_ms: float = 10_000.0
+    poll_list: bool = False  # the server list must be asked for
+    poll_within_ms: float = 10_000.0
     max_attempts: int = 3
     may_cancel: bool = False
-    second_copies: bool = True  # two attempts of one request may be out together
+    parallel_attempts: bool = True  # two attempts of one request may be out together
     may_probe: bool = False
     backoff_max_ms: float = 0.0
-    cold_from: float = 0.2
+    cold_start_capacity: float = 0.2
     cold_ms: float = 20_000.0
     fall_multiple: float = (
         4.0  # of its present capacity, sent for a while: a cold server falls over
     )
     tick_ms: float = 1.0
-    aside: bool = False
+    cache_aside: bool = False
     origin_kind: str = ""
-    weighted: bool = True
-    columns: tuple[str, ...] = ()  # of load reports
-    reports: str = "off"  # inline, on_probe or off
+    use_weights: bool = True
+    load_columns: tuple[str, ...] = ()  # of load reports
+    load_reports: str = "off"  # inline, on_probe or off
 
 
 @dataclass(frozen=True, slots=True)
--- a/forkweir/tier/lines.py
+++ b/forkweir/tier/lines.py
@@ -30,11 +30,11 @@
 from typing import NamedTuple, Optional
 
 from forkweir.line import WINDOW_PER_RANGE, equal_cuts
-from forkweir.placement import SMALLEST_RANGES
+from forkweir.placement import MIN_RANGES
 
 BUCKETS = 65_536
 COUNTERS = 1_024
-WINDOW = SMALLEST_RANGES * WINDOW_PER_RANGE  # of arrivals; a summary that has more is halved
+WINDOW = MIN_RANGES * WINDOW_PER_RANGE  # of arrivals; a summary that has more is halved
 LEAST_COUNT = 3.0  # what is counted less often is no heavy bucket
 ON_A_PAGE = 66
 PAGES = 4
--- a/forkweir/tier/seat.py
+++ b/forkweir/tier/seat.py
@@ -22,16 +22,20 @@
         signals, fleet = self.tier.signals, self.balancer.fleet
         if signals is None:
             return
-        boxes = {id_of(f"{m.info.name}/{m.told_ms:.0f}"): m for m in fleet.placed if m.present}
+        boxes = {
+            id_of(f"{m.info.name}/{m.listed_start_ms:.0f}"): m for m in fleet.placed if m.present
+        }
         bad = {box: m.record.odds for box, m in boxes.items() if m.record.odds > 0.0}
         signals.saw(bad, {box: m.record.odds for box, m in boxes.items()}, now)
         heard = signals.hearsay(now)
         for box, member in boxes.items():
             word = heard.get(box)
             if word is not None:
-                fleet.health.heard(member, word.odds, word.back, fleet.placed, fleet.live, now)
+                fleet.health.heard(
+                    member, word.odds, word.back, fleet.placed, fleet.in_service, now
+                )
             elif member.record.heard:
-                fleet.health.heard(member, 0.0, False, fleet.placed, fleet.live, now)
+                fleet.health.heard(member, 0.0, False, fleet.placed, fleet.in_service, now)
 
     def _prepare(self, now: float) -> None:
         balancer, claims = self.balancer, self.tier.claims
--- a/testbed/nights/defects.py
+++ b/testbed/nights/defects.py
@@ -40,7 +40,7 @@
 
 def _ignores_bounds(self: SendGuard, state: SendState, now: float) -> Denial | None:
     """Stands in for `SendGuard.check`: only the client's presence is looked at."""
-    return None if state.wanted else Denial.CLIENT_GONE
+    return None if state.client_waiting else Denial.CLIENT_GONE
 
 
 @contextmanager
@@ -59,7 +59,7 @@
 
 @defect("a request that may have run is repeated, whatever its class")
 def repeats_unsafe_work() -> list[Patch]:
-    return [(Balancer, "_may_repeat", lambda self, request, target, now: True)]
+    return [(Balancer, "_may_retry", lambda self, request, target, now: True)]
 
 
 @defect("a request that may have run is refused as if it had not")
@@ -68,18 +68,18 @@
         del self.held[request.id]
         return ("refuse", request.id, self.settings.backoff_max_ms, "tries")
 
-    return [(Balancer, "_end", end)]
+    return [(Balancer, "_give_up", end)]
 
 
 @defect("a drain or an end in the list is not heeded")
 def ignores_a_drain() -> list[Patch]:
-    take = Fleet.take
+    take = Fleet.apply_list
 
     def deaf(self: Any, now: float, entries: Any, full: bool, whole: bool = True) -> None:
         take(self, now, [entry for entry in entries if entry.state == "in"], False, whole)
 
     return [
-        (Fleet, "take", deaf),
+        (Fleet, "apply_list", deaf),
         (AddressBook, "_leave", lambda self, name, gone: None),
         (SendGuard, "check", _ignores_bounds),
     ]
@@ -293,14 +293,14 @@
         cold = [m for m in fleet.placed if m.present and fleet.is_cold(m, now)]
         return cold[0] if cold else fleet.neighbours(self.line.range_of(request.position))[0]
 
-    return [(Balancer, "_pick", pick)]
+    return [(Balancer, "_select_server", pick)]
 
 
 @defect(
     "what a cold server is allowed is not looked at for a repeat or a second request, nor paid for it"
 )
 def forgets_the_allowance_of_a_repeat() -> list[Patch]:
-    room, send = Balancer._has_room, Balancer._send
+    room, send = Balancer._has_capacity, Balancer._send
 
     def has_room(self: Any, member: Any, request: Any, now: float) -> bool:
         return request.tries > 0 or room(self, member, request, now)
@@ -314,12 +314,12 @@
         finally:
             member.account = account
 
-    return [(Balancer, "_has_room", has_room), (Balancer, "_send", sends)]
+    return [(Balancer, "_has_capacity", has_room), (Balancer, "_send", sends)]
 
 
 @defect("after a node has stood still, what it held back goes to a cold server as if it were warm")
 def lets_out_what_a_pause_held() -> list[Patch]:
-    room = Balancer._has_room
+    room = Balancer._has_capacity
 
     def has_room(self: Any, member: Any, request: Any, now: float) -> bool:
         account = member.account
@@ -336,7 +336,7 @@
         account.at = now
         return account.level >= cost
 
-    return [(Balancer, "_has_room", has_room), (Allowances, "has", has)]
+    return [(Balancer, "_has_capacity", has_room), (Allowances, "has", has)]
 
 
 @defect("a source that names nobody any more empties the set")
--- a/tests/forkweir/test_allowance.py
+++ b/tests/forkweir/test_allowance.py
@@ -19,15 +19,17 @@
 from forkweir.limits.work import STEP, Costs, Faded
 from forkweir.settings import ClassSpec, Server, Settings
 
-READ = ClassSpec("read", aim_ms=750, deadline_ms=2500, worth=3)
+READ = ClassSpec("read", aim_ms=750, deadline_ms=2500, value=3)
 ORDER = ClassSpec(
-    "order", aim_ms=1200, deadline_ms=2500, repeat="keyed", repeat_window_ms=2500, worth=8
+    "order", aim_ms=1200, deadline_ms=2500, repeat="keyed", repeat_window_ms=2500, value=8
 )
 COLD_FROM, COLD_MS, FALL_MS, MULTIPLE = 0.12, 24_000.0, 2_000.0, 4.0
 
 
 def make(servers: list[Server], seed: int = 1) -> Balancer:
-    told = Settings(classes=(READ, ORDER), max_attempts=3, cold_from=COLD_FROM, cold_ms=COLD_MS)
+    told = Settings(
+        classes=(READ, ORDER), max_attempts=3, cold_start_capacity=COLD_FROM, cold_ms=COLD_MS
+    )
     balancer = Balancer(told, seed)
     balancer.on_list(0.0, "full", servers)
     return balancer
@@ -346,7 +348,7 @@
     balancer.on_list(1_000.0, "changes", [told])
     balancer.on_list(9_000.0, "full", [told, Server("b")])  # word of the same start, once more
     member = balancer.fleet.members["a"]
-    assert member.info.started_ms == member.warm_ms == 1_000.0
+    assert member.info.started_ms == member.cold_since_ms == 1_000.0
     assert balancer.fleet.is_cold(member, 1_000.0 + COLD_MS - 1.0)
     assert not balancer.fleet.is_cold(member, 1_000.0 + COLD_MS)
     balancer.on_list(40_000.0, "changes", [Server("a", started_ms=3_700_000.0)])  # it started again
@@ -357,7 +359,10 @@
     def homes(turned: float) -> list[str]:
         balancer = make([Server("warm"), Server("cold", started_ms=1.0)])
         balancer.fleet.members["warm"].turned = turned
-        balancer.fleet.members["warm"].strain, balancer.fleet.members["warm"].strain_ms = (
+        (
+            balancer.fleet.members["warm"].load_penalty,
+            balancer.fleet.members["warm"].load_penalty_ms,
+        ) = (
             1e6,
             30_000.0,
         )  # it keeps no key as its home
--- a/tests/forkweir/test_doubt.py
+++ b/tests/forkweir/test_doubt.py
@@ -25,7 +25,7 @@
     Record,
 )
 
-READ = ClassSpec("read", aim_ms=800.0, deadline_ms=2500.0, worth=3.0)
+READ = ClassSpec("read", aim_ms=800.0, deadline_ms=2500.0, value=3.0)
 
 
 def seasoned(wrong_part: float, seed: int = 1) -> Doubts:
@@ -178,7 +178,7 @@
     balancer, sent = play(failing, 0.8, 40_000.0)
     usual = sum(sent[name] for name in sent if name not in failing) / 51.0
     assert sum(sent[name] for name in failing) / 9.0 < 0.45 * usual
-    assert balancer.gate.part == 1.0  # a few bad servers shut no gate
+    assert balancer.gate.admitted_share == 1.0  # a few bad servers shut no gate
 
 
 def test_a_trouble_of_all_puts_nobody_out() -> None:
@@ -207,6 +207,6 @@
         good = asked(balancer, 1_000.0 + 50.0 * n, n, f"k{rng.randrange(400)}", 0.0, answer)
         served += failing and good
         refused += failing and not good
-    assert balancer.gate.part == 1.0
-    assert balancer.gate.origin_slow < 0.6
+    assert balancer.gate.admitted_share == 1.0
+    assert balancer.gate.origin_slowness < 0.6
     assert refused < 0.15 * served, (refused, served)
--- a/tests/forkweir/test_fetches.py
+++ b/tests/forkweir/test_fetches.py
@@ -18,9 +18,9 @@
 )
 from forkweir.settings import ClassSpec, Server, Settings
 
-READ = ClassSpec("read", aim_ms=750, deadline_ms=2500, worth=3)
+READ = ClassSpec("read", aim_ms=750, deadline_ms=2500, value=3)
 ORDER = ClassSpec(
-    "order", aim_ms=1200, deadline_ms=2500, repeat="keyed", repeat_window_ms=2500, worth=8
+    "order", aim_ms=1200, deadline_ms=2500, repeat="keyed", repeat_window_ms=2500, value=8
 )
 
 
--- a/tests/forkweir/test_gate.py
+++ b/tests/forkweir/test_gate.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from forkweir.fleet import Fleet
-from forkweir.gate import ORIGIN_SLOW, Gate
+from forkweir.gate import ORIGIN_SLOW_LEVEL, Gate
 from forkweir.known.seen import WORDS
 from forkweir.settings import ClassSpec, Server, Settings
 
@@ -13,11 +13,11 @@
 def strain(origin_slow: float, likely_miss: float) -> float:
     """What one time-out strains its server, where answered misses take this part of their aim on average."""
     fleet = Fleet(Settings(classes=(READ,)), 1)
-    fleet.take(0.0, [Server("s0")], True)
+    fleet.apply_list(0.0, [Server("s0")], True)
     gate, member = Gate(fleet), fleet.members["s0"]
-    gate.origin_slow = origin_slow
-    gate.judge(member, WORDS["timed_out"](0, 800.0, READ, likely_miss=likely_miss), 0.0, 1_000.0)
-    return member.strain
+    gate.origin_slowness = origin_slow
+    gate.evaluate(member, WORDS["timed_out"](0, 800.0, READ, likely_miss=likely_miss), 0.0, 1_000.0)
+    return member.load_penalty
 
 
 def test_a_time_out_of_a_likely_miss_spares_its_server_as_far_as_misses_are_slow() -> None:
@@ -26,11 +26,11 @@
         strain(0.0, 0.0),
         strain(0.1, 0.9),
         strain(0.35, 0.9),
-        strain(0.95 * ORIGIN_SLOW, 0.9),
+        strain(0.95 * ORIGIN_SLOW_LEVEL, 0.9),
     )
     assert hit > 0.0 and quick > 0.9 * hit
     assert hit > slowish > slow > 0.0 and slow < 0.1 * hit
 
 
 def test_an_origin_in_trouble_moves_no_keys() -> None:
-    assert strain(ORIGIN_SLOW, 0.0) == 0.0
+    assert strain(ORIGIN_SLOW_LEVEL, 0.0) == 0.0
--- a/tests/forkweir/test_patience.py
+++ b/tests/forkweir/test_patience.py
@@ -11,7 +11,7 @@
 from forkweir.limits.patience import Patience
 from forkweir.limits.savings import BANK, ERRORS, Savings
 
-READ = ClassSpec("read", aim_ms=800.0, deadline_ms=2500.0, worth=3.0)
+READ = ClassSpec("read", aim_ms=800.0, deadline_ms=2500.0, value=3.0)
 
 
 def test_until_a_first_try_came_the_deadline_is_what_they_say() -> None:
@@ -103,7 +103,7 @@
 ):
     for patient in (True, False):
         balancer = gate_after(patient)
-        assert balancer.gate.part == 1.0 and balancer.gate.bad < 0.01
+        assert balancer.gate.admitted_share == 1.0 and balancer.gate.failure_share < 0.01
         assert all(
-            member.strain == 0.0 and not member.record.bad for member in balancer.fleet.placed
+            member.load_penalty == 0.0 and not member.record.bad for member in balancer.fleet.placed
         )
--- a/tests/forkweir/test_placement.py
+++ b/tests/forkweir/test_placement.py
@@ -12,9 +12,16 @@
 
 from forkweir import Action, Balancer, ClassSpec, Server, Settings, placement
 from forkweir.choice import REBUILD_TIMER
-from forkweir.fleet import AT_ONCE_SERVERS, HOLD_MS, Member
+from forkweir.fleet import DEPARTED_HOLD_MS, MAX_UNSLICED_SERVERS, Member
 from forkweir.line import digest
-from forkweir.placement import POINTS_PER_SERVER, ROOM, HashRing, Placement, build, ranges_for
+from forkweir.placement import (
+    CAPACITY_FACTOR,
+    POINTS_PER_SERVER,
+    HashRing,
+    Placement,
+    build,
+    ranges_for,
+)
 
 DEADLINE_MS = 1_000.0
 
@@ -95,7 +102,7 @@
         for server in servers
         for n in range(POINTS_PER_SERVER)
     )
-    room = dict.fromkeys(servers, int(found.ranges * ROOM / count) + 1)
+    capacity = dict.fromkeys(servers, int(found.ranges * CAPACITY_FACTOR / count) + 1)
     for number in range(found.ranges):
         after = digest(f"range/{number}")
         at = (
@@ -105,11 +112,11 @@
         )
         owner = found.owners[number]
         if at is not None:
-            while not room[points[at % len(points)][1]]:
+            while not capacity[points[at % len(points)][1]]:
                 at += 1
             assert owner is points[at % len(points)][1]
-        room[owner] -= 1
-    assert min(room.values()) >= 0
+        capacity[owner] -= 1
+    assert min(capacity.values()) >= 0
 
 
 @given(st.lists(st.tuples(st.integers(0, 120), st.booleans()), max_size=60))
@@ -117,12 +124,12 @@
 def test_a_placement_made_from_another_is_that_of_its_servers(
     moves: list[tuple[int, bool]],
 ) -> None:
-    everybody = members(121)
-    there = set(everybody[:40])
-    before = placed([server for server in everybody if server in there])
+    all_servers = members(121)
+    listed = set(all_servers[:40])
+    before = placed([server for server in all_servers if server in listed])
     for number, enters in moves:
-        (there.add if enters else there.discard)(everybody[number])
-    wanted = [server for server in everybody if server in there]
+        (listed.add if enters else listed.discard)(all_servers[number])
+    wanted = [server for server in all_servers if server in listed]
     if wanted:
         assert placed(wanted, before).owners == placed(wanted).owners
 
@@ -261,22 +268,25 @@
         node.wait(70.0)
         assert node.ask()
     assert len(node.balancer.fleet.members) == 200 and node.balancer.fleet.ranges == 2_048
-    node.wait(HOLD_MS)
+    node.wait(DEPARTED_HOLD_MS)
     node.tell("changes", [])
     assert len(node.balancer.fleet.members) == 100
 
 
 def test_a_member_moves_between_the_kinds_of_placement_as_its_fleet_grows_and_shrinks() -> None:
     node = Node()
-    node.tell("full", [Server(f"s{n}") for n in range(AT_ONCE_SERVERS)])
+    node.tell("full", [Server(f"s{n}") for n in range(MAX_UNSLICED_SERVERS)])
     assert node.ask() and node.slices == 0
     node.wait(2_000.0)
-    node.tell("full", [Server(f"s{n}") for n in range(AT_ONCE_SERVERS + 1)])
+    node.tell("full", [Server(f"s{n}") for n in range(MAX_UNSLICED_SERVERS + 1)])
     node.wait(2_000.0)
     assert node.ask() and node.slices > 0
     node.tell(
         "full",
-        [Server(f"s{n}", state="in" if n < 10 else "draining") for n in range(AT_ONCE_SERVERS + 1)],
+        [
+            Server(f"s{n}", state="in" if n < 10 else "draining")
+            for n in range(MAX_UNSLICED_SERVERS + 1)
+        ],
     )
     node.wait(6_000.0)
     counts = Counter(node.ask() for _ in range(300))
--- a/tests/forkweir/test_advice.py
+++ b/tests/forkweir/test_retry_after.py
@@ -5,58 +5,64 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from forkweir.advice import CAUSES, LAST, LEAST_MS, SPREAD, Advice
 from forkweir.choice import Balancer
-from forkweir.gate import ORIGIN_DOWN
+from forkweir.gate import ORIGIN_DOWN_LEVEL
+from forkweir.retry_after import (
+    FORECAST_JITTER,
+    MAX_WAIT_JITTER,
+    MIN_WAIT_MS,
+    REFUSAL_CAUSES,
+    RetryAfter,
+)
 from forkweir.settings import ClassSpec, Refuse, Server, Settings
 
-READ = ClassSpec("read", aim_ms=750, deadline_ms=2500, worth=3)
+READ = ClassSpec("read", aim_ms=750, deadline_ms=2500, value=3)
 ORDER = ClassSpec(
-    "order", aim_ms=1200, deadline_ms=2500, repeat="keyed", repeat_window_ms=2500, worth=8
+    "order", aim_ms=1200, deadline_ms=2500, repeat="keyed", repeat_window_ms=2500, value=8
 )
-ONCE = ClassSpec("once", aim_ms=900, deadline_ms=2000, repeat="unsafe", worth=3)
+ONCE = ClassSpec("once", aim_ms=900, deadline_ms=2000, repeat="unsafe", value=3)
 
 
 def make(servers: list[Server], now: float = 1_000.0) -> Balancer:
-    told = Settings(
+    configured = Settings(
         classes=(READ, ORDER, ONCE),
         max_attempts=2,
         backoff_max_ms=1_200.0,
-        cold_from=0.12,
+        cold_start_capacity=0.12,
         cold_ms=24_000.0,
     )
-    balancer = Balancer(told, 1)
+    balancer = Balancer(configured, 1)
     balancer.on_list(now, "full", servers)
     return balancer
 
 
 def refusals(
-    balancer: Balancer, now: float, count: int, lane: str = "read", gap: float = 1.0
+    balancer: Balancer, now: float, count: int, class_name: str = "read", gap: float = 1.0
 ) -> list[Refuse]:
-    got: list[Refuse] = []
+    refused: list[Refuse] = []
     for n in range(count):
-        asked = balancer.on_request(
-            now + gap * n, n, lane, f"k{n}", 2000.0, 12.0, "", lane != "read"
+        actions = balancer.on_request(
+            now + gap * n, n, class_name, f"k{n}", 2000.0, 12.0, "", class_name != "read"
         )
-        got += [action for action in asked if action[0] == "refuse"]
-    return got
+        refused += [action for action in actions if action[0] == "refuse"]
+    return refused
 
 
 @given(st.one_of(st.none(), st.floats(0.0, 1e9)), st.floats(0.0, 5_000.0), st.integers(0, 99))
 def test_a_wait_stays_within_its_bounds(forecast: float | None, left: float, seed: int) -> None:
-    wait = Advice(1_200.0, seed).wait(forecast, left)
-    assert LEAST_MS <= wait <= 1_200.0
+    wait = RetryAfter(1_200.0, seed).wait(forecast, left)
+    assert MIN_WAIT_MS <= wait <= 1_200.0
     if forecast is None or forecast >= min(left, 1_200.0):
-        assert wait >= 1_200.0 * (1.0 - LAST)
+        assert wait >= 1_200.0 * (1.0 - MAX_WAIT_JITTER)
     else:
-        assert forecast <= wait <= max(LEAST_MS, forecast * (1.0 + SPREAD))
-    assert Advice(0.0, seed).wait(forecast, left) == 0.0
+        assert forecast <= wait <= max(MIN_WAIT_MS, forecast * (1.0 + FORECAST_JITTER))
+    assert RetryAfter(0.0, seed).wait(forecast, left) == 0.0
 
 
 def test_clients_refused_in_one_instant_are_told_different_times_also_by_different_nodes() -> None:
-    waits = [Advice(1_200.0, seed).wait(None, 0.0) for seed in range(37)]
+    waits = [RetryAfter(1_200.0, seed).wait(None, 0.0) for seed in range(37)]
     assert len(set(waits)) == 37 and max(waits) - min(waits) > 100.0
-    one = Advice(1_200.0, 1)
+    one = RetryAfter(1_200.0, 1)
     assert len({one.wait(300.0, 700.0) for _ in range(50)}) == 50
 
 
@@ -77,7 +83,7 @@
 
 def test_a_shut_gate_forecasts_by_the_pace_at_which_it_opens() -> None:
     balancer = make([Server(f"s{n}") for n in range(4)])
-    balancer.gate.part = 0.1
+    balancer.gate.admitted_share = 0.1
     got = refusals(balancer, 1_010.0, 200)
     assert {refuse[3] for refuse in got} == {"gate"} and len(got) > 100
     assert (
@@ -94,7 +100,7 @@
     balancer.fetches.pressed, balancer.fetches.limit = True, 1.0
     assert {refuse[3] for refuse in refusals(balancer, 1_010.0, 50)} == {"origin"}
     balancer = make([Server(f"s{n}") for n in range(4)])
-    balancer.gate.origin_slow = ORIGIN_DOWN + 0.1
+    balancer.gate.origin_slowness = ORIGIN_DOWN_LEVEL + 0.1
     assert {refuse[3] for refuse in refusals(balancer, 1_010.0, 50, "order")} == {"origin-down"}
 
 
@@ -109,4 +115,4 @@
 
 
 def test_every_cause_is_in_the_catalogue() -> None:
-    assert len(set(CAUSES)) == len(CAUSES) == 6
+    assert len(set(REFUSAL_CAUSES)) == len(REFUSAL_CAUSES) == 6
--- a/tests/forkweir/test_send_guard.py
+++ b/tests/forkweir/test_send_guard.py
@@ -13,18 +13,18 @@
 from forkweir.send_guard import (
     CLIENT_MARGIN_MS,
     DEADLINE_SLACK_MS,
+    MAX_STALL_MS,
     SOCKET_SLACK_MS,
-    STALL_MS,
     Denial,
     SendGuard,
     SendState,
-    deadline_told_ms,
+    announced_wait_ms,
 )
 
 GRACE, WINDOW, NOW = 250.0, 4_000.0, 1_000_000.0
 FREE = SendState(
-    wanted=True,
-    leaving_ms=None,
+    client_waiting=True,
+    departure_ms=None,
     first_sent_ms=None,
     repeat_window_ms=None,
     deadline_ms=NOW + 1_000.0,
@@ -34,23 +34,23 @@
 CASES: dict[str, tuple[dict[str, Any], Denial | None, Denial | None]] = {
     "free": ({}, None, None),
     "no deadline": ({"deadline_ms": inf}, None, None),
-    "gone": ({"wanted": False}, Denial.CLIENT_GONE, None),
-    "drain, a stall before the grace is over": ({"leaving_ms": NOW - GRACE + STALL_MS}, None, None),
-    "drain, less than a stall left": ({"leaving_ms": NOW - GRACE + STALL_MS - 1.0}, Denial.DRAINING, None),
-    "drain, within the slack": ({"leaving_ms": NOW - GRACE - SOCKET_SLACK_MS}, Denial.DRAINING, None),
-    "drain, over": ({"leaving_ms": NOW - GRACE - SOCKET_SLACK_MS - 1.0}, Denial.DRAINING, Denial.DRAINING),
+    "gone": ({"client_waiting": False}, Denial.CLIENT_GONE, None),
+    "drain, a stall before the grace is over": ({"departure_ms": NOW - GRACE + MAX_STALL_MS}, None, None),
+    "drain, less than a stall left": ({"departure_ms": NOW - GRACE + MAX_STALL_MS - 1.0}, Denial.DRAINING, None),
+    "drain, within the slack": ({"departure_ms": NOW - GRACE - SOCKET_SLACK_MS}, Denial.DRAINING, None),
+    "drain, over": ({"departure_ms": NOW - GRACE - SOCKET_SLACK_MS - 1.0}, Denial.DRAINING, Denial.DRAINING),
     "never sent": ({"repeat_window_ms": WINDOW}, None, None),
-    "window": ({"repeat_window_ms": WINDOW, "first_sent_ms": NOW - WINDOW + STALL_MS}, None, None),
+    "window": ({"repeat_window_ms": WINDOW, "first_sent_ms": NOW - WINDOW + MAX_STALL_MS}, None, None),
     "window, less than a stall left": (
-        {"repeat_window_ms": WINDOW, "first_sent_ms": NOW - WINDOW + STALL_MS - 1.0}, Denial.REPEAT_WINDOW, None,
+        {"repeat_window_ms": WINDOW, "first_sent_ms": NOW - WINDOW + MAX_STALL_MS - 1.0}, Denial.REPEAT_WINDOW, None,
     ),
     "window, over": (
         {"repeat_window_ms": WINDOW, "first_sent_ms": NOW - WINDOW - SOCKET_SLACK_MS - 1.0}, Denial.REPEAT_WINDOW, Denial.REPEAT_WINDOW,
     ),
     "out of time": ({"deadline_ms": NOW}, Denial.OUT_OF_TIME, None),
-    "told what is left": ({"told_ms": 995}, None, None),
-    "told a little too much": ({"told_ms": 1_060}, Denial.STALE_DEADLINE, None),
-    "told far too much": ({"told_ms": 1_000 + int(DEADLINE_SLACK_MS) + 1}, Denial.STALE_DEADLINE, Denial.STALE_DEADLINE),
+    "told what is left": ({"announced_ms": 995}, None, None),
+    "told a little too much": ({"announced_ms": 1_060}, Denial.STALE_DEADLINE, None),
+    "told far too much": ({"announced_ms": 1_000 + int(DEADLINE_SLACK_MS) + 1}, Denial.STALE_DEADLINE, Denial.STALE_DEADLINE),
 }  # fmt: skip
 
 
@@ -71,14 +71,14 @@
 
 @given(
     st.floats(0.0, 2_000.0), st.floats(0.0, 2_000.0), st.floats(0.0, 6_000.0), st.floats(0.0, 6_000.0), st.floats(1.0, 5_000.0),
-    st.floats(0.0, STALL_MS),
+    st.floats(0.0, MAX_STALL_MS),
 )  # fmt: skip
 def test_what_may_go_out_breaks_nothing_after_any_stall(
     grace: float, left: float, window: float, sent: float, deadline: float, stall: float
 ) -> None:
     guard = SendGuard(grace)
     state = SendState(
-        True, NOW - left, NOW - sent, window, NOW + deadline, deadline_told_ms(inf, deadline)
+        True, NOW - left, NOW - sent, window, NOW + deadline, announced_wait_ms(inf, deadline)
     )
     if guard.check(state, NOW) is None:
         assert guard.violated(state, NOW + stall) is None
@@ -86,6 +86,6 @@
 
 @given(st.floats(-100.0, 10_000.0), st.floats(-100.0, 10_000.0))
 def test_the_deadline_told_is_never_more_than_either_has_left(within: float, left: float) -> None:
-    told = deadline_told_ms(within, left)
+    told = announced_wait_ms(within, left)
     assert told >= 1
     assert told == 1 or (told <= within and told <= left - CLIENT_MARGIN_MS)
--- a/tests/test_address_book.py
+++ b/tests/test_address_book.py
@@ -50,13 +50,14 @@
             (name, member) for name, member in members.items() if member.present or member.draining
         ]
         kept = {
-            name: (m.present, m.draining, m.info.zone, m.info.weight, m.told_ms) for name, m in here
+            name: (m.present, m.draining, m.info.zone, m.info.weight, m.listed_start_ms)
+            for name, m in here
         }
         placed = [member.info.name for member in self.balancer.fleet.placed if member.present]
         return {
             "listed": (listed,),
             "members": (kept,),
-            "placed": (placed, self.balancer.fleet.live),
+            "placed": (placed, self.balancer.fleet.in_service),
         }
 
 
@@ -172,7 +173,7 @@
         == 0
     )
     assert (
-        taker.node.told == 6 and taker.node.balancer.fleet.live == 994
+        taker.node.told == 6 and taker.node.balancer.fleet.in_service == 994
     )  # one drains, and five are not named any more
 
 
@@ -189,7 +190,7 @@
     for _ in steps:
         pass
     leaving = {name for name, server in taker.node.servers.items() if server.leaving_ms is not None}
-    assert leaving == {"s7", "s8"} and taker.node.balancer.fleet.live == 7
+    assert leaving == {"s7", "s8"} and taker.node.balancer.fleet.in_service == 7
 
 
 @pytest.mark.parametrize("count", [600, 3_000])
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -47,7 +47,7 @@
             assert (await made.ask("a", path="/api/one")).endswith(b"for /api/one")
             assert len(box.heads) == 2
             member = made.node._balancer.fleet.members["s0"]
-            assert not (member.strikes or member.out_until or member.warm_ms)
+            assert not (member.strikes or member.out_until or member.cold_since_ms)
             assert (await made.ask("b", path="/api/two")).endswith(b"for /api/two")
 
     play(test)
@@ -153,7 +153,7 @@
             for n in range(30):
                 answer = await made.ask(f"a{n}", path=f"/api/{n}")
                 assert answer.endswith(b"for /api/%d" % n)
-                assert not (member.strikes or member.out_until or member.warm_ms)
+                assert not (member.strikes or member.out_until or member.cold_since_ms)
             assert turn > 40
 
     play(test)
--- a/tests/test_customers.py
+++ b/tests/test_customers.py
@@ -118,7 +118,7 @@
     ) >= 3
     for spec in settings.classes:
         c = classes[spec.name]
-        assert (spec.aim_ms, spec.deadline_ms, spec.worth) == (
+        assert (spec.aim_ms, spec.deadline_ms, spec.value) == (
             c["promiseMs"],
             c["deadlineMs"],
             c["worth"],
@@ -128,16 +128,16 @@
             c["group"],
             c["windowMs"],
         )
-        assert spec.late_worth == c["lateValue"]
+        assert spec.late_value == c["lateValue"]
     # The limits.
-    assert (settings.max_attempts, settings.may_cancel, settings.second_copies) == (
+    assert (settings.max_attempts, settings.may_cancel, settings.parallel_attempts) == (
         allowed["mostTries"], allowed["mayCancel"], allowed["parallelTries"],
     )  # fmt: skip
     assert (
-        settings.asked == (options["discovery"] == "subscribe")
-        and settings.ask_within_ms == 10_000.0
+        settings.poll_list == (options["discovery"] == "subscribe")
+        and settings.poll_within_ms == 10_000.0
     )
-    assert (settings.cold_ms, settings.cold_from) == (
+    assert (settings.cold_ms, settings.cold_start_capacity) == (
         options["contract"]["coldMs"],
         options["contract"]["coldFrom"],
     )
@@ -236,11 +236,11 @@
     assert (
         config.drain_grace_ms,
         config.conn_idle_ms,
-        config.settings.ask_within_ms,
-        config.settings.cold_from,
+        config.settings.poll_within_ms,
+        config.settings.cold_start_capacity,
     ) == (0.0, 0.0, 0.0, 0.0)
     plain = configured({**OPTIONS, "contract": {}, "allowed": {}})
-    assert (plain.drain_grace_ms, plain.conn_idle_ms, plain.settings.ask_within_ms) == (
+    assert (plain.drain_grace_ms, plain.conn_idle_ms, plain.settings.poll_within_ms) == (
         250.0,
         15_000.0,
         10_000.0,
@@ -261,7 +261,7 @@
             balancer = made.node._balancer
             asking = asyncio.create_task(made.ask("a", lane="brisk"))
             await until(lambda: sum(len(box.heads) for box in made.boxes.values()) == 1)
-            balancer.usual, balancer.waits[:] = 0.5, [(0.0, 1)]
+            balancer.hedge_share, balancer.hedge_queue[:] = 0.5, [(0.0, 1)]
             made.node._due(3)  # it has been out for long
             assert len(made.node._running) == copies
             asking.cancel()
@@ -419,7 +419,7 @@
 
 def test_settings_load_without_any_of_the_optional_parts() -> None:
     assert (
-        settings_of({}).second_copies
+        settings_of({}).parallel_attempts
         and settings_of({"services": [{"name": "x"}]}).classes[0].repeat == "unsafe"
     )
 
--- a/tests/test_departures.py
+++ b/tests/test_departures.py
@@ -20,7 +20,7 @@
 from corkshift.frontend import ClientConnection
 from corkshift.seam import now_ms
 from corkshift.upstream import REST_MS
-from forkweir.choice import HEDGE_LEAST
+from forkweir.choice import HEDGE_MIN
 
 HOWS = ["end", "reset"]
 BEFORE = [
@@ -258,13 +258,13 @@
         ) as made:
             await warmed(made)
             balancer = made.node._balancer
-            balancer.usual = HEDGE_LEAST
+            balancer.hedge_share = HEDGE_MIN
             sock = client(made, request("a", lane="brisk"))
             await until(lambda: bool(asked(made)))
             await warmed(made)
             call = made.node._calls[1]
             call.since_ms -= 400.0
-            balancer.waits[:] = [(0.0, call.id)]
+            balancer.hedge_queue[:] = [(0.0, call.id)]
             leave(sock, how)
             made.node._due(3)
             assert len(made.node._running) == 2  # the module has asked for it
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -11,7 +11,7 @@
 
 from corkshift import discovery
 from forkweir.choice import Balancer
-from forkweir.fleet import HOLD_MS
+from forkweir.fleet import DEPARTED_HOLD_MS
 from forkweir.settings import Server, Settings
 
 
@@ -84,7 +84,7 @@
     balancer.on_list(0.0, "full", [Server("s0"), Server("s1")])
     balancer.on_list(1.0, "changes", [Server("s1", state="draining")])
     balancer.on_list(2.0, "full", [Server("s0")])
-    balancer.on_list(HOLD_MS + 3.0, "full", [Server("s0")])
+    balancer.on_list(DEPARTED_HOLD_MS + 3.0, "full", [Server("s0")])
     assert list(balancer.fleet.members) == ["s0"]
 
 
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -1,7 +1,7 @@
 """Each failure found has its small test here."""
 
 from forkweir.choice import Balancer
-from forkweir.gate import ORIGIN_SLOW
+from forkweir.gate import ORIGIN_SLOW_LEVEL
 from forkweir.known.zones import CUT_AFTER
 from forkweir.settings import ClassSpec, Server, Settings
 
@@ -83,7 +83,7 @@
     before = homes(balancer)
     for _ in range(2):
         balancer.on_outcome(2.0, 10_000 + before.index("s3"), 0, False, "timed_out", "s3", 300.0)
-    balancer.gate.part = 1.0  # its own test is below
+    balancer.gate.admitted_share = 1.0  # its own test is below
     after = [ask(balancer, 3.0, 20_000 + n, f"k{n}") for n in range(400)]
     assert after.count("s3") < 0.6 * before.count("s3")
 
@@ -98,13 +98,13 @@
             balancer.on_departure(
                 now, n
             )  # or what it repeats would be expected of the origin for ever
-    assert balancer.gate.part <= 0.6
+    assert balancer.gate.admitted_share <= 0.6
     for n in range(100, 400):
         now = 50_000.0 + 20.0 * n
         action = balancer.on_request(now, n, "read", f"k{n}", 1000.0)[0]
         if action[0] == "attempt":
             balancer.on_outcome(now + 10.0, n, 0, True, "success", str(action[2]), 10.0, 1)
-    assert balancer.gate.part == 1.0
+    assert balancer.gate.admitted_share == 1.0
 
 
 def test_a_write_goes_to_a_quicker_kind_and_a_read_stays_home() -> None:
@@ -134,7 +134,7 @@
     assert late[0] == "attempt" and isinstance(late[3], float) and late[3] == 400.0
     early = balancer.on_request(0.0, 2, "read", "k", 900.0, repeated=True)[0]
     assert early[0] == "attempt" and isinstance(early[3], float) and 190.0 < early[3] <= 200.0
-    balancer.gate.part = 0.95
+    balancer.gate.admitted_share = 0.95
     names = [
         balancer.on_request(1.0, n, "read", f"k{n}", 400.0, repeated=True)[0][0]
         for n in range(10, 60)
@@ -160,7 +160,7 @@
                 300.0 if bad else 20.0,
                 0 if bad else 1,
             )
-        balancer.gate.part = 1.0
+        balancer.gate.admitted_share = 1.0
         balancer.fetches.pressed = False  # the origin's budget has tests of its own
         after = [ask(balancer, 3.0, 20_000 + n, f"k{n}") for n in range(400)]
         return sum(a != b for a, b in zip(after, before, strict=True) if b == "s3")
@@ -170,14 +170,14 @@
 
 def test_time_outs_behind_a_cut_link_do_not_shut_the_gate() -> None:
     balancer = make([Server(f"s{i}", zone="ab"[i % 2]) for i in range(30)])
-    balancer.gate.bad = 0.5  # much goes wrong, so that a time-out may shut the gate
+    balancer.gate.failure_share = 0.5  # much goes wrong, so that a time-out may shut the gate
     shut = []
     for n in range(60):
         now = 1000.0 + 300.0 * n
         action = balancer.on_request(now, n, "read", f"k{n}", 1000.0)[0]
         if action[0] == "attempt" and int(str(action[2])[1:]) % 2:
             balancer.on_outcome(now, n, 0, False, "timed_out", str(action[2]), 300.0)
-            shut.append(balancer.gate.part)
+            shut.append(balancer.gate.admitted_share)
     # Only the first few, before the zone is known to be silent, count.
     assert len(shut) > 10 and shut[0] < 1.0 and shut[-1] == shut[CUT_AFTER - 2]
 
@@ -199,20 +199,20 @@
             300.0 if bad else 20.0,
             0 if bad else 1,
         )
-    assert balancer.gate.part == 1.0
+    assert balancer.gate.admitted_share == 1.0
 
 
 def test_a_busy_node_opens_its_gate_no_faster_than_a_quiet_one_while_much_goes_wrong() -> None:
     def opened(requests: int) -> float:
         balancer = make([Server(f"s{i}", zone="a") for i in range(30)])
         for n in range(requests):
-            balancer.gate.bad, now = 0.5, 1000.0 + 1000.0 * n / requests
+            balancer.gate.failure_share, now = 0.5, 1000.0 + 1000.0 * n / requests
             if n < 2:
-                balancer.gate.part = 0.3
+                balancer.gate.admitted_share = 0.3
             action = balancer.on_request(now, n, "read", f"k{n}", 1000.0)[0]
             if action[0] == "attempt":
                 balancer.on_outcome(now, n, 0, True, "success", str(action[2]), 20.0, 1)
-        return balancer.gate.part
+        return balancer.gate.admitted_share
 
     assert 0.3 < opened(1000) < 0.3 + 0.25
     assert opened(100) < opened(1000) + 0.1
@@ -220,7 +220,7 @@
 
 def test_writes_wait_while_the_origin_fails_and_go_on_when_misses_are_served_again() -> None:
     balancer = make([Server(f"s{i}") for i in range(10)])
-    balancer.gate.hits = 50.0  # full caches: the gate has its own test
+    balancer.gate.hit_share = 50.0  # full caches: the gate has its own test
 
     def misses(first: int, status: str, took: float) -> None:
         for n in range(first, first + 40):
@@ -263,15 +263,15 @@
 def test_the_gate_keeps_a_floor_while_hits_are_quick() -> None:
     def shut(slow: float) -> float:
         balancer = make([Server(f"s{i}", zone="a") for i in range(10)])
-        balancer.gate.bad, balancer.gate.slow = 0.5, slow
+        balancer.gate.failure_share, balancer.gate.slow_hit_share = 0.5, slow
         for n in range(2000):
             action = balancer.on_request(250.0 * n, n, "read", f"k{n}", 1000.0)[0]
             if action[0] == "attempt":
-                balancer.fleet.members[str(action[2])].strain = 0.0  # as if not avoided yet
+                balancer.fleet.members[str(action[2])].load_penalty = 0.0  # as if not avoided yet
                 balancer.on_outcome(
                     250.0 * n + 200.0, n, 0, True, "timed_out", str(action[2]), 200.0
                 )
-        return balancer.gate.part
+        return balancer.gate.admitted_share
 
     assert (
         0.59 < shut(0.0) < 0.61
@@ -282,12 +282,12 @@
 def test_time_outs_at_avoided_servers_shut_the_gate_only_while_hits_are_slow() -> None:
     def gate(slow: float) -> float:
         balancer = make([Server(f"s{i}", zone="a") for i in range(10)])
-        balancer.gate.bad, balancer.gate.slow = 0.5, slow
+        balancer.gate.failure_share, balancer.gate.slow_hit_share = 0.5, slow
         for member in balancer.fleet.members.values():
-            member.strain, member.strain_ms = 5.0, 1000.0
+            member.load_penalty, member.load_penalty_ms = 5.0, 1000.0
         server = ask(balancer, 1000.0, 1, "k")
         balancer.on_outcome(1300.0, 1, 0, False, "timed_out", server, 300.0)
-        return balancer.gate.part
+        return balancer.gate.admitted_share
 
     assert gate(slow=0.0) == 1.0
     assert gate(slow=0.6) < 1.0
@@ -297,9 +297,9 @@
     def gate(elapsed_ms: float) -> float:
         balancer = make([Server(f"s{i}") for i in range(10)])
         server = ask(balancer, 1000.0, 1, "k")
-        balancer.gate.part = 0.5
+        balancer.gate.admitted_share = 0.5
         balancer.on_outcome(1000.0 + elapsed_ms, 1, 0, True, "success", server, elapsed_ms, 1)
-        return balancer.gate.part
+        return balancer.gate.admitted_share
 
     assert gate(100.0) > 0.5
     assert gate(900.0) == 0.5
@@ -326,14 +326,14 @@
 def test_a_down_origin_behind_empty_caches_shuts_the_gate_and_gets_no_repeats() -> None:
     def play(hits: float) -> tuple[float, str]:
         balancer = make([Server(f"s{i}") for i in range(10)])
-        balancer.gate.hits, last = hits, ""
+        balancer.gate.hit_share, last = hits, ""
         for n in range(60):
             action = balancer.on_request(1000.0, n, "read", f"k{n}", 1000.0)[0]
             if action[0] == "attempt":
                 last = str(
                     balancer.on_outcome(1100.0, n, 0, False, "failure", str(action[2]), 100.0)[0][0]
                 )
-        return balancer.gate.part, last
+        return balancer.gate.admitted_share, last
 
     assert play(hits=0.2) == (0.1, "refuse")
     assert play(hits=50.0) == (1.0, "refuse")
@@ -344,7 +344,7 @@
 
 def test_the_errors_of_one_server_shut_no_gate_for_the_others() -> None:
     balancer = make([Server(f"s{i}") for i in range(10)])
-    balancer.gate.hits = 0.2  # caches far from full, so that the origin counts
+    balancer.gate.hit_share = 0.2  # caches far from full, so that the origin counts
     for n in range(600):
         now = 1000.0 + 5.0 * n
         action = balancer.on_request(now, n, "read", f"k{n}", 1000.0)[0]
@@ -353,7 +353,7 @@
             balancer.on_outcome(now + 5.0, n, 0, True, "failure", "s3", 5.0)
         elif not 200 < n < 260:  # for a while only s3 is heard of
             balancer.on_outcome(now + 60.0, n, 0, True, "success", str(action[2]), 60.0, 2)
-    assert balancer.gate.part == 1.0
+    assert balancer.gate.admitted_share == 1.0
 
 
 def test_what_a_part_of_the_fleet_turns_away_goes_to_the_rest() -> None:
@@ -384,8 +384,8 @@
 def test_a_time_out_of_a_likely_miss_strains_no_server_and_one_of_a_likely_hit_does() -> None:
     def strain(known: bool) -> float:
         balancer = make([Server(f"s{i}", zone="a") for i in range(10)])
-        balancer.gate.origin_slow = (
-            0.95 * ORIGIN_SLOW
+        balancer.gate.origin_slowness = (
+            0.95 * ORIGIN_SLOW_LEVEL
         )  # answered misses are slow; where they are quick see forkweir/test_gate.py
         server = ask(balancer, 1000.0, 1, "k")
         if known:
@@ -396,7 +396,7 @@
             balancer.on_departure(1010.0, 1)
             assert ask(balancer, 1030.0, 2, "k") == server
         balancer.on_outcome(1330.0, 2, 0, False, "timed_out", server, 300.0)
-        return balancer.fleet.members[server].strain
+        return balancer.fleet.members[server].load_penalty
 
     assert strain(True) > 10.0 * strain(False) > 0.0
 
@@ -405,7 +405,7 @@
     None
 ):
     balancer = make([Server(f"s{i}", zone="a") for i in range(10)])
-    balancer.gate.bad = 0.5
+    balancer.gate.failure_share = 0.5
     for n in range(400):
         now, attempt = 250.0 * n, 0
         actions = balancer.on_request(now, n, "read", f"k{n}", 1000.0)
@@ -414,10 +414,10 @@
                 now + attempt, n, attempt, False, "overloaded", str(actions[0][2]), 1.0
             )
             attempt += 1
-        balancer.gate.bad = 0.5
-    part = balancer.gate.part
+        balancer.gate.failure_share = 0.5
+    part = balancer.gate.admitted_share
     assert part < 0.2
     keys = [n / 997.0 for n in range(997)]
-    let_in = [sum(balancer.gate.lets_in(key, times) for key in keys) for times in (1.0, 1.5, 2.0)]
+    let_in = [sum(balancer.gate.admits(key, times) for key in keys) for times in (1.0, 1.5, 2.0)]
     assert let_in[0] < let_in[1] < let_in[2]
-    assert all(balancer.gate.lets_in(key, 2.0) for key in keys if balancer.gate.lets_in(key, 1.0))
+    assert all(balancer.gate.admits(key, 2.0) for key in keys if balancer.gate.admits(key, 1.0))
--- a/tests/test_line.py
+++ b/tests/test_line.py
@@ -2,7 +2,7 @@
 
 from array import array
 
-from forkweir.line import ALPHA, UPDATE_EVERY, Line, equal_cuts, position_of
+from forkweir.line import ALPHA, UPDATE_INTERVAL, Line, equal_cuts, position_of
 
 
 def test_cuts_of_the_papers_example() -> None:
@@ -23,8 +23,8 @@
 def test_fresh_nodes_agree_and_a_few_arrivals_hardly_move_the_cuts() -> None:
     quiet, fresh = Line(512), Line(512)
     assert quiet.cuts == fresh.cuts
-    for n in range(UPDATE_EVERY):
-        quiet.arrive(position_of(f"k{n}"), f"k{n}")
+    for n in range(UPDATE_INTERVAL):
+        quiet.record_arrival(position_of(f"k{n}"), f"k{n}")
     shift = max(abs(a - b) for a, b in zip(quiet.cuts, fresh.cuts, strict=True))
     assert 0.0 < shift < 0.25 / 512
 
@@ -33,22 +33,22 @@
     line = Line(8)
     size = len(line.window)
     for n in range(5 * size):
-        line.arrive(position_of(f"k{n % 97}"), f"k{n % 97}")
+        line.record_arrival(position_of(f"k{n % 97}"), f"k{n % 97}")
     assert len(line.window) == size and list(line.window) == sorted(line.window)
-    assert not line.prior and sorted(line.real) == list(line.window)
+    assert not line.initial_points and sorted(line.arrivals) == list(line.window)
 
 
 def test_hot_key_is_dealt_over_as_many_servers_as_it_fills() -> None:
     line = Line(64)
     for n in range(512):
         key = "hot" if n % 4 == 0 else f"k{n}"
-        line.arrive(position_of(key), key)
-    assert line.copies("hot", 8) == 2
-    assert line.copies("k1", 8) == 1
+        line.record_arrival(position_of(key), key)
+    assert line.servers_for_key("hot", 8) == 2
+    assert line.servers_for_key("k1", 8) == 1
 
 
 def test_two_or_three_sightings_make_no_key_hot() -> None:
     line = Line(64)
     for _ in range(3):
-        line.arrive(position_of("a"), "a")
-    assert line.copies("a", 50) == 1
+        line.record_arrival(position_of("a"), "a")
+    assert line.servers_for_key("a", 50) == 1
--- a/tests/test_lost_lines.py
+++ b/tests/test_lost_lines.py
@@ -26,7 +26,7 @@
 
 def patient(made: Rig) -> None:
     """As at a site that wants discovery asked within 10 s: what is not asked at once is asked much later."""
-    made.node._balancer.asking._within_ms = 10_000.0
+    made.node._balancer.polling._within_ms = 10_000.0
 
 
 def drains(made: Rig, name: str) -> dict[str, object]:
--- a/tests/test_replay.py
+++ b/tests/test_replay.py
@@ -17,7 +17,7 @@
 from forkweir import Balancer, ClassSpec, Server, Settings
 
 CLASSES = (
-    ClassSpec("read", aim_ms=750, deadline_ms=2500, repeat="safe", worth=3),
+    ClassSpec("read", aim_ms=750, deadline_ms=2500, repeat="safe", value=3),
     ClassSpec(
         "cart",
         aim_ms=800,
@@ -25,7 +25,7 @@
         repeat="keyed",
         group="all",
         repeat_window_ms=4000,
-        worth=5,
+        value=5,
     ),
     ClassSpec(
         "cell",
@@ -34,9 +34,9 @@
         repeat="keyed",
         group="cell",
         repeat_window_ms=900,
-        worth=5,
+        value=5,
     ),
-    ClassSpec("once", aim_ms=1200, deadline_ms=2500, repeat="unsafe", late_worth=0.2, worth=8),
+    ClassSpec("once", aim_ms=1200, deadline_ms=2500, repeat="unsafe", late_value=0.2, value=8),
 )
 STATUSES = ("success", "failure", "overloaded", "timed_out", "unreachable", "broken", "spoilt")
 
@@ -48,7 +48,7 @@
         Settings(
             classes=CLASSES,
             zone="z1",
-            asked=True,
+            poll_list=True,
             may_cancel=True,
             backoff_max_ms=1200.0,
             tick_ms=5.0,
@@ -64,7 +64,7 @@
     open_requests: dict[int, int] = {}
     now = 1_000.0
 
-    def carry(actions: list[object]) -> None:
+    def apply_actions(actions: list[object]) -> None:
         digest.update(orjson.dumps([now, actions]))
         for action in actions:
             match action:
@@ -89,7 +89,7 @@
                 case ("refuse", int(request), _) | ("fail", int(request)):
                     del open_requests[request]
 
-    carry(list(balancer.on_list(now, "saved", servers.values())))
+    apply_actions(list(balancer.on_list(now, "saved", servers.values())))
     for n in range(4_000):
         heappush(due, (1_000.0 + 3.0 * n, next(order), "request", (n,)))
     for n in range(40):
@@ -102,7 +102,7 @@
             key = None if rng.random() < 0.02 else f"k{int(rng.paretovariate(0.6)) % 900}"
             open_requests[number] = 0
             budget = spec.deadline_ms * rng.uniform(0.3, 1.0)
-            carry(
+            apply_actions(
                 list(
                     balancer.on_request(
                         now,
@@ -120,25 +120,25 @@
         elif kind == "outcome":
             request, attempt, status, server, took = args
             assert isinstance(request, int) and isinstance(attempt, int) and isinstance(took, float)
-            gone = request not in open_requests
-            if not gone and rng.random() < 0.01:
+            finished = request not in open_requests
+            if not finished and rng.random() < 0.01:
                 del open_requests[request]
-                carry(list(balancer.on_departure(now, request)))
-                gone = True
+                apply_actions(list(balancer.on_departure(now, request)))
+                finished = True
             if status == "success":
                 open_requests.pop(request, None)
-                gone = True
+                finished = True
             note = rng.choice((0, 1, 1, 1, 1, 2, 3)) if status == "success" else 0
-            carry(
+            apply_actions(
                 list(
                     balancer.on_outcome(
-                        now, request, attempt, gone, str(status), str(server), took, note
+                        now, request, attempt, finished, str(status), str(server), took, note
                     )
                 )
             )
         elif kind == "timer":
             if len(due) > 1 or args[0] == 3:
-                carry(list(balancer.on_timer(now, int(str(args[0])))))
+                apply_actions(list(balancer.on_timer(now, int(str(args[0])))))
         else:
             name = f"s{rng.randrange(16)}"
             state = rng.choice(("in", "in", "draining", "gone"))
@@ -151,7 +151,7 @@
                 1.0,
                 now if rng.random() < 0.5 else 0.0,
             )
-            carry(
+            apply_actions(
                 list(balancer.on_list(now, rng.choice(("changes", "changes", "failed")), [entry]))
             )
     return digest.hexdigest()
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -175,7 +175,7 @@
 
 
 def test_checker_sees_a_repeat_that_is_not_allowed(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(Balancer, "_may_repeat", always(True))
+    monkeypatch.setattr(Balancer, "_may_retry", always(True))
     with pytest.raises(BrokenRule):
         for seed in range(40):
             World(seed).play(150)
@@ -187,14 +187,14 @@
         del self.held[request_id]
         return ("refuse", request_id, 0.0, "tries")
 
-    monkeypatch.setattr(Balancer, "_end", refuse)
+    monkeypatch.setattr(Balancer, "_give_up", refuse)
     with pytest.raises(BrokenRule, match="refused"):
         for seed in range(40):
             World(seed).play(150)
 
 
 def test_checker_sees_a_lost_request(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(Balancer, "_end", lambda self, request, now: ("log", "dropped"))
+    monkeypatch.setattr(Balancer, "_give_up", lambda self, request, now: ("log", "dropped"))
     with pytest.raises(BrokenRule, match="lost"):
         for seed in range(40):
             World(seed).play(150)
--- a/tests/test_silence.py
+++ b/tests/test_silence.py
@@ -12,7 +12,7 @@
 
 from corkshift.seam import now_ms
 from forkweir.adapter import settings_of
-from forkweir.choice import HEDGE_LEAST, HEDGE_MOST, Balancer
+from forkweir.choice import HEDGE_MAX, HEDGE_MIN, Balancer
 from forkweir.fleet import Member
 
 
@@ -38,7 +38,7 @@
 
 def settled(made: Rig) -> None:
     """As after many quick answers: what is out for long stands out early."""
-    made.node._balancer.usual = HEDGE_LEAST
+    made.node._balancer.hedge_share = HEDGE_MIN
 
 
 def asked(made: Rig) -> int:
@@ -152,10 +152,10 @@
 def test_the_time_after_which_more_is_asked_follows_what_is_usual() -> None:
     # Guards against second requests for a good part of all, when everything has become slow.
     balancer = Balancer(settings_of(OPTIONS), 1)
-    balancer.usual = 0.5
+    balancer.hedge_share = 0.5
     for n in range(400):
-        balancer._learn(n % 10 == 0)
-    assert balancer.usual > HEDGE_MOST
+        balancer._learn_hedge_share(n % 10 == 0)
+    assert balancer.hedge_share > HEDGE_MAX
     for n in range(1_200):
-        balancer._learn(n % 100 == 0)
-    assert balancer.usual < HEDGE_LEAST
+        balancer._learn_hedge_share(n % 100 == 0)
+    assert balancer.hedge_share < HEDGE_MIN
--- a/tests/test_unframed_responses.py
+++ b/tests/test_unframed_responses.py
@@ -15,7 +15,7 @@
 from test_process import running
 
 from corkshift.budget import LONGEST
-from forkweir.choice import HEDGE_LEAST
+from forkweir.choice import HEDGE_MIN
 
 HEAD = b"HTTP/1.1 200 OK\r\nX-Found: hit\r\n"
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)
@@ -143,8 +143,8 @@
             return HEAD + b"\r\nevil" if len(heads) == 1 else good(head)
 
         async with rig({"s0": CacheBox(script), "s1": CacheBox(script)}) as made:
-            made.node._balancer.usual = (
-                HEDGE_LEAST  # as after many quick answers: what is out for long stands out early
+            made.node._balancer.hedge_share = (
+                HEDGE_MIN  # as after many quick answers: what is out for long stands out early
             )
             more = "X-Remaining-Ms: 1500\r\n" if lane == "order" else ""
             data = request("a", more + "Connection: close\r\n", lane=lane)
