--- a/forkweir/__init__.py
+++ b/forkweir/__init__.py
@@ -1,4 +1,4 @@
-"""forkweir: the decisions of a proxy that spreads keys over cache servers before a slow origin."""
+"""forkweir: the load-balancing decisions of a proxy in front of cache servers and a slow origin."""
 
 from forkweir.choice import Balancer
 from forkweir.settings import Action, ClassSpec, Server, Settings
--- a/forkweir/choice.py
+++ b/forkweir/choice.py
@@ -1,10 +1,11 @@
 """The balancer: every decision of forkweir. Pure, deterministic, no I/O and no clock of its own.
 
-The ordinary path is DEMB (see docs/design.md): a key becomes a position on a line, a
-window of recent positions is cut into ranges of equal count, each re-cut is blended into
-the earlier cuts, and a request goes to the home server of its position's range.
+The ordinary path is DEMB (see docs/design.md): a key is hashed to a position on a line, a
+window of recent positions is cut into ranges of equal count, each new set of cuts is blended
+into the earlier cuts, and a request goes to the home server of its position's range.
 
-The parts: `line` (positions and cuts), `fleet` (servers, homes, health), `gate` (what is let in), `request`, `settings`.
+Submodules: `line` (positions and cuts), `fleet` (servers, homes, health), `gate` (admission
+control), `request` (state of one request) and `settings` (shared types). Times are in ms.
 """
 
 from __future__ import annotations
@@ -40,28 +41,38 @@
     Settings,
 )
 
-PROBE_INTERVAL_MS = 500.0  # between probes, where load reports come with probes alone
-FAST_PROBES = 20  # at the start, at five times that pace
-WRITE_TRIAL_SHARE = 0.05  # part of the writes that go on to try it
-LATE_SHARE = 0.1  # with less than this part of the aim left a request will be late
-WRITE_SPEED_FACTOR = 1.1  # a server this much quicker than its range's home takes its writes
-HEDGE_QUANTILE = (
-    0.95  # a request that is out for longer than this part of all takes is asked for once more,
-)
-HEDGE_MIN = 0.5  # but not before this part of its aim,
-HEDGE_MAX = 0.7  # and not at all where that is later than this part
-HEDGE_LEARNING_RATE = 0.02  # weight of one outcome in the judgement of how long that is
-TRIAL_HEDGE = 0.35  # and what tries a server that was found to be bad after this part
-HEDGE_CHECK_INTERVAL_MS = 5.0  # between two looks at which are
-NO_FETCH = (0.0, False)  # what is expected of an attempt that was never sent
-REBUILD_TIMER = 5  # token of the timer that goes on with a placement (`adapter.TIER_TIMER` is 4)
-MAX_COLD_CANDIDATES = (
-    8  # servers beyond a range's neighbours that are asked for room where all are cold
-)
+# Time between probes, which are sent only where load reports come with probes.
+PROBE_INTERVAL_MS = 500.0
+# The first probes after the start are sent five times as often.
+FAST_PROBES = 20
+# Share of writes still admitted while the origin is down, to detect its recovery.
+WRITE_TRIAL_SHARE = 0.05
+# A request with less than this share of its aim left is expected to be late.
+LATE_SHARE = 0.1
+# A server at least this many times as fast as the home of a range takes the range's writes.
+WRITE_SPEED_FACTOR = 1.1
+# A request is hedged when it has been out for longer than this share of attempts take.
+HEDGE_QUANTILE = 0.95
+# Earliest hedge, as a share of the request's aim.
+HEDGE_MIN = 0.5
+# Latest hedge, as a share of the aim; where the quantile lies beyond it, nothing is hedged.
+HEDGE_MAX = 0.7
+# Weight of one outcome in the estimate of HEDGE_QUANTILE.
+HEDGE_LEARNING_RATE = 0.02
+# Share of the aim after which an attempt at a server on trial is hedged.
+TRIAL_HEDGE = 0.35
+# Shortest time between two checks of the hedge queue.
+HEDGE_CHECK_INTERVAL_MS = 5.0
+# Expected fetches, and whether the key was known, of an attempt that was never sent.
+NO_FETCH = (0.0, False)
+# Token of the timer that continues a placement build (`adapter.TIER_TIMER` is 4).
+REBUILD_TIMER = 5
+# Servers beyond a range's neighbours that are considered when all servers are cold.
+MAX_COLD_CANDIDATES = 8
 
 
 class Balancer:
-    """One node's decisions. Each on_... method takes the time and returns actions."""
+    """The decisions of one node. Each `on_...` method takes the time in ms and returns actions."""
 
     __slots__ = (
         "settings",
@@ -113,28 +124,27 @@
         self.allowances = Allowances(settings.fall_multiple, max(values, default=1.0), seed)
         self.fetches = Fetches(max(values, default=1.0))
         self.retry_after = RetryAfter(settings.backoff_max_ms, seed)
-        self.parts: Optional[Parts] = (
-            None  # of bounds that many nodes share, where they may talk to one another
-        )
+        # Shares of tier-wide limits; None where nodes may not talk to one another.
+        self.parts: Optional[Parts] = None
         self.polling = Asking(settings.poll_within_ms, self.random, not settings.poll_list)
-        self.hedge_share = (
-            HEDGE_MAX  # the part of their aims in which HEDGE_PART of the attempts are answered
-        )
-        self.hedge_queue: list[
-            tuple[float, int]
-        ] = []  # a heap: when each request sent lately will have been out for long
-        self.hedge_timer_set = False  # whether a look at them is due
+        # Share of their aims within which HEDGE_QUANTILE of the attempts are answered.
+        self.hedge_share = HEDGE_MAX
+        # A heap of (time at which the request may be hedged, request id).
+        self.hedge_queue: list[tuple[float, int]] = []
+        self.hedge_timer_set = False
         self._rebuild_planned = False  # a timer for the next slice of a placement is set
-        self._rebuilding: Optional[Iterator[None]] = (
-            None  # a placement that is being made in slices
-        )
+        # The placement that is being built in slices.
+        self._rebuilding: Optional[Iterator[None]] = None
 
     # -- the server list ---------------------------------------------------------------
 
     def on_list(self, now: float, form: str, entries: Iterable[Server]) -> list[Action]:
-        """The list: "saved", "full" or "changes"; "hearsay" of it (see there); "failed", or "lost" where some of it may be.
+        """Apply the server list, or a notification about it. form says which:
 
-        "part": changes of a list whose rest follows at once. "moved": discovery is at another place, and is being asked there.
+        "saved" (the list stored before the start), "full", "changes", "part" (changes whose rest
+        follows at once), "hearsay" (unconfirmed entries of a list that was lost in part),
+        "failed" (a poll failed), "lost" (a part of the list may be lost), "moved" (discovery has
+        another address, which is already being polled).
         """
         if form == "moved":
             self.polling.moved()
@@ -165,7 +175,7 @@
     # -- homes of ranges -----------------------------------------------------------------
 
     def _prepare(self, now: float) -> bool:
-        """Whether any range has a home. A small fleet's placement is brought up to date first, if that is due."""
+        """Return whether any range has a home; update a small fleet's placement first if due."""
         fleet = self.fleet
         if (
             fleet.placement_stale
@@ -178,14 +188,14 @@
         return fleet.ready
 
     def _plan_rebuild(self, now: float) -> list[Action]:
-        """See to it that a large fleet's placement follows its list."""
+        """Schedule the next placement of a large fleet if its list has changed."""
         if self._rebuild_planned or not (self.fleet.placement_stale and self.fleet.large):
             return []
         self._rebuild_planned = True
         return [("timer", REBUILD_TIMER, self.fleet.rebuild_at(now))]
 
     def _rebuild(self, now: float) -> Iterator[None]:
-        """Make the next placement, and the line that goes with it, and put both in force together."""
+        """Build the next placement and a line with as many ranges; put both in force together."""
         placement = yield from self.fleet.build_placement(now)
         if placement is None:
             return
@@ -195,7 +205,7 @@
         self.fleet.placement, self.line = placement, line
 
     def _rebuild_slice(self, now: float) -> list[Action]:
-        """Go on with the placement of a large fleet, for one slice."""
+        """Run one slice of the placement build of a large fleet."""
         if self._rebuilding is None:
             self._rebuilding = self._rebuild(now)
         try:
@@ -208,7 +218,7 @@
     # -- timers --------------------------------------------------------------------------
 
     def on_timer(self, now: float, token: int) -> list[Action]:
-        """A timer came due."""
+        """Handle a timer that is due. Tokens: 1 poll, 2 probe, 3 hedge, 5 placement build."""
         if token == 1:
             return [("follow", True)]
         if token == 3:
@@ -227,7 +237,7 @@
         return []
 
     def _any_server(self) -> Member:
-        """A server that is home to ranges, drawn."""
+        """Return a random server that is home to ranges."""
         placement = self.fleet.placement
         if placement is None or not placement.owners:
             return self.fleet.placed[self.random.randrange(len(self.fleet.placed))]
@@ -247,11 +257,12 @@
         write: bool = False,
         repeated: bool = False,
     ) -> list[Action]:
-        """A request came in: it gets its first attempt or a refusal."""
+        """Handle a new request: return its first attempt or a refusal."""
         spec = self.classes.get(class_name, self.unknown_class)
         position = self.random.random() if key is None else position_of(key)
         deadline = now + budget_ms
-        # A client that repeats has waited since its first try (guards against full servers working on what is late already).
+        # A client that retries has waited since its first try. Without this, full servers would
+        # work on requests that are late already.
         waited = self.client_wait.waited(spec.name, budget_ms, repeated, spec.deadline_ms)
         aim_at = (
             now - waited + spec.aim_ms + spec.aim_stretch * work_ms - 2.0 * self.settings.tick_ms
@@ -283,8 +294,8 @@
             return [
                 self._refuse(request, "gate", self.gate.opens_in(position, relative_value), now)
             ]
-        # Nor one that would wait at an origin which is slow already (guards against fetches that time out, are given up, and
-        # leave nothing in any cache, as long as clients ask).
+        # Refuse what would wait at an origin that is slow already. Otherwise fetches time out and
+        # are given up, and leave nothing in any cache for as long as clients send requests.
         fetches = self.fetches
         if fetches.pressed or self.parts is not None:
             known = fetches.remembers(position, target.info.name, target.cold_since_ms)
@@ -296,8 +307,8 @@
                 return [
                     self._refuse(request, "origin", fetches.opens_in(expected, spec.value), now)
                 ]
-        # A write that the origin carries out late is lost and still voids the kept object (guards
-        # against an origin in trouble taking the hits away as well).
+        # A write that the origin carries out late has no value and still invalidates the cached
+        # object, so an overloaded origin would also cost the hits.
         if (
             write
             and self.gate.origin_slowness > ORIGIN_DOWN_LEVEL
@@ -313,7 +324,7 @@
         return ("refuse", request.id, self.retry_after.wait(opens_ms, request.aim_at - now), cause)
 
     def _unserved_cause(self, request: Request, now: float) -> tuple[RefusalCause, Optional[float]]:
-        """Why no server can take a request, and when one may."""
+        """Return why no server can take a request, and in how many ms one may."""
         fleet, soonest_ms = self.fleet, None
         for member in fleet.placed:
             if (
@@ -328,7 +339,7 @@
         return ("no-server", None) if soonest_ms is None else ("cold", soonest_ms)
 
     def _schedule_hedge(self, request: Request, now: float) -> list[Action]:
-        """Note when a request will have been out for long, and see to it that somebody looks."""
+        """Queue a request that was just sent for hedging, and set the hedge timer."""
         if request.spec.repeat == "unsafe":
             return []
         trial = request.servers[-1].trial == request.id
@@ -349,7 +360,7 @@
         return [("timer", 3, due)]
 
     def _check_hedges(self, now: float) -> list[Action]:
-        """Go through the requests that have been out for long by now."""
+        """Hedge the requests that have been out for too long by now."""
         self.hedge_timer_set = False
         actions: list[Action] = []
         while self.hedge_queue and self.hedge_queue[0][0] <= now:
@@ -367,20 +378,20 @@
         return actions
 
     def _hedge(self, request: Request, now: float) -> list[Action]:
-        """Ask once more for what has been out for long and may be repeated; the first answer counts.
+        """Send a hedged request where retrying is allowed; the first answer counts.
 
-        Guards against an attempt whose answer will not come, or not in time, whatever has become of it: a connection gone
-        silent, an answer cut short, a server that hangs. A server that has answered others meanwhile is asked itself, as it
-        holds or fetches the key; else the next one is. Savings for repeats bound the load that this adds. Harm: a second copy
-        would feed what delays the first where answers are slow at large or the origin is in trouble; none is sent there.
+        Covers attempts whose answer will not come, or not in time: an unresponsive connection, an
+        answer cut short, a server that hangs. A server that has answered other requests meanwhile
+        gets the hedged request itself, as it holds or fetches the key; else the next server does.
+        The retry budget bounds the added load. Where answers are slow at most servers or the
+        origin is overloaded, a second attempt would add to the cause, so none is sent.
         """
         last = max(request.outstanding)
         member = request.servers[last]
         origin_healthy = self.gate.origin_slowness <= ORIGIN_SLOW_LEVEL
         on_trial = member.trial == request.id
-        trial = (
-            on_trial and not member.strikes
-        )  # of a server that is in doubt; the others were struck
+        # On trial because it is suspect; a server with strikes is on trial for not responding.
+        trial = on_trial and not member.strikes
         if not trial and (
             on_trial
             or origin_healthy
@@ -406,7 +417,7 @@
         )
         if target is None or (target is not member and target in request.servers):
             return []
-        if request.first_run_server is None:  # what is out may have run by now
+        if request.first_run_server is None:  # the outstanding attempt may have run by now
             request.first_run_server, request.first_run_ms = member, request.sent_ms[last]
         if not self._may_retry(request, target, now):
             return []
@@ -415,7 +426,11 @@
         return [self._send(request, target, now)]
 
     def _select_server(self, request: Request, now: float) -> Optional[Member]:
-        """The home of the request's range, or a neighbour where an exception acts."""
+        """Select the home of the request's range, or another server where an exception applies.
+
+        Exceptions: hot keys, writes behind a slow home, and servers that are unusable, cold,
+        penalized or already tried.
+        """
         fleet = self.fleet
         if not self._prepare(now):
             return None
@@ -423,7 +438,8 @@
         neighbours = fleet.neighbours(range_number)
         tried = request.servers
         start = 0
-        position_in_share = request.position * 65536.0 % 1.0
+        # The low bits of the position decide which keys a penalized server gives up.
+        key_fraction = request.position * 65536.0 % 1.0
         if request.key is not None:
             copies = self.line.servers_for_key(
                 request.key, min(len(neighbours), fleet.in_service or 1), request.position
@@ -431,10 +447,10 @@
             if copies > 1:
                 self.hot_key_turn += 1
                 start = self.hot_key_turn % copies
-                position_in_share = self.random.random()
+                key_fraction = self.random.random()
         if request.write and not start:
-            # A write finds nothing in its home's cache and goes through to the origin from any
-            # server (guards against slow homes making the heaviest class late).
+            # A write gains nothing from its home's cache and goes through to the origin from any
+            # server, so a slow home need not make the heaviest class late.
             min_speed = WRITE_SPEED_FACTOR * fleet.speeds.quickness(neighbours[0].info.kind)
             for step in range(1, len(neighbours) if min_speed else 0):
                 member = neighbours[step]
@@ -448,13 +464,13 @@
         for step in range(len(neighbours)):
             member = neighbours[(start + step) % len(neighbours)]
             if fleet.usable(member, now) and member not in tried:
-                # Cold servers take no keys of others (guards against pushing one over).
+                # Cold servers take no keys of other homes, which could overload them.
                 warm = not fleet.is_cold(member, now)
-                if position_in_share < fleet.accepted_share(member, now) and (
+                if key_fraction < fleet.accepted_share(member, now) and (
                     warm or (not step and self._has_capacity(member, request, now))
                 ):
                     return member
-            position_in_share = (position_in_share + 0.618034) % 1.0
+            key_fraction = (key_fraction + 0.618034) % 1.0
         busy: Optional[Member] = None
         for member in neighbours:
             if fleet.usable(member, now) and member not in tried and not fleet.is_cold(member, now):
@@ -462,8 +478,9 @@
                     return member
                 busy = busy or member
         if busy is not None:
-            # The warm ones turn much away: a cold one with room takes a key of theirs (guards against one warm server left of
-            # many getting all that the cold ones may not have as their own, and refusing it). The allowance bounds it.
+            # The warm servers turn much away: a cold one with capacity takes a key of theirs,
+            # within its allowance. Otherwise the one warm server left of many would get, and
+            # refuse, all that the cold ones may not take as their own.
             return self._cold_with_capacity(neighbours, request, now) or busy
         spare: Optional[Member] = None
         cold: list[Member] = []
@@ -475,8 +492,8 @@
                     return member
                 elif spare is None or member.out_until < spare.out_until:
                     spare = member
-        # No warm server is left: the nearest cold ones with room, home first (guards against a fleet that is cold as a whole
-        # turned away as a whole, or sent to one server).
+        # No warm server is left: try the nearest cold ones with capacity, home first. Otherwise a
+        # fleet that is entirely cold would refuse everything or send it all to one server.
         return (
             self._cold_with_capacity((*neighbours, *cold[:MAX_COLD_CANDIDATES]), request, now)
             if cold
@@ -486,7 +503,7 @@
     def _cold_with_capacity(
         self, members: Iterable[Member], request: Request, now: float
     ) -> Optional[Member]:
-        """The first cold server of these that the request has not tried and that has room for it."""
+        """Return the first cold server that the request has not tried and that has capacity."""
         fleet = self.fleet
         for member in members:
             if (
@@ -499,7 +516,7 @@
         return None
 
     def _has_capacity(self, member: Member, request: Request, now: float) -> bool:
-        """Whether a server may get a request as far as its start goes (see `allowance`): a warm one may."""
+        """Whether the cold-start allowance of a server admits a request; warm servers have none."""
         fleet = self.fleet
         if not fleet.is_cold(member, now):
             return True
@@ -517,7 +534,7 @@
         return self.allowances.has(member.account, rate, request.cost_ms, request.spec.value, now)
 
     def _cold_rate(self, member: Member, now: float) -> float:
-        """What a cold server may get now, in work a ms."""
+        """Return the rate at which a cold server may get work now, in ms of work per ms."""
         fleet = self.fleet
         reference = self.allowances.reference(fleet.weight)
         if self.parts is not None:
@@ -525,7 +542,7 @@
         return reference * fleet.weight_of(member) * fleet.cold_capacity(member, now)
 
     def _server_with_capacity(self, request: Request, now: float) -> Optional[Member]:
-        """A server with room for what another turned away; slow hits tell that in truth none has any."""
+        """Return a server with capacity for what another turned away, None while hits are slow."""
         if self.gate.slow_hit_share > NORMAL_SLOW_HIT_SHARE:
             return None
         self._prepare(now)
@@ -565,7 +582,11 @@
         note: int = 0,
         load: Optional[list[float]] = None,
     ) -> list[Action]:
-        """An attempt ended."""
+        """Handle the end of an attempt: retry, refuse, fail, or close the request.
+
+        finished: the request is over. status: a key of `WORDS`. note: 0 nothing,
+        1 hit, 2 or 3 missed (as the wire says). load: a load report, if one came.
+        """
         member = self.fleet.members.get(server)
         request = self.held.get(request_id)
         outcome = self._evaluate_outcome(
@@ -607,7 +628,8 @@
         ):
             return [self._send(request, self.fleet.origin, now)]
         left_ms = request.aim_at - now
-        # A server whose answer was lost on the way has done the work and keeps what it fetched: it is asked again, once.
+        # A server whose answer was lost on the way has done the work and caches what it fetched, so
+        # it gets one retry.
         same_server = (
             member
             if outcome.fault and member is not None and self.fleet.usable(member, now)
@@ -627,13 +649,14 @@
             available = self._server_with_capacity(request, now)
             if available is not None and self._may_retry(request, available, now):
                 return [self._send(request, available, now)]
-        # A repeat of a miss is one more miss (guards against repeats that keep the origin down).
+        # A retry of a miss is one more miss; such retries would keep an overloaded origin down.
         retry_useful = (
             request.first_run_server is None
             or same_server is not None
             or self.gate.origin_slowness <= ORIGIN_SLOW_LEVEL
         )
-        # While little else goes wrong, faults do not come of load and need no savings (guards against a bank emptied by resets).
+        # While few attempts fail, faults are not caused by load and cost no retry budget. Otherwise
+        # connection resets alone would empty it.
         without_budget = outcome.fault and self.gate.failure_share < NORMAL_FAILURE_SHARE
         budget = (
             self.error_retry_budget
@@ -661,7 +684,7 @@
         self, request: Optional[Request], attempt: int, member: Optional[Member], status: str, note: int, elapsed_ms: float,
         request_id: int, now: float,
     ) -> Seen:  # fmt: skip
-        """An outcome with what its attempt had."""
+        """Combine an outcome with what is known of its attempt."""
         outcome_class = WORDS.get(status, Seen)
         trial = member is not None and member.trial == request_id
         if request is None:
@@ -682,7 +705,7 @@
         )
 
     def _record_load(self, request: Request, member: Member, outcome: Seen, now: float) -> None:
-        """What an outcome tells of what servers bear."""
+        """Update costs, allowances and the hedge delay from an outcome."""
         if not outcome.cold:
             if outcome.cost_told:
                 self.costs.learn(request.spec, outcome.elapsed_ms)
@@ -700,15 +723,14 @@
     def _record_fetch(
         self, request: Request, attempt: int, outcome: Seen, server: str, now: float
     ) -> None:
-        """An attempt has ended: what it tells of the origin."""
+        """Update the estimates of misses and of the origin's capacity by an attempt that ended."""
         if attempt not in request.expected_fetches:
             return
         fetches = self.fetches
         del request.expected_fetches[attempt]
         fetches.back(outcome.likely_miss, now if outcome.fetch_over else None)
-        servers_slow = (
-            self.gate.slow_hit_share > NORMAL_SLOW_HIT_SHARE
-        )  # servers are slow by themselves: a time-out tells nothing of the origin
+        # Where hits are slow too, the servers are at fault: a time-out says nothing of the origin.
+        servers_slow = self.gate.slow_hit_share > NORMAL_SLOW_HIT_SHARE
         missed = outcome.missed(servers_slow)
         if missed is not None:
             fetches.learn(outcome.known, missed)
@@ -720,20 +742,26 @@
             fetches.judge(None, now)
 
     def _release_fetches(self, request: Request) -> None:
-        """A request is over: nothing of it is expected of the origin any more."""
+        """Release the expected fetches of a request that is over."""
         for expected, _ in request.expected_fetches.values():
             self.fetches.back(expected)
         request.expected_fetches.clear()
 
     def _learn_hedge_share(self, longer: bool) -> None:
-        """Follow the time in which most attempts are answered: it stands still where as many take longer as should."""
+        """Move the estimate of HEDGE_QUANTILE by one outcome (stochastic approximation).
+
+        It is stable where a share of 1 - HEDGE_QUANTILE of the attempts takes longer.
+        """
         self.hedge_share = min(
             1.0, max(0.0, self.hedge_share + HEDGE_LEARNING_RATE * (longer - 1.0 + HEDGE_QUANTILE))
         )
 
     def _penalize_overtaken(self, request: Request, winner: int, now: float) -> None:
-        """Another server answered first, though asked much later: note it against those that have not (guards against a
-        slow server that looks well since its requests are served elsewhere before their time is up)."""
+        """Count a lost hedge race against the servers that got the request first and were slower.
+
+        Otherwise a slow server would look healthy, since its requests are answered elsewhere before
+        they time out.
+        """
         for attempt in request.outstanding:
             member = request.servers[attempt]
             if attempt < winner:
@@ -757,7 +785,7 @@
                 self.fleet.penalize(member, now, self.gate.failure_penalty(), True)
 
     def _may_retry(self, request: Request, target: Member, now: float) -> bool:
-        """Whether one more attempt is allowed after one that may have run."""
+        """Whether the request's class allows one more attempt after one that may have run."""
         first_server, spec = request.first_run_server, request.spec
         if first_server is None or spec.repeat == "safe":
             return True
@@ -785,21 +813,24 @@
         return ("fail", request.id)
 
     def on_started(self, now: float, request_id: int, attempt: int, server: str) -> list[Action]:
-        """The answer has started to stream: the request has no deadline any more."""
+        """Note that the answer has started to stream: the request has no deadline any more."""
         request = self.held.get(request_id)
         if request is not None:
             request.streaming = True
         return []
 
     def on_body_consumed(self, now: float, request_id: int) -> list[Action]:
-        """A part of the request's body is gone: it can't be sent again, and its time runs from its last byte."""
+        """Note that a part of the request's body was sent on and dropped: it can't be retried.
+
+        Its time runs from the last byte of the body.
+        """
         request = self.held.get(request_id)
         if request is not None:
             request.body_consumed = True
         return []
 
     def on_departure(self, now: float, request_id: int) -> list[Action]:
-        """The client left: stop its attempts where that is allowed."""
+        """Handle a client that left: cancel its attempts where that is allowed."""
         request = self.held.pop(request_id, None)
         if request is not None:
             self._release_fetches(request)
@@ -810,7 +841,7 @@
     def on_probe(
         self, now: float, server: str, status: str, elapsed_ms: float, load: Optional[list[float]]
     ) -> list[Action]:
-        """A probe came back."""
+        """Handle the answer to a probe: take its load report."""
         member = self.fleet.members.get(server)
         if member is not None and load:
             self.fleet.record_load(member, load, now)
--- a/forkweir/request.py
+++ b/forkweir/request.py
@@ -1,4 +1,4 @@
-"""A request that the module holds."""
+"""The state of one open request."""
 
 from __future__ import annotations
 
@@ -9,7 +9,10 @@
 
 
 class Request:
-    """One request that is held: its attempts and whether one may have run."""
+    """An open request: its class, its times in ms, its attempts, and which may have run first.
+
+    `servers` and `sent_ms` are indexed by attempt; `outstanding` holds the attempts that are out.
+    """
 
     __slots__ = (
         "id",
@@ -44,11 +47,10 @@
         write: bool,
     ) -> None:
         self.id = request_id
-        self.work_ms = work  # as hinted, in ms; 0 where it is not
-        self.cost_ms = work  # as expected of a server, in ms
-        self.expected_fetches: dict[
-            int, tuple[float, bool]
-        ] = {}  # by attempt: expected of the origin, and whether the key was known
+        self.work_ms = work  # from the client's hint; 0 without one
+        self.cost_ms = work  # expected work at a server
+        # By attempt: the expected number of origin fetches, and whether the server knew the key.
+        self.expected_fetches: dict[int, tuple[float, bool]] = {}
         self.write = write
         self.spec = spec
         self.key = key
@@ -57,9 +59,10 @@
         self.deadline = deadline
         self.tries = 0
         self.outstanding: set[int] = set()
+        # The server of the first attempt that may have run, and when that attempt was sent.
         self.first_run_server: Optional[Member] = None
         self.first_run_ms = 0.0
         self.servers: list[Member] = []
         self.sent_ms: list[float] = []
         self.streaming = False
-        self.body_consumed = False  # its body is gone in part: it can't be sent again
+        self.body_consumed = False  # part of the body was sent on and dropped: no retry
