--- a/forkweir/fleet.py
+++ b/forkweir/fleet.py
@@ -1,9 +1,12 @@
-"""The fleet: membership, warm-up, and strain. Homes of ranges are `placement`'s, health is `health`'s.
+"""The fleet: membership, warm-up and load penalties. See `placement` for homes of ranges and
+`known.health` for health.
 
-A change of the list costs in proportion to the servers that it names, but for copies of the sorted list of servers; what must visit all
-of them is the placement, which is made beside the one in force, in slices.
+A change of the list takes time in proportion to the servers that it names, but for copies of the
+sorted list of servers. Only the placement visits all servers; it is built in slices beside the one
+in force.
 
-Bounds: a member for each listed server, and for servers that vanished undrained, as many as were in service at most, for HOLD_MS.
+Bounds: one member for each listed server, and for DEPARTED_HOLD_MS one for each server that left
+the list without draining, at most as many as were in service.
 """
 
 from __future__ import annotations
@@ -23,28 +26,32 @@
 from forkweir.placement import MAX_NEIGHBOURS, MIN_RANGES, Placement, build, ranges_for
 from forkweir.settings import Server, Settings
 
-REBUILD_INTERVAL_MS = (
-    1_000.0  # between two placements; longer in proportion beyond REBUILD_SERVERS,
-)
-REBUILD_SERVERS = 800  # as a placement takes time in proportion to its servers (some 40 ms of a core at 3,200, in slices)
-MAX_UNSLICED_SERVERS = 256  # up to so many, a placement is made in one go when a request needs it (some 10 ms at the first, then 3)
-DEPARTED_HOLD_MS = 30_000.0  # a server that vanished undrained keeps its ranges this long
-STREAK_DISCOUNT = 0.05  # of its good answers a server loses by each further strain in a row, for each unit of strain
-SUCCESS_RELIEF = 0.6  # how much one good answer lightens the strain of bad ones
-WARM_COUNT_INTERVAL_MS = (
-    1_000.0  # between two counts of the warm servers, longer in proportion beyond REBUILD_SERVERS,
-)
-RECOUNT_SHARE = (
-    0.1  # or at once where the list has changed: of a large fleet, by this part of its servers
-)
-MAX_SINGLE_INSERTS = 8  # servers that are put in order one by one; beyond, sorting is cheaper
-PENALTY_DECAY_MS = (
-    5_000.0  # strain fades by e in this time (docs/cold-and-full.md has what longer costs)
-)
+# Least time between two placements of up to REBUILD_SERVERS servers; longer in proportion beyond.
+REBUILD_INTERVAL_MS = 1_000.0
+# A placement takes time in proportion to its servers: about 40 ms of a core at 3,200, in slices.
+REBUILD_SERVERS = 800
+# Placements of up to this many servers are built at once when a request needs them (about 10 ms
+# for the first one, then 3 ms).
+MAX_UNSLICED_SERVERS = 256
+# How long a server that left the list without draining keeps its ranges.
+DEPARTED_HOLD_MS = 30_000.0
+# Share of its success score that a server loses by each further slow answer in a row, per unit of
+# penalty.
+STREAK_DISCOUNT = 0.05
+# How much one good answer reduces the effect of the load penalty.
+SUCCESS_RELIEF = 0.6
+# Least time between two counts of warm servers; longer in proportion beyond REBUILD_SERVERS.
+WARM_COUNT_INTERVAL_MS = 1_000.0
+# A change of this share of a large fleet's servers causes a count at once.
+RECOUNT_SHARE = 0.1
+# Servers that are inserted one by one into the sorted list; for more, sorting is cheaper.
+MAX_SINGLE_INSERTS = 8
+# Time constant of the decay of load penalties (docs/cold-and-full.md: what a longer one costs).
+PENALTY_DECAY_MS = 5_000.0
 
 
 class Member(Health):
-    """A server as this node sees it."""
+    """What this node knows of a server: its list entry, health, warm-up and load."""
 
     __slots__ = (
         "info",
@@ -64,24 +71,24 @@
         super().__init__(info.state == "in", info.state == "draining")
         self.info = info
         self.removed_ms = 0.0
-        self.cold_since_ms = info.started_ms
-        self.listed_start_ms = info.started_ms  # as the list last had it
-        self.start_notified_ms = 0.0  # when the node heard of its start
+        self.cold_since_ms = info.started_ms  # when the warm-up began; 0: long ago
+        self.listed_start_ms = info.started_ms  # start time in the latest list
+        self.start_notified_ms = 0.0  # when this node was notified of the start
         self.pace = Pace()
-        self.load_penalty = 0.0
+        self.load_penalty = 0.0  # of slow and unanswered attempts, as of load_penalty_ms
         self.load_penalty_ms = 0.0
-        self.slow_streak = 0
-        self.success_score = 0.0
-        self.account: Optional[Account] = None  # what it may get while it is cold
+        self.slow_streak = 0  # slow answers in a row
+        self.success_score = 0.0  # good answers, decayed like the penalty
+        self.account: Optional[Account] = None  # allowance while the server is cold
 
     def update_entry(self, info: Server) -> None:
-        """The list has this of it from now on."""
+        """Replace the list entry and the states that follow from it."""
         self.info = info
         self.present, self.draining = info.state == "in", info.state == "draining"
 
 
 class Fleet:
-    """Membership, drains, weights, homes of ranges, warm-up and health."""
+    """The servers of a site: membership, drains, weights, homes of ranges, warm-up and health."""
 
     __slots__ = (
         "settings",
@@ -108,24 +115,20 @@
         self.members: dict[str, Member] = {}
         self.zones = Zones(settings.zone)
         self.speeds = Speeds(settings)
-        self.placed: list[
-            Member
-        ] = []  # who may be home to ranges, in the order of their names; never changed in place
-        self.placement: Optional[Placement[Member]] = (
-            None  # homes of ranges, for those who were in `placed` when it was begun
-        )
-        self.placement_stale = False  # the list has changed since
-        self.rebuilt_ms = 0.0  # when that was
+        # Members that may be home to ranges, sorted by name; never changed in place.
+        self.placed: list[Member] = []
+        # Homes of ranges, for the members of `placed` when the build began.
+        self.placement: Optional[Placement[Member]] = None
+        self.placement_stale = False  # the list has changed since the last build began
+        self.rebuilt_ms = 0.0  # when the last build began
         self.origin: Optional[Member] = None
-        self.weight = 0.0  # of all that are present,
-        self.warm_weight = (
-            0.0  # and of those that are warm and in use, counted at most every WARM_MS
-        )
+        self.weight = 0.0  # of all present members, as of the last count
+        self.warm_weight = 0.0  # of the present members that are warm and in use
         self.warm_count_due_ms = 0.0
         self._present: set[Member] = set()  # of `placed`
-        self._departed: dict[
-            str, Member
-        ] = {}  # vanished undrained, longest ago first: they keep their ranges for HOLD_MS
+        # Members that left without draining, oldest first; they keep their ranges for
+        # DEPARTED_HOLD_MS.
+        self._departed: dict[str, Member] = {}
         self._max_departed = 0
 
     @property
@@ -138,7 +141,10 @@
     def apply_list(
         self, now: float, entries: Iterable[Server], full: bool, whole: bool = True
     ) -> None:
-        """Apply a list (full) or changes to one; not whole: the rest of it follows, and homes are found after that."""
+        """Apply a full list or changes of it.
+
+        whole: False if more changes follow at once; homes are assigned after the last of them.
+        """
         in_service_before = self.in_service
         touched: dict[str, Member] = {}
         listed_names: set[str] = set()
@@ -162,18 +168,20 @@
         self.placement_stale = self.placement_stale or whole
 
     def _apply_entry(self, info: Server, now: float) -> Optional[Member]:
-        """Apply one entry; its member, None where the entry says that a server is gone that is not known."""
+        """Apply one entry and return its member; None for the removal of an unknown server."""
         member, listed_start_ms = self.members.get(info.name), info.started_ms
         if listed_start_ms > now:
-            # It has started by the time word of it comes (guards against a node whose clock is behind keeping a server cold
-            # for as long as that). Harm: none, its ramp is held to begin later than it did.
+            # The start lies in the future by this node's clock, which is behind. The server has
+            # started by the time of the notification; without this it would stay cold for as long
+            # as the clocks differ. The warm-up is then taken to begin later than it did: no harm.
             already_listed = member is not None and member.listed_start_ms == listed_start_ms
+            # At least 1, as 0 stands for a start long ago.
             info = replace(
                 info,
                 started_ms=member.info.started_ms
                 if member is not None and already_listed
                 else max(now, 1.0),
-            )  # 0 is long ago
+            )
         if member is None:
             if info.state in ("gone", "unlisted"):
                 return None
@@ -192,12 +200,13 @@
         return member
 
     def _mark_unlisted(self, member: Member, now: float) -> None:
-        """A whole list does not name a server any more."""
+        """Apply the absence of a server from a full list."""
         if member.present:
             member.present = False
             member.removed_ms = now
         else:
-            # Gone, and not draining for good (guards against a member kept for each server that ever drained).
+            # Removed rather than draining for ever, which would keep a member for each server that
+            # ever drained.
             member.update_entry(replace(member.info, state="gone"))
             member.removed_ms = now - DEPARTED_HOLD_MS
 
@@ -205,7 +214,7 @@
         return self.settings.cache_aside and member.info.kind == self.settings.origin_kind
 
     def _update_home_candidates(self, touched: dict[str, Member]) -> None:
-        """Bring who may be home to ranges up to date with the members that an entry was about."""
+        """Update the members that may be home to ranges by the members that the list changed."""
         entering: list[Member] = []
         leaving: set[Member] = set()
         for name, member in touched.items():
@@ -227,7 +236,7 @@
         self._set_home_candidates(entering, leaving)
 
     def _move_origin(self) -> None:
-        """The origin that is present, if there is one; of several the one with the last name."""
+        """Set the origin: the present one, the last by name of several, or None."""
         origins = [
             name
             for name, member in self.members.items()
@@ -240,7 +249,7 @@
         return index < len(self.placed) and self.placed[index] is member
 
     def _set_home_candidates(self, entering: list[Member], leaving: set[Member]) -> None:
-        """A new list of who may be home to ranges."""
+        """Replace the sorted list of members that may be home to ranges."""
         leaving = {member for member in leaving if self._is_home_candidate(member)}
         if not (entering or leaving):
             return
@@ -258,8 +267,11 @@
         self.placed = candidates
 
     def _forget_departed(self, now: float, in_service_before: int) -> None:
-        """Drop who went drained, or HOLD_MS ago, or before as many others as were in service (guards against servers that are replaced
-        over and over, each of which would count towards the number of ranges)."""
+        """Forget members that drained, left DEPARTED_HOLD_MS ago, or exceed the number in service.
+
+        Without the last rule, servers that are replaced over and over would all count towards the
+        number of ranges.
+        """
         self._max_departed = max(
             self._max_departed if len(self._departed) > 1 else 0, in_service_before, self.in_service
         )
@@ -285,7 +297,7 @@
 
     @property
     def ranges(self) -> int:
-        """How many ranges there are, by the placement in force."""
+        """The number of ranges of the placement in force."""
         return self.placement.ranges if self.placement is not None else MIN_RANGES
 
     @property
@@ -297,17 +309,17 @@
 
     @property
     def large(self) -> bool:
-        """Whether a placement is to be made in slices."""
+        """Whether placements are built in slices."""
         return (
             max(len(self.placed), len(self.placement.members) if self.placement is not None else 0)
             > MAX_UNSLICED_SERVERS
         )
 
     def rebuild_at(self, now: float) -> float:
-        """When the next placement is due, if the list has changed: at once where there is none, else not too often.
+        """When the next placement is due after a change: at once if there is none, else limited.
 
-        Guards against a release at a large fleet, in which each of hundreds of changes cost every node a whole new placement. Who has
-        left since gets nothing all the same.
+        Without the limit, each of the hundreds of changes of a release at a large fleet would cost
+        every node a new placement. Servers that left meanwhile get no requests in any case.
         """
         if self.placement is None or not self.placement.owners:
             return now
@@ -317,7 +329,10 @@
         )
 
     def build_placement(self, now: float) -> Generator[None, None, Optional[Placement[Member]]]:
-        """The placement for the list as it is now, made in slices; None where the one in force is it. The caller puts it in force."""
+        """Build the placement for the present list in slices; the caller puts it in force.
+
+        Returns None if the placement in force is already that of the list.
+        """
         self.placement_stale, self.rebuilt_ms = False, now
         members = self.placed
         weights = [self.weight_of(member) for member in members]
@@ -327,10 +342,11 @@
         return (yield from build(current, members, weights, ranges_for(len(members), self.ranges)))
 
     def neighbours(self, range_number: int) -> tuple[Member, ...]:
-        """The home of a range and the servers next to it in the shared order.
+        """The home of a range and the next servers in the order that all nodes share.
 
-        Until the first placement of a large fleet is whole, servers by their names stand in, alike at all nodes with the same list (guards
-        against a node that refuses all for the time that it takes). Harm: what is fetched meanwhile is kept away from its later home.
+        Until the first placement of a large fleet is built, servers in the order of their names are
+        used, the same at all nodes with the same list; otherwise the node would refuse everything
+        meanwhile. The cost: what is fetched until then is cached away from its later home.
         """
         if self.placement is not None and self.placement.owners:
             return self.placement.neighbours(range_number)
@@ -338,16 +354,19 @@
         return tuple(islice(self._candidates_from_index(first), MAX_NEIGHBOURS))
 
     def candidates_from(self, range_number: int) -> Iterator[Member]:
-        """All servers that may be home to ranges, another one first for each range."""
+        """All servers that may be home to ranges, beginning with a different one for each range."""
         return self._candidates_from_index(range_number % len(self.placed) if self.placed else 0)
 
     def _candidates_from_index(self, first: int) -> Iterator[Member]:
-        """All servers that may be home to ranges, from one on and round."""
+        """All servers that may be home to ranges, beginning at an index and wrapping around."""
         candidates = self.placed
         return chain(islice(candidates, first, None), islice(candidates, first))
 
     def accepted_share(self, member: Member, now: float) -> float:
-        """The part of its ranges that a server takes now; neighbours get the rest. Of a cold one the allowance takes its part too."""
+        """The share of its keys that a server takes now; neighbours get the rest.
+
+        The allowance of a cold server reduces it further.
+        """
         share = self.speeds.pace(member.info.kind, member.pace, self.weight_of(member))
         if member.load_penalty:
             decay = exp((member.load_penalty_ms - now) / PENALTY_DECAY_MS)
@@ -357,16 +376,16 @@
         return share
 
     def is_cold(self, member: Member, now: float) -> bool:
-        """Whether the stated warm-up may still be going on."""
+        """Whether the server may still be within the configured warm-up."""
         return member.cold_since_ms > 0.0 and now - member.cold_since_ms < self.settings.cold_ms
 
     def cold_capacity(self, member: Member, now: float) -> float:
-        """The part of its capacity that a cold server has at least: it grows evenly over the stated time."""
+        """The least share of its capacity that a cold server has, growing linearly over cold_ms."""
         start = self.settings.cold_start_capacity
         return start + (1.0 - start) * max(0.0, now - member.cold_since_ms) / self.settings.cold_ms
 
     def count_warm_weight(self, now: float) -> float:
-        """The weight of all servers that are warm and in use."""
+        """The weight of all warm servers in use, counted anew if that is due."""
         if now >= self.warm_count_due_ms:
             self.warm_count_due_ms = now + WARM_COUNT_INTERVAL_MS * max(
                 1.0, len(self.placed) / REBUILD_SERVERS
@@ -382,39 +401,43 @@
         return self.warm_weight
 
     def weight_of(self, member: Member) -> float:
-        """The weight that the list gives a server, where the site's weights are of use."""
+        """The listed weight of a server, at least 0.05; 1 where the site's weights are not used."""
         return max(0.05, member.info.weight) if self.settings.use_weights else 1.0
 
     def record_load(self, member: Member, load: list[float], now: float) -> None:
-        """Learn speed from a load report; a cold server's tells nothing of its kind."""
+        """Update speeds by a load report; a cold server's report says nothing of its kind."""
         if not self.is_cold(member, now):
             self.speeds.report(member.info.kind, member.pace, self.weight_of(member), load)
 
     def usable(self, member: Member, now: float) -> bool:
-        """Whether an attempt may go to a server at all."""
+        """Whether a server may get attempts at all."""
         return member.free(now) and not self.zones.cut(member.info.zone, now)
 
     def states(self, now: float) -> dict[State, int]:
-        """How many servers are in each state of health."""
+        """The number of servers in each state of health."""
         counts = dict.fromkeys(STATES, 0)
         for member in self.members.values():
             counts[member.state(now, self.is_cold(member, now))] += 1
         return counts
 
     def avoided(self, now: float) -> int:
-        """How many servers of the list get nothing now because of how they did."""
+        """The number of listed servers that get no requests now because of past outcomes."""
         return sum(
             member.present and not self.usable(member, now) for member in self.members.values()
         )
 
     def penalize(self, member: Member, now: float, penalty: float, slow: bool = False) -> None:
-        """Note a slow answer or none (or, with 0, a good one): fewer of its keys for a while (guards against a jam fed for ever)."""
+        """Record a slow or missing answer (a good one if the penalty is 0).
+
+        A penalized server gets fewer of its keys for a while; else it would stay overloaded.
+        """
         decay = exp((member.load_penalty_ms - now) / PENALTY_DECAY_MS)
         member.load_penalty = penalty + member.load_penalty * decay
         member.success_score = member.success_score * decay + (penalty == 0.0)
-        # Slow ones in a row tell of now, the good ones before them do not (guards against a server that has turned slow and
-        # lives on its good name for as long as strain takes to fade). One alone, as among good answers, takes nothing away,
-        # nor does being turned away, which is quick. Harm: a long pause costs a server some keys for a while.
+        # Slow answers in a row outweigh the good ones before them. Otherwise a server that turned
+        # slow would be spared by its past successes for as long as penalties take to decay. A
+        # single slow answer among good ones takes nothing away, nor does a request turned away,
+        # which is quick. The cost: a long pause costs a server some keys for a while.
         member.slow_streak = member.slow_streak + slow if penalty else 0
         if slow and member.slow_streak > 1:
             member.success_score *= 1.0 - STREAK_DISCOUNT * penalty
@@ -423,11 +446,12 @@
     def nearest_with_capacity(
         self, range_number: int, tried: list[Member], now: float
     ) -> Optional[Member]:
-        """The server nearest to a range that has room, if there is one.
+        """The server nearest to a range that has capacity, None if there is none.
 
-        Guards against a part of the fleet that turns away what the rest could serve (servers cut off from the origin, or in
-        trouble of their own), taken for overload of all. An attempt turned away has not run and cost little, so going on to a
-        server with room needs no savings. Under overload of all nobody is calm, and this finds none.
+        Otherwise a part of the fleet that turns away what the rest could serve (servers cut off
+        from the origin, or otherwise faulty) would be taken for an overload of all. An attempt that
+        was turned away has not run and cost little, so a retry elsewhere needs no retry budget.
+        When all servers are overloaded, none has capacity.
         """
         if not (self.ready and self.placed):
             return None
@@ -442,21 +466,21 @@
         return None
 
     def evaluate(self, member: Member, seen: Seen, now: float) -> None:
-        """Note what an outcome tells of whether a server is there and has room."""
+        """Update the reachability and capacity of a server and its zone by an outcome."""
         if self.health.judge(member, seen, now):
-            # Back from the dead without word from the list: it may be cold (guards against
-            # a full range falling on a server whose restart the list has yet to tell).
+            # The server answers again without a notification from the list: treat it as cold. It
+            # may have restarted before the list says so, and would get its full range at once.
             member.cold_since_ms = member.start_notified_ms = now
             member.account = None
             seen.cold = True
         self.zones.heard(member.info.zone, seen, now)
 
     def update_suspicion(self, member: Member, seen: Seen, now: float) -> float:
-        """Note how an attempt went; how likely its server is bad."""
+        """Update outlier detection by an outcome; return the likelihood that its server is bad."""
         return self.health.doubted(member, seen, self.placed, self.in_service, now)
 
     def note_unresponsive(self, member: Member, sent_ms: float, aim_ms: float, now: float) -> bool:
-        """Note a request out for long; whether the server is to be put out for saying nothing."""
+        """Record an attempt without an answer; return whether to eject its server for that."""
         return self.health.silent_for(member, sent_ms, aim_ms, self.placed, self.in_service, now)
 
 
--- a/forkweir/gate.py
+++ b/forkweir/gate.py
@@ -1,4 +1,6 @@
-"""The gate: what part of the keys is let in, and whether servers or their origin are to blame for what goes wrong."""
+"""Admission control: which share of the keys is admitted, and whether failures and slow answers
+are caused by single servers or by their origin.
+"""
 
 from __future__ import annotations
 
@@ -7,34 +9,33 @@
 from forkweir.fleet import PENALTY_DECAY_MS, Fleet, Member
 from forkweir.known.seen import Seen
 
-ORIGIN_LEARNING_RATE = 0.1  # weight of one miss in the judgement of the origin
-ORIGIN_SLOW_LEVEL = (
-    0.6  # misses that take this part of the aim on average: the origin is in trouble
-)
-ORIGIN_DOWN_LEVEL = 0.8  # and this part: it serves hardly any miss in time
-SLOW_HIT_SHARE = 0.5  # a hit that takes this part of the aim strains its server
-CLOSE_FACTOR = 0.85  # each bad outcome multiplies the part of the keys that is let in
-OPEN_STEP = 0.015  # and each good one adds this,
-OPEN_RATE_PER_MS = 0.0002  # or at most this each ms while much goes wrong
-NORMAL_FAILURE_SHARE = (
-    0.08  # a part of attempts that goes wrong without overload, by crashes and slow misses
-)
+ORIGIN_LEARNING_RATE = 0.1  # weight of one miss in the origin's moving average
+ORIGIN_SLOW_LEVEL = 0.6  # the origin is overloaded: misses take this share of the aim on average
+ORIGIN_DOWN_LEVEL = 0.8  # the origin is down: hardly any miss is served within its aim
+SLOW_HIT_SHARE = 0.5  # a hit that takes this share of the aim penalizes its server
+CLOSE_FACTOR = 0.85  # a bad outcome multiplies the admitted share by this
+OPEN_STEP = 0.015  # a good outcome adds this to the admitted share
+OPEN_RATE_PER_MS = 0.0002  # most that is added per ms while many attempts fail
+# Share of attempts that fails without overload, by crashes and slow misses.
+NORMAL_FAILURE_SHARE = 0.08
 MIN_ADMITTED_SHARE = 0.1
-VALUE_EXPONENT = (
-    2  # of a class's worth over the least: the multiple of the keys that it is let in for
-)
-MIN_ADMITTED_SHARE_FAST_HITS = 0.6  # while hits are quick
-LOW_HIT_SHARE = 0.5  # fewer outcomes that are hits than this: the caches are all but empty
-NORMAL_SLOW_HIT_SHARE = 0.1  # a part of hits that is slow without a jam
-HIGH_SLOW_HIT_SHARE = 0.3  # and with most of the fleet jammed
-OUTCOME_LEARNING_RATE = 0.02  # weight of one outcome in the part that goes wrong
-CLOSE_INTERVAL_MS = (
-    200.0  # between two shuts (guards against one burst of time-outs, as when links are cut)
-)
+# A class is admitted for (its value / the least value) to this power times the admitted share.
+VALUE_EXPONENT = 2
+MIN_ADMITTED_SHARE_FAST_HITS = 0.6  # least admitted share while hits are fast
+LOW_HIT_SHARE = 0.5  # below this share of hits the caches count as empty
+NORMAL_SLOW_HIT_SHARE = 0.1  # share of hits that is slow without overload
+HIGH_SLOW_HIT_SHARE = 0.3  # share of hits that is slow when most of the fleet is overloaded
+OUTCOME_LEARNING_RATE = 0.02  # weight of one outcome in the shares of failures and of hits
+# Time between two closing steps, so that one burst of time-outs, as when links are cut, counts
+# once.
+CLOSE_INTERVAL_MS = 200.0
 
 
 class Gate:
-    """Judges outcomes: how much goes wrong lately, by whose fault, and so what part of the keys is let in."""
+    """Tracks failures and their cause, and derives the admitted share of the keys.
+
+    Shares are exponential moving averages of outcomes at this node.
+    """
 
     __slots__ = (
         "fleet",
@@ -49,29 +50,32 @@
 
     def __init__(self, fleet: Fleet) -> None:
         self.fleet = fleet
-        self.admitted_share = 1.0  # of the keys, let in
-        self.closed_ms = 0.0
+        self.admitted_share = 1.0  # of the keys
+        self.closed_ms = 0.0  # from when on the gate may close by another step
         self.last_success_ms = 0.0
-        self.origin_slowness = 0.0
-        self.failure_share = 0.0  # part of late attempts that went wrong
-        self.hit_share = 1.0  # part of late outcomes that were hits
-        self.slow_hit_share = 0.0  # part of late hits that were slow
+        self.origin_slowness = 0.0  # mean time of misses as a share of their aim, 0 to 1
+        self.failure_share = 0.0  # of recent attempts
+        self.hit_share = 1.0  # of recent outcomes
+        self.slow_hit_share = 0.0  # of recent hits
 
     def evaluate(self, member: Member, seen: Seen, bad: float, now: float) -> None:
-        """Tell a slow server from a slow origin by hits and misses. bad: how likely the server is to be bad, 0 to 1."""
+        """Update the gate by an outcome: hits and misses tell a slow server from a slow origin.
+
+        bad: likelihood that the server is faulty, 0 to 1.
+        """
         if seen.brief:
             return
         aim, elapsed_ms = seen.aim_ms, seen.elapsed_ms
         hit = seen.served and seen.told_hit
         if seen.served:
-            # While much goes wrong it opens by time and not by answers (guards against nodes with
-            # many requests admitting keys faster than the origin can fetch them).
+            # While many attempts fail the gate opens by time and not by answers. Otherwise nodes
+            # with many requests would admit keys faster than the origin can fetch them.
             open_step = (
                 OPEN_STEP
                 if self.failure_share < NORMAL_FAILURE_SHARE
                 else min(OPEN_STEP, OPEN_RATE_PER_MS * (now - self.last_success_ms))
             )
-            # A late answer is no sign of room (guards against an overload that late answers keep up).
+            # A late answer is no sign of capacity; counting it would sustain an overload.
             if elapsed_ms <= aim or not aim:
                 self.admitted_share = min(1.0, self.admitted_share + open_step)
             self.last_success_ms = now
@@ -79,10 +83,11 @@
             now >= self.closed_ms
             and self.failure_share > NORMAL_FAILURE_SHARE
             and (
-                # One error or full queue is quick and cheap, and a server that is already avoided
-                # says nothing new of the others unless hits are slow at large (guards against a fleet
-                # of servers that are all avoided): neither shuts the gate. Two full queues do. Nor does
-                # a zone in which nothing answers (guards against a cut link taken for overload).
+                # The gate closes when two servers turned the same request away, but not by one
+                # error or one full queue, which is quick and cheap. It closes by a time-out, except
+                # at a server that is already penalized, which says nothing new of the others unless
+                # many hits are slow (then the whole fleet may be penalized), and except in a zone
+                # where nothing answers, since a cut link is no overload.
                 (seen.full and seen.tries > 1)
                 or (
                     seen.timed_out
@@ -98,9 +103,9 @@
             )
         ):
             self.closed_ms = now + CLOSE_INTERVAL_MS
-            # Quick hits tell that only misses suffer (guards against turning away what a full cache
-            # can serve, as a slow origin makes misses late). Not so full queues: what is turned away there is drawn without
-            # regard to its worth (guards against orders refused by servers that are full of reads).
+            # Fast hits show that only misses suffer, as with a slow origin: keep admitting what a
+            # full cache can serve. Full queues are different: servers turn requests away regardless
+            # of their value, so servers full of reads would refuse orders.
             min_share = (
                 MIN_ADMITTED_SHARE
                 if self.slow_hit_share > NORMAL_SLOW_HIT_SHARE or seen.full
@@ -109,8 +114,8 @@
             self.admitted_share = min(
                 self.admitted_share, max(min_share, self.admitted_share * CLOSE_FACTOR)
             )
-        # What all servers do alike says nothing against one (guards against keys scattered over
-        # servers that are no better, which turns hits into misses).
+        # What all servers do alike says nothing against one of them. Penalizing it would scatter
+        # keys over servers that are no better, which turns hits into misses.
         slow_hit = hit and elapsed_ms > SLOW_HIT_SHARE * aim + 2.0 * seen.work_ms and aim > 0.0
         if seen.served or seen.timed_out or seen.full:
             self.failure_share += (
@@ -120,13 +125,14 @@
             self.hit_share += OUTCOME_LEARNING_RATE * (hit - self.hit_share)
         if hit:
             self.slow_hit_share += OUTCOME_LEARNING_RATE * (slow_hit - self.slow_hit_share)
-        # A bad server tells nothing of the origin (guards against a gate shut for all by the quick errors of a few). An origin in
-        # trouble shows at many servers.
+        # A faulty server says nothing of the origin; else quick errors of a few servers would close
+        # the gate for all. An overloaded origin shows at many servers.
         if seen.error or seen.told_miss:
             slowness = 1.0 if seen.error or not aim else min(1.0, elapsed_ms / aim)
-            # A failure tells of it as far as a miss was likely: a server that fails what it is asked fails hits as well, and held
-            # beside misses alone these pass for an origin in trouble (guards against half the fleet's errors that stop repeats
-            # and shut the gate while the other half has room). Harm: where nothing but errors comes, it takes some more of them.
+            # An error counts against the origin as far as a miss was likely. A faulty server fails
+            # hits as well; counted in full, errors of half the fleet would pass for an overloaded
+            # origin, which stops retries and closes the gate while the other half has capacity.
+            # The cost: where every answer is an error, detection takes a few more of them.
             miss_likelihood = (
                 1.0 if seen.told_miss else max(seen.likely_miss, LOW_HIT_SHARE - self.hit_share)
             )
@@ -136,22 +142,24 @@
                 * miss_likelihood
                 * (slowness - self.origin_slowness)
             )
-            # An origin that is down with empty caches before it gets no further while most keys are
-            # misses (guards against a collapse that outlasts its cause).
+            # An origin that is down behind empty caches can't recover while most keys are misses,
+            # so the collapse would outlast its cause.
             if self.origin_slowness > ORIGIN_DOWN_LEVEL and self.hit_share < LOW_HIT_SHARE:
                 self.admitted_share = min(self.admitted_share, MIN_ADMITTED_SHARE)
         elif seen.timed_out or seen.full or seen.error:
-            # While the origin is slow keys stay where they are (guards against scattered
-            # keys turning hits into misses and keeping the origin down).
+            # While the origin is slow keys stay where they are. Scattered keys would turn hits into
+            # misses and keep the origin down.
             if self.origin_slowness < ORIGIN_SLOW_LEVEL:
-                # A time-out of what was likely to miss tells of the origin (guards against keys leaving the home that holds them
-                # for an answer that no server could have given; away from home, reads missed twice as often), but only as far as
-                # misses that are answered take long (guards against servers that are throttled and spared for a quick origin).
+                # A time-out of a likely miss counts against the origin rather than the server, but
+                # only as far as answered misses are slow. Without the first, keys would leave the
+                # home that holds them over an answer that no server could have given (reads missed
+                # twice as often away from home). Without the second, throttled servers would be
+                # spared although the origin is fast.
                 origin_trouble = min(1.0, self.origin_slowness / ORIGIN_SLOW_LEVEL) ** 2
                 penalty = self.failure_penalty() * (
                     (1.0 - seen.likely_miss * origin_trouble) ** 2 if seen.timed_out else 1.0
                 )
-                if penalty > 0.0:  # 0 would count as a good answer
+                if penalty > 0.0:  # penalize() takes 0 for a good answer
                     self.fleet.penalize(member, now, penalty, seen.timed_out)
         elif hit and aim:
             if seen.work_ms:
@@ -164,10 +172,11 @@
                 self.fleet.penalize(member, now, 0.0)
 
     def admits(self, position: float, relative_value: float) -> bool:
-        """Whether the gate lets a key in. times: the worth of its class, as a multiple of the least.
+        """Whether the gate admits a key. relative_value: value of its class over the least value.
 
-        The same keys are kept out at every node (guards against a fleet or an origin that goes on working for clients who have
-        left). Classes worth more stay let in longer, what will be late is the first to go.
+        Every node refuses the same keys; otherwise the fleet and the origin would keep working for
+        clients that have left. Classes of a higher value are admitted longer, and requests that
+        will be late are refused first.
         """
         return (
             self.admitted_share >= 1.0
@@ -175,10 +184,9 @@
         )
 
     def opens_in(self, position: float, relative_value: float) -> float:
-        """How long until a key is let in, in ms, at the pace at which the gate opens while much goes wrong (at the latest)."""
-        admission_factor = (
-            relative_value**VALUE_EXPONENT
-        )  # 0 also where a late answer is worth next to nothing
+        """In how many ms a key is admitted at the latest: at the rate while many attempts fail."""
+        # Underflows to 0 where a late answer has next to no value.
+        admission_factor = relative_value**VALUE_EXPONENT
         missing_share = (
             (position * 1048576.0 % 1.0) / admission_factor - self.admitted_share
             if admission_factor > 0.0
@@ -187,5 +195,5 @@
         return max(0.0, missing_share) / OPEN_RATE_PER_MS
 
     def failure_penalty(self) -> float:
-        """The strain that an attempt without an answer tells of; the less, the more go so everywhere."""
+        """Penalty for an unanswered attempt; the lower, the more attempts fail at all servers."""
         return 4.0 * max(0.05, 1.0 - 4.0 * self.failure_share)
