--- a/forkweir/line.py
+++ b/forkweir/line.py
@@ -1,4 +1,4 @@
-"""The line of DEMB: positions of keys, the window of recent ones, and the cuts (docs/design.md)."""
+"""The line of DEMB: positions of keys, a window of recent ones, and the cuts (docs/design.md)."""
 
 from __future__ import annotations
 
@@ -8,16 +8,16 @@
 from hashlib import blake2b
 from typing import Optional, Protocol
 
-WINDOW_PER_RANGE = 8  # WS = this x ranges: WS >> N, as the paper asks
-UPDATE_INTERVAL = 128  # UI, in arrivals
-ALPHA = 0.3  # the weight of new cuts
-HOT_KEY_MIN_COUNT = 8  # sightings before a key may be judged hot
-HOT_KEY_WINDOW = 512  # recent arrivals in which hot keys are counted
-SLICE_POINTS = 8_192  # of a new window between two yields: some 1 ms
+WINDOW_PER_RANGE = 8  # window size WS per range; the DEMB paper requires WS >> N
+UPDATE_INTERVAL = 128  # the paper's UI, in arrivals
+ALPHA = 0.3  # the paper's alpha: weight of new cuts
+HOT_KEY_MIN_COUNT = 8  # arrivals within HOT_KEY_WINDOW before a key can be hot
+HOT_KEY_WINDOW = 512  # recent arrivals in which keys are counted
+SLICE_POINTS = 8_192  # points of a new window made between two yields: about 1 ms
 
 
 class SharedLine(Protocol):
-    """The line of many nodes together: cuts of their merged window, and what part of all requests goes to a position."""
+    """The common line of several nodes: cuts of their merged window, and shares of requests."""
 
     @property
     def cuts(self) -> list[float]: ...
@@ -25,22 +25,21 @@
 
 
 def digest(text: str) -> int:
-    """64 bits of a text, the same at every node."""
+    """A 64-bit hash of a text (BLAKE2b), the same at every node."""
     return int.from_bytes(blake2b(text.encode(), digest_size=8).digest(), "big")
 
 
 def position_of(key: str) -> float:
-    """The place of a key on the line, in [0, 1)."""
+    """The position of a key on the line, in [0, 1)."""
     return (digest(key) >> 11) / 9007199254740992.0
 
 
 def equal_cuts(window: Sequence[float], ranges: int) -> list[float]:
-    """Cuts of a sorted window at equal counts, each the midpoint of two neighbouring points."""
+    """Cut a sorted window at equal counts; each cut is the midpoint of two adjacent points."""
     size = len(window)
     if size >= ranges and not size % ranges:
-        step = (
-            size // ranges
-        )  # the same, at a tenth of the time: this is a fifth of what a request costs
+        # The same result as below in a tenth of the time; cutting is a fifth of a request's cost.
+        step = size // ranges
         return [
             (a + b) / 2.0
             for a, b in zip(window[step - 1 : size - 1 : step], window[step::step], strict=True)
@@ -54,12 +53,12 @@
 
 
 def _evenly_spaced(first: int, end: int, size: int) -> array[float]:
-    """The points from one index to another of so many that divide the line evenly."""
+    """The points with indices first to end - 1 of `size` points that divide the line evenly."""
     return array("d", [(i + 0.5) / size for i in range(first, end)])
 
 
 class Line:
-    """Positions, the window of recent ones, and the cuts."""
+    """The window of recent positions, the cuts made from it, and counts of hot keys."""
 
     __slots__ = (
         "ranges",
@@ -76,18 +75,18 @@
     )
 
     def __init__(self, ranges: int, initial_points: Optional[array[float]] = None) -> None:
-        """prior: the evenly spaced window, if it has been made already (see `build`)."""
+        """initial_points: the evenly spaced window, if it has been built already (see `build`)."""
         self.ranges = ranges
-        # A node starts with the same evenly spaced window as its peers (guards against a
-        # restarted or quiet node cutting from a handful of requests).
+        # All nodes start with the same evenly spaced window. Otherwise a node that restarted or
+        # gets few requests would cut its line by a handful of requests.
         size = ranges * WINDOW_PER_RANGE
         self.initial_points = (
             _evenly_spaced(0, size, size) if initial_points is None else initial_points
         )
-        self.window = self.initial_points[
-            :
-        ]  # arrays: a third of the memory that lists of floats take
-        self.arrivals = array("d")  # real positions in order of arrival, a ring once full
+        # Arrays take a third of the memory of lists of floats.
+        self.window = self.initial_points[:]
+        # Positions of requests in order of arrival; a ring buffer once the window is full of them.
+        self.arrivals = array("d")
         self.oldest_index = 0
         self.cuts = equal_cuts(self.window, ranges)
         self.arrivals_since_update = 0
@@ -98,7 +97,7 @@
 
     @staticmethod
     def build(ranges: int) -> Generator[None, None, Line]:
-        """A new line, made with a yield between slices of SLICE_POINTS (its window has 8 points for each range)."""
+        """Build a new line; yields between slices of SLICE_POINTS points of its window."""
         size = ranges * WINDOW_PER_RANGE
         initial_points = array("d")
         for first in range(0, size, SLICE_POINTS):
@@ -107,16 +106,16 @@
         return Line(ranges, initial_points)
 
     def use_shared(self, shared: Optional[SharedLine]) -> None:
-        """The nodes' common line is this from now on; None: there is none, and this node's own window counts again."""
+        """Take the cuts from the nodes' common line, or from this node's own window if None."""
         self.shared, self.arrivals_since_update = shared, 0
         self.update()
 
     def record_arrival(self, position: float, key: str) -> None:
-        """Put one arrival into the window and re-cut every UI arrivals."""
+        """Put one arrival into the window, and update the cuts every UPDATE_INTERVAL arrivals."""
         window = self.window
         if self.initial_points:
-            # The nearest prior point makes room, so evidence moves the cuts near it and not
-            # the whole line (guards against the cuts of quiet nodes drifting apart).
+            # Replace the nearest initial point, so that an arrival moves only the cuts near it.
+            # Otherwise the cuts of nodes with few requests would drift apart.
             initial_points = self.initial_points
             index = bisect_left(initial_points, position)
             if index == len(initial_points) or (
@@ -145,9 +144,8 @@
             self.recent_index = (self.recent_index + 1) % HOT_KEY_WINDOW
         key_counts[key] = key_counts.get(key, 0) + 1
         self.arrivals_since_update += 1
-        if (
-            self.arrivals_since_update >= UPDATE_INTERVAL and self.shared is None
-        ):  # a common line moves with each word of it, alike at all nodes
+        # A common line is updated by each notification of it instead, alike at all nodes.
+        if self.arrivals_since_update >= UPDATE_INTERVAL and self.shared is None:
             self.arrivals_since_update = 0
             self.update()
 
@@ -160,11 +158,11 @@
         ]
 
     def range_of(self, position: float) -> int:
-        """The range that holds a position."""
+        """Return the number of the range that holds a position."""
         return bisect_right(self.cuts, position)
 
     def servers_for_key(self, key: str, servers: int, position: float = -1.0) -> int:
-        """How many servers a key's recent share fills (1 for an ordinary key)."""
+        """How many servers a key's share of recent requests needs (1 for an ordinary key)."""
         if self.shared is not None and position >= 0.0:
             share = self.shared.share(position)
             return (
--- a/forkweir/placement.py
+++ b/forkweir/placement.py
@@ -1,12 +1,15 @@
-"""Which server is home to which range: a hash ring with bounded loads, built in slices. Pure, no I/O, no clock.
-
-Each server stands at POINTS_PER_SERVER places of the ring; a range goes to the next server from its own place on that has room, and a
-server has room for ROOM times its share by weight (Mirrokni, Thorup, Zadimoghaddam 2018, "Consistent hashing with bounded loads").
-
-Invariant: a `Placement` is whole and never changes. Ring, owners, and the number of ranges belong together; whoever looks up a range takes
-all of them from one placement. `build` makes the next one beside it, and yields between slices of bounded work (SLICE_SERVERS or
-SLICE_RANGES), so that no event of the list holds the node up in proportion to the fleet. Work of a build: POINTS_PER_SERVER hashes for each
-server that is new, one pass over the ring's points where many left, one search for each range.
+"""Homes of ranges: consistent hashing with bounded loads, built in slices. Pure, no I/O, no clock.
+
+Each server has POINTS_PER_SERVER points on a hash ring. A range is assigned to the first server
+with capacity from the range's own point on; the capacity of a server is CAPACITY_FACTOR times its
+share by weight (Mirrokni, Thorup, Zadimoghaddam 2018, "Consistent Hashing with Bounded Loads").
+
+Invariant: a `Placement` is complete and never changes. Ring, owners and number of ranges belong
+together, so a look-up of a range takes all of them from one placement. `build` makes the next
+placement beside the current one and yields between slices of bounded work (SLICE_SERVERS or
+SLICE_RANGES), so that a change of the list never blocks the node for a time in proportion to the
+fleet. Work of a build: POINTS_PER_SERVER hashes for each new server, one pass over the ring's
+points where many servers left, one search for each range.
 """
 
 from __future__ import annotations
@@ -20,24 +23,24 @@
 from forkweir.settings import Server
 
 POINTS_PER_SERVER = 24
-CAPACITY_FACTOR = 1.12  # a server may be home to this times its exact share of ranges
-MAX_NEIGHBOURS = 8  # servers known ahead for a range, home included
-MIN_RANGES = 2_048  # constant for every fleet up to 256, so nodes with other lists agree
-RANGES_PER_SERVER = 8  # ranges are at least this many times the servers that they are dealt to
-SLICE_SERVERS = 16  # whose points are hashed between two yields,
-MERGE_BATCH_SERVERS = 128  # and whose points are sorted in together: either takes under 1 ms
-SLICE_RANGES = (
-    256  # that get their homes between two yields: under 1 ms, the hashes of their places included
-)
-SLICE_POINTS = (
-    8_192  # that are looked through between two yields, where many came or left: some 1 ms
-)
+CAPACITY_FACTOR = 1.12  # a server is home to at most this multiple of its exact share of ranges
+MAX_NEIGHBOURS = 8  # servers considered for a range, home included
+# The same for every fleet of up to 256 servers, so that nodes with different lists agree.
+MIN_RANGES = 2_048
+RANGES_PER_SERVER = 8  # least ratio of ranges to servers
+SLICE_SERVERS = 16  # servers whose points are hashed between two yields: under 1 ms
+MERGE_BATCH_SERVERS = 128  # servers whose points are merged into the ring at once: under 1 ms
+# Ranges that are assigned between two yields: under 1 ms with the hashes of their points.
+SLICE_RANGES = 256
+# Points that are scanned between two yields where many servers changed: about 1 ms.
+SLICE_POINTS = 8_192
 SLICE_DELETED_POINTS = 768  # points that are deleted between two yields: under 1 ms
-MAX_SINGLE_CHANGES = 8  # servers whose points are put in or deleted one by one; beyond, passes over all points are cheaper
+# Servers whose points are inserted or deleted one by one; for more, full passes are cheaper.
+MAX_SINGLE_CHANGES = 8
 
 
 class PlacedServer(Protocol):
-    """What a placement needs of a server."""
+    """What a placement requires of a server."""
 
     info: Server
 
@@ -46,7 +49,7 @@
 
 
 def ranges_for(servers: int, minimum: int = MIN_RANGES) -> int:
-    """How many ranges so many servers need: doubled from `at_least` on, so that keys move seldom."""
+    """How many ranges this many servers need: `minimum` times a power of 2, so keys move rarely."""
     ranges = minimum
     while ranges < servers * RANGES_PER_SERVER:
         ranges *= 2
@@ -54,18 +57,21 @@
 
 
 class HashRing(Generic[Member]):
-    """Points in order, and whose each one is. Points are digests of 64 bits as floats, which sort several times as fast as integers."""
+    """A hash ring: sorted points and the member that each belongs to.
+
+    Points are 64-bit hashes as floats, which sort several times as fast as integers.
+    """
 
     __slots__ = ("points", "members", "_member_at", "_points_of")
 
     def __init__(self) -> None:
         self.points: list[float] = []
-        self.members: list[Member] = []  # whose the point with the same index is
+        self.members: list[Member] = []  # owner of the point with the same index
         self._member_at: dict[float, Member] = {}
         self._points_of: dict[Member, tuple[float, ...]] = {}
 
     def copy(self) -> HashRing[Member]:
-        """A ring that can be changed while this one is in use."""
+        """Return a copy that can be changed while this ring is in use."""
         ring: HashRing[Member] = HashRing()
         ring.points = self.points.copy()
         ring.members = self.members.copy()
@@ -74,7 +80,7 @@
         return ring
 
     def change(self, leaving: Sequence[Member], entering: Sequence[Member]) -> Iterator[None]:
-        """Take servers off the ring and put others on it, in slices. `members` is whole again at the end."""
+        """Remove and add servers in slices. `members` is consistent again only at the end."""
         single_changes = len(leaving) + len(entering) <= MAX_SINGLE_CHANGES
         yield from self._remove(leaving, single_changes)
         yield from self._add(entering, single_changes)
@@ -122,7 +128,7 @@
                 continue
             new_points.sort()
             self.points += new_points
-            self.points.sort()  # two runs that are in order: a merge
+            self.points.sort()  # Timsort merges the two sorted runs in linear time
             yield
 
     def _insert(self, new_points: list[float]) -> None:
@@ -132,15 +138,15 @@
             self.members.insert(index, self._member_at[point])
 
     def member(self, index: int) -> Member:
-        """The server at the point with this index, counted round and round."""
+        """Return the server at the point with this index, modulo the number of points."""
         return self.members[index % len(self.members)]
 
     def index_for(self, range_number: int) -> int:
-        """Where on the ring a range begins to look for its home."""
+        """Return the index of the first point at or after the point of a range."""
         return bisect_left(self.points, _point_of_range(range_number))
 
     def owners_of(self, range_numbers: range, capacity: dict[Member, int]) -> list[Member]:
-        """The homes of some ranges, each the next server with room, which it takes up."""
+        """Assign ranges to the next servers with capacity; decrements `capacity`."""
         points, members, size = self.points, self.members, len(self.points)
         owners: list[Member] = []
         for range_point in _points_of_ranges(range_numbers):
@@ -155,7 +161,7 @@
 
 
 class Placement(Generic[Member]):
-    """Homes of all ranges, for the servers and weights that were listed when it was begun."""
+    """Homes of all ranges, for the servers and weights listed when the build began."""
 
     __slots__ = ("members", "weights", "ranges", "ring", "owners", "_neighbours")
 
@@ -175,7 +181,7 @@
         self._neighbours: dict[int, tuple[Member, ...]] = {}
 
     def neighbours(self, range_number: int) -> tuple[Member, ...]:
-        """The home of a range and the servers next to it in the shared order, NEIGHBOURS at most."""
+        """The home of a range and the next servers on the ring, MAX_NEIGHBOURS in all at most."""
         cached = self._neighbours.get(range_number)
         if cached is None:
             cached = self._neighbours[range_number] = self._find_neighbours(range_number)
@@ -199,7 +205,10 @@
     weights: Sequence[float],
     ranges: int,
 ) -> Generator[None, None, Placement[Member]]:
-    """The placement of these servers, made from the one before. Yields between slices; the one before stays whole."""
+    """Build the placement of these servers from the previous one, which stays unchanged.
+
+    Yields between slices of bounded work.
+    """
     previous_members = set(previous.members) if previous is not None else set()
     current_members = set(members)
     leaving = [
@@ -225,12 +234,12 @@
 
 
 def _points_of(member: PlacedServer) -> tuple[float, ...]:
-    """The places of a server on the ring: digests of its name, a slash and the number of the point."""
+    """The points of a server on the ring: hashes of its name, a slash and the point's number."""
     return _digests(f"{member.info.name}/", _POINT_NUMBERS)
 
 
 def _digests(prefix: str, suffixes: Iterable[bytes]) -> tuple[float, ...]:
-    """Digests of texts that begin alike, each as `line.digest` has it; the common beginning is hashed once."""
+    """Hash texts with a common prefix, each like `line.digest`; the prefix is hashed once."""
     prefix_hasher = blake2b(prefix.encode(), digest_size=8)
     digests = []
     for suffix in suffixes:
@@ -241,7 +250,7 @@
 
 
 def _points_of_ranges(range_numbers: range) -> list[float]:
-    """The places on the ring from which ranges look for their homes."""
+    """The points on the ring from which the search for the ranges' homes starts."""
     missing = range(len(_RANGE_POINTS), range_numbers.stop)
     if missing:
         _RANGE_POINTS.extend(_digests("range/", (b"%d" % number for number in missing)))
@@ -253,5 +262,5 @@
 
 
 _POINT_NUMBERS = [b"%d" % number for number in range(POINTS_PER_SERVER)]
-_RANGE_POINTS: list[float] = []  # grows to as many as the largest fleet has had
+_RANGE_POINTS: list[float] = []  # a cache; grows to the number of ranges of the largest fleet
 _points_of_ranges(range(MIN_RANGES))
