--- a/forkweir/adapter.py
+++ b/forkweir/adapter.py
@@ -1,4 +1,8 @@
-"""The simulator's wire: decode events, route them to instances, encode actions."""
+"""The simulator's wire protocol: decodes events, routes them to instances and encodes actions.
+
+Messages are lines of JSON arrays that begin with a name; the events of a batch lie between
+BEGIN_BATCH and YOUR_TURN, and DONE ends the replies to it.
+"""
 
 from __future__ import annotations
 
@@ -26,21 +30,21 @@
     "log": "LOG",
     "publish": "PUBLISH",
 }
-TIER_TIMER = 4  # token of the timer on which an instance's tier is asked again
+TIER_TIMER = 4  # token of the timer on which an instance's tier ticks
 
 
 class MalformedInput(Exception):
-    """The input breaks the wire's form."""
+    """The input violates the wire protocol."""
 
 
 def value_or_default(options: dict[str, Any], key: str, default: Any) -> Any:
-    """A figure as it is stated, also where it is 0; the default where none is."""
+    """Return the value of a key, also where it is 0; the default if it is missing or null."""
     value = options.get(key)
     return default if value is None else value
 
 
 def settings_of(options: dict[str, Any]) -> Settings:
-    """Settings in the library's terms; unknown keys are skipped, absent ones get defaults."""
+    """Decode the settings; unknown keys are ignored, missing ones get defaults."""
     allowed = options.get("allowed") or {}
     contract = options.get("contract") or {}
     specifics = options.get("specifics") or {}
@@ -85,7 +89,7 @@
 
 
 def server_of(row: list[Any]) -> Server:
-    """One entry of a list."""
+    """Decode one entry of a list; missing columns get defaults."""
     row = row + [None] * (7 - len(row))
     name, zone, kind, cell, state, weight, started = row[:7]
     return Server(
@@ -100,20 +104,23 @@
 
 
 def publish_actions(sends: list[Send]) -> list[Action]:
-    """Datagrams of a tier, as actions."""
+    """Encode datagrams of a tier as actions."""
     return [("publish", slot, data.hex()) for slot, data in sends]
 
 
 class Adapter:
-    """The instances of one process; they share nothing but the pipe."""
+    """The balancer instances of one process, which share only its input and output."""
 
     def __init__(self) -> None:
         self.instances: dict[int, Balancer] = {}
         self.manifests: dict[int, list[Server]] = {}
-        self.tiers: dict[int, Tier] = {}  # of instances that may talk to one another
+        self.tiers: dict[int, Tier] = {}  # only of instances that may talk to one another
 
     def event(self, now: float, message: list[Any]) -> tuple[int, list[Action]]:
-        """Pass one event to its instance."""
+        """Pass one event to its instance; return the instance's number and its actions.
+
+        Raises MalformedInput if the instance is unknown.
+        """
         name = message[0]
         if name == "MANIFEST":
             self.manifests[message[1]] = [server_of(row) for row in message[2]]
@@ -181,11 +188,11 @@
         return instance, []
 
     def _join(self, now: float, instance: int, options: dict[str, Any], seed: int) -> list[Action]:
-        """Take part in the tier, where instances may talk to one another."""
+        """Make an instance a member of its tier, where instances may talk to one another."""
         self.tiers.pop(instance, None)
         if not (options.get("allowed") or {}).get("peers"):
             return []
-        # Only there: what is off costs nothing.
+        # Imported here, so that sites without a tier don't load it.
         from forkweir.tier.seat import Seat
         from forkweir.tier.tier import Tier
 
@@ -210,25 +217,27 @@
         ]
 
     def run(self, source: BinaryIO, sink: BinaryIO) -> None:
-        """Serve batches until the input ends."""
+        """Process batches until the input ends. Raises MalformedInput."""
         now, batch, in_batch = 0.0, 0, False
         replies: list[bytes] = []
         for line in source:
             try:
                 message = orjson.loads(line)
             except orjson.JSONDecodeError as error:
-                raise MalformedInput(f"not JSON: {error}") from None
+                raise MalformedInput(f"an input line is not JSON: {error}") from None
             if not isinstance(message, list) or not message or not isinstance(message[0], str):
-                raise MalformedInput("a message is not an array that opens with its name")
+                raise MalformedInput("a message must be a JSON array that begins with its name")
             name = message[0]
             if (name == "BEGIN_BATCH") == in_batch:
-                raise MalformedInput(f"unexpected {name}")
+                raise MalformedInput(
+                    f"message outside the order BEGIN_BATCH, events, YOUR_TURN: {name}"
+                )
             try:
                 if name == "BEGIN_BATCH":
                     now, batch, in_batch = float(message[1]), int(message[2]), True
                     continue
             except (IndexError, TypeError, ValueError):
-                raise MalformedInput("BEGIN_BATCH without clock and number") from None
+                raise MalformedInput("BEGIN_BATCH needs a clock in ms and a batch number") from None
             if name == "YOUR_TURN":
                 replies.append(orjson.dumps(["DONE", batch]))
                 sink.write(b"\n".join(replies) + b"\n")
@@ -246,14 +255,13 @@
                 )
                 continue
             for action in actions:
-                fields = (
-                    action[:3] if action[0] == "refuse" else action
-                )  # this wire has no place for a cause
+                # The wire's BOUNCE has no field for the cause.
+                fields = action[:3] if action[0] == "refuse" else action
                 replies.append(orjson.dumps([ACTION_NAMES[str(action[0])], instance, *fields[1:]]))
 
 
 def main() -> int:
-    """Run on standard input and output."""
+    """Serve the wire on standard input and output; returns the exit status."""
     try:
         Adapter().run(sys.stdin.buffer, sys.stdout.buffer)
     except MalformedInput as error:
--- a/forkweir/retry_after.py
+++ b/forkweir/retry_after.py
@@ -1,13 +1,15 @@
-"""When a refused client should come back: `Retry-After`, from each budget's own forecast. Pure, no I/O, no clock.
-
-A refusal names its cause, and the cause knows when it may be over: a bucket fills at a known rate, the gate opens at a known
-pace, fetches in flight end as fast as they lately did. What is told is that forecast, where a client that comes then can
-still be answered in time; else, and where nothing can be forecast, the longest wait that the settings allow, since coming
-sooner would cost the fleet and serve nobody.
-
-Every wait is spread (guards against clients refused in one instant coming back in one): a forecast over the next SPREAD of
-itself, the longest wait over its last LAST part. Each node draws from its own seed. Bounds: one generator, no state else; a wait
-is never under LEAST_MS, nor over the longest.
+"""`Retry-After` of refused requests (RFC 9110, section 10.2.3). Pure, no I/O, no clock.
+
+Each cause of refusal has its own forecast: a token bucket fills at a known rate, the gate opens
+at a known rate, fetches in flight complete at a recently observed rate. The wait is that forecast
+if a request that is retried then can still be answered in time. Otherwise, and where there is no
+forecast, it is the longest wait that the settings allow, since an earlier retry would cost the
+fleet work and could not be served.
+
+Waits are jittered so that clients refused at one instant don't return at one instant: a forecast
+is lengthened by up to FORECAST_JITTER of itself, the longest wait is shortened by up to
+MAX_WAIT_JITTER. Each node draws from its own seed. Bounds: one random generator and no other
+state; a wait is at least MIN_WAIT_MS and at most the longest wait.
 """
 
 from __future__ import annotations
@@ -24,8 +26,9 @@
     "origin-down",
     "tries",
 )
-"""Why the module refuses: no server is listed or usable; those that are left are cold and have no room; the gate keeps the key
-out; a likely miss at a jammed origin; a write at an origin that is down; no attempt is left that may be made."""
+"""Why the module refuses a request, in this order: no server is listed or usable; the remaining
+servers are cold and without capacity; the gate does not admit the key; it would probably miss at an
+overloaded origin; it is a write and the origin is down; no further attempt is allowed."""
 
 FORECAST_JITTER = 0.5
 MAX_WAIT_JITTER = 0.1
@@ -33,7 +36,7 @@
 
 
 class RetryAfter:
-    """Spreads what clients are told."""
+    """Computes jittered waits for refused clients."""
 
     __slots__ = ("_max_wait_ms", "_random")
 
@@ -42,9 +45,10 @@
         self._random = random.Random(f"advice/{seed}")
 
     def wait(self, forecast_ms: Optional[float], left_ms: float) -> float:
-        """How long a client should stay away, in ms; 0 where the settings allow no advice.
+        """How long a client should wait before it retries, in ms; 0 where Retry-After is off.
 
-        forecast_ms: when its request may be let in, None where nobody knows. left_ms: how long it can still be answered in time.
+        forecast_ms: in how long its request may be admitted, None if unknown. left_ms: how long it
+        can still be answered in time.
         """
         max_wait_ms = self._max_wait_ms
         if max_wait_ms <= 0.0:
