--- a/forkweir/choice.py
+++ b/forkweir/choice.py
@@ -594,8 +594,8 @@
         )
         if member is not None:
             self.fleet.evaluate(member, outcome, now)
-            bad = self.fleet.update_suspicion(member, outcome, now)
-            self.gate.evaluate(member, outcome, bad, now)
+            fault_likelihood = self.fleet.update_suspicion(member, outcome, now)
+            self.gate.evaluate(member, outcome, fault_likelihood, now)
             if request is not None:
                 self._record_load(request, member, outcome, now)
             if load:
--- a/forkweir/gate.py
+++ b/forkweir/gate.py
@@ -58,10 +58,10 @@
         self.hit_share = 1.0  # of recent outcomes
         self.slow_hit_share = 0.0  # of recent hits
 
-    def evaluate(self, member: Member, seen: Seen, bad: float, now: float) -> None:
+    def evaluate(self, member: Member, seen: Seen, fault_likelihood: float, now: float) -> None:
         """Update the gate by an outcome: hits and misses tell a slow server from a slow origin.
 
-        bad: likelihood that the server is faulty, 0 to 1.
+        fault_likelihood: likelihood that the server is faulty, 0 to 1.
         """
         if seen.brief:
             return
@@ -91,7 +91,7 @@
                 (seen.full and seen.tries > 1)
                 or (
                     seen.timed_out
-                    and bad <= 0.5
+                    and fault_likelihood <= 0.5
                     and (
                         self.slow_hit_share > HIGH_SLOW_HIT_SHARE
                         or member.load_penalty
@@ -119,7 +119,9 @@
         slow_hit = hit and elapsed_ms > SLOW_HIT_SHARE * aim + 2.0 * seen.work_ms and aim > 0.0
         if seen.served or seen.timed_out or seen.full:
             self.failure_share += (
-                OUTCOME_LEARNING_RATE * (1.0 - bad) * ((not seen.served) - self.failure_share)
+                OUTCOME_LEARNING_RATE
+                * (1.0 - fault_likelihood)
+                * ((not seen.served) - self.failure_share)
             )
         if seen.served or seen.timed_out or seen.full or seen.error:
             self.hit_share += OUTCOME_LEARNING_RATE * (hit - self.hit_share)
@@ -138,7 +140,7 @@
             )
             self.origin_slowness += (
                 ORIGIN_LEARNING_RATE
-                * (1.0 - bad)
+                * (1.0 - fault_likelihood)
                 * miss_likelihood
                 * (slowness - self.origin_slowness)
             )
