--- a/tests/forkweir/test_gate.py
+++ b/tests/forkweir/test_gate.py
@@ -10,7 +10,7 @@
 READ = ClassSpec("read", aim_ms=800.0, deadline_ms=2500.0)
 
 
-def strain(origin_slow: float, likely_miss: float) -> float:
+def penalty_of_a_time_out(origin_slow: float, likely_miss: float) -> float:
     """What one time-out strains its server, where answered misses take this part of their aim on average."""
     fleet = Fleet(Settings(classes=(READ,)), 1)
     fleet.apply_list(0.0, [Server("s0")], True)
@@ -20,17 +20,17 @@
     return member.load_penalty
 
 
-def test_a_time_out_of_a_likely_miss_spares_its_server_as_far_as_misses_are_slow() -> None:
+def test_a_time_out_of_a_likely_miss_spares_its_server_only_as_far_as_misses_are_slow() -> None:
     # Guards against servers that are throttled, and spared as if their origin were in trouble.
     hit, quick, slowish, slow = (
-        strain(0.0, 0.0),
-        strain(0.1, 0.9),
-        strain(0.35, 0.9),
-        strain(0.95 * ORIGIN_SLOW_LEVEL, 0.9),
+        penalty_of_a_time_out(0.0, 0.0),
+        penalty_of_a_time_out(0.1, 0.9),
+        penalty_of_a_time_out(0.35, 0.9),
+        penalty_of_a_time_out(0.95 * ORIGIN_SLOW_LEVEL, 0.9),
     )
     assert hit > 0.0 and quick > 0.9 * hit
     assert hit > slowish > slow > 0.0 and slow < 0.1 * hit
 
 
-def test_an_origin_in_trouble_moves_no_keys() -> None:
-    assert strain(ORIGIN_SLOW_LEVEL, 0.0) == 0.0
+def test_time_outs_move_no_keys_while_the_origin_is_slow() -> None:
+    assert penalty_of_a_time_out(ORIGIN_SLOW_LEVEL, 0.0) == 0.0
--- a/tests/forkweir/test_notified_departures.py
+++ b/tests/forkweir/test_notified_departures.py
@@ -22,15 +22,14 @@
     assert not departures.outranks("s1", listed, float(again), 1.0)
 
 
-def test_a_departure_lapses_and_a_return_ends_it() -> None:
+def test_a_departure_expires_and_a_return_ends_it() -> None:
     departures = Departures()
     departures.note("s0", 5, 0.0, 0.0)
     assert departures.outranks("s0", 4, 0.0, HOLD_MS) and not departures.outranks(
         "s0", 4, 0.0, HOLD_MS + 1.0
     )
-    departures.note(
-        "s0", 4, 0.0, 9_000.0
-    )  # an older list says so too: neither newer nor longer for it
+    # An older list with the same departure neither renews nor extends it.
+    departures.note("s0", 4, 0.0, 9_000.0)
     assert not departures.outranks("s0", 4, 0.0, HOLD_MS + 1.0)
     departures.note("s0", 6, 0.0, 9_000.0)
     assert departures.outranks("s0", 5, 0.0, HOLD_MS + 1.0)
--- a/tests/forkweir/test_placement.py
+++ b/tests/forkweir/test_placement.py
@@ -26,7 +26,7 @@
 DEADLINE_MS = 1_000.0
 
 
-def finished(steps: Iterator[None]) -> tuple[Placement[Member], int]:
+def run_build(steps: Iterator[None]) -> tuple[Placement[Member], int]:
     """What a build gives, and in how many slices."""
     slices = 0
     while True:
@@ -37,12 +37,14 @@
         slices += 1
 
 
-def members(count: int) -> list[Member]:
+def make_members(count: int) -> list[Member]:
     return [Member(Server(f"s{n:04}")) for n in range(count)]
 
 
-def placed(servers: list[Member], before: Placement[Member] | None = None) -> Placement[Member]:
-    return finished(build(before, servers, [1.0] * len(servers), ranges_for(len(servers))))[0]
+def build_at_once(
+    servers: list[Member], before: Placement[Member] | None = None
+) -> Placement[Member]:
+    return run_build(build(before, servers, [1.0] * len(servers), ranges_for(len(servers))))[0]
 
 
 class Node:
@@ -55,19 +57,19 @@
         self._due: list[float] = []
         self._requests = 0
 
-    def tell(self, form: str, entries: list[Server]) -> None:
-        self._carry(self.balancer.on_list(self.now, form, entries))
+    def apply_list(self, form: str, entries: list[Server]) -> None:
+        self._handle(self.balancer.on_list(self.now, form, entries))
 
-    def ask(self) -> str:
+    def send_request(self) -> str:
         """Where a request goes; empty where it is refused."""
         self._requests += 1
         actions = self.balancer.on_request(
             self.now, self._requests, "read", f"k{self._requests}", DEADLINE_MS
         )
-        self._carry(actions)
+        self._handle(actions)
         target = str(actions[0][2]) if actions[0][0] == "attempt" else ""
         if target:
-            self._carry(
+            self._handle(
                 self.balancer.on_outcome(
                     self.now, self._requests, 0, True, "success", target, 1.0, 1
                 )
@@ -81,10 +83,10 @@
             self.now = max(self.now, self._due.pop(0))
             self.slices += 1
             most_slices -= 1
-            self._carry(self.balancer.on_timer(self.now, REBUILD_TIMER))
+            self._handle(self.balancer.on_timer(self.now, REBUILD_TIMER))
         self.now = end
 
-    def _carry(self, actions: list[Action]) -> None:
+    def _handle(self, actions: list[Action]) -> None:
         self._due += [
             float(action[2])
             for action in actions
@@ -95,8 +97,8 @@
 
 @pytest.mark.parametrize("count", [1, 3, 50, 256, 257, 700])
 def test_each_range_has_the_next_server_with_room(count: int) -> None:
-    servers = members(count)
-    found = placed(servers)
+    servers = make_members(count)
+    found = build_at_once(servers)
     points = sorted(
         (digest(f"{server.info.name}/{n}"), server)
         for server in servers
@@ -124,14 +126,14 @@
 def test_a_placement_made_from_another_is_that_of_its_servers(
     moves: list[tuple[int, bool]],
 ) -> None:
-    all_servers = members(121)
+    all_servers = make_members(121)
     listed = set(all_servers[:40])
-    before = placed([server for server in all_servers if server in listed])
+    before = build_at_once([server for server in all_servers if server in listed])
     for number, enters in moves:
         (listed.add if enters else listed.discard)(all_servers[number])
     wanted = [server for server in all_servers if server in listed]
     if wanted:
-        assert placed(wanted, before).owners == placed(wanted).owners
+        assert build_at_once(wanted, before).owners == build_at_once(wanted).owners
 
 
 @pytest.mark.parametrize("count", [800, 3_200])
@@ -171,7 +173,7 @@
             most_hashed, most_homes = max(most_hashed, hashed), max(most_homes, homes)
             all_hashed, all_homes = all_hashed + hashed, all_homes + homes
 
-    servers = members(count)
+    servers = make_members(count)
     first, *found = counts(servers, None)
     assert found == [count, 16, first.ranges, 256]
     same, *found = counts(servers, first)
@@ -182,15 +184,15 @@
 
 def test_a_large_fleet_serves_before_its_homes_are_found() -> None:
     node = Node()
-    node.tell("full", [Server(f"s{n}") for n in range(2_000)])
-    assert node.balancer.fleet.placement is None and node.ask()
+    node.apply_list("full", [Server(f"s{n}") for n in range(2_000)])
+    assert node.balancer.fleet.placement is None and node.send_request()
     node.wait(50.0)
     found = node.balancer.fleet.placement
     assert (
         found is not None
         and len(found.owners) == found.ranges == node.balancer.line.ranges == 16_384
     )
-    assert node.slices > 2_000 // 64 and node.ask()
+    assert node.slices > 2_000 // 64 and node.send_request()
 
 
 @pytest.mark.parametrize(
@@ -201,12 +203,12 @@
 ) -> None:
     # Issue 49: ranges were doubled at once, and owners followed up to 2.5 s later.
     node = Node()
-    node.tell("full", [Server(f"s{n}") for n in range(count)])
-    node.ask()
+    node.apply_list("full", [Server(f"s{n}") for n in range(count)])
+    node.send_request()
     node.wait(200.0)
-    node.tell("changes", [Server(f"x{n}") for n in range(more)])
+    node.apply_list("changes", [Server(f"x{n}") for n in range(more)])
     for _ in range(200):
-        assert node.ask()
+        assert node.send_request()
         node.wait(25.0, most_slices=3)
     node.wait(5_000.0)
     assert node.balancer.fleet.ranges == node.balancer.line.ranges == ranges_for(count + more)
@@ -236,17 +238,17 @@
     for kind, first, count in steps:
         if kind == "ask":
             for _ in range(first):
-                target = node.ask()
+                target = node.send_request()
                 assert not target or listed.get(target) == "in"
                 assert target or "in" not in listed.values() or not node.balancer.fleet.ready
         elif kind == "wait":
             node.wait(float(first), most_slices=count)
         elif kind == "full":
             listed = {f"s{n}": "in" for n in range(first, first + count)}
-            node.tell("full", [Server(name) for name in listed])
+            node.apply_list("full", [Server(name) for name in listed])
         else:
             names = [f"s{n}" for n in range(first, first + count)]
-            node.tell("changes", [Server(name, state=kind) for name in names])
+            node.apply_list("changes", [Server(name, state=kind) for name in names])
             listed |= dict.fromkeys(names, kind)
         found = node.balancer.fleet.placement
         if found is not None:
@@ -261,27 +263,29 @@
     # Guards against ranges and memory that grow with each server that went undrained in the last HOLD_MS.
     node = Node()
     servers = [Server(f"s{n}") for n in range(100)]
-    node.tell("full", servers)
+    node.apply_list("full", servers)
     for step in range(300):
         gone, servers = servers[:10], [*servers[10:], *(Server(f"r{step}-{n}") for n in range(10))]
-        node.tell("changes", [*(replace(server, state="gone") for server in gone), *servers[-10:]])
+        node.apply_list(
+            "changes", [*(replace(server, state="gone") for server in gone), *servers[-10:]]
+        )
         node.wait(70.0)
-        assert node.ask()
+        assert node.send_request()
     assert len(node.balancer.fleet.members) == 200 and node.balancer.fleet.ranges == 2_048
     node.wait(DEPARTED_HOLD_MS)
-    node.tell("changes", [])
+    node.apply_list("changes", [])
     assert len(node.balancer.fleet.members) == 100
 
 
 def test_a_member_moves_between_the_kinds_of_placement_as_its_fleet_grows_and_shrinks() -> None:
     node = Node()
-    node.tell("full", [Server(f"s{n}") for n in range(MAX_UNSLICED_SERVERS)])
-    assert node.ask() and node.slices == 0
+    node.apply_list("full", [Server(f"s{n}") for n in range(MAX_UNSLICED_SERVERS)])
+    assert node.send_request() and node.slices == 0
     node.wait(2_000.0)
-    node.tell("full", [Server(f"s{n}") for n in range(MAX_UNSLICED_SERVERS + 1)])
+    node.apply_list("full", [Server(f"s{n}") for n in range(MAX_UNSLICED_SERVERS + 1)])
     node.wait(2_000.0)
-    assert node.ask() and node.slices > 0
-    node.tell(
+    assert node.send_request() and node.slices > 0
+    node.apply_list(
         "full",
         [
             Server(f"s{n}", state="in" if n < 10 else "draining")
@@ -289,5 +293,5 @@
         ],
     )
     node.wait(6_000.0)
-    counts = Counter(node.ask() for _ in range(300))
+    counts = Counter(node.send_request() for _ in range(300))
     assert set(counts) == {f"s{n}" for n in range(10)}
--- a/tests/forkweir/test_retry_after.py
+++ b/tests/forkweir/test_retry_after.py
@@ -59,21 +59,21 @@
     assert RetryAfter(0.0, seed).wait(forecast, left) == 0.0
 
 
-def test_clients_refused_in_one_instant_are_told_different_times_also_by_different_nodes() -> None:
+def test_clients_refused_at_one_instant_get_different_waits_also_from_different_nodes() -> None:
     waits = [RetryAfter(1_200.0, seed).wait(None, 0.0) for seed in range(37)]
     assert len(set(waits)) == 37 and max(waits) - min(waits) > 100.0
     one = RetryAfter(1_200.0, 1)
     assert len({one.wait(300.0, 700.0) for _ in range(50)}) == 50
 
 
-def test_a_node_that_knows_no_server_says_so() -> None:
+def test_without_servers_the_cause_is_no_server() -> None:
     got = refusals(make([]), 1_000.0, 5)
     assert [refuse[3] for refuse in got] == ["no-server"] * 5 and min(
         refuse[2] for refuse in got
     ) >= 1_080.0
 
 
-def test_cold_servers_without_room_are_told_apart_and_the_bucket_forecasts() -> None:
+def test_cold_servers_without_capacity_have_their_own_cause_and_the_bucket_forecasts() -> None:
     servers = [Server(f"s{n}", started_ms=1_000.0) for n in range(2)]
     got = refusals(make(servers), 1_010.0, 200)
     assert {refuse[3] for refuse in got} == {"cold"} and len(got) > 100
@@ -81,21 +81,18 @@
     assert min(refuse[2] for refuse in got) < 600.0
 
 
-def test_a_shut_gate_forecasts_by_the_pace_at_which_it_opens() -> None:
+def test_a_closed_gate_forecasts_by_the_rate_at_which_it_opens() -> None:
     balancer = make([Server(f"s{n}") for n in range(4)])
     balancer.gate.admitted_share = 0.1
     got = refusals(balancer, 1_010.0, 200)
     assert {refuse[3] for refuse in got} == {"gate"} and len(got) > 100
-    assert (
-        balancer.gate.opens_in(0.3, 0.0) == balancer.gate.opens_in(0.3, 1e-200) > 1_200.0
-    )  # what is worth nothing waits longest
+    # Requests without value wait longest.
+    assert balancer.gate.opens_in(0.3, 0.0) == balancer.gate.opens_in(0.3, 1e-200) > 1_200.0
     waits = sorted(refuse[2] for refuse in got)
-    assert (
-        waits[0] < 0.5 * waits[-1] <= 1_200.0
-    )  # a key just beyond the part that is let in waits less
+    assert waits[0] < 0.5 * waits[-1] <= 1_200.0  # a key just beyond the admitted share waits less
 
 
-def test_the_origins_causes() -> None:
+def test_causes_of_refusals_by_the_origin() -> None:
     balancer = make([Server(f"s{n}") for n in range(4)])
     balancer.fetches.pressed, balancer.fetches.limit = True, 1.0
     assert {refuse[3] for refuse in refusals(balancer, 1_010.0, 50)} == {"origin"}
@@ -104,7 +101,7 @@
     assert {refuse[3] for refuse in refusals(balancer, 1_010.0, 50, "order")} == {"origin-down"}
 
 
-def test_a_request_whose_attempts_are_used_up_says_so() -> None:
+def test_a_request_without_attempts_left_is_refused_for_its_tries() -> None:
     balancer = make([Server("a"), Server("b")])
     now, actions = 1_010.0, balancer.on_request(1_010.0, 1, "once", "k", 2000.0, 12.0, "", True)
     for attempt in range(2):
@@ -114,5 +111,5 @@
     assert refuse[0] == "refuse" and refuse[3] == "tries"
 
 
-def test_every_cause_is_in_the_catalogue() -> None:
+def test_the_list_of_causes_has_no_duplicates() -> None:
     assert len(set(REFUSAL_CAUSES)) == len(REFUSAL_CAUSES) == 6
--- a/tests/forkweir/test_send_guard.py
+++ b/tests/forkweir/test_send_guard.py
@@ -48,14 +48,14 @@
         {"repeat_window_ms": WINDOW, "first_sent_ms": NOW - WINDOW - SOCKET_SLACK_MS - 1.0}, Denial.REPEAT_WINDOW, Denial.REPEAT_WINDOW,
     ),
     "out of time": ({"deadline_ms": NOW}, Denial.OUT_OF_TIME, None),
-    "told what is left": ({"announced_ms": 995}, None, None),
-    "told a little too much": ({"announced_ms": 1_060}, Denial.STALE_DEADLINE, None),
-    "told far too much": ({"announced_ms": 1_000 + int(DEADLINE_SLACK_MS) + 1}, Denial.STALE_DEADLINE, Denial.STALE_DEADLINE),
+    "announced what is left": ({"announced_ms": 995}, None, None),
+    "announced a little too much": ({"announced_ms": 1_060}, Denial.STALE_DEADLINE, None),
+    "announced far too much": ({"announced_ms": 1_000 + int(DEADLINE_SLACK_MS) + 1}, Denial.STALE_DEADLINE, Denial.STALE_DEADLINE),
 }  # fmt: skip
 
 
 @pytest.mark.parametrize("case", CASES)
-def test_each_bound_is_held_with_its_margin_and_counted(case: str) -> None:
+def test_each_limit_is_applied_with_its_margin_and_counted(case: str) -> None:
     changes, denial, violation = CASES[case]
     guard = SendGuard(GRACE)
     state = replace(FREE, **changes)
@@ -73,7 +73,7 @@
     st.floats(0.0, 2_000.0), st.floats(0.0, 2_000.0), st.floats(0.0, 6_000.0), st.floats(0.0, 6_000.0), st.floats(1.0, 5_000.0),
     st.floats(0.0, MAX_STALL_MS),
 )  # fmt: skip
-def test_what_may_go_out_breaks_nothing_after_any_stall(
+def test_a_permitted_send_violates_nothing_after_any_stall(
     grace: float, left: float, window: float, sent: float, deadline: float, stall: float
 ) -> None:
     guard = SendGuard(grace)
@@ -85,7 +85,9 @@
 
 
 @given(st.floats(-100.0, 10_000.0), st.floats(-100.0, 10_000.0))
-def test_the_deadline_told_is_never_more_than_either_has_left(within: float, left: float) -> None:
-    told = announced_wait_ms(within, left)
-    assert told >= 1
-    assert told == 1 or (told <= within and told <= left - CLIENT_MARGIN_MS)
+def test_the_announced_wait_never_exceeds_what_either_side_has_left(
+    within: float, left: float
+) -> None:
+    announced = announced_wait_ms(within, left)
+    assert announced >= 1
+    assert announced == 1 or (announced <= within and announced <= left - CLIENT_MARGIN_MS)
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -98,7 +98,7 @@
     check_malformed(["BEGIN_BATCH"])
 
 
-def test_an_exception_in_a_decision_gives_in_with_its_text() -> None:
+def test_an_exception_in_a_decision_is_reported_with_its_text() -> None:
     done = run(
         ["BEGIN_BATCH", 1.0, 1],
         ["INIT", 1, 2, OPTIONS],
--- a/tests/test_line.py
+++ b/tests/test_line.py
@@ -20,7 +20,7 @@
         assert abs(after - (ALPHA * 0.1 * before + (1 - ALPHA) * before)) < 1e-12
 
 
-def test_fresh_nodes_agree_and_a_few_arrivals_hardly_move_the_cuts() -> None:
+def test_new_nodes_agree_and_a_few_arrivals_hardly_move_the_cuts() -> None:
     quiet, fresh = Line(512), Line(512)
     assert quiet.cuts == fresh.cuts
     for n in range(UPDATE_INTERVAL):
@@ -38,7 +38,7 @@
     assert not line.initial_points and sorted(line.arrivals) == list(line.window)
 
 
-def test_hot_key_is_dealt_over_as_many_servers_as_it_fills() -> None:
+def test_a_hot_key_is_spread_over_the_servers_that_its_load_needs() -> None:
     line = Line(64)
     for n in range(512):
         key = "hot" if n % 4 == 0 else f"k{n}"
@@ -47,7 +47,7 @@
     assert line.servers_for_key("k1", 8) == 1
 
 
-def test_two_or_three_sightings_make_no_key_hot() -> None:
+def test_a_key_seen_three_times_is_not_hot() -> None:
     line = Line(64)
     for _ in range(3):
         line.record_arrival(position_of("a"), "a")
--- a/tests/test_replay.py
+++ b/tests/test_replay.py
@@ -41,7 +41,7 @@
 STATUSES = ("success", "failure", "overloaded", "timed_out", "unreachable", "broken", "spoilt")
 
 
-def stream(seed: int, calm: float) -> str:
+def stream(seed: int, success_share: float) -> str:
     """A digest of all actions in a world drawn from a seed, in which this part of the attempts goes well."""
     rng = random.Random(seed)
     balancer = Balancer(
@@ -71,7 +71,7 @@
                 case ("attempt", int(request), str(server), float(within)):
                     attempt = open_requests[request]
                     open_requests[request] = attempt + 1
-                    status = "success" if rng.random() < calm else rng.choice(STATUSES)
+                    status = "success" if rng.random() < success_share else rng.choice(STATUSES)
                     took = (
                         within if status == "timed_out" else min(within, rng.expovariate(1 / 120.0))
                     )
@@ -158,10 +158,10 @@
 
 
 @pytest.mark.parametrize(
-    ("seed", "calm", "recorded"),
+    ("seed", "success_share", "recorded"),
     [(1, 0.97, "371fa7d49c19d7cd"), (2, 0.8, "4d4b13f01e2c8b01"), (3, 0.3, "ca4d26dec1857a4c")],
 )
 def test_actions_on_a_recorded_stream_are_the_same_to_the_byte(
-    seed: int, calm: float, recorded: str
+    seed: int, success_share: float, recorded: str
 ) -> None:
-    assert stream(seed, calm) == recorded
+    assert stream(seed, success_share) == recorded
--- a/tests/test_rooms.py
+++ b/tests/test_rooms.py
@@ -42,7 +42,7 @@
     return found & MODULES.keys()
 
 
-def circles(graph: dict[str, set[str]]) -> list[list[str]]:
+def import_cycles(graph: dict[str, set[str]]) -> list[list[str]]:
     """The strongly connected components of more than one module (Tarjan 1972)."""
     index: dict[str, int] = {}
     low: dict[str, int] = {}
@@ -70,17 +70,17 @@
     return found
 
 
-def test_no_circles() -> None:
+def test_no_import_cycles() -> None:
     # A package's __init__ that offers what its modules define is not counted against those modules.
     graph = {
         name: {other for other in imports(path, True) if not name.startswith(f"{other}.")} - {name}
         for name, path in MODULES.items()
     }
-    assert circles(graph) == []
-    assert circles({"a": {"b"}, "b": {"c"}, "c": {"a"}, "d": {"a"}}) == [["a", "b", "c"]]
+    assert import_cycles(graph) == []
+    assert import_cycles({"a": {"b"}, "b": {"c"}, "c": {"a"}, "d": {"a"}}) == [["a", "b", "c"]]
 
 
-def test_the_module_knows_nothing_outside_itself_and_the_node_nothing_of_the_testbed() -> None:
+def test_forkweir_imports_only_itself_and_the_node_nothing_of_the_testbed() -> None:
     for name, path in MODULES.items():
         known = imports(path, late=True)
         if name.startswith("forkweir"):
