--- a/tests/forkweir/test_gate.py
+++ b/tests/forkweir/test_gate.py
@@ -1,4 +1,4 @@
-"""Whom a time-out is held against: servers or their origin."""
+"""Whether a time-out counts against its server or against the origin."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def penalty_of_a_time_out(origin_slow: float, likely_miss: float) -> float:
-    """What one time-out strains its server, where answered misses take this part of their aim on average."""
+    """The load penalty of one time-out; origin_slowness: mean time of misses over their aim."""
     fleet = Fleet(Settings(classes=(READ,)), 1)
     fleet.apply_list(0.0, [Server("s0")], True)
     gate, member = Gate(fleet), fleet.members["s0"]
@@ -21,7 +21,7 @@
 
 
 def test_a_time_out_of_a_likely_miss_spares_its_server_only_as_far_as_misses_are_slow() -> None:
-    # Guards against servers that are throttled, and spared as if their origin were in trouble.
+    # Throttled servers must not be spared as if their origin were overloaded.
     hit, quick, slowish, slow = (
         penalty_of_a_time_out(0.0, 0.0),
         penalty_of_a_time_out(0.1, 0.9),
--- a/tests/forkweir/test_notified_departures.py
+++ b/tests/forkweir/test_notified_departures.py
@@ -1,4 +1,6 @@
-"""A departure outranks older lists of servers that have not started since, for a bounded time and a bounded number of servers."""
+"""A notified departure outranks older lists unless the server has started since; the time and the
+number of departures are bounded.
+"""
 
 from __future__ import annotations
 
--- a/tests/forkweir/test_placement.py
+++ b/tests/forkweir/test_placement.py
@@ -1,4 +1,6 @@
-"""Homes of ranges: whole at every moment, made in slices of bounded work, whatever the list and the requests do between them."""
+"""Placements are complete at every moment and built in slices of bounded work, whatever changes of
+the list and requests come between the slices.
+"""
 
 from __future__ import annotations
 
@@ -27,7 +29,7 @@
 
 
 def run_build(steps: Iterator[None]) -> tuple[Placement[Member], int]:
-    """What a build gives, and in how many slices."""
+    """Run a build to its end; return the placement and the number of slices."""
     slices = 0
     while True:
         try:
@@ -48,7 +50,7 @@
 
 
 class Node:
-    """A module with its timers, and a clock of its own."""
+    """A balancer with its timers and a simulated clock."""
 
     def __init__(self) -> None:
         self.balancer = Balancer(Settings(classes=(ClassSpec("read"),)), 1)
@@ -61,7 +63,7 @@
         self._handle(self.balancer.on_list(self.now, form, entries))
 
     def send_request(self) -> str:
-        """Where a request goes; empty where it is refused."""
+        """Return the server that a request goes to, "" if it is refused."""
         self._requests += 1
         actions = self.balancer.on_request(
             self.now, self._requests, "read", f"k{self._requests}", DEADLINE_MS
@@ -77,7 +79,7 @@
         return target
 
     def wait(self, ms: float, most_slices: int = 10_000) -> None:
-        """Let time pass, and slices be made that come due meanwhile."""
+        """Advance the clock and run the slices that are due meanwhile."""
         end = self.now + ms
         while self._due and self._due[0] <= end and most_slices:
             self.now = max(self.now, self._due.pop(0))
@@ -138,7 +140,8 @@
 
 @pytest.mark.parametrize("count", [800, 3_200])
 def test_no_slice_grows_with_the_fleet(count: int, monkeypatch: pytest.MonkeyPatch) -> None:
-    # Counted are points hashed and ranges that get homes between two yields; times are in benchmarks/list_events.py.
+    # Counts servers hashed and ranges assigned between two yields; benchmarks/list_events.py
+    # measures times.
     hashed, homes = 0, 0
     points_of, owners_of = placement._points_of, HashRing.owners_of
 
@@ -160,7 +163,7 @@
     def counts(
         servers: list[Member], before: Placement[Member] | None
     ) -> tuple[Placement[Member], int, int, int, int]:
-        """The placement; servers hashed, in all and at most in one slice; ranges that got homes, likewise."""
+        """The placement, then total and most per slice of servers hashed and of ranges assigned."""
         nonlocal hashed, homes
         all_hashed = most_hashed = all_homes = most_homes = 0
         steps = build(before, servers, [1.0] * len(servers), ranges_for(len(servers)))
@@ -177,7 +180,7 @@
     first, *found = counts(servers, None)
     assert found == [count, 16, first.ranges, 256]
     same, *found = counts(servers, first)
-    assert same.ring is first.ring and found == [0, 0, first.ranges, 256]  # nobody came or went
+    assert same.ring is first.ring and found == [0, 0, first.ranges, 256]  # no server changed
     _, *found = counts([*servers[1:], Member(Server("new"))], first)
     assert found == [1, 1, first.ranges, 256]
 
@@ -201,7 +204,8 @@
 def test_a_list_that_grows_just_after_homes_were_found_fails_no_decision(
     count: int, more: int
 ) -> None:
-    # Issue 49: ranges were doubled at once, and owners followed up to 2.5 s later.
+    # Issue 49: the number of ranges doubled at once while owners followed up to 2.5 s later, and
+    # look-ups between the two failed.
     node = Node()
     node.apply_list("full", [Server(f"s{n}") for n in range(count)])
     node.send_request()
@@ -260,7 +264,8 @@
 
 
 def test_servers_replaced_over_and_over_count_only_as_often_as_were_in_service() -> None:
-    # Guards against ranges and memory that grow with each server that went undrained in the last HOLD_MS.
+    # Ranges and memory must not grow with each server that left without draining within
+    # DEPARTED_HOLD_MS.
     node = Node()
     servers = [Server(f"s{n}") for n in range(100)]
     node.apply_list("full", servers)
--- a/tests/forkweir/test_retry_after.py
+++ b/tests/forkweir/test_retry_after.py
@@ -1,4 +1,4 @@
-"""When refused clients are told to come back, and for what cause."""
+"""The waits and the causes that refused clients get."""
 
 from __future__ import annotations
 
@@ -77,7 +77,7 @@
     servers = [Server(f"s{n}", started_ms=1_000.0) for n in range(2)]
     got = refusals(make(servers), 1_010.0, 200)
     assert {refuse[3] for refuse in got} == {"cold"} and len(got) > 100
-    # As much is let in as comes: the wait is that of the bucket, not the longest.
+    # The bucket fills about as fast as requests arrive, so its forecast is below the longest wait.
     assert min(refuse[2] for refuse in got) < 600.0
 
 
--- a/tests/forkweir/test_send_guard.py
+++ b/tests/forkweir/test_send_guard.py
@@ -1,4 +1,4 @@
-"""The one place that decides whether a request may go out: each bound less the stall that has to be allowed for, and its violations."""
+"""The check before each send: every limit less the allowed stall, and violations of the limits."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
     deadline_ms=NOW + 1_000.0,
 )
 
-# What is known, and the denial and the violation that follow at NOW.
+# The state of the attempt, and the denial and the violation that follow at NOW.
 CASES: dict[str, tuple[dict[str, Any], Denial | None, Denial | None]] = {
     "free": ({}, None, None),
     "no deadline": ({"deadline_ms": inf}, None, None),
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -1,4 +1,4 @@
-"""The adapter, end to end, as the process that the deploy file starts."""
+"""End-to-end tests of the adapter, run as the process that the deploy file starts."""
 
 from __future__ import annotations
 
--- a/tests/test_line.py
+++ b/tests/test_line.py
@@ -1,4 +1,4 @@
-"""Cuts and blending against figures worked by hand."""
+"""Cuts of the line and their blending, against values computed by hand."""
 
 from array import array
 
@@ -6,7 +6,8 @@
 
 
 def test_cuts_of_the_papers_example() -> None:
-    # Section 4: 10 servers and WS 500, so the first cut lies midway between points 50 and 51.
+    # Section 4 of the DEMB paper: with 10 servers and WS 500 the first cut lies midway between
+    # points 50 and 51.
     window = [float(i) for i in range(1, 501)]
     assert equal_cuts(window, 10) == [50.5, 100.5, 150.5, 200.5, 250.5, 300.5, 350.5, 400.5, 450.5]
 
--- a/tests/test_replay.py
+++ b/tests/test_replay.py
@@ -1,7 +1,8 @@
-"""The module's actions on recorded event streams: any edit that moves one of them shows here.
+"""Digests of the module's actions on generated event streams; any change of an action fails here.
 
-The digests were last recorded when a time-out of what was likely to miss began to spare its server only as far as answered misses
-take long. A change that is meant to move actions records new ones, and says in its commit what the simulator's figure did.
+The digests were last recorded when a time-out of a likely miss began to spare its server only as
+far as answered misses are slow. A change that is meant to alter actions records new digests, and
+its commit says how the simulator's figure changed.
 """
 
 from __future__ import annotations
@@ -42,7 +43,7 @@
 
 
 def stream(seed: int, success_share: float) -> str:
-    """A digest of all actions in a world drawn from a seed, in which this part of the attempts goes well."""
+    """Digest of all actions on a stream drawn from a seed; success_share: of the attempts."""
     rng = random.Random(seed)
     balancer = Balancer(
         Settings(
--- a/tests/test_rooms.py
+++ b/tests/test_rooms.py
@@ -1,4 +1,4 @@
-"""Where things live: no module imports, by whatever way, what imports it."""
+"""Import rules: no import cycles, and each package imports only what it may."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 def imports(path: Path, late: bool) -> set[str]:
-    """The project's modules that a file imports; late: also within functions."""
+    """The project's modules that a file imports; late: also those imported within functions."""
     found: set[str] = set()
     tree = ast.parse(path.read_text())
     nodes = list(ast.walk(tree))
@@ -71,7 +71,7 @@
 
 
 def test_no_import_cycles() -> None:
-    # A package's __init__ that offers what its modules define is not counted against those modules.
+    # A module may import from the package that it is in, whose __init__ re-exports its names.
     graph = {
         name: {other for other in imports(path, True) if not name.startswith(f"{other}.")} - {name}
         for name, path in MODULES.items()
