--- a/corkshift/metrics.py
+++ b/corkshift/metrics.py
@@ -5,10 +5,10 @@
 from collections import Counter
 from collections.abc import Iterable
 
-from forkweir.advice import CAUSES
+from forkweir.retry_after import REFUSAL_CAUSES
 
 OK, SHED, ERRORS = range(3)  # indices of KINDS
-REFUSALS = (*CAUSES, "full", "no-room", "late", "behind")
+REFUSALS = (*REFUSAL_CAUSES, "full", "no-room", "late", "behind")
 """Causes of refusals: those of the balancer (forkweir/advice.py), then the node's own.
 
 full: limit of open requests reached; no-room: body budget used up; late: deadline passed before
--- a/corkshift/node.py
+++ b/corkshift/node.py
@@ -393,12 +393,12 @@
         # The deadline of a large request runs from its last byte.
         flowing = request.body_rest is not None and not request.fully_sent
         return SendState(
-            wanted=request.open,
-            leaving_ms=server.leaving_ms,
+            client_waiting=request.open,
+            departure_ms=server.leaving_ms,
             first_sent_ms=request.first_attempt_sent_ms,
             repeat_window_ms=self._windows.get(request.class_name),
             deadline_ms=inf if flowing else request.deadline_ms,
-            told_ms=announced_ms,
+            announced_ms=announced_ms,
         )
 
     def _on_attempt_done(
@@ -429,7 +429,7 @@
 
     def on_body_consumed(self, request: ClientRequest) -> None:
         """See AttemptOwner."""
-        self._decide(request, lambda: self._balancer.on_spent(now_ms(), request.id))
+        self._decide(request, lambda: self._balancer.on_body_consumed(now_ms(), request.id))
 
     def on_fully_sent(self, request: ClientRequest) -> None:
         """See AttemptOwner. Restarts the request's deadline and its timer."""
--- a/corkshift/upstream.py
+++ b/corkshift/upstream.py
@@ -19,7 +19,7 @@
 from corkshift.seam import Address, now_ms
 from corkshift.seam.errors import LOCAL_ERRNOS, error_name
 from corkshift.stream import KERNEL_BUFFER_BYTES, READ_BYTES, Stream
-from forkweir.send_guard import Denial, deadline_told_ms
+from forkweir.send_guard import Denial, announced_wait_ms
 
 # Limit of a response's head, of a chunk's header and of trailers.
 MAX_HEAD_BYTES = 16_384
@@ -333,7 +333,7 @@
         """Return the request's headers; `size` is its body's length, None if unknown."""
         request = self.request
         if not self._announced_ms:  # computed once, when the head is written
-            self._announced_ms = deadline_told_ms(self._left_ms(), self._client_left_ms())
+            self._announced_ms = announced_wait_ms(self._left_ms(), self._client_left_ms())
         headers = [
             (b"Host", b"%s:%d" % (self.server.address[0].encode(), self.server.address[1])),
             (b"X-Txn", request.txn),
--- a/forkweir/known/speeds.py
+++ b/forkweir/known/speeds.py
@@ -37,7 +37,7 @@
         # By kind: requests a second, busy cores, and busy cores times weight.
         self.kinds: dict[str, list[float]] = {}
         self.best_capacity = 0.0  # per unit of weight, of the fastest kind
-        columns = settings.columns
+        columns = settings.load_columns
         self.rate_column = columns.index("rate") if "rate" in columns else -1
         self.busy_column = columns.index("busy") if "busy" in columns else -1
 
--- a/forkweir/limits/tier_shares.py
+++ b/forkweir/limits/tier_shares.py
@@ -7,7 +7,7 @@
 
 from typing import Optional, Protocol
 
-from forkweir.line import Shared
+from forkweir.line import SharedLine
 
 
 class TierShares(Protocol):
@@ -39,7 +39,7 @@
         """
         ...
 
-    def line(self, position: float, ranges: int, now: float) -> Optional[Shared]:
+    def line(self, position: float, ranges: int, now: float) -> Optional[SharedLine]:
         """Record a request for a position; return the common line of all nodes, if there is one.
 
         The line has so many ranges. The same object is returned until it changes.
--- a/forkweir/line.py
+++ b/forkweir/line.py
@@ -1,4 +1,4 @@
-"""The line of DEMB: positions of keys, the window of recent ones, and the cuts (docs/design.md)."""
+"""The line of DEMB: positions of keys, a window of recent ones, and the cuts (docs/design.md)."""
 
 from __future__ import annotations
 
@@ -8,16 +8,16 @@
 from hashlib import blake2b
 from typing import Optional, Protocol
 
-WINDOW_PER_RANGE = 8  # WS = this x ranges: WS >> N, as the paper asks
-UPDATE_EVERY = 128  # UI, in arrivals
-ALPHA = 0.3  # the weight of new cuts
-HOT_MIN = 8  # sightings before a key may be judged hot
-HOT_MEMORY = 512  # recent arrivals in which hot keys are counted
-SLICE_POINTS = 8_192  # of a new window between two yields: some 1 ms
+WINDOW_PER_RANGE = 8  # window size WS per range; the DEMB paper requires WS >> N
+UPDATE_INTERVAL = 128  # the paper's UI, in arrivals
+ALPHA = 0.3  # the paper's alpha: weight of new cuts
+HOT_KEY_MIN_COUNT = 8  # arrivals within HOT_KEY_WINDOW before a key can be hot
+HOT_KEY_WINDOW = 512  # recent arrivals in which keys are counted
+SLICE_POINTS = 8_192  # points of a new window made between two yields: about 1 ms
 
 
-class Shared(Protocol):
-    """The line of many nodes together: cuts of their merged window, and what part of all requests goes to a position."""
+class SharedLine(Protocol):
+    """The common line of several nodes: cuts of their merged window, and shares of requests."""
 
     @property
     def cuts(self) -> list[float]: ...
@@ -25,22 +25,21 @@
 
 
 def digest(text: str) -> int:
-    """64 bits of a text, the same at every node."""
+    """A 64-bit hash of a text (BLAKE2b), the same at every node."""
     return int.from_bytes(blake2b(text.encode(), digest_size=8).digest(), "big")
 
 
 def position_of(key: str) -> float:
-    """The place of a key on the line, in [0, 1)."""
+    """The position of a key on the line, in [0, 1)."""
     return (digest(key) >> 11) / 9007199254740992.0
 
 
 def equal_cuts(window: Sequence[float], ranges: int) -> list[float]:
-    """Cuts of a sorted window at equal counts, each the midpoint of two neighbouring points."""
+    """Cut a sorted window at equal counts; each cut is the midpoint of two adjacent points."""
     size = len(window)
     if size >= ranges and not size % ranges:
-        step = (
-            size // ranges
-        )  # the same, at a tenth of the time: this is a fifth of what a request costs
+        # The same result as below in a tenth of the time; cutting is a fifth of a request's cost.
+        step = size // ranges
         return [
             (a + b) / 2.0
             for a, b in zip(window[step - 1 : size - 1 : step], window[step::step], strict=True)
@@ -48,121 +47,130 @@
     last = size - 1
     cuts = []
     for i in range(1, ranges):
-        at = size * i // ranges
-        cuts.append((window[max(0, at - 1)] + window[min(at, last)]) / 2.0)
+        index = size * i // ranges
+        cuts.append((window[max(0, index - 1)] + window[min(index, last)]) / 2.0)
     return cuts
 
 
 def _evenly_spaced(first: int, end: int, size: int) -> array[float]:
-    """The points from one index to another of so many that divide the line evenly."""
+    """The points with indices first to end - 1 of `size` points that divide the line evenly."""
     return array("d", [(i + 0.5) / size for i in range(first, end)])
 
 
 class Line:
-    """Positions, the window of recent ones, and the cuts."""
+    """The window of recent positions, the cuts made from it, and counts of hot keys."""
 
     __slots__ = (
         "ranges",
         "window",
-        "prior",
-        "real",
-        "oldest",
+        "initial_points",
+        "arrivals",
+        "oldest_index",
         "cuts",
-        "since",
-        "counts",
-        "recent",
-        "at",
+        "arrivals_since_update",
+        "key_counts",
+        "recent_keys",
+        "recent_index",
         "shared",
     )
 
-    def __init__(self, ranges: int, prior: Optional[array[float]] = None) -> None:
-        """prior: the evenly spaced window, if it has been made already (see `build`)."""
+    def __init__(self, ranges: int, initial_points: Optional[array[float]] = None) -> None:
+        """initial_points: the evenly spaced window, if it has been built already (see `build`)."""
         self.ranges = ranges
-        # A node starts with the same evenly spaced window as its peers (guards against a
-        # restarted or quiet node cutting from a handful of requests).
+        # All nodes start with the same evenly spaced window. Otherwise a node that restarted or
+        # gets few requests would cut its line by a handful of requests.
         size = ranges * WINDOW_PER_RANGE
-        self.prior = _evenly_spaced(0, size, size) if prior is None else prior
-        self.window = self.prior[:]  # arrays: a third of the memory that lists of floats take
-        self.real = array("d")  # real positions in order of arrival, a ring once full
-        self.oldest = 0
+        self.initial_points = (
+            _evenly_spaced(0, size, size) if initial_points is None else initial_points
+        )
+        # Arrays take a third of the memory of lists of floats.
+        self.window = self.initial_points[:]
+        # Positions of requests in order of arrival; a ring buffer once the window is full of them.
+        self.arrivals = array("d")
+        self.oldest_index = 0
         self.cuts = equal_cuts(self.window, ranges)
-        self.since = 0
-        self.counts: dict[str, int] = {}
-        self.recent: list[str] = []
-        self.at = 0
-        self.shared: Optional[Shared] = None
+        self.arrivals_since_update = 0
+        self.key_counts: dict[str, int] = {}
+        self.recent_keys: list[str] = []
+        self.recent_index = 0
+        self.shared: Optional[SharedLine] = None
 
     @staticmethod
     def build(ranges: int) -> Generator[None, None, Line]:
-        """A new line, made with a yield between slices of SLICE_POINTS (its window has 8 points for each range)."""
+        """Build a new line; yields between slices of SLICE_POINTS points of its window."""
         size = ranges * WINDOW_PER_RANGE
-        prior = array("d")
+        initial_points = array("d")
         for first in range(0, size, SLICE_POINTS):
-            prior += _evenly_spaced(first, min(size, first + SLICE_POINTS), size)
+            initial_points += _evenly_spaced(first, min(size, first + SLICE_POINTS), size)
             yield
-        return Line(ranges, prior)
+        return Line(ranges, initial_points)
 
-    def merge(self, shared: Optional[Shared]) -> None:
-        """The nodes' common line is this from now on; None: there is none, and this node's own window counts again."""
-        self.shared, self.since = shared, 0
+    def use_shared(self, shared: Optional[SharedLine]) -> None:
+        """Take the cuts from the nodes' common line, or from this node's own window if None."""
+        self.shared, self.arrivals_since_update = shared, 0
         self.update()
 
-    def arrive(self, position: float, key: str) -> None:
-        """Put one arrival into the window and re-cut every UI arrivals."""
+    def record_arrival(self, position: float, key: str) -> None:
+        """Put one arrival into the window, and update the cuts every UPDATE_INTERVAL arrivals."""
         window = self.window
-        if self.prior:
-            # The nearest prior point makes room, so evidence moves the cuts near it and not
-            # the whole line (guards against the cuts of quiet nodes drifting apart).
-            prior = self.prior
-            at = bisect_left(prior, position)
-            if at == len(prior) or (at and position - prior[at - 1] < prior[at] - position):
-                at -= 1
-            gone = prior.pop(at)
-            self.real.append(position)
+        if self.initial_points:
+            # Replace the nearest initial point, so that an arrival moves only the cuts near it.
+            # Otherwise the cuts of nodes with few requests would drift apart.
+            initial_points = self.initial_points
+            index = bisect_left(initial_points, position)
+            if index == len(initial_points) or (
+                index and position - initial_points[index - 1] < initial_points[index] - position
+            ):
+                index -= 1
+            evicted = initial_points.pop(index)
+            self.arrivals.append(position)
         else:
-            gone = self.real[self.oldest]
-            self.real[self.oldest] = position
-            self.oldest = (self.oldest + 1) % len(self.real)
-        window.pop(bisect_left(window, gone))
+            evicted = self.arrivals[self.oldest_index]
+            self.arrivals[self.oldest_index] = position
+            self.oldest_index = (self.oldest_index + 1) % len(self.arrivals)
+        window.pop(bisect_left(window, evicted))
         insort(window, position)
-        counts = self.counts
-        if len(self.recent) < HOT_MEMORY:
-            self.recent.append(key)
+        key_counts = self.key_counts
+        if len(self.recent_keys) < HOT_KEY_WINDOW:
+            self.recent_keys.append(key)
         else:
-            old = self.recent[self.at]
-            left = counts[old] - 1
-            if left:
-                counts[old] = left
+            evicted_key = self.recent_keys[self.recent_index]
+            remaining = key_counts[evicted_key] - 1
+            if remaining:
+                key_counts[evicted_key] = remaining
             else:
-                del counts[old]
-            self.recent[self.at] = key
-            self.at = (self.at + 1) % HOT_MEMORY
-        counts[key] = counts.get(key, 0) + 1
-        self.since += 1
-        if (
-            self.since >= UPDATE_EVERY and self.shared is None
-        ):  # a common line moves with each word of it, alike at all nodes
-            self.since = 0
+                del key_counts[evicted_key]
+            self.recent_keys[self.recent_index] = key
+            self.recent_index = (self.recent_index + 1) % HOT_KEY_WINDOW
+        key_counts[key] = key_counts.get(key, 0) + 1
+        self.arrivals_since_update += 1
+        # A common line is updated by each notification of it instead, alike at all nodes.
+        if self.arrivals_since_update >= UPDATE_INTERVAL and self.shared is None:
+            self.arrivals_since_update = 0
             self.update()
 
     def update(self) -> None:
         """BOUNDARY = alpha x CUR_BOUND + (1 - alpha) x BOUNDARY (Algorithm 1)."""
-        keep = 1.0 - ALPHA
-        fresh = equal_cuts(self.window, self.ranges) if self.shared is None else self.shared.cuts
-        self.cuts = [ALPHA * new + keep * old for new, old in zip(fresh, self.cuts, strict=True)]
+        old_weight = 1.0 - ALPHA
+        new_cuts = equal_cuts(self.window, self.ranges) if self.shared is None else self.shared.cuts
+        self.cuts = [
+            ALPHA * new + old_weight * old for new, old in zip(new_cuts, self.cuts, strict=True)
+        ]
 
     def range_of(self, position: float) -> int:
-        """The range that holds a position."""
+        """Return the number of the range that holds a position."""
         return bisect_right(self.cuts, position)
 
-    def copies(self, key: str, servers: int, position: float = -1.0) -> int:
-        """How many servers a key's recent share fills (1 for an ordinary key)."""
+    def servers_for_key(self, key: str, servers: int, position: float = -1.0) -> int:
+        """How many servers a key's share of recent requests needs (1 for an ordinary key)."""
         if self.shared is not None and position >= 0.0:
             share = self.shared.share(position)
             return (
-                min(servers, max(1, round(share * servers))) if share * HOT_MEMORY >= HOT_MIN else 1
+                min(servers, max(1, round(share * servers)))
+                if share * HOT_KEY_WINDOW >= HOT_KEY_MIN_COUNT
+                else 1
             )
-        seen = self.counts.get(key, 0)
-        if seen < HOT_MIN:
+        count = self.key_counts.get(key, 0)
+        if count < HOT_KEY_MIN_COUNT:
             return 1
-        return min(servers, max(1, round(seen * servers / len(self.recent))))
+        return min(servers, max(1, round(count * servers / len(self.recent_keys))))
--- a/forkweir/placement.py
+++ b/forkweir/placement.py
@@ -1,12 +1,15 @@
-"""Which server is home to which range: a hash ring with bounded loads, built in slices. Pure, no I/O, no clock.
-
-Each server stands at POINTS_PER_SERVER places of the ring; a range goes to the next server from its own place on that has room, and a
-server has room for ROOM times its share by weight (Mirrokni, Thorup, Zadimoghaddam 2018, "Consistent hashing with bounded loads").
-
-Invariant: a `Placement` is whole and never changes. Ring, owners, and the number of ranges belong together; whoever looks up a range takes
-all of them from one placement. `build` makes the next one beside it, and yields between slices of bounded work (SLICE_SERVERS or
-SLICE_RANGES), so that no event of the list holds the node up in proportion to the fleet. Work of a build: POINTS_PER_SERVER hashes for each
-server that is new, one pass over the ring's points where many left, one search for each range.
+"""Homes of ranges: consistent hashing with bounded loads, built in slices. Pure, no I/O, no clock.
+
+Each server has POINTS_PER_SERVER points on a hash ring. A range is assigned to the first server
+with capacity from the range's own point on; the capacity of a server is CAPACITY_FACTOR times its
+share by weight (Mirrokni, Thorup, Zadimoghaddam 2018, "Consistent Hashing with Bounded Loads").
+
+Invariant: a `Placement` is complete and never changes. Ring, owners and number of ranges belong
+together, so a look-up of a range takes all of them from one placement. `build` makes the next
+placement beside the current one and yields between slices of bounded work (SLICE_SERVERS or
+SLICE_RANGES), so that a change of the list never blocks the node for a time in proportion to the
+fleet. Work of a build: POINTS_PER_SERVER hashes for each new server, one pass over the ring's
+points where many servers left, one search for each range.
 """
 
 from __future__ import annotations
@@ -20,52 +23,55 @@
 from forkweir.settings import Server
 
 POINTS_PER_SERVER = 24
-ROOM = 1.12  # a server may be home to this times its exact share of ranges
-NEIGHBOURS = 8  # servers known ahead for a range, home included
-SMALLEST_RANGES = 2_048  # constant for every fleet up to 256, so nodes with other lists agree
-RANGES_PER_SERVER = 8  # ranges are at least this many times the servers that they are dealt to
-SLICE_SERVERS = 16  # whose points are hashed between two yields,
-MERGED_SERVERS = 128  # and whose points are sorted in together: either takes under 1 ms
-SLICE_RANGES = (
-    256  # that get their homes between two yields: under 1 ms, the hashes of their places included
-)
-SLICE_POINTS = (
-    8_192  # that are looked through between two yields, where many came or left: some 1 ms
-)
-SLICE_DELETED = 768  # points that are deleted between two yields: under 1 ms
-FEW_CHANGES = 8  # servers whose points are put in or deleted one by one; beyond, passes over all points are cheaper
-
-
-class Placed(Protocol):
-    """What a placement needs of a server."""
+CAPACITY_FACTOR = 1.12  # a server is home to at most this multiple of its exact share of ranges
+MAX_NEIGHBOURS = 8  # servers considered for a range, home included
+# The same for every fleet of up to 256 servers, so that nodes with different lists agree.
+MIN_RANGES = 2_048
+RANGES_PER_SERVER = 8  # least ratio of ranges to servers
+SLICE_SERVERS = 16  # servers whose points are hashed between two yields: under 1 ms
+MERGE_BATCH_SERVERS = 128  # servers whose points are merged into the ring at once: under 1 ms
+# Ranges that are assigned between two yields: under 1 ms with the hashes of their points.
+SLICE_RANGES = 256
+# Points that are scanned between two yields where many servers changed: about 1 ms.
+SLICE_POINTS = 8_192
+SLICE_DELETED_POINTS = 768  # points that are deleted between two yields: under 1 ms
+# Servers whose points are inserted or deleted one by one; for more, full passes are cheaper.
+MAX_SINGLE_CHANGES = 8
+
+
+class PlacedServer(Protocol):
+    """What a placement requires of a server."""
 
     info: Server
 
 
-Member = TypeVar("Member", bound=Placed)
+Member = TypeVar("Member", bound=PlacedServer)
 
 
-def ranges_for(servers: int, at_least: int = SMALLEST_RANGES) -> int:
-    """How many ranges so many servers need: doubled from `at_least` on, so that keys move seldom."""
-    ranges = at_least
+def ranges_for(servers: int, minimum: int = MIN_RANGES) -> int:
+    """How many ranges this many servers need: `minimum` times a power of 2, so keys move rarely."""
+    ranges = minimum
     while ranges < servers * RANGES_PER_SERVER:
         ranges *= 2
     return ranges
 
 
 class HashRing(Generic[Member]):
-    """Points in order, and whose each one is. Points are digests of 64 bits as floats, which sort several times as fast as integers."""
+    """A hash ring: sorted points and the member that each belongs to.
+
+    Points are 64-bit hashes as floats, which sort several times as fast as integers.
+    """
 
     __slots__ = ("points", "members", "_member_at", "_points_of")
 
     def __init__(self) -> None:
         self.points: list[float] = []
-        self.members: list[Member] = []  # whose the point with the same index is
+        self.members: list[Member] = []  # owner of the point with the same index
         self._member_at: dict[float, Member] = {}
         self._points_of: dict[Member, tuple[float, ...]] = {}
 
     def copy(self) -> HashRing[Member]:
-        """A ring that can be changed while this one is in use."""
+        """Return a copy that can be changed while this ring is in use."""
         ring: HashRing[Member] = HashRing()
         ring.points = self.points.copy()
         ring.members = self.members.copy()
@@ -74,11 +80,11 @@
         return ring
 
     def change(self, leaving: Sequence[Member], entering: Sequence[Member]) -> Iterator[None]:
-        """Take servers off the ring and put others on it, in slices. `members` is whole again at the end."""
-        few = len(leaving) + len(entering) <= FEW_CHANGES
-        yield from self._remove(leaving, few)
-        yield from self._add(entering, few)
-        if few:
+        """Remove and add servers in slices. `members` is consistent again only at the end."""
+        single_changes = len(leaving) + len(entering) <= MAX_SINGLE_CHANGES
+        yield from self._remove(leaving, single_changes)
+        yield from self._add(entering, single_changes)
+        if single_changes:
             return
         members: list[Member] = []
         for first in range(0, len(self.points), SLICE_POINTS):
@@ -86,76 +92,76 @@
             yield
         self.members = members
 
-    def _remove(self, leaving: Sequence[Member], few: bool) -> Iterator[None]:
-        gone = [point for member in leaving for point in self._points_of.pop(member)]
-        for first in range(0, len(gone), SLICE_DELETED):
-            for point in gone[first : first + SLICE_DELETED]:
+    def _remove(self, leaving: Sequence[Member], single_changes: bool) -> Iterator[None]:
+        removed_points = [point for member in leaving for point in self._points_of.pop(member)]
+        for first in range(0, len(removed_points), SLICE_DELETED_POINTS):
+            for point in removed_points[first : first + SLICE_DELETED_POINTS]:
                 del self._member_at[point]
-                if few:
+                if single_changes:
                     index = bisect_left(self.points, point)
                     del self.points[index], self.members[index]
             yield
-        if few or not gone:
+        if single_changes or not removed_points:
             return
-        staying: list[float] = []
+        remaining_points: list[float] = []
         for first in range(0, len(self.points), SLICE_POINTS):
-            staying += [
+            remaining_points += [
                 point
                 for point in self.points[first : first + SLICE_POINTS]
                 if point in self._member_at
             ]
             yield
-        self.points = staying
-
-    def _add(self, entering: Sequence[Member], few: bool) -> Iterator[None]:
-        for merged in range(0, len(entering), MERGED_SERVERS):
-            together = entering[merged : merged + MERGED_SERVERS]
-            fresh: list[float] = []
-            for first in range(0, len(together), SLICE_SERVERS):
-                for member in together[first : first + SLICE_SERVERS]:
+        self.points = remaining_points
+
+    def _add(self, entering: Sequence[Member], single_changes: bool) -> Iterator[None]:
+        for batch_start in range(0, len(entering), MERGE_BATCH_SERVERS):
+            batch = entering[batch_start : batch_start + MERGE_BATCH_SERVERS]
+            new_points: list[float] = []
+            for first in range(0, len(batch), SLICE_SERVERS):
+                for member in batch[first : first + SLICE_SERVERS]:
                     points = self._points_of[member] = _points_of(member)
                     self._member_at.update(dict.fromkeys(points, member))
-                    fresh += points
+                    new_points += points
                 yield
-            if few:
-                self._insert(fresh)
+            if single_changes:
+                self._insert(new_points)
                 continue
-            fresh.sort()
-            self.points += fresh
-            self.points.sort()  # two runs that are in order: a merge
+            new_points.sort()
+            self.points += new_points
+            self.points.sort()  # Timsort merges the two sorted runs in linear time
             yield
 
-    def _insert(self, fresh: list[float]) -> None:
-        for point in fresh:
+    def _insert(self, new_points: list[float]) -> None:
+        for point in new_points:
             index = bisect_left(self.points, point)
             self.points.insert(index, point)
             self.members.insert(index, self._member_at[point])
 
     def member(self, index: int) -> Member:
-        """The server at the point with this index, counted round and round."""
+        """Return the server at the point with this index, modulo the number of points."""
         return self.members[index % len(self.members)]
 
     def index_for(self, range_number: int) -> int:
-        """Where on the ring a range begins to look for its home."""
+        """Return the index of the first point at or after the point of a range."""
         return bisect_left(self.points, _point_of_range(range_number))
 
-    def owners_of(self, range_numbers: range, room: dict[Member, int]) -> list[Member]:
-        """The homes of some ranges, each the next server with room, which it takes up."""
+    def owners_of(self, range_numbers: range, capacity: dict[Member, int]) -> list[Member]:
+        """Assign ranges to the next servers with capacity; decrements `capacity`."""
         points, members, size = self.points, self.members, len(self.points)
         owners: list[Member] = []
         for range_point in _points_of_ranges(range_numbers):
             index = bisect_left(points, range_point) % size
             owner = members[index]
-            while not room[owner]:
+            while not capacity[owner]:
                 index = (index + 1) % size
                 owner = members[index]
-            room[owner] -= 1
+            capacity[owner] -= 1
             owners.append(owner)
         return owners
 
 
 class Placement(Generic[Member]):
-    """Homes of all ranges, for the servers and weights that were listed when it was begun."""
+    """Homes of all ranges, for the servers and weights listed when the build began."""
 
     __slots__ = ("members", "weights", "ranges", "ring", "owners", "_neighbours")
 
@@ -175,11 +181,11 @@
         self._neighbours: dict[int, tuple[Member, ...]] = {}
 
     def neighbours(self, range_number: int) -> tuple[Member, ...]:
-        """The home of a range and the servers next to it in the shared order, NEIGHBOURS at most."""
-        known = self._neighbours.get(range_number)
-        if known is None:
-            known = self._neighbours[range_number] = self._find_neighbours(range_number)
-        return known
+        """The home of a range and the next servers on the ring, MAX_NEIGHBOURS in all at most."""
+        cached = self._neighbours.get(range_number)
+        if cached is None:
+            cached = self._neighbours[range_number] = self._find_neighbours(range_number)
+        return cached
 
     def _find_neighbours(self, range_number: int) -> tuple[Member, ...]:
         found = [self.owners[range_number]]
@@ -188,58 +194,63 @@
             member = self.ring.member(start + step)
             if member not in found:
                 found.append(member)
-                if len(found) >= NEIGHBOURS:
+                if len(found) >= MAX_NEIGHBOURS:
                     break
         return tuple(found)
 
 
 def build(
-    before: Optional[Placement[Member]],
+    previous: Optional[Placement[Member]],
     members: Sequence[Member],
     weights: Sequence[float],
     ranges: int,
 ) -> Generator[None, None, Placement[Member]]:
-    """The placement of these servers, made from the one before. Yields between slices; the one before stays whole."""
-    there = set(before.members) if before is not None else set()
-    staying = set(members)
+    """Build the placement of these servers from the previous one, which stays unchanged.
+
+    Yields between slices of bounded work.
+    """
+    previous_members = set(previous.members) if previous is not None else set()
+    current_members = set(members)
     leaving = [
-        member for member in (before.members if before is not None else ()) if member not in staying
+        member
+        for member in (previous.members if previous is not None else ())
+        if member not in current_members
     ]
-    entering = [member for member in members if member not in there]
-    ring: HashRing[Member] = before.ring if before is not None else HashRing()
+    entering = [member for member in members if member not in previous_members]
+    ring: HashRing[Member] = previous.ring if previous is not None else HashRing()
     if leaving or entering:
         ring = ring.copy()
         yield
         yield from ring.change(leaving, entering)
-    share = ranges * ROOM / sum(weights, 1e-9)
-    room = {
+    share = ranges * CAPACITY_FACTOR / sum(weights, 1e-9)
+    capacity = {
         member: int(weight * share) + 1 for member, weight in zip(members, weights, strict=True)
     }
     owners: list[Member] = []
     for first in range(0, ranges if members else 0, SLICE_RANGES):
-        owners += ring.owners_of(range(first, first + SLICE_RANGES), room)
+        owners += ring.owners_of(range(first, first + SLICE_RANGES), capacity)
         yield
     return Placement(members, weights, ranges, ring, owners)
 
 
-def _points_of(member: Placed) -> tuple[float, ...]:
-    """The places of a server on the ring: digests of its name, a slash and the number of the point."""
+def _points_of(member: PlacedServer) -> tuple[float, ...]:
+    """The points of a server on the ring: hashes of its name, a slash and the point's number."""
     return _digests(f"{member.info.name}/", _POINT_NUMBERS)
 
 
 def _digests(prefix: str, suffixes: Iterable[bytes]) -> tuple[float, ...]:
-    """Digests of texts that begin alike, each as `line.digest` has it; the common beginning is hashed once."""
-    begun = blake2b(prefix.encode(), digest_size=8)
+    """Hash texts with a common prefix, each like `line.digest`; the prefix is hashed once."""
+    prefix_hasher = blake2b(prefix.encode(), digest_size=8)
     digests = []
     for suffix in suffixes:
-        hasher = begun.copy()
+        hasher = prefix_hasher.copy()
         hasher.update(suffix)
         digests.append(hasher.digest())
     return tuple(map(float, unpack(f">{len(digests)}Q", b"".join(digests))))
 
 
 def _points_of_ranges(range_numbers: range) -> list[float]:
-    """The places on the ring from which ranges look for their homes."""
+    """The points on the ring from which the search for the ranges' homes starts."""
     missing = range(len(_RANGE_POINTS), range_numbers.stop)
     if missing:
         _RANGE_POINTS.extend(_digests("range/", (b"%d" % number for number in missing)))
@@ -251,5 +262,5 @@
 
 
 _POINT_NUMBERS = [b"%d" % number for number in range(POINTS_PER_SERVER)]
-_RANGE_POINTS: list[float] = []  # grows to as many as the largest fleet has had
-_points_of_ranges(range(SMALLEST_RANGES))
+_RANGE_POINTS: list[float] = []  # a cache; grows to the number of ranges of the largest fleet
+_points_of_ranges(range(MIN_RANGES))
--- a/tests/forkweir/test_client_wait.py
+++ b/tests/forkweir/test_client_wait.py
@@ -14,7 +14,7 @@
 from forkweir.limits.client_wait import ClientWaits
 from forkweir.limits.retry_budget import MAX_SAVED, QUICK_ERROR_SHARE, RetryBudget
 
-READ = ClassSpec("read", aim_ms=800.0, deadline_ms=2500.0, worth=3.0)
+READ = ClassSpec("read", aim_ms=800.0, deadline_ms=2500.0, value=3.0)
 
 
 def test_before_any_first_attempt_the_deadline_is_assumed() -> None:
@@ -102,8 +102,8 @@
 def test_time_outs_of_retries_with_little_time_close_no_gate_and_blame_no_server() -> None:
     for full_time in (True, False):
         balancer = simulate(full_time)
-        assert balancer.gate.part == 1.0 and balancer.gate.bad < 0.01
+        assert balancer.gate.admitted_share == 1.0 and balancer.gate.failure_share < 0.01
         assert all(
-            member.strain == 0.0 and not member.suspicion.suspect
+            member.load_penalty == 0.0 and not member.suspicion.suspect
             for member in balancer.fleet.placed
         )
--- a/tests/forkweir/test_notified_departures.py
+++ b/tests/forkweir/test_notified_departures.py
@@ -1,4 +1,6 @@
-"""A departure outranks older lists of servers that have not started since, for a bounded time and a bounded number of servers."""
+"""A notified departure outranks older lists unless the server has started since; the time and the
+number of departures are bounded.
+"""
 
 from __future__ import annotations
 
@@ -22,15 +24,14 @@
     assert not departures.outranks("s1", listed, float(again), 1.0)
 
 
-def test_a_departure_lapses_and_a_return_ends_it() -> None:
+def test_a_departure_expires_and_a_return_ends_it() -> None:
     departures = Departures()
     departures.record("s0", 5, 0.0, 0.0)
     assert departures.outranks("s0", 4, 0.0, HOLD_MS) and not departures.outranks(
         "s0", 4, 0.0, HOLD_MS + 1.0
     )
-    departures.record(
-        "s0", 4, 0.0, 9_000.0
-    )  # an older list says so too: neither newer nor longer for it
+    # An older list with the same departure neither renews nor extends it.
+    departures.record("s0", 4, 0.0, 9_000.0)
     assert not departures.outranks("s0", 4, 0.0, HOLD_MS + 1.0)
     departures.record("s0", 6, 0.0, 9_000.0)
     assert departures.outranks("s0", 5, 0.0, HOLD_MS + 1.0)
--- a/tests/forkweir/test_outlier_detection.py
+++ b/tests/forkweir/test_outlier_detection.py
@@ -25,7 +25,7 @@
     Suspicion,
 )
 
-READ = ClassSpec("read", aim_ms=800.0, deadline_ms=2500.0, worth=3.0)
+READ = ClassSpec("read", aim_ms=800.0, deadline_ms=2500.0, value=3.0)
 
 
 def trained(adverse_share: float, seed: int = 1) -> OutlierDetector:
@@ -189,7 +189,7 @@
     balancer, sent = simulate(failing, 0.8, 40_000.0)
     usual = sum(sent[name] for name in sent if name not in failing) / 51.0
     assert sum(sent[name] for name in failing) / 9.0 < 0.45 * usual
-    assert balancer.gate.part == 1.0  # a few bad servers don't close the gate
+    assert balancer.gate.admitted_share == 1.0  # a few bad servers don't close the gate
 
 
 def test_a_failure_of_all_servers_ejects_none() -> None:
@@ -219,6 +219,6 @@
         good = send_request(balancer, 1_000.0 + 50.0 * n, n, f"k{rng.randrange(400)}", 0.0, answer)
         served += failing and good
         refused += failing and not good
-    assert balancer.gate.part == 1.0
-    assert balancer.gate.origin_slow < 0.6
+    assert balancer.gate.admitted_share == 1.0
+    assert balancer.gate.origin_slowness < 0.6
     assert refused < 0.15 * served, (refused, served)
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -47,7 +47,7 @@
             assert (await made.ask("a", path="/api/one")).endswith(b"for /api/one")
             assert len(box.heads) == 2
             member = made.node._balancer.fleet.members["s0"]
-            assert not (member.ejections or member.ejected_until or member.warm_ms)
+            assert not (member.ejections or member.ejected_until or member.cold_since_ms)
             assert (await made.ask("b", path="/api/two")).endswith(b"for /api/two")
 
     run_async(test)
@@ -159,7 +159,7 @@
             for n in range(30):
                 answer = await made.ask(f"a{n}", path=f"/api/{n}")
                 assert answer.endswith(b"for /api/%d" % n)
-                assert not (member.ejections or member.ejected_until or member.warm_ms)
+                assert not (member.ejections or member.ejected_until or member.cold_since_ms)
             assert turn > 40
 
     run_async(test)
--- a/tests/test_line.py
+++ b/tests/test_line.py
@@ -1,12 +1,13 @@
-"""Cuts and blending against figures worked by hand."""
+"""Cuts of the line and their blending, against values computed by hand."""
 
 from array import array
 
-from forkweir.line import ALPHA, UPDATE_EVERY, Line, equal_cuts, position_of
+from forkweir.line import ALPHA, UPDATE_INTERVAL, Line, equal_cuts, position_of
 
 
 def test_cuts_of_the_papers_example() -> None:
-    # Section 4: 10 servers and WS 500, so the first cut lies midway between points 50 and 51.
+    # Section 4 of the DEMB paper: with 10 servers and WS 500 the first cut lies midway between
+    # points 50 and 51.
     window = [float(i) for i in range(1, 501)]
     assert equal_cuts(window, 10) == [50.5, 100.5, 150.5, 200.5, 250.5, 300.5, 350.5, 400.5, 450.5]
 
@@ -20,11 +21,11 @@
         assert abs(after - (ALPHA * 0.1 * before + (1 - ALPHA) * before)) < 1e-12
 
 
-def test_fresh_nodes_agree_and_a_few_arrivals_hardly_move_the_cuts() -> None:
+def test_new_nodes_agree_and_a_few_arrivals_hardly_move_the_cuts() -> None:
     quiet, fresh = Line(512), Line(512)
     assert quiet.cuts == fresh.cuts
-    for n in range(UPDATE_EVERY):
-        quiet.arrive(position_of(f"k{n}"), f"k{n}")
+    for n in range(UPDATE_INTERVAL):
+        quiet.record_arrival(position_of(f"k{n}"), f"k{n}")
     shift = max(abs(a - b) for a, b in zip(quiet.cuts, fresh.cuts, strict=True))
     assert 0.0 < shift < 0.25 / 512
 
@@ -33,22 +34,22 @@
     line = Line(8)
     size = len(line.window)
     for n in range(5 * size):
-        line.arrive(position_of(f"k{n % 97}"), f"k{n % 97}")
+        line.record_arrival(position_of(f"k{n % 97}"), f"k{n % 97}")
     assert len(line.window) == size and list(line.window) == sorted(line.window)
-    assert not line.prior and sorted(line.real) == list(line.window)
+    assert not line.initial_points and sorted(line.arrivals) == list(line.window)
 
 
-def test_hot_key_is_dealt_over_as_many_servers_as_it_fills() -> None:
+def test_a_hot_key_is_spread_over_the_servers_that_its_load_needs() -> None:
     line = Line(64)
     for n in range(512):
         key = "hot" if n % 4 == 0 else f"k{n}"
-        line.arrive(position_of(key), key)
-    assert line.copies("hot", 8) == 2
-    assert line.copies("k1", 8) == 1
+        line.record_arrival(position_of(key), key)
+    assert line.servers_for_key("hot", 8) == 2
+    assert line.servers_for_key("k1", 8) == 1
 
 
-def test_two_or_three_sightings_make_no_key_hot() -> None:
+def test_a_key_seen_three_times_is_not_hot() -> None:
     line = Line(64)
     for _ in range(3):
-        line.arrive(position_of("a"), "a")
-    assert line.copies("a", 50) == 1
+        line.record_arrival(position_of("a"), "a")
+    assert line.servers_for_key("a", 50) == 1
--- a/tests/test_replay.py
+++ b/tests/test_replay.py
@@ -1,7 +1,8 @@
-"""The module's actions on recorded event streams: any edit that moves one of them shows here.
+"""Digests of the module's actions on generated event streams; any change of an action fails here.
 
-The digests were last recorded when a time-out of what was likely to miss began to spare its server only as far as answered misses
-take long. A change that is meant to move actions records new ones, and says in its commit what the simulator's figure did.
+The digests were last recorded when a time-out of a likely miss began to spare its server only as
+far as answered misses are slow. A change that is meant to alter actions records new digests, and
+its commit says how the simulator's figure changed.
 """
 
 from __future__ import annotations
@@ -17,7 +18,7 @@
 from forkweir import Balancer, ClassSpec, Server, Settings
 
 CLASSES = (
-    ClassSpec("read", aim_ms=750, deadline_ms=2500, repeat="safe", worth=3),
+    ClassSpec("read", aim_ms=750, deadline_ms=2500, repeat="safe", value=3),
     ClassSpec(
         "cart",
         aim_ms=800,
@@ -25,7 +26,7 @@
         repeat="keyed",
         group="all",
         repeat_window_ms=4000,
-        worth=5,
+        value=5,
     ),
     ClassSpec(
         "cell",
@@ -34,21 +35,21 @@
         repeat="keyed",
         group="cell",
         repeat_window_ms=900,
-        worth=5,
+        value=5,
     ),
-    ClassSpec("once", aim_ms=1200, deadline_ms=2500, repeat="unsafe", late_worth=0.2, worth=8),
+    ClassSpec("once", aim_ms=1200, deadline_ms=2500, repeat="unsafe", late_value=0.2, value=8),
 )
 STATUSES = ("success", "failure", "overloaded", "timed_out", "unreachable", "broken", "spoilt")
 
 
-def stream(seed: int, calm: float) -> str:
-    """A digest of all actions in a world drawn from a seed, in which this part of the attempts goes well."""
+def stream(seed: int, success_share: float) -> str:
+    """Digest of all actions on a stream drawn from a seed; success_share: of the attempts."""
     rng = random.Random(seed)
     balancer = Balancer(
         Settings(
             classes=CLASSES,
             zone="z1",
-            asked=True,
+            poll_list=True,
             may_cancel=True,
             backoff_max_ms=1200.0,
             tick_ms=5.0,
@@ -64,14 +65,14 @@
     open_requests: dict[int, int] = {}
     now = 1_000.0
 
-    def carry(actions: list[object]) -> None:
+    def apply_actions(actions: list[object]) -> None:
         digest.update(orjson.dumps([now, actions]))
         for action in actions:
             match action:
                 case ("attempt", int(request), str(server), float(within)):
                     attempt = open_requests[request]
                     open_requests[request] = attempt + 1
-                    status = "success" if rng.random() < calm else rng.choice(STATUSES)
+                    status = "success" if rng.random() < success_share else rng.choice(STATUSES)
                     took = (
                         within if status == "timed_out" else min(within, rng.expovariate(1 / 120.0))
                     )
@@ -89,7 +90,7 @@
                 case ("refuse", int(request), _) | ("fail", int(request)):
                     del open_requests[request]
 
-    carry(list(balancer.on_list(now, "saved", servers.values())))
+    apply_actions(list(balancer.on_list(now, "saved", servers.values())))
     for n in range(4_000):
         heappush(due, (1_000.0 + 3.0 * n, next(order), "request", (n,)))
     for n in range(40):
@@ -102,7 +103,7 @@
             key = None if rng.random() < 0.02 else f"k{int(rng.paretovariate(0.6)) % 900}"
             open_requests[number] = 0
             budget = spec.deadline_ms * rng.uniform(0.3, 1.0)
-            carry(
+            apply_actions(
                 list(
                     balancer.on_request(
                         now,
@@ -120,25 +121,25 @@
         elif kind == "outcome":
             request, attempt, status, server, took = args
             assert isinstance(request, int) and isinstance(attempt, int) and isinstance(took, float)
-            gone = request not in open_requests
-            if not gone and rng.random() < 0.01:
+            finished = request not in open_requests
+            if not finished and rng.random() < 0.01:
                 del open_requests[request]
-                carry(list(balancer.on_departure(now, request)))
-                gone = True
+                apply_actions(list(balancer.on_departure(now, request)))
+                finished = True
             if status == "success":
                 open_requests.pop(request, None)
-                gone = True
+                finished = True
             note = rng.choice((0, 1, 1, 1, 1, 2, 3)) if status == "success" else 0
-            carry(
+            apply_actions(
                 list(
                     balancer.on_outcome(
-                        now, request, attempt, gone, str(status), str(server), took, note
+                        now, request, attempt, finished, str(status), str(server), took, note
                     )
                 )
             )
         elif kind == "timer":
             if len(due) > 1 or args[0] == 3:
-                carry(list(balancer.on_timer(now, int(str(args[0])))))
+                apply_actions(list(balancer.on_timer(now, int(str(args[0])))))
         else:
             name = f"s{rng.randrange(16)}"
             state = rng.choice(("in", "in", "draining", "gone"))
@@ -151,17 +152,17 @@
                 1.0,
                 now if rng.random() < 0.5 else 0.0,
             )
-            carry(
+            apply_actions(
                 list(balancer.on_list(now, rng.choice(("changes", "changes", "failed")), [entry]))
             )
     return digest.hexdigest()
 
 
 @pytest.mark.parametrize(
-    ("seed", "calm", "recorded"),
+    ("seed", "success_share", "recorded"),
     [(1, 0.97, "371fa7d49c19d7cd"), (2, 0.8, "4d4b13f01e2c8b01"), (3, 0.3, "ca4d26dec1857a4c")],
 )
 def test_actions_on_a_recorded_stream_are_the_same_to_the_byte(
-    seed: int, calm: float, recorded: str
+    seed: int, success_share: float, recorded: str
 ) -> None:
-    assert stream(seed, calm) == recorded
+    assert stream(seed, success_share) == recorded
--- a/tests/test_unframed_responses.py
+++ b/tests/test_unframed_responses.py
@@ -15,7 +15,7 @@
 from test_process import running
 
 from corkshift.budget import MAX_BUFFERED_BODY_BYTES
-from forkweir.choice import HEDGE_LEAST
+from forkweir.choice import HEDGE_MIN
 
 HEAD = b"HTTP/1.1 200 OK\r\nX-Found: hit\r\n"
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)
@@ -146,7 +146,7 @@
 
         async with rig({"s0": CacheBox(script), "s1": CacheBox(script)}) as made:
             # As after many quick responses: a slow attempt is hedged early.
-            made.node._balancer.usual = HEDGE_LEAST
+            made.node._balancer.hedge_share = HEDGE_MIN
             more = "X-Remaining-Ms: 1500\r\n" if class_name == "order" else ""
             data = request("a", more + "Connection: close\r\n", class_name=class_name)
             if more:
