--- a/benchmarks/path_counts.py
+++ b/benchmarks/path_counts.py
@@ -22,7 +22,7 @@
 
 from corkshift import seam
 from corkshift.config import load
-from corkshift.presence import Presence
+from corkshift.loop_lag import LoopLagMonitor
 from corkshift.service import Service
 from corkshift.stream import Stream
 from testbed.machine.loop import VirtualLoop
@@ -131,7 +131,7 @@
     def call_at(
         self, when: float, callback: Any, *args: Any, context: Optional[Context] = None
     ) -> Any:  # type: ignore[override]
-        periodic = isinstance(getattr(callback, "__self__", None), Presence)
+        periodic = isinstance(getattr(callback, "__self__", None), LoopLagMonitor)
         self._count("periodic timers" if periodic else "timers", context)
         return super().call_at(when, callback, *args, context=context)
 
--- a/corkshift/admin/status.py
+++ b/corkshift/admin/status.py
@@ -7,8 +7,8 @@
 from corkshift.discovery import Discovery
 from corkshift.figures import KINDS, Figures
 from corkshift.frontend import Frontend
+from corkshift.loop_lag import STALL_BUCKETS_MS
 from corkshift.node import Node
-from corkshift.presence import HOLDS_MS
 from corkshift.seam import now_ms
 
 PREFIX = "svc"
@@ -69,13 +69,13 @@
         ]
         rows += [f"{PREFIX}.pool.{state}={count}" for state, count in self.node.health().items()]
         presence = self.frontend.presence
-        bounds = [f"{most:g}" for most in HOLDS_MS] + ["more"]
+        bounds = [f"{most:g}" for most in STALL_BUCKETS_MS] + ["more"]
         rows += [
             f"{PREFIX}.loop.late_ms.{bound}={count}"
-            for bound, count in zip(bounds, presence.holds, strict=True)
+            for bound, count in zip(bounds, presence.stall_counts, strict=True)
         ]
         rows += [
-            f"{PREFIX}.loop.longest_ms={presence.longest_ms:.0f}",
-            f"{PREFIX}.loop.turn_ms={presence.turn_ms:.0f}",
+            f"{PREFIX}.loop.longest_ms={presence.longest_stall_ms:.0f}",
+            f"{PREFIX}.loop.turn_ms={presence.smoothed_lag_ms:.0f}",
         ]
         return "\n".join(rows) + "\n"
--- a/corkshift/config.py
+++ b/corkshift/config.py
@@ -26,7 +26,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Neighbours:
+class TierPeers:
     """The other nodes of the tier, where the settings let nodes send one another datagrams."""
 
     listen: Address  # where datagrams arrive
@@ -55,7 +55,7 @@
     drain_grace_ms: float
     admin: Optional[Address] = None  # the operators' address; none: off
     socket_fd: Optional[int] = None  # of the clients' listening socket, where the platform holds it
-    neighbours: Optional[Neighbours] = None  # none: this node talks to no other
+    tier_peers: Optional[TierPeers] = None  # none: this node talks to no other
 
 
 def address_of(text: str) -> Address:
@@ -118,13 +118,13 @@
         drain_grace_ms=float(given(contract, "stopSendingWithinMs", 250.0)),
         admin=address_of(admin) if admin else None,
         socket_fd=_descriptor(descriptor) if descriptor else None,
-        neighbours=_neighbours(data, options)
+        tier_peers=_tier_peers(data, options)
         if allowed.get("peers") and data.get("peer_listen") and data.get("peers")
         else None,
     )
 
 
-def _neighbours(data: dict[str, Any], options: dict[str, Any]) -> Neighbours:
+def _tier_peers(data: dict[str, Any], options: dict[str, Any]) -> TierPeers:
     """Who else is of this node's tier. ValueError where an address is no IPv4 address or stands there twice, or this node is not there."""
     peers = tuple(ipv4_of(text) for text in data["peers"])
     slot = int(options.get("slotNo") or 0)
@@ -132,7 +132,7 @@
         raise ValueError(f"slotNo: {slot} is none of {len(peers)} peers")
     if len(set(peers)) < len(peers):
         raise ValueError("peers: an address stands there twice")
-    return Neighbours(ipv4_of(data["peer_listen"]), peers, slot, int(options.get("tier") or 0))
+    return TierPeers(ipv4_of(data["peer_listen"]), peers, slot, int(options.get("tier") or 0))
 
 
 def _descriptor(text: str) -> int:
--- a/corkshift/discovery.py
+++ b/corkshift/discovery.py
@@ -12,27 +12,36 @@
 
 import h11
 
-from corkshift.address_book import SLICE_SERVERS, AddressBook, Listener
-from corkshift.listing import BadList, EntryCache, claims_of, generation_of, parse_raw, read_entries
-from corkshift.presence import Presence
+from corkshift.address_book import SLICE_SERVERS, AddressBook, ListObserver
+from corkshift.listing import (
+    BadList,
+    EntryCache,
+    generation_of,
+    parse_raw_list,
+    read_entries,
+    unconfirmed_entries,
+)
+from corkshift.loop_lag import LoopLagMonitor
 from corkshift.seam import Address, now_ms
 from corkshift.upstream import Pool
-from corkshift.watch import SILENT_S, Watch
+from corkshift.watch import SILENCE_TIMEOUT_S, Watch
 
 log = logging.getLogger(__name__)
 
 # Age of the list: a change counts as notified 6 s after discovery had it, whatever became of watches and calls. SILENT_S, the pause
 # before a call (`forkweir.known.asking`), BESIDE_S and the time of one answer have to fit into that together (see docs/health.md).
-BESIDE_S = 2.0  # a call that is not answered by then gets another one beside it, and goes on waiting for its turn
-MOST_CALLS = 4  # open at once without an answer; the oldest is given up for a further one
-CALL_S = BESIDE_S * MOST_CALLS  # a call that is not answered by then has failed
-AGENT_S = 0.1  # a call to an agent on the node's own machine, which answers at once while discovery is there
-PAUSE_S = (
+PARALLEL_CALL_DELAY_S = 2.0  # a call that is not answered by then gets another one beside it, and goes on waiting for its turn
+MAX_PENDING_CALLS = 4  # open at once without an answer; the oldest is given up for a further one
+CALL_TIMEOUT_S = (
+    PARALLEL_CALL_DELAY_S * MAX_PENDING_CALLS
+)  # a call that is not answered by then has failed
+AGENT_CALL_TIMEOUT_S = 0.1  # a call to an agent on the node's own machine, which answers at once while discovery is there
+LINE_PAUSE_S = (
     0.1  # a line that has stopped for so long is taken for a broken one, as far as it takes away
 )
-MOST_WAITING = 1_024  # lines behind one that is being taken in slices
-FADING_MOST = 2  # broken watches that are read until another one tells a whole line,
-FADING_S = 10.0  # and for how long
+MAX_QUEUED_LINES = 1_024  # lines behind one that is being taken in slices
+MAX_RETIRING = 2  # broken watches that are read until another one tells a whole line,
+RETIRING_S = 10.0  # and for how long
 
 
 class Discovery:
@@ -45,46 +54,48 @@
 
     def __init__(
         self,
-        node: Listener,
+        node: ListObserver,
         pool: Pool,
         address: Address,
         agent: bool = False,
-        presence: Optional[Presence] = None,
+        loop_lag: Optional[LoopLagMonitor] = None,
     ) -> None:
         """agent: lists are pushed to one on this machine, and what it has counts as told from the first moment on."""
-        self.book = AddressBook(node, pool)
-        self.presence = presence or Presence()
+        self.address_book = AddressBook(node, pool)
+        self.loop_lag = loop_lag or LoopLagMonitor()
         self._node = node
         self._agent = agent
-        self._answered = asyncio.Event()  # a whole line has come
+        self._first_list_received = asyncio.Event()  # a whole line has come
         self._address = address
         self._cache = EntryCache()
         self._calls: dict[
             Watch, asyncio.Task[None]
         ] = {}  # any of which may become the node's watch, or is it; oldest first
-        self._fading: dict[asyncio.Task[None], Watch] = {}  # that lost something, oldest first
-        self._owed = False  # some of what discovery told is lost, and no whole line has come since
-        self._looked_ms = 0.0  # when all watches were last found to have nothing unread
+        self._retiring: dict[asyncio.Task[None], Watch] = {}  # that lost something, oldest first
+        self._changes_lost = (
+            False  # some of what discovery told is lost, and no whole line has come since
+        )
+        self._checked_ms = 0.0  # when all watches were last found to have nothing unread
 
     def start(self, known: dict[str, Any]) -> None:
         """Begin with the list as this node last had it."""
         try:
-            self.book.restore(known)
+            self.address_book.restore(known)
         except BadList as error:
             log.warning("the known list is of no use: %s", error)
 
-    def unread(self) -> bool:
+    def has_unread_input(self) -> bool:
         """Whether a watch has bytes that this node has not looked at, because its loop was held up (a drain may stand among them)."""
-        if not self.presence.stale(self._looked_ms):
+        if not self.loop_lag.stalled_since(self._checked_ms):
             return False
-        if any(watch.unread for watch in (*self._calls, *self._fading.values())):
+        if any(watch.has_unread_input for watch in (*self._calls, *self._retiring.values())):
             return True
-        self._looked_ms = now_ms()
+        self._checked_ms = now_ms()
         return False
 
-    async def told(self) -> None:
+    async def wait_first_list(self) -> None:
         """Until the first whole line has come (guards against a new process that serves by an old list with the newer one at hand)."""
-        await self._answered.wait()
+        await self._first_list_received.wait()
 
     def follow(self) -> None:
         """Ask for changes from now on, unless a watch or a call is at it already."""
@@ -99,85 +110,91 @@
         the list stays as it is, but for what the old one still takes away.
         """
         self._address = address
-        self.book.generation = None
+        self.address_book.generation = None
         for watch in list(self._calls):
-            self._fade(watch)
+            self._retire(watch)
         self._node.on_list("moved", [])
         self._call()
 
     def _call(self) -> None:
-        patience_s = AGENT_S if self._agent else CALL_S
-        watch = Watch(self._address, self.book.generation, patience_s, self.presence, self._cache)
+        timeout_s = AGENT_CALL_TIMEOUT_S if self._agent else CALL_TIMEOUT_S
+        watch = Watch(
+            self._address, self.address_book.generation, timeout_s, self.loop_lag, self._cache
+        )
         self._calls[watch] = asyncio.create_task(self._run(watch))
         if not self._agent:
-            watch.reminder = self.presence.call_later(BESIDE_S, lambda: self._call_beside(watch))
+            watch.parallel_call_timer = self.loop_lag.call_later(
+                PARALLEL_CALL_DELAY_S, lambda: self._call_in_parallel(watch)
+            )
 
-    def _call_beside(self, late: Watch) -> None:
+    def _call_in_parallel(self, late: Watch) -> None:
         """A call has had no answer for BESIDE_S: make another one (guards against a call, or its answer, that is lost on its way)."""
-        if late.begun or late not in self._calls:
+        if late.answered or late not in self._calls:
             return
-        log.info("discovery has not answered for %g s: another call goes beside", BESIDE_S)
-        waiting = [watch for watch in self._calls if not watch.begun]
-        for oldest in waiting[: max(0, len(waiting) - MOST_CALLS + 1)]:
+        log.info(
+            "discovery has not answered for %g s: another call goes beside", PARALLEL_CALL_DELAY_S
+        )
+        waiting = [watch for watch in self._calls if not watch.answered]
+        for oldest in waiting[: max(0, len(waiting) - MAX_PENDING_CALLS + 1)]:
             self._calls.pop(oldest).cancel()
         self._call()
 
-    def _fade(self, watch: Watch) -> None:
+    def _retire(self, watch: Watch) -> None:
         """A watch is to be replaced: it is read on for what takes away, and so is a call whose answer is still to come."""
         task = self._calls.pop(watch)
         if task.done():
             return
-        if self._agent and not watch.begun:
+        if self._agent and not watch.answered:
             task.cancel()
             return
-        watch.fading = True
-        self._fading[task] = watch
-        limit = asyncio.get_running_loop().call_later(FADING_S, task.cancel)
+        watch.retiring = True
+        self._retiring[task] = watch
+        limit = asyncio.get_running_loop().call_later(RETIRING_S, task.cancel)
 
-        def gone(done: asyncio.Task[None]) -> None:
+        def retired(done: asyncio.Task[None]) -> None:
             limit.cancel()
-            del self._fading[done]
+            del self._retiring[done]
 
-        task.add_done_callback(gone)
-        for old in list(self._fading)[:-FADING_MOST]:
+        task.add_done_callback(retired)
+        for old in list(self._retiring)[:-MAX_RETIRING]:
             old.cancel()
 
     # -- one watch -----------------------------------------------------------------------
 
     async def _run(self, watch: Watch) -> None:
         try:
-            await self._follow(watch)
+            await self._read_watch(watch)
             log.info("the watch ended")
-            self._ended(watch)
+            self._on_end(watch)
         except (OSError, h11.RemoteProtocolError, BadList) as error:
             log.info("the watch failed: %s: %s", type(error).__name__, error)
-            self._ended(watch)
+            self._on_end(watch)
         except Exception:
             log.exception("the watch failed")
-            self._ended(watch)
+            self._on_end(watch)
         finally:
-            watch.end()
+            watch.close()
 
-    async def _follow(self, watch: Watch) -> None:
+    async def _read_watch(self, watch: Watch) -> None:
         """Take what a watch tells until it ends; from when something of it is lost on, only what it takes away."""
         try:
             await watch.call()
-            while data := await self._next(watch):
+            while data := await self._next_data(watch):
                 # What stood unread while the loop was held up counts as notified from when it was written.
-                self.book.written_ms = now_ms() - self.presence.unread_ms()
-                for line in watch.lines.receive(data):
-                    if watch.fading:
-                        self._heed_text(line)
+                self.address_book.written_ms = now_ms() - self.loop_lag.unread_ms()
+                for line in watch.parser.receive(data):
+                    if watch.retiring:
+                        self._apply_unconfirmed(line)
                     elif line:
-                        self._line(watch, line)
-                if watch.lines.unfinished and (claims := watch.lines.claims()):
-                    self.book.heed(claims, generation_of(watch.lines.rest()))
+                        self._on_line(watch, line)
+                if watch.parser.unfinished and (entries := watch.parser.unconfirmed_entries()):
+                    self.address_book.apply_unconfirmed(entries, generation_of(watch.parser.rest()))
         except (OSError, h11.RemoteProtocolError, BadList):
-            await watch.taken()  # what came whole before that counts
+            await watch.wait_applied()  # what came whole before that counts
             raise
-        await watch.taken()
+        await watch.wait_applied()
 
-    async def _next(self, watch: Watch) -> bytes:
+    async def _next_data(self, watch: Watch) -> bytes:
         """The next bytes, whatever is lost before them; none at the watch's end. TimeoutError where nothing more will come of it.
 
         A line that stops in its middle is heeded as it is, and given up after STUCK_S. Framing that is lost, in whatever state the
@@ -185,105 +202,107 @@
         """
         paused = False
         while True:
-            pausing = watch.lines.unfinished and not watch.fading and not paused
+            pausing = watch.parser.unfinished and not watch.retiring and not paused
             try:
-                async with self.presence.timeout(PAUSE_S if pausing else None):
-                    return await watch.data()
+                async with self.loop_lag.timeout(LINE_PAUSE_S if pausing else None):
+                    return await watch.next_data()
             except TimeoutError:
                 if watch.stream is not None and not watch.stream.quiet:
                     continue  # it has spoken while this node stood still
                 if pausing:
-                    self._heed_text(watch.lines.rest())
+                    self._apply_unconfirmed(watch.parser.rest())
                     paused = True
                     continue
-                if self._agent and not watch.lines.unfinished:
+                if self._agent and not watch.parser.unfinished:
                     raise
-                self._lose(
+                self._replace(
                     watch,
                     "a line that goes no further"
-                    if watch.lines.unfinished
-                    else f"silent for {SILENT_S:g} s",
+                    if watch.parser.unfinished
+                    else f"silent for {SILENCE_TIMEOUT_S:g} s",
                 )
             except h11.RemoteProtocolError as error:
                 # With the framing is lost where lines end; entries can still be told by their braces.
-                self._heed_text(watch.lines.rest())
-                self._lose(watch, f"no chunk: {error}")
+                self._apply_unconfirmed(watch.parser.rest())
+                self._replace(watch, f"no chunk: {error}")
 
     # -- lines ---------------------------------------------------------------------------
 
-    def _line(self, watch: Watch, line: bytes) -> None:
+    def _on_line(self, watch: Watch, line: bytes) -> None:
         """Take a whole line: a short one now, a long one in slices between which the loop runs and the watch is read on.
 
         What comes behind a long one waits for it, but what it takes away is heeded at once (guards against a drain that stands behind a
         list of thousands of servers for as long as that takes).
         """
-        if watch.taking is not None:
-            self._heed_text(line)
-            watch.waiting.append(line)
-            if len(watch.waiting) > MOST_WAITING:
-                self._lose(watch, "more lines than can be taken")
+        if watch.applying is not None:
+            self._apply_unconfirmed(line)
+            watch.queued_lines.append(line)
+            if len(watch.queued_lines) > MAX_QUEUED_LINES:
+                self._replace(watch, "more lines than can be taken")
             return
-        steps = self._take(watch, line)
+        steps = self._apply_line(watch, line)
         if next(steps, True) is None:
-            watch.taking = asyncio.create_task(self._finish(watch, steps))
+            watch.applying = asyncio.create_task(self._apply_rest(watch, steps))
 
-    async def _finish(self, watch: Watch, steps: Iterator[None]) -> None:
+    async def _apply_rest(self, watch: Watch, steps: Iterator[None]) -> None:
         """Take the rest of a long line, and the lines that waited for it."""
         try:
-            while not watch.fading:
+            while not watch.retiring:
                 await asyncio.sleep(0.0)
                 if next(steps, True) is None:
                     continue
-                if not watch.waiting:
+                if not watch.queued_lines:
                     return
-                steps = self._take(watch, watch.waiting.popleft())
+                steps = self._apply_line(watch, watch.queued_lines.popleft())
         except Exception:
             log.exception("a list could not be taken")
-            self._lose(watch, "a list that could not be taken")
+            self._replace(watch, "a list that could not be taken")
         finally:
-            watch.taking = None
+            watch.applying = None
 
-    def _take(self, watch: Watch, line: bytes) -> Iterator[None]:
+    def _apply_line(self, watch: Watch, line: bytes) -> Iterator[None]:
         """Take a whole line; yields between slices of a long one. A watch that is replaced meanwhile is no reason to go on."""
         try:
-            raw = parse_raw(line)
+            raw = parse_raw_list(line)
         except BadList as error:
-            self._heed_text(line)
-            self._lose(watch, f"BadList: {error}")
+            self._apply_unconfirmed(line)
+            self._replace(watch, f"BadList: {error}")
             return
         pairs = read_entries(raw.entries[:SLICE_SERVERS], self._cache)
         for first in range(SLICE_SERVERS, len(raw.entries), SLICE_SERVERS):
             yield
             pairs += read_entries(raw.entries[first : first + SLICE_SERVERS], self._cache)
-        for old in list(self._fading):
+        for old in list(self._retiring):
             old.cancel()
         for other in [other for other in self._calls if other is not watch]:
             self._calls.pop(other).cancel()
-        all_missed = raw.whole or not watch.carried
-        watch.carried = True
-        self._owed = False
-        yield from self.book.take(raw.generation, raw.whole, pairs, all_missed)
-        self._answered.set()
+        complete = raw.whole or not watch.has_whole_line
+        watch.has_whole_line = True
+        self._changes_lost = False
+        yield from self.address_book.apply_line(raw.generation, raw.whole, pairs, complete)
+        self._first_list_received.set()
 
-    def _heed_text(self, text: bytes) -> None:
+    def _apply_unconfirmed(self, text: bytes) -> None:
         """Heed what can be read of a line that is spoilt or cut, or that came on a watch which is being replaced."""
-        self.book.heed(claims_of(text, self._cache), generation_of(text))
+        self.address_book.apply_unconfirmed(
+            unconfirmed_entries(text, self._cache), generation_of(text)
+        )
 
-    def _lose(self, watch: Watch, why: str) -> None:
+    def _replace(self, watch: Watch, why: str) -> None:
         """Something that a watch told is lost: another one is begun at once, and this one read on for what it still takes away."""
-        if watch.fading or watch not in self._calls:
+        if watch.retiring or watch not in self._calls:
             return
         log.info("the watch is replaced: %s", why)
-        self._fade(watch)
-        self._owed = True
+        self._retire(watch)
+        self._changes_lost = True
         self._node.on_list("lost", [])
 
-    def _ended(self, watch: Watch) -> None:
+    def _on_end(self, watch: Watch) -> None:
         """A watch is over; where nothing replaces it yet, the module says when to ask again."""
-        cut = watch.lines.unfinished
+        cut = watch.parser.unfinished
         if cut:
-            self._heed_text(watch.lines.rest())
+            self._apply_unconfirmed(watch.parser.rest())
         if self._calls.pop(watch, None) is not None:
-            self._owed = self._owed or cut
+            self._changes_lost = self._changes_lost or cut
             if not self._calls:
-                self._node.on_list("lost" if self._owed else "failed", [])
+                self._node.on_list("lost" if self._changes_lost else "failed", [])
--- a/corkshift/frontend.py
+++ b/corkshift/frontend.py
@@ -15,10 +15,10 @@
 
 from corkshift.budget import BULK, LONGEST, BodyBudget, PieceCount
 from corkshift.listener import Listener
+from corkshift.loop_lag import LoopLagMonitor
 from corkshift.messages import Answer, Call
 from corkshift.node import Node
 from corkshift.plain import WHOLE, Whole, request_head
-from corkshift.presence import Presence
 from corkshift.relay import Relay
 from corkshift.seam import Address, Socket, now_ms
 from corkshift.stream import CHUNK, Stream
@@ -471,10 +471,10 @@
 
     def __init__(
         self, node: Node, listener: Socket, limit: int, body_bytes: int, shared: bool = False, leave: Optional[Leave] = None,
-        presence: Optional[Presence] = None,
+        presence: Optional[LoopLagMonitor] = None,
     ) -> None:  # fmt: skip
         self.node = node
-        self.presence = presence or Presence()
+        self.presence = presence or LoopLagMonitor()
         self._leave = leave or Leave(LONGEST_MS)
         self.budget = BodyBudget(body_bytes)
         self.duty = Duty()
--- a/corkshift/listing.py
+++ b/corkshift/listing.py
@@ -28,20 +28,20 @@
 
 log = logging.getLogger(__name__)
 
-MAX_LINE = 1 << 20  # bytes
-MOST_SERVERS = 4_096  # of one list
-MOST_CLAIMS = 4_096  # of one line
-MOST_WEIGHT = 1_000.0
+MAX_LINE_BYTES = 1 << 20  # bytes
+MAX_SERVERS = 4_096  # of one list
+MAX_UNCONFIRMED_ENTRIES = 4_096  # of one line
+MAX_WEIGHT = 1_000.0
 STATES = {"in_service": "in", "terminating": "draining", "terminated": "gone"}
-NAME_FORM = re.compile(r"[!-~]{1,128}")
-MOST_CACHED = 2 * MOST_SERVERS  # entries that have been read
-LONGEST_ENTRY = 4_096  # bytes
-_ENTRY = re.compile(rb"\{[^{}]{2,%d}\}" % LONGEST_ENTRY)  # entries hold no objects
-_NAMED = re.compile(rb'"instanceId"\s*:\s*"([!-~]{1,128}?)"')
+NAME_PATTERN = re.compile(r"[!-~]{1,128}")
+MAX_CACHED_ENTRIES = 2 * MAX_SERVERS  # entries that have been read
+MAX_ENTRY_BYTES = 4_096  # bytes
+_ENTRY = re.compile(rb"\{[^{}]{2,%d}\}" % MAX_ENTRY_BYTES)  # entries hold no objects
+_INSTANCE_ID = re.compile(rb'"instanceId"\s*:\s*"([!-~]{1,128}?)"')
 _GENERATION = re.compile(rb'"generation"\s*:\s*([0-9]{1,18})(?=[\s,}])')
 _STRING = re.compile(rb'"(?:[^"\\]|\\.)*"')
-_OPENS, _CLOSES = (b"{", b"["), (b"}", b"]")
-_GOES_ON = (b"{", b"[", b",")  # what a row ends with behind which an object goes on
+_OPENING_BRACKETS, _CLOSING_BRACKETS = (b"{", b"["), (b"}", b"]")
+_CONTINUED_ROW_ENDS = (b"{", b"[", b",")  # what a row ends with behind which an object goes on
 _WHOLE_LIST = re.compile(rb'"reset"\s*:\s*true')
 
 
@@ -50,7 +50,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Claim:
+class UnconfirmedEntry:
     """What a spoilt line says of one server. address: None where it can't be read."""
 
     server: Server  # its state may be "unreadable" as well
@@ -82,13 +82,13 @@
             return _server_of(entry), ipv4_of(entry["hostPort"])
         if known is None:
             known = _server_of(entry), ipv4_of(entry["hostPort"])
-            if len(self._read) >= MOST_CACHED:
+            if len(self._read) >= MAX_CACHED_ENTRIES:
                 self._read.clear()
             self._read[fields] = known
         return known
 
 
-class Lines:
+class LineParser:
     """The body of one watch: whole lines, and what stands whole in the one that has begun.
 
     An object may come indented, over several rows. It begins with a row that breaks where an indented one does and leaves brackets open,
@@ -96,71 +96,79 @@
     it broke off (guards against one cut line that swallows all that come after it).
     """
 
-    __slots__ = ("_part", "_row", "_depth", "_searched", "_claimed", "_scanned", "_cache")
+    __slots__ = (
+        "_buffer",
+        "_row_start",
+        "_depth",
+        "_searched_end",
+        "_reported_end",
+        "_scanned_end",
+        "_cache",
+    )
 
     def __init__(self, cache: Optional[EntryCache] = None) -> None:
         self._cache = cache or EntryCache()
-        self._part = bytearray()
-        self._row = 0  # where the row begins that is under way,
+        self._buffer = bytearray()
+        self._row_start = 0  # where the row begins that is under way,
         self._depth = 0  # and how many brackets are open before it
-        self._searched = 0  # no line ends before this byte,
-        self._claimed = 0  # and no entry that is not told yet begins before this one
-        self._scanned = 0  # how much there was when claims were last asked for
+        self._searched_end = 0  # no line ends before this byte,
+        self._reported_end = 0  # and no entry that is not told yet begins before this one
+        self._scanned_end = 0  # how much there was when claims were last asked for
 
     @property
     def unfinished(self) -> bool:
         """Whether a line has begun and not ended."""
-        return bool(self._part)
+        return bool(self._buffer)
 
     def receive(self, data: bytes) -> list[bytes]:
         """The lines that these bytes end, without their ends; BadList for one that is longer than any list."""
-        part = self._part
-        part += data
+        buffer = self._buffer
+        buffer += data
         lines = []
-        at, row = 0, self._row
-        while (end := part.find(b"\n", max(row, self._searched))) >= 0:
-            text = bytes(part[row:end]).strip()
-            if self._depth and (not text or part.startswith(b"{", row)):
-                lines.append(bytes(part[at:row]).strip())
-                at, self._depth = row, 0
-            if self._depth or text.endswith(_GOES_ON):
-                self._depth = max(0, self._depth + _opened(text))
-            row = end + 1
+        line_start, row_start = 0, self._row_start
+        while (row_end := buffer.find(b"\n", max(row_start, self._searched_end))) >= 0:
+            text = bytes(buffer[row_start:row_end]).strip()
+            if self._depth and (not text or buffer.startswith(b"{", row_start)):
+                lines.append(bytes(buffer[line_start:row_start]).strip())
+                line_start, self._depth = row_start, 0
+            if self._depth or text.endswith(_CONTINUED_ROW_ENDS):
+                self._depth = max(0, self._depth + _net_brackets(text))
+            row_start = row_end + 1
             if not self._depth:
-                lines.append(bytes(part[at:end]).strip())
-                at = row
-        if at:
-            del part[:at]
-            self._claimed = self._scanned = 0
-        self._row = row - at
-        self._searched = len(part)
-        if len(part) > MAX_LINE:
+                lines.append(bytes(buffer[line_start:row_end]).strip())
+                line_start = row_start
+        if line_start:
+            del buffer[:line_start]
+            self._reported_end = self._scanned_end = 0
+        self._row_start = row_start - line_start
+        self._searched_end = len(buffer)
+        if len(buffer) > MAX_LINE_BYTES:
             raise BadList("a line without end")
         return lines
 
-    def claims(self) -> list[Claim]:
+    def unconfirmed_entries(self) -> list[UnconfirmedEntry]:
         """The entries that have come to stand whole in the unfinished line since this was last asked."""
         found = []
-        begin = max(self._claimed, self._scanned - LONGEST_ENTRY - 2)
-        self._scanned = len(self._part)
-        for match in _ENTRY.finditer(self._part, begin):
-            self._claimed = match.end()
-            if (claim := _claim(match[0], self._cache)) is not None:
-                found.append(claim)
-        return found[:MOST_CLAIMS]
+        begin = max(self._reported_end, self._scanned_end - MAX_ENTRY_BYTES - 2)
+        self._scanned_end = len(self._buffer)
+        for match in _ENTRY.finditer(self._buffer, begin):
+            self._reported_end = match.end()
+            if (entry := _unconfirmed_entry(match[0], self._cache)) is not None:
+                found.append(entry)
+        return found[:MAX_UNCONFIRMED_ENTRIES]
 
     def rest(self) -> bytes:
         """The unfinished line, as far as it came."""
-        return bytes(self._part)
+        return bytes(self._buffer)
 
 
-def _opened(row: bytes) -> int:
+def _net_brackets(row: bytes) -> int:
     """How many more brackets a row of JSON opens than it closes."""
-    bare = _STRING.sub(b"", row)
-    return sum(map(bare.count, _OPENS)) - sum(map(bare.count, _CLOSES))
+    unquoted = _STRING.sub(b"", row)
+    return sum(map(unquoted.count, _OPENING_BRACKETS)) - sum(map(unquoted.count, _CLOSING_BRACKETS))
 
 
-def claims_of(text: bytes, cache: Optional[EntryCache] = None) -> list[Claim]:
+def unconfirmed_entries(text: bytes, cache: Optional[EntryCache] = None) -> list[UnconfirmedEntry]:
     """What can be read of a line that is spoilt or cut: entries that stand whole, and of changes also which server a broken one names.
 
     A whole list names every server, so that one broken entry of it tells nothing.
@@ -168,21 +176,23 @@
     cache = cache or EntryCache()
     found = []
     rest = bytearray()
-    at = 0
+    position = 0
     for match in _ENTRY.finditer(text):
-        claim = _claim(match[0], cache)
-        rest += text[at : match.start() if claim is not None else match.end()]
-        at = match.end()
-        if claim is not None:
-            found.append(claim)
-    rest += text[at:]
+        entry = _unconfirmed_entry(match[0], cache)
+        rest += text[position : match.start() if entry is not None else match.end()]
+        position = match.end()
+        if entry is not None:
+            found.append(entry)
+    rest += text[position:]
     if not _WHOLE_LIST.search(rest):
-        known = {claim.server.name for claim in found}
-        names = dict.fromkeys(match[1].decode() for match in _NAMED.finditer(rest))
+        known = {entry.server.name for entry in found}
+        names = dict.fromkeys(match[1].decode() for match in _INSTANCE_ID.finditer(rest))
         found += [
-            Claim(Server(name, state="unreadable"), None) for name in names if name not in known
+            UnconfirmedEntry(Server(name, state="unreadable"), None)
+            for name in names
+            if name not in known
         ]
-    return found[:MOST_CLAIMS]
+    return found[:MAX_UNCONFIRMED_ENTRIES]
 
 
 def generation_of(text: bytes) -> int | None:
@@ -200,7 +210,7 @@
     entries: list[Any]
 
 
-def parse_raw(line: bytes) -> RawList:
+def parse_raw_list(line: bytes) -> RawList:
     """A whole line as JSON has it. BadList where it is none."""
     try:
         data = orjson.loads(line)
@@ -208,16 +218,16 @@
         raise BadList(f"not JSON: {error}") from None
     if not isinstance(data, dict):
         raise BadList("not an object")
-    return raw_of(data)
+    return raw_list_of(data)
 
 
-def raw_of(data: dict[str, Any]) -> RawList:
+def raw_list_of(data: dict[str, Any]) -> RawList:
     """An object in discovery's form. BadList where it is no list, or longer than MOST_SERVERS."""
     try:
         generation, entries = int(data["generation"]), list(data["instances"])
     except (KeyError, TypeError, ValueError) as error:
         raise BadList(f"{type(error).__name__}: {error}") from None
-    if len(entries) > MOST_SERVERS:
+    if len(entries) > MAX_SERVERS:
         raise BadList(f"{len(entries)} servers")
     return RawList(generation, bool(data.get("reset")), entries)
 
@@ -235,34 +245,34 @@
 
 def parse(line: bytes) -> tuple[int, bool, list[tuple[Server, Address]]]:
     """A whole line: its generation, whether it is the whole list, and its entries. BadList where it is none."""
-    raw = parse_raw(line)
+    raw = parse_raw_list(line)
     return raw.generation, raw.whole, read_entries(raw.entries, EntryCache())
 
 
 def read(data: dict[str, Any]) -> tuple[int, bool, list[tuple[Server, Address]]]:
     """What an object in discovery's form holds (see `parse`)."""
-    raw = raw_of(data)
+    raw = raw_list_of(data)
     return raw.generation, raw.whole, read_entries(raw.entries, EntryCache())
 
 
-def _claim(text: bytes, cache: EntryCache) -> Claim | None:
+def _unconfirmed_entry(text: bytes, cache: EntryCache) -> UnconfirmedEntry | None:
     try:
-        return Claim(*cache.read(orjson.loads(text)))
+        return UnconfirmedEntry(*cache.read(orjson.loads(text)))
     except (AttributeError, KeyError, OverflowError, TypeError, ValueError):
         return None
 
 
 def _unix_ms(stated: Any) -> float:
     """A time as the list states it; ValueError where it is none (what it means on this clock: `forkweir.known.starts`)."""
-    time = float(stated or 0.0)
-    if not isfinite(time):
+    time_ms = float(stated or 0.0)
+    if not isfinite(time_ms):
         raise ValueError("no time")
-    return max(0.0, time)
+    return max(0.0, time_ms)
 
 
 def _server_of(entry: dict[str, Any]) -> Server:
     name = entry["instanceId"]
-    if not NAME_FORM.fullmatch(name):
+    if not NAME_PATTERN.fullmatch(name):
         raise ValueError("no name")
     return Server(
         name=name,
@@ -271,7 +281,7 @@
         cell=int(entry.get("cell") or 0),
         state=STATES[entry["lifecycle"]],
         weight=min(
-            MOST_WEIGHT, max(0.0, float(1.0 if entry.get("weight") is None else entry["weight"]))
+            MAX_WEIGHT, max(0.0, float(1.0 if entry.get("weight") is None else entry["weight"]))
         ),
         started_ms=_unix_ms(entry.get("startedAtMs")),
     )
--- a/corkshift/node.py
+++ b/corkshift/node.py
@@ -133,7 +133,7 @@
         call.since_ms, call.deadline_ms = now - waited_ms, now + budget
         self._calls[call.id] = call
         self._tries[call.id] = 0
-        if budget <= 0.0 or (call.feed is None and self._presence.turn_ms * TURNS > budget):
+        if budget <= 0.0 or (call.feed is None and self._presence.smoothed_lag_ms * TURNS > budget):
             # Its client has gone, or will have before this node could serve it (guards against a node that can't keep up with what
             # comes, and works on requests that it can only fail). Harm: where the loop was held up a moment ago, some are refused that
             # might have been served.
@@ -191,7 +191,7 @@
         self.informed = self.informed or bool(self.servers)
         self._decide(None, lambda: self._balancer.on_list(now_ms(), form, entries))
 
-    def overheard(self, places: list[Address], whole: bool) -> None:
+    def on_unlisted_departures(self, addresses: list[Address], whole: bool) -> None:
         """Servers that the list never named drain or are gone: nothing to do where it is the one source."""
 
     def _overdue(self, call: Call) -> None:
@@ -247,7 +247,7 @@
             wait_ms = max(0.0, action[2] - now_ms())
             if action[1] == REBUILD_TIMER:
                 # Work in the background takes every other turn (guards against requests that wait for a slice in each of their turns).
-                wait_ms = max(wait_ms, self._presence.turn_ms)
+                wait_ms = max(wait_ms, self._presence.smoothed_lag_ms)
             asyncio.get_running_loop().call_later(wait_ms / 1000.0, self._due, action[1])
         elif action[0] == "follow":
             self.follow()
--- a/corkshift/service.py
+++ b/corkshift/service.py
@@ -13,8 +13,8 @@
 from corkshift.discovery import Discovery
 from corkshift.figures import Figures
 from corkshift.frontend import Frontend
+from corkshift.loop_lag import LoopLagMonitor
 from corkshift.node import Node
-from corkshift.presence import Presence
 from corkshift.stream import KERNEL_BUFFER
 from corkshift.upstream import Pool
 from forkweir.limits.duty import Leave
@@ -28,8 +28,8 @@
 
 log = logging.getLogger("corkshift")
 
-BODY_SHARE = (1 << 20) // 8  # bytes of request bodies for each megabyte of the memory limit
-FIRST_LIST_S = 1.0  # an agent that has not told its list by then is down: a node that starts serves by the list as it last was
+BODY_BYTES_PER_MB = (1 << 20) // 8  # bytes of request bodies for each megabyte of the memory limit
+FIRST_LIST_TIMEOUT_S = 1.0  # an agent that has not told its list by then is down: a node that starts serves by the list as it last was
 
 
 class Service:
@@ -50,15 +50,15 @@
         upstream = sockets * 7 // 16
         self.config = config
         self.figures = Figures(spec.name for spec in config.settings.classes)
-        self.presence = Presence()
+        self.loop_lag = LoopLagMonitor()
         self.pool = Pool(
-            upstream, config.dial_timeout_ms, config.conn_idle_ms, self.figures, self.presence
+            upstream, config.dial_timeout_ms, config.conn_idle_ms, self.figures, self.loop_lag
         )
         self.node = Node(config, self.pool, min(config.max_open, upstream))
         longest_ms = max((spec.deadline_ms for spec in config.settings.classes), default=0.0)
         self.frontend = Frontend(
-            self.node, self._listener(), sockets - upstream, config.memory_mb * BODY_SHARE, self._shared, Leave(longest_ms),
-            self.presence,
+            self.node, self._listener(), sockets - upstream, config.memory_mb * BODY_BYTES_PER_MB, self._shared_socket, Leave(longest_ms),
+            self.loop_lag,
         )  # fmt: skip
         self.sources: Optional[Sources] = None
         self._reread = reread
@@ -73,17 +73,17 @@
             self.pool,
             config.discovery,
             agent=not config.settings.asked,
-            presence=self.presence,
+            loop_lag=self.loop_lag,
         )
         self.node.follow = self.discovery.follow
-        self.node.list_unread = self.discovery.unread
+        self.node.list_unread = self.discovery.has_unread_input
         self.tier: Optional[Carrier] = None
-        if config.neighbours is not None and (tier is None or tier.on):
+        if config.tier_peers is not None and (tier is None or tier.on):
             # Only where the settings let nodes talk to one another: what is off costs nothing.
             from corkshift.tier.carrier import Carrier
             from corkshift.tier.options import TierTable
 
-            self.tier = Carrier(self.node, config.neighbours, tier or TierTable())
+            self.tier = Carrier(self.node, config.tier_peers, tier or TierTable())
         self.admin: Optional[Admin] = None
         if config.admin is not None:
             # Only where there is an address: what is off costs nothing.
@@ -97,7 +97,7 @@
         self._stop = asyncio.Event()
 
     @property
-    def _shared(self) -> bool:
+    def _shared_socket(self) -> bool:
         """Whether other processes may hold the clients' listening socket too."""
         return self.config.socket_fd is not None
 
@@ -113,9 +113,9 @@
         loop.add_signal_handler(signal.SIGHUP, self.reload)
         for number in (signal.SIGTERM, signal.SIGINT):
             loop.add_signal_handler(number, self.stop)
-        self.presence.start()
+        self.loop_lag.start()
         self.discovery.start(self.config.known)
-        self._catch_up()
+        self._reload_if_moved()
         if self.sources is not None:
             self.sources.start()
         if self.tier is not None:
@@ -123,14 +123,14 @@
         if not self.config.settings.asked:
             # Lists are pushed to an agent on this machine, and what it has counts as told from the first moment on.
             self.discovery.follow()
-            await self._first_list()
+            await self._wait_first_list()
         if not self._stop.is_set():
             self.frontend.start()
             if self.admin is not None:
                 self.admin.start()
         await self._stop.wait()
         await self.frontend.drain()
-        self.presence.close()
+        self.loop_lag.close()
         if self.sources is not None:
             self.sources.close()
         if self.tier is not None:
@@ -138,7 +138,7 @@
         if self.admin is not None:
             self.admin.close()
 
-    def _catch_up(self) -> None:
+    def _reload_if_moved(self) -> None:
         """Go where discovery is, if the file has changed since it was read: a SIGHUP between then and now was ignored."""
         try:
             fresh = load(seam.environ())
@@ -147,10 +147,13 @@
         if fresh.discovery != self.config.discovery:
             self.reload()
 
-    async def _first_list(self) -> None:
+    async def _wait_first_list(self) -> None:
         """Until the agent has told its list, or this node is to end, or FIRST_LIST_S are over."""
-        waits = [asyncio.create_task(self.discovery.told()), asyncio.create_task(self._stop.wait())]
-        await asyncio.wait(waits, timeout=FIRST_LIST_S, return_when=asyncio.FIRST_COMPLETED)
+        waits = [
+            asyncio.create_task(self.discovery.wait_first_list()),
+            asyncio.create_task(self._stop.wait()),
+        ]
+        await asyncio.wait(waits, timeout=FIRST_LIST_TIMEOUT_S, return_when=asyncio.FIRST_COMPLETED)
         for wait in waits:
             wait.cancel()
 
@@ -173,7 +176,7 @@
         log.info("reload: discovery is at %s:%d", *fresh.discovery)
         if any(
             getattr(fresh, name) != getattr(config, name)
-            for name in ("known", "settings", "listen", "admin", "neighbours")
+            for name in ("known", "settings", "listen", "admin", "tier_peers")
         ):
             log.info("reload: what else has changed waits for the next start")
         self.discovery.move(fresh.discovery)
--- a/corkshift/sources/boxlist.py
+++ b/corkshift/sources/boxlist.py
@@ -46,12 +46,12 @@
         self._draining: dict[Address, None] = {}  # overheard, until a line is read whole
         self._gone: list[Claim] = []  # overheard in the line that is being read
 
-    def overheard(self, places: list[Address], whole: bool) -> None:
+    def on_unlisted_departures(self, addresses: list[Address], whole: bool) -> None:
         """See `corkshift.address_book.Listener`. What was not read whole takes nobody's last server."""
         if whole:
-            self._gone += [Claim(place, "gone") for place in places[:MOST_OVERHEARD]]
+            self._gone += [Claim(place, "gone") for place in addresses[:MOST_OVERHEARD]]
             return
-        for place in places:
+        for place in addresses:
             if (
                 len(self._draining) < MOST_OVERHEARD
                 and place not in self._draining
--- a/corkshift/start.py
+++ b/corkshift/start.py
@@ -14,7 +14,7 @@
     from corkshift.sources.options import SourcesTable
     from corkshift.tier.options import TierTable
 
-OPERATOR = "GRADESHIFT_OPERATOR"
+OPERATOR_VARIABLE = "GRADESHIFT_OPERATOR"
 
 
 def serve(operator: Optional[str] = None) -> int:
@@ -26,7 +26,7 @@
     except BadConfig as error:
         print(f"corkshift: {error}", file=sys.stderr)
         return 2
-    operator = operator or environ.get(OPERATOR)
+    operator = operator or environ.get(OPERATOR_VARIABLE)
     sources: Optional[SourcesTable] = None
     tier: Optional[TierTable] = None
     if operator:
--- a/corkshift/tier/carrier.py
+++ b/corkshift/tier/carrier.py
@@ -15,7 +15,7 @@
 import orjson
 
 from corkshift import seam
-from corkshift.config import Neighbours
+from corkshift.config import TierPeers
 from corkshift.node import Node
 from corkshift.seam import Address, now_ms
 from corkshift.tier.options import TierTable
@@ -37,7 +37,7 @@
 class Carrier:
     """Takes part in the tier for one node."""
 
-    def __init__(self, node: Node, neighbours: Neighbours, options: TierTable) -> None:
+    def __init__(self, node: Node, neighbours: TierPeers, options: TierTable) -> None:
         """OSError where the address can't be had."""
         now = now_ms()
         seed = int.from_bytes(
--- a/corkshift/upstream.py
+++ b/corkshift/upstream.py
@@ -12,9 +12,9 @@
 from corkshift import seam
 from corkshift.budget import BULK, LONGEST, PieceCount
 from corkshift.figures import Figures
+from corkshift.loop_lag import LoopLagMonitor
 from corkshift.messages import Answer, Call
 from corkshift.plain import response_head
-from corkshift.presence import Presence
 from corkshift.relay import Broken, Relay
 from corkshift.seam import Address, now_ms
 from corkshift.seam.errors import LOCAL, name_of
@@ -74,11 +74,11 @@
         dial_timeout_ms: float,
         conn_idle_ms: float,
         figures: Figures,
-        presence: Optional[Presence] = None,
+        presence: Optional[LoopLagMonitor] = None,
     ) -> None:
         self._limit = limit
         self.figures = figures
-        self.presence = presence or Presence()
+        self.presence = presence or LoopLagMonitor()
         self._dial_s = dial_timeout_ms / 1000.0
         self._idle_ms = conn_idle_ms * IDLE_SHARE
         self._open = 0
@@ -217,7 +217,7 @@
     ) -> None:
         self.server = server
         self._started_ms = (
-            pool.presence.present_ms()
+            pool.presence.active_ms()
         )  # or, of a request too large to hold, when its last byte went out
         self._pool = pool
         self.call = call
@@ -244,7 +244,7 @@
     @property
     def elapsed_ms(self) -> float:
         """How long it has been out, less what this node itself was held up: that says nothing of the server."""
-        return self._pool.presence.present_ms() - self._started_ms
+        return self._pool.presence.active_ms() - self._started_ms
 
     def cut(self) -> None:
         """Let the client see that its answer breaks off here, unless it is whole."""
@@ -395,7 +395,7 @@
                 return False
         if not await self._send_last(stream, ahead[-1:], True):
             return False
-        self._started_ms = self._pool.presence.present_ms()
+        self._started_ms = self._pool.presence.active_ms()
         self._owner.sent(call)
         self._limit.reschedule(asyncio.get_running_loop().time() + self._within_ms / 1000.0)
         return True
--- a/corkshift/watch.py
+++ b/corkshift/watch.py
@@ -13,16 +13,16 @@
 import h11
 
 from corkshift import seam
-from corkshift.listing import BadList, EntryCache, Lines
-from corkshift.presence import Presence, PresentTimer
+from corkshift.listing import BadList, EntryCache, LineParser
+from corkshift.loop_lag import ActiveTimer, LoopLagMonitor
 from corkshift.seam import Address
 from corkshift.stream import Stream
 
-SILENT_S = (
+SILENCE_TIMEOUT_S = (
     2.15  # the heartbeat (2 s) and as long as a node may be held up: the watch has fallen silent,
 )
-STUCK_S = 1.0  # or has stopped in the middle of a line
-CHUNK_HEAD = 64  # bytes; a size of 16 digits and a short extension (RFC 9112, 7.1)
+LINE_TIMEOUT_S = 1.0  # or has stopped in the middle of a line
+MAX_CHUNK_HEADER = 64  # bytes; a size of 16 digits and a short extension (RFC 9112, 7.1)
 
 
 class Watch:
@@ -32,31 +32,31 @@
         self,
         address: Address,
         generation: Optional[int],
-        patience_s: float,
-        presence: Presence,
+        answer_timeout_s: float,
+        loop_lag: LoopLagMonitor,
         cache: Optional[EntryCache] = None,
     ) -> None:
         """generation: of the list that the node has, None for a whole one; patience_s: how long the answer may take, in present time."""
         self.address = address
         self.generation = generation
-        self.patience_s = patience_s
-        self.begun = False  # discovery has answered
-        self.carried = False  # a whole line has come
-        self.fading = False  # something of it is lost, and another is to take its place: only what takes away is heeded
-        self.reminder: Optional[PresentTimer] = (
+        self.answer_timeout_s = answer_timeout_s
+        self.answered = False  # discovery has answered
+        self.has_whole_line = False  # a whole line has come
+        self.retiring = False  # something of it is lost, and another is to take its place: only what takes away is heeded
+        self.parallel_call_timer: Optional[ActiveTimer] = (
             None  # of a call that may need another one beside it
         )
-        self.lines = Lines(cache)
-        self.taking: Optional[asyncio.Task[None]] = (
+        self.parser = LineParser(cache)
+        self.applying: Optional[asyncio.Task[None]] = (
             None  # of a long line that is being taken in slices,
         )
-        self.waiting: deque[bytes] = deque()  # and whole lines behind it
-        self._presence = presence
+        self.queued_lines: deque[bytes] = deque()  # and whole lines behind it
+        self._loop_lag = loop_lag
         self.stream: Optional[Stream] = None
-        self._parser = h11.Connection(h11.CLIENT)
+        self._http = h11.Connection(h11.CLIENT)
         self._framed = True
-        self._latest = b""  # what the parser was last given, and what it then still held
-        self._left = b""  # of that, what is to be looked at again, once the framing is lost
+        self._last_input = b""  # what the parser was last given, and what it then still held
+        self._unparsed = b""  # of that, what is to be looked at again, once the framing is lost
 
     async def call(self) -> None:
         """Dial and ask; OSError (TimeoutError among them), h11.RemoteProtocolError or BadList where there is no watch."""
@@ -64,7 +64,7 @@
         try:
             # One service answers all nodes in turn, and a call that is hung up on keeps its turn (guards against a fleet that
             # asks anew, over and over, for what each of its nodes would have been told a moment later).
-            async with self._presence.timeout(self.patience_s):
+            async with self._loop_lag.timeout(self.answer_timeout_s):
                 await seam.connect(sock, self.address)
                 self.stream = Stream(sock)
                 after = "" if self.generation is None else f"&after={self.generation}"
@@ -72,7 +72,7 @@
                 host = f"{self.address[0]}:{self.address[1]}"
                 request = h11.Request(method="GET", target=target, headers=[("Host", host)])
                 await self.stream.write(
-                    self._parser.send(request) + self._parser.send(h11.EndOfMessage())
+                    self._http.send(request) + self._http.send(h11.EndOfMessage())
                 )
                 while isinstance(event := await self._event(), h11.InformationalResponse):
                     pass
@@ -80,73 +80,77 @@
             if self.stream is None:
                 sock.close()
             raise
-        self.begun = True
-        self.remind_no_more()
+        self.answered = True
+        self.cancel_parallel_call()
         if not isinstance(event, h11.Response) or event.status_code != 200:
             raise BadList(f"answered {event!r:.80}")
 
     async def _event(self) -> object:
         assert self.stream is not None
-        while (event := self._parser.next_event()) is h11.NEED_DATA:
-            held = self._parser.trailing_data[0]
-            if self.begun and len(held) > CHUNK_HEAD:
+        while (event := self._http.next_event()) is h11.NEED_DATA:
+            pending = self._http.trailing_data[0]
+            if self.answered and len(pending) > MAX_CHUNK_HEADER:
                 # The parser waits for a line's end that may never come (guards against a change that stands there meanwhile).
-                raise h11.RemoteProtocolError(f"chunk header of over {CHUNK_HEAD} bytes")
+                raise h11.RemoteProtocolError(f"chunk header of over {MAX_CHUNK_HEADER} bytes")
             data = await self.stream.read()
-            self._latest = held + data
-            self._parser.receive_data(data)
+            self._last_input = pending + data
+            self._http.receive_data(data)
         return event
 
-    async def data(self) -> bytes:
+    async def next_data(self) -> bytes:
         """The next bytes of the body, or of whatever comes once its framing is lost; none at the end.
 
         TimeoutError where the watch has fallen silent, h11.RemoteProtocolError once, where the framing is lost.
         """
         # One that is replaced is read on for as long as Discovery has use for it, however silent it is.
-        async with self._presence.timeout(
-            None if self.fading else STUCK_S if self.lines.unfinished else SILENT_S
+        async with self._loop_lag.timeout(
+            None
+            if self.retiring
+            else LINE_TIMEOUT_S
+            if self.parser.unfinished
+            else SILENCE_TIMEOUT_S
         ):
             if self._framed:
                 try:
                     event = await self._event()
                 except h11.RemoteProtocolError:
                     self._framed = False
-                    self._left = self._latest
+                    self._unparsed = self._last_input
                     raise
                 return bytes(event.data) if isinstance(event, h11.Data) else b""
-            if self._left:
-                left, self._left = self._left, b""
+            if self._unparsed:
+                left, self._unparsed = self._unparsed, b""
                 return left
             assert self.stream is not None
             return await self.stream.read()
 
     @property
-    def unread(self) -> bool:
+    def has_unread_input(self) -> bool:
         """Whether bytes stand in the kernel or here that nobody has looked at; asks the kernel."""
         stream = self.stream
         return (
-            self.begun
+            self.answered
             and stream is not None
             and not stream.closed
             and not stream.quiet
             and stream.has_input
         )
 
-    def remind_no_more(self) -> None:
+    def cancel_parallel_call(self) -> None:
         """No further call is needed beside this one."""
-        if self.reminder is not None:
-            self.reminder.cancel()
-            self.reminder = None
+        if self.parallel_call_timer is not None:
+            self.parallel_call_timer.cancel()
+            self.parallel_call_timer = None
 
-    async def taken(self) -> None:
+    async def wait_applied(self) -> None:
         """Until all lines that came whole have been taken."""
-        if self.taking is not None:
-            await asyncio.wait([self.taking])
+        if self.applying is not None:
+            await asyncio.wait([self.applying])
 
-    def end(self) -> None:
+    def close(self) -> None:
         """Hang up."""
-        if self.taking is not None:
-            self.taking.cancel()
-        self.remind_no_more()
+        if self.applying is not None:
+            self.applying.cancel()
+        self.cancel_parallel_call()
         if self.stream is not None:
             self.stream.abort()
--- a/testbed/nights/defects.py
+++ b/testbed/nights/defects.py
@@ -80,14 +80,14 @@
 
     return [
         (Fleet, "take", deaf),
-        (AddressBook, "_leave", lambda self, name, gone: None),
+        (AddressBook, "_mark_leaving", lambda self, name, gone: None),
         (SendGuard, "check", _ignores_bounds),
     ]
 
 
 @defect("a line of the list that can't be read whole is thrown away")
 def forgets_a_spoilt_line() -> list[Patch]:
-    return [(AddressBook, "heed", lambda self, claims, generation: None)]
+    return [(AddressBook, "apply_unconfirmed", lambda self, claims, generation: None)]
 
 
 @defect("a watch that lost something is hung up on before another has told a line")
@@ -95,7 +95,7 @@
     def fade(self: Any, watch: Any) -> None:
         self._calls.pop(watch).cancel()
 
-    return [(Discovery, "_fade", fade)]
+    return [(Discovery, "_retire", fade)]
 
 
 @defect(
--- a/testbed/nights/rules.py
+++ b/testbed/nights/rules.py
@@ -29,7 +29,7 @@
 from dataclasses import dataclass, field
 from typing import Optional
 
-from corkshift.discovery import FADING_MOST
+from corkshift.discovery import MAX_RETIRING
 from corkshift.service import Service
 from corkshift.sources.dns import AT_ONCE
 from corkshift.tier.carrier import Carrier
@@ -521,8 +521,10 @@
             most = IDLE_TIMERS + (
                 SOURCES_TIMERS if self.services[process].sources is not None else 0
             )
-            most += CALL_TIMERS * (len(discovery._calls) + len(discovery._fading))
-            most += (discovery.book._lapsing is not None) + bool(discovery.book._overruled)
+            most += CALL_TIMERS * (len(discovery._calls) + len(discovery._retiring))
+            most += (discovery.address_book._release_timer is not None) + bool(
+                discovery.address_book._superseded
+            )
             most += self.services[process].tier is not None  # its tick
             if process.state == "running" and timers.get(process, 0) > most:
                 self.broken("books", f"{process.name} at rest holds {timers[process]} timers")
@@ -547,7 +549,7 @@
                     0,
                     len(process.pending())
                     - 2
-                    - min(FADING_MOST, len(service.discovery._fading))
+                    - min(MAX_RETIRING, len(service.discovery._retiring))
                     - more,
                 ),
                 "connections in use": service.pool.open - len(service.pool._resting),
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -12,8 +12,8 @@
 from corkshift.discovery import Discovery
 from corkshift.figures import Figures
 from corkshift.frontend import Frontend
+from corkshift.loop_lag import LoopLagMonitor
 from corkshift.node import Node
-from corkshift.presence import Presence
 from corkshift.stream import KERNEL_BUFFER
 from corkshift.upstream import Pool
 from forkweir.adapter import settings_of
@@ -185,7 +185,7 @@
         self.boxes = boxes
         self.registry = registry
         self.figures = Figures(spec.name for spec in config.settings.classes)
-        self.presence = Presence()  # always present until a test starts it
+        self.presence = LoopLagMonitor()  # always present until a test starts it
         self.pool = Pool(
             sockets // 2, config.dial_timeout_ms, config.conn_idle_ms, self.figures, self.presence
         )
@@ -194,9 +194,9 @@
         self.frontend = Frontend(
             self.node, listener, clients, 1 << 20, leave=leave, presence=self.presence
         )
-        self.discovery = Discovery(self.node, self.pool, config.discovery, presence=self.presence)
+        self.discovery = Discovery(self.node, self.pool, config.discovery, loop_lag=self.presence)
         self.node.follow = self.discovery.follow
-        self.node.list_unread = self.discovery.unread
+        self.node.list_unread = self.discovery.has_unread_input
 
     @property
     def port(self) -> int:
--- a/tests/test_address_book.py
+++ b/tests/test_address_book.py
@@ -15,7 +15,13 @@
 
 from corkshift import address_book
 from corkshift.address_book import AddressBook
-from corkshift.listing import EntryCache, claims_of, generation_of, parse_raw, read_entries
+from corkshift.listing import (
+    EntryCache,
+    generation_of,
+    parse_raw_list,
+    read_entries,
+    unconfirmed_entries,
+)
 from corkshift.seam import Address
 from corkshift.upstream import CacheServer
 from forkweir import Balancer, Server, Settings
@@ -30,16 +36,16 @@
     def __init__(self) -> None:
         self.servers: dict[str, CacheServer] = {}
         self.balancer = Balancer(Settings(), 1)
-        self.told = 0
+        self.notified = 0
         self.forms: list[str] = []
 
     def on_list(self, form: str, entries: Iterable[Server]) -> None:
         listed = list(entries)
-        self.told += len(listed)
+        self.notified += len(listed)
         self.forms.append(form)
         self.balancer.on_list(1_000.0, form, listed)
 
-    def overheard(self, places: list[Address], whole: bool) -> None:
+    def on_unlisted_departures(self, addresses: list[Address], whole: bool) -> None:
         pass
 
     def view(self) -> dict[str, tuple[object, ...]]:
@@ -83,7 +89,7 @@
     }
 
 
-class Taker:
+class BookUnderTest:
     """A book with its cache, and a slice size of its own."""
 
     def __init__(self, slice_servers: int) -> None:
@@ -94,7 +100,7 @@
 
     @contextmanager
     def _bounds(self) -> Iterator[None]:
-        """The slice size of this taker, and one moment for both (a start that is news counts from now)."""
+        """The slice size of this tested, and one moment for both (a start that is news counts from now)."""
         names = vars(address_book)
         before = names["SLICE_SERVERS"], names["now_ms"]
         names["SLICE_SERVERS"], names["now_ms"] = self._slice_servers, lambda: NOW_MS
@@ -103,20 +109,20 @@
         finally:
             names["SLICE_SERVERS"], names["now_ms"] = before
 
-    def take(self, line: bytes) -> int:
+    def apply_line(self, line: bytes) -> int:
         """Take a whole line; in how many slices."""
         with self._bounds():
-            raw = parse_raw(line)
+            raw = parse_raw_list(line)
             return sum(
                 1
-                for _ in self.book.take(
+                for _ in self.book.apply_line(
                     raw.generation, raw.whole, read_entries(raw.entries, self.cache), raw.whole
                 )
             )
 
-    def heed(self, text: bytes) -> None:
+    def apply_unconfirmed(self, text: bytes) -> None:
         with self._bounds():
-            self.book.heed(claims_of(text, self.cache), generation_of(text))
+            self.book.apply_unconfirmed(unconfirmed_entries(text, self.cache), generation_of(text))
 
 
 entries_of = st.lists(
@@ -134,66 +140,74 @@
     )
 )
 @settings(max_examples=200, deadline=None)
-def test_slices_and_differences_come_to_the_same_as_a_list_taken_at_once(
+def test_a_list_applied_in_slices_equals_one_applied_at_once(
     lines: list[tuple[str, list[tuple[int, int, str, int]]]],
 ) -> None:
     async def test() -> None:
-        at_once, sliced = Taker(1_000), Taker(2)
+        at_once, sliced = BookUnderTest(1_000), BookUnderTest(2)
         for generation, (kind, drawn) in enumerate(lines, 1):
             line = line_of(
                 generation,
                 kind == "whole",
                 [listed(name, place, state, started) for name, place, state, started in drawn],
             )
-            for taker in (at_once, sliced):
+            for tested in (at_once, sliced):
                 if kind == "cut":
-                    taker.heed(line[: len(line) * 2 // 3])
+                    tested.apply_unconfirmed(line[: len(line) * 2 // 3])
                 else:
-                    taker.take(line)
+                    tested.apply_line(line)
             assert sliced.node.view() == at_once.node.view()
-            assert sliced.book._hearsay.held == at_once.book._hearsay.held
+            assert sliced.book._unconfirmed.held == at_once.book._unconfirmed.held
 
     play(test)
 
 
-def test_a_whole_list_that_has_not_changed_tells_nothing() -> None:
-    taker = Taker(100)
+def test_an_unchanged_whole_list_notifies_nothing() -> None:
+    tested = BookUnderTest(100)
     entries = [
         listed(n, n % 200, started=n) | {"hostPort": f"127.1.{n >> 8}.{n & 255}:9"}
         for n in range(1_000)
     ]
-    assert taker.take(line_of(1, True, entries)) == 10
-    assert taker.node.told == 1_000 and taker.node.forms == ["part"] * 10 + ["changes"]
-    taker.node.told = 0
-    assert taker.take(line_of(2, True, list(reversed(entries)))) == 0
-    assert taker.node.told == 0
+    assert tested.apply_line(line_of(1, True, entries)) == 10
+    assert tested.node.notified == 1_000 and tested.node.forms == ["part"] * 10 + ["changes"]
+    tested.node.notified = 0
+    assert tested.apply_line(line_of(2, True, list(reversed(entries)))) == 0
+    assert tested.node.notified == 0
     assert (
-        taker.take(line_of(3, True, [{**entries[5], "lifecycle": "terminating"}, *entries[6:]]))
+        tested.apply_line(
+            line_of(3, True, [{**entries[5], "lifecycle": "terminating"}, *entries[6:]])
+        )
         == 0
     )
     assert (
-        taker.node.told == 6 and taker.node.balancer.fleet.live == 994
+        tested.node.notified == 6 and tested.node.balancer.fleet.live == 994
     )  # one drains, and five are not named any more
 
 
-def test_who_takes_part_in_slices_and_drains_meanwhile_is_added_as_draining(
+def test_a_pending_server_that_drains_meanwhile_is_added_as_draining(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(address_book, "SLICE_SERVERS", 2)
-    taker = Taker(2)
-    raw = parse_raw(line_of(1, True, [listed(n, n) for n in range(9)]))
-    steps = taker.book.take(raw.generation, True, read_entries(raw.entries, taker.cache), True)
+    tested = BookUnderTest(2)
+    raw = parse_raw_list(line_of(1, True, [listed(n, n) for n in range(9)]))
+    steps = tested.book.apply_line(
+        raw.generation, True, read_entries(raw.entries, tested.cache), True
+    )
     next(steps)
-    assert len(taker.node.servers) == 0
-    taker.heed(line_of(2, False, [listed(7, 7, "terminating"), listed(8, 8, "terminated")]))
+    assert len(tested.node.servers) == 0
+    tested.apply_unconfirmed(
+        line_of(2, False, [listed(7, 7, "terminating"), listed(8, 8, "terminated")])
+    )
     for _ in steps:
         pass
-    leaving = {name for name, server in taker.node.servers.items() if server.leaving_ms is not None}
-    assert leaving == {"s7", "s8"} and taker.node.balancer.fleet.live == 7
+    leaving = {
+        name for name, server in tested.node.servers.items() if server.leaving_ms is not None
+    }
+    assert leaving == {"s7", "s8"} and tested.node.balancer.fleet.live == 7
 
 
 @pytest.mark.parametrize("count", [600, 3_000])
-def test_a_drain_behind_a_long_list_is_heeded_before_the_list_is_taken(count: int) -> None:
+def test_a_drain_behind_a_long_list_is_applied_before_the_list(count: int) -> None:
     # Guards against a change that waits for as long as thousands of servers take.
     async def test() -> None:
         boxes = {f"s{n}": CacheBox() for n in range(2)}
@@ -208,17 +222,17 @@
             seen: list[int] = []
             on_list = made.node.on_list
 
-            def watched(form: str, told: Iterable[Server]) -> None:
-                on_list(form, told)
+            def recording_on_list(form: str, notified: Iterable[Server]) -> None:
+                on_list(form, notified)
                 if made.node.servers["s0"].leaving_ms is not None:
                     seen.append(len(made.node.servers))
 
-            made.node.on_list = watched  # type: ignore[method-assign, assignment]
+            made.node.on_list = recording_on_list  # type: ignore[method-assign, assignment]
             for connection in made.registry.watches:
                 data = whole + drain
                 await connection.stream.write(b"%x\r\n%b\r\n" % (len(data), data))
             await until(lambda: len(made.node.servers) == count + 2)
-            await until(lambda: made.discovery.book.generation == 3)
+            await until(lambda: made.discovery.address_book.generation == 3)
             assert seen[0] < count + 2  # it was out before the last server was added
             await asyncio.sleep(0)
             assert not made.node._balancer.fleet.members["s0"].present
--- a/tests/test_customers.py
+++ b/tests/test_customers.py
@@ -290,7 +290,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     # Guards against a node that serves by the list as it last was and never hears of a drain.
-    monkeypatch.setattr("corkshift.service.FIRST_LIST_S", 30.0)
+    monkeypatch.setattr("corkshift.service.FIRST_LIST_TIMEOUT_S", 30.0)
 
     async def test() -> None:
         boxes = {"s0": CacheBox(), "s1": CacheBox()}
@@ -345,7 +345,7 @@
 
 
 def test_a_node_told_to_end_before_it_serves_ends_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("corkshift.service.FIRST_LIST_S", 30.0)
+    monkeypatch.setattr("corkshift.service.FIRST_LIST_TIMEOUT_S", 30.0)
 
     async def test() -> None:
         registry = Registry({})
@@ -367,7 +367,7 @@
 def test_an_agent_that_is_silent_does_not_keep_a_node_from_serving(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr("corkshift.service.FIRST_LIST_S", 0.05)
+    monkeypatch.setattr("corkshift.service.FIRST_LIST_TIMEOUT_S", 0.05)
 
     async def test() -> None:
         box = CacheBox()
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -15,7 +15,7 @@
 from forkweir.settings import Server, Settings
 
 
-def test_an_id_that_moves_is_asked_at_its_new_address_alone() -> None:
+def test_an_id_that_moves_is_used_only_at_its_new_address() -> None:
     async def test() -> None:
         old, new = CacheBox(), CacheBox()
         async with rig({"s0": old}) as made:
@@ -30,8 +30,8 @@
     play(test)
 
 
-def test_an_address_that_goes_to_another_id_is_no_longer_the_old_ones() -> None:
-    # Guards against a gone server's keys, before its end is told, falling on the cold one at its address.
+def test_an_address_reused_by_another_id_no_longer_belongs_to_the_old_one() -> None:
+    # Guards against a gone server's keys, before its end is node, falling on the cold one at its address.
     async def test() -> None:
         box = CacheBox()
         async with rig({"s0": box}) as made:
@@ -48,7 +48,7 @@
     play(test)
 
 
-def test_an_entry_of_no_use_does_not_cost_the_rest_of_the_list() -> None:
+def test_a_malformed_entry_does_not_discard_the_rest_of_the_list() -> None:
     async def test() -> None:
         box, fresh = CacheBox(), CacheBox()
         async with rig({"s0": box}) as made:
@@ -78,7 +78,7 @@
     play(test)
 
 
-def test_a_draining_server_that_a_whole_list_leaves_out_is_forgotten() -> None:
+def test_a_draining_server_missing_from_a_whole_list_is_forgotten() -> None:
     # Guards against the module keeping one member for each server that ever drained.
     balancer = Balancer(Settings(), seed=1)
     balancer.on_list(0.0, "full", [Server("s0"), Server("s1")])
@@ -89,19 +89,19 @@
 
 
 @pytest.mark.parametrize(
-    ("turn_s", "calls"), [(0.05, 1), (0.15, 2), (0.25, 3), (0.35, 4), (0.75, 8)]
+    ("answer_delay_s", "calls"), [(0.05, 1), (0.15, 2), (0.25, 3), (0.35, 4), (0.75, 8)]
 )
-def test_a_busy_service_is_not_hung_up_on_before_its_turn(
-    monkeypatch: pytest.MonkeyPatch, turn_s: float, calls: int
+def test_calls_to_a_slow_service_are_not_closed_early(
+    monkeypatch: pytest.MonkeyPatch, answer_delay_s: float, calls: int
 ) -> None:
-    # Guards against a fleet whose nodes all hang up on one overbooked service, ask anew, and are never told anything. Further calls go
+    # Guards against a fleet whose nodes all hang up on one overbooked service, ask anew, and are never node anything. Further calls go
     # beside the first, at most MOST_CALLS at once, and the first answer ends the others.
-    monkeypatch.setattr(discovery, "BESIDE_S", 0.1)
-    monkeypatch.setattr(discovery, "CALL_S", 0.1 * discovery.MOST_CALLS)
-    hung_up = 0
-    open_now = most_open = begun = 0
+    monkeypatch.setattr(discovery, "PARALLEL_CALL_DELAY_S", 0.1)
+    monkeypatch.setattr(discovery, "CALL_TIMEOUT_S", 0.1 * discovery.MAX_PENDING_CALLS)
+    closed_early = 0
+    open_now = most_open = calls_made = 0
 
-    class Told:
+    class RecordingNode:
         def __init__(self) -> None:
             self.servers: dict[str, Any] = {}
             self.forms: list[str] = []
@@ -109,16 +109,16 @@
         def on_list(self, form: str, entries: list[Server]) -> None:
             self.forms.append(form)
 
-    async def turn(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        nonlocal hung_up, open_now, most_open, begun
+    async def answer(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        nonlocal closed_early, open_now, most_open, calls_made
         await reader.readuntil(b"\r\n\r\n")
-        begun += 1
+        calls_made += 1
         open_now += 1
         most_open = max(most_open, open_now)
         end = asyncio.create_task(reader.read())
-        await asyncio.wait([end], timeout=turn_s)  # the others' turns
+        await asyncio.wait([end], timeout=answer_delay_s)  # the others' turns
         if end.done():
-            hung_up += 1
+            closed_early += 1
         else:
             line = (
                 json.dumps({"generation": 1, "reset": True, "instances": [entry("s0", 1)]}).encode()
@@ -133,29 +133,29 @@
         writer.close()
 
     async def test() -> None:
-        service = await asyncio.start_server(turn, "127.0.0.1", 0)
-        told = Told()
-        asking = discovery.Discovery(told, None, service.sockets[0].getsockname()[:2])  # type: ignore[arg-type]
-        asking.follow()
-        if turn_s < discovery.CALL_S:
-            await until(lambda: "full" in told.forms)
-            assert told.forms == ["full"]  # no call failed, none was hung up on before its turn
+        service = await asyncio.start_server(answer, "127.0.0.1", 0)
+        node = RecordingNode()
+        client = discovery.Discovery(node, None, service.sockets[0].getsockname()[:2])  # type: ignore[arg-type]
+        client.follow()
+        if answer_delay_s < discovery.CALL_TIMEOUT_S:
+            await until(lambda: "full" in node.forms)
+            assert node.forms == ["full"]  # no call failed, none was hung up on before its answer
             await until(lambda: open_now == 1)
-            assert len(asking._calls) == 1 and not asking._fading and begun <= calls
+            assert len(client._calls) == 1 and not client._retiring and calls_made <= calls
         else:
-            # A turn that takes longer than MOST_CALLS calls wait: the oldest is given up for a further one, and none is added beyond.
-            await until(lambda: begun >= calls)
-            assert told.forms == [] and hung_up >= calls - discovery.MOST_CALLS - 1
+            # A answer that takes longer than MOST_CALLS calls wait: the oldest is given up for a further one, and none is added beyond.
+            await until(lambda: calls_made >= calls)
+            assert node.forms == [] and closed_early >= calls - discovery.MAX_PENDING_CALLS - 1
         assert (
-            most_open <= discovery.MOST_CALLS + 1
+            most_open <= discovery.MAX_PENDING_CALLS + 1
         )  # the one given up may be seen to end a moment later
-        for task in asking._calls.values():
+        for task in client._calls.values():
             task.cancel()
 
     play(test)
 
 
-def test_a_list_that_comes_indented_is_read_as_one() -> None:
+def test_an_indented_list_is_read_as_one_line() -> None:
     # Over several rows, as the protocol's page shows it and as printers of JSON write it; in one piece or row by row.
     async def test() -> None:
         async with rig({"s0": CacheBox()}) as made:
--- a/tests/test_list_freshness.py
+++ b/tests/test_list_freshness.py
@@ -20,7 +20,7 @@
 
 NOTIFIED_MS = 6_000.0  # after discovery had a change it counts as notified
 GRACE_MS = 300.0  # the settings' 250 ms for ending, and 50 ms on sockets
-SLOW_ASKING = {**OPTIONS, "contract": {"mustAskInMs": 60_000, "stopSendingWithinMs": 250}}
+SLOW_POLLING = {**OPTIONS, "contract": {"mustAskInMs": 60_000, "stopSendingWithinMs": 250}}
 REFUSALS = 2  # calls that are refused before the reload
 
 
@@ -41,7 +41,7 @@
         await super().serve(connection, request)
 
 
-async def keep_asking(process: Process, box: CacheBox, over: Callable[[], bool]) -> float:
+async def send_until(process: Process, box: CacheBox, over: Callable[[], bool]) -> float:
     """Send requests until it is over; when the last one reached a box (ms)."""
     latest_ms, n, seen = 0.0, 0, len(box.heads)
     while not over():
@@ -62,7 +62,9 @@
         async with running(tmp_path / "config.json", leaving) as (process, registry):
             registry.change(entry("s1", staying.port))
             await process.served("both")
-            process.config["settings"] = SLOW_ASKING  # for the next process; this one keeps its own
+            process.config["settings"] = (
+                SLOW_POLLING  # for the next process; this one keeps its own
+            )
             process.process.terminate()
             await process.process.wait()
             process.config["known"] = {
@@ -90,7 +92,7 @@
             drained_ms = now_ms()
             moved.change(entry("s0", leaving.port, "terminating"), "terminating")
             end_ms = drained_ms + NOTIFIED_MS + GRACE_MS + 700.0
-            latest_ms = await keep_asking(process, leaving, lambda: now_ms() > end_ms)
+            latest_ms = await send_until(process, leaving, lambda: now_ms() > end_ms)
             assert latest_ms <= drained_ms + NOTIFIED_MS + GRACE_MS
             assert len(moved.calls_ms) > 1
 
@@ -119,7 +121,7 @@
             registry.serve = late  # type: ignore[method-assign]
             registry.change(entry("s0", leaving.port, "terminating"), "terminating")
             end_ms = silent_ms + NOTIFIED_MS + GRACE_MS + 700.0
-            latest_ms = await keep_asking(process, leaving, lambda: now_ms() > end_ms)
+            latest_ms = await send_until(process, leaving, lambda: now_ms() > end_ms)
             assert latest_ms <= silent_ms + NOTIFIED_MS + GRACE_MS
 
     play(test)
@@ -145,7 +147,7 @@
                 await asyncio.sleep(0.005)
             await asyncio.sleep(0.2)
             before, end_ms = len(leaving.heads), now_ms() + 700.0
-            await keep_asking(process, leaving, lambda: now_ms() > end_ms)
+            await send_until(process, leaving, lambda: now_ms() > end_ms)
             assert len(leaving.heads) == before
 
     play(test)
--- a/tests/test_presence.py
+++ b/tests/test_loop_lag.py
@@ -10,75 +10,85 @@
 import pytest
 from loopback import CacheBox, Rig, entry, good, play, request, rig, status, until
 
-from corkshift import presence
-from corkshift.presence import LATE_MS, PERIOD_MS, UNREAD_MS, Presence
+from corkshift import loop_lag
+from corkshift.loop_lag import MIN_UNREAD_MS, PERIOD_MS, STALL_THRESHOLD_MS, LoopLagMonitor
 from corkshift.seam import now_ms
 
 
-def hold(seconds: float) -> None:
+def stall(seconds: float) -> None:
     """Hold the loop up, as a long callback or a small share of a core does."""
     time.sleep(seconds)
 
 
-def test_a_loop_that_runs_is_present() -> None:
+def test_a_running_loop_has_no_lag() -> None:
     async def test() -> None:
-        seen = Presence()
-        assert seen.unread_ms() == 0.0 and seen.lag_ms() == 0.0  # before it is started
-        seen.start()
-        before, began = seen.present_ms(), now_ms()
+        monitor = LoopLagMonitor()
+        assert monitor.unread_ms() == 0.0 and monitor.lag_ms() == 0.0  # before it is started
+        monitor.start()
+        before, began = monitor.active_ms(), now_ms()
         await asyncio.sleep(0.3)
-        assert abs(seen.present_ms() - before - (now_ms() - began)) < LATE_MS
-        assert sum(seen.holds) == 0 and seen.unread_ms() < UNREAD_MS and not seen.stale(began)
-        seen.close()
+        assert abs(monitor.active_ms() - before - (now_ms() - began)) < STALL_THRESHOLD_MS
+        assert (
+            sum(monitor.stall_counts) == 0
+            and monitor.unread_ms() < MIN_UNREAD_MS
+            and not monitor.stalled_since(began)
+        )
+        monitor.close()
 
     play(test)
 
 
-def test_a_hold_is_no_present_time_and_may_have_left_input_unread() -> None:
+def test_a_stall_is_not_active_time_and_may_leave_input_unread() -> None:
     async def test() -> None:
-        seen = Presence()
-        seen.start()
+        monitor = LoopLagMonitor()
+        monitor.start()
         await asyncio.sleep(0.12)
-        looked_ms, before = now_ms(), seen.present_ms()
-        hold(0.6)
-        assert seen.lag_ms() > 600.0 - PERIOD_MS - LATE_MS and seen.stale(looked_ms)
-        assert 600.0 <= seen.unread_ms() < 600.0 + 3.0 * PERIOD_MS
-        assert seen.present_ms() - before <= PERIOD_MS + LATE_MS
+        looked_ms, before = now_ms(), monitor.active_ms()
+        stall(0.6)
+        assert monitor.lag_ms() > 600.0 - PERIOD_MS - STALL_THRESHOLD_MS and monitor.stalled_since(
+            looked_ms
+        )
+        assert 600.0 <= monitor.unread_ms() < 600.0 + 3.0 * PERIOD_MS
+        assert monitor.active_ms() - before <= PERIOD_MS + STALL_THRESHOLD_MS
         await asyncio.sleep(0.0)
         assert (
-            seen.unread_ms() >= 600.0
+            monitor.unread_ms() >= 600.0
         )  # the loop has turned once, and may not have read everything
         await asyncio.sleep(0.4)
-        assert seen.unread_ms() < UNREAD_MS and seen.holds[-2] == 1 and seen.longest_ms > 500.0
-        assert seen.stale(looked_ms) and not seen.stale(now_ms())
-        seen.close()
+        assert (
+            monitor.unread_ms() < MIN_UNREAD_MS
+            and monitor.stall_counts[-2] == 1
+            and monitor.longest_stall_ms > 500.0
+        )
+        assert monitor.stalled_since(looked_ms) and not monitor.stalled_since(now_ms())
+        monitor.close()
 
     play(test)
 
 
-def test_a_timeout_in_present_time_outlasts_a_hold_and_no_more() -> None:
+def test_an_active_timeout_is_extended_by_a_stall_only() -> None:
     async def test() -> None:
-        seen = Presence()
-        seen.start()
+        monitor = LoopLagMonitor()
+        monitor.start()
         began = now_ms()
         with pytest.raises(TimeoutError):
-            async with seen.timeout(0.3):
+            async with monitor.timeout(0.3):
                 await asyncio.sleep(0.05)
-                hold(0.5)
+                stall(0.5)
                 await asyncio.sleep(10.0)
         assert 700.0 <= now_ms() - began < 1_000.0
-        async with seen.timeout(0.3):
-            hold(0.5)
+        async with monitor.timeout(0.3):
+            stall(0.5)
             await asyncio.sleep(0.05)  # present for 0.1 s of the 0.3
-        async with seen.timeout(None):
+        async with monitor.timeout(None):
             await asyncio.sleep(0.01)
         called: list[float] = []
-        timer = seen.call_later(0.05, lambda: called.append(now_ms()))
-        seen.call_later(0.05, lambda: called.append(now_ms()))
+        timer = monitor.call_later(0.05, lambda: called.append(now_ms()))
+        monitor.call_later(0.05, lambda: called.append(now_ms()))
         timer.cancel()
         await asyncio.sleep(0.2)
         assert len(called) == 1
-        seen.close()
+        monitor.close()
 
     play(test)
 
@@ -113,7 +123,7 @@
         assert connection.stream.push(b"%x\r\n%b\r\n" % (len(line), line)) > len(line)
 
 
-def test_the_time_that_a_request_stood_unread_is_taken_from_its_budget() -> None:
+def test_the_time_a_request_was_unread_is_deducted_from_its_budget() -> None:
     # Incident of issue 48: such requests got a whole deadline from when they were read, and were forwarded after their clients had gone.
     async def test() -> None:
         box = CacheBox(good)
@@ -125,7 +135,7 @@
                 sent(made, request(f"held{budget}", within_ms=budget)) for budget in (400, 5_000)
             ]
             before = len(box.heads)
-            hold(0.7)
+            stall(0.7)
             assert await asyncio.gather(*map(answered, asked)) == [503, 200]
             assert (
                 made.figures.refused["late"] + made.figures.refused["behind"] == 1
@@ -138,9 +148,9 @@
     play(test)
 
 
-@pytest.mark.parametrize("hold_s", [0.2, 0.4])
-def test_a_drain_that_stands_unread_goes_before_the_requests_that_stand_beside_it(
-    hold_s: float,
+@pytest.mark.parametrize("stall_s", [0.2, 0.4])
+def test_an_unread_drain_is_applied_before_unread_requests(
+    stall_s: float,
 ) -> None:
     # Incident of issue 48: requests went to draining servers whose drain had been written while the node was held up. Its grace counts
     # from when it was written.
@@ -156,7 +166,7 @@
             asked = [sent(made, request(f"held{n}", path=f"/api/{n}")) for n in range(20)]
             write_drain(made, "s0")
             written_ms = now_ms()
-            hold(hold_s)
+            stall(stall_s)
             assert set(await asyncio.gather(*map(answered, asked))) == {200}
             leaving_ms = made.node.servers["s0"].leaving_ms
             assert leaving_ms is not None and leaving_ms <= written_ms
@@ -166,52 +176,52 @@
     play(test)
 
 
-def test_an_attempt_lets_what_discovery_wrote_be_read_first_and_is_asked_about_after_that() -> None:
+def test_an_attempt_waits_for_unread_list_changes_and_is_then_checked_again() -> None:
     async def test() -> None:
         box = CacheBox(good)
         async with rig({"s0": box}) as made:
-            looks = 0
+            checks = 0
 
             def unread() -> bool:
-                nonlocal looks
-                looks += 1
+                nonlocal checks
+                checks += 1
                 if (
-                    looks == 1
+                    checks == 1
                 ):  # what stands unread is a drain that was written long ago; it is read in the next turn
                     asyncio.get_running_loop().call_soon(
                         setattr, made.node.servers["s0"], "leaving_ms", now_ms() - 1_000.0
                     )
-                return looks == 1
+                return checks == 1
 
             made.node.list_unread = unread
             assert status(await made.ask("held")) == 503
-            assert looks > 1 and not box.heads
+            assert checks > 1 and not box.heads
 
     play(test)
 
 
-def test_only_after_a_hold_is_discovery_looked_at_once_more() -> None:
+def test_discovery_input_is_checked_only_after_a_stall() -> None:
     async def test() -> None:
         async with rig({"s0": CacheBox(good)}) as made:
             made.presence.start()
             await asyncio.sleep(0.2)
             write_drain(made, "s0")
-            assert not made.discovery.unread()  # the loop is there to read it
-            hold(0.3)
-            assert made.discovery.unread()
+            assert not made.discovery.has_unread_input()  # the loop is there to read it
+            stall(0.3)
+            assert made.discovery.has_unread_input()
             await until(lambda: made.node.servers["s0"].leaving_ms is not None)
             await asyncio.sleep(0.2)
-            assert not made.discovery.unread()
+            assert not made.discovery.has_unread_input()
             made.presence.close()
 
     play(test)
 
 
-def test_a_node_that_turns_too_slowly_refuses_what_it_could_only_fail() -> None:
+def test_a_node_whose_loop_is_too_slow_refuses_requests_it_would_fail() -> None:
     async def test() -> None:
         box = CacheBox(good)
         async with rig({"s0": box}) as made:
-            made.presence.turn_ms = 100.0
+            made.presence.smoothed_lag_ms = 100.0
             assert status(await made.ask("short", within_ms=400)) == 503
             assert status(await made.ask("long", within_ms=5_000)) == 200
             assert made.figures.refused["behind"] == 1 and len(box.heads) == 1
@@ -219,7 +229,7 @@
     play(test)
 
 
-def test_a_server_is_not_judged_by_the_time_that_the_node_was_held_up() -> None:
+def test_a_stall_of_the_node_does_not_count_against_a_server() -> None:
     async def test() -> None:
         box = CacheBox(good)
         async with rig({"s0": box}) as made:
@@ -229,7 +239,7 @@
             while not made.node._running:
                 await asyncio.sleep(0.0)
             attempt = next(iter(made.node._running.values()))
-            hold(0.6)
+            stall(0.6)
             assert attempt.elapsed_ms < 200.0
             assert status(await asked) == 200
             made.presence.close()
@@ -237,19 +247,19 @@
     play(test)
 
 
-def test_holds_are_logged_at_a_bounded_rate(
+def test_stalls_are_logged_at_a_bounded_rate(
     caplog: pytest.LogCaptureFixture, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(presence, "LOG_MS", 60_000.0)
+    monkeypatch.setattr(loop_lag, "LOG_INTERVAL_MS", 60_000.0)
 
     async def test() -> None:
-        seen = Presence()
-        seen.start()
+        monitor = LoopLagMonitor()
+        monitor.start()
         for _ in range(3):
             await asyncio.sleep(0.06)
-            hold(0.25)
+            stall(0.25)
         await asyncio.sleep(0.1)
-        seen.close()
+        monitor.close()
 
     with caplog.at_level("INFO"):
         play(test)
--- a/tests/test_lost_lines.py
+++ b/tests/test_lost_lines.py
@@ -1,4 +1,4 @@
-"""Lines of the list that are lost in part, over loopback sockets: drains are kept all the same, and nothing more is taken away."""
+"""Lines of the list that are lost in part, over loopback sockets: draining_entry are kept all the same, and nothing more is taken away."""
 
 from __future__ import annotations
 
@@ -24,12 +24,12 @@
     return {name: CacheBox() for name in NAMES}
 
 
-def patient(made: Rig) -> None:
+def use_slow_polling(made: Rig) -> None:
     """As at a site that wants discovery asked within 10 s: what is not asked at once is asked much later."""
     made.node._balancer.asking._within_ms = 10_000.0
 
 
-def drains(made: Rig, name: str) -> dict[str, object]:
+def draining_entry(made: Rig, name: str) -> dict[str, object]:
     return entry(name, made.boxes[name].port, "terminating")
 
 
@@ -39,27 +39,27 @@
 
 @pytest.mark.parametrize("how", SPOIL_HOWS)
 @pytest.mark.parametrize("answers", [True, False])
-def test_a_drain_in_a_line_that_is_lost_in_part_is_kept(how: str, answers: bool) -> None:
+def test_a_drain_in_a_partial_or_corrupt_line_is_applied(how: str, answers: bool) -> None:
     async def test() -> None:
         async with rig(
             boxes(), 512
         ) as made:  # room for all that is asked at once, however slow the machine
-            patient(made)
+            use_slow_polling(made)
             made.registry.refusing = not answers
             fresh = CacheBox()
             fresh.listen()
             first, second = (
-                drains(made, "s1"),
+                draining_entry(made, "s1"),
                 entry("s9", fresh.port),
             )  # the line is spoilt behind its first entry
             made.registry.spoils.append(Spoil(how, 260, SPOILT_BY[4]))
             made.registry.change(first, "terminating")
             made.registry.spoils.append(Spoil(how, 260, SPOILT_BY[4]))
-            made.registry.tell([drains(made, "s3"), second])
+            made.registry.tell([draining_entry(made, "s3"), second])
             await until(lambda: "s1" not in serving(made))
             if answers:
                 await until(lambda: serving(made) == {*NAMES, "s9"} - {"s1", "s3"})
-                await until(lambda: not made.discovery.book._hearsay.held)
+                await until(lambda: not made.discovery.address_book._unconfirmed.held)
             else:
                 assert {"s0", "s2", "s4"} <= serving(made) < set(NAMES)
             assert ("s9" in made.node.servers) == answers  # nobody is added by a line that is lost
@@ -73,19 +73,21 @@
     play(test)
 
 
-def test_the_next_call_goes_out_at_once_and_the_old_watch_stays_until_it_is_answered() -> None:
+def test_the_next_call_is_made_at_once_and_the_old_watch_is_read_until_it_is_answered() -> None:
     # Guards against what discovery writes to a watch that is hung up on meanwhile, which counts as told.
     async def test() -> None:
         async with rig(boxes()) as made:
-            patient(made)
+            use_slow_polling(made)
             made.registry.mute = True
             asked, at = len(made.registry.asked), now_ms()
             made.registry.tell_raw(b"no list\n")
             await until(lambda: len(made.registry.asked) > asked)
             assert now_ms() - at < WAIT_MS
-            made.registry.change(drains(made, "s2"), "terminating")
+            made.registry.change(draining_entry(made, "s2"), "terminating")
             await until(lambda: "s2" not in serving(made))
-            assert len(made.registry.watches) == 1 and made.discovery.book._hearsay.held == ("s2",)
+            assert len(
+                made.registry.watches
+            ) == 1 and made.discovery.address_book._unconfirmed.held == ("s2",)
             made.registry.mute = False
             made.registry.change(
                 entry("s2", made.boxes["s2"].port)
@@ -94,12 +96,12 @@
             assert "s2" not in serving(made)
             made.discovery.move(("127.0.0.1", made.registry.port))
             await until(lambda: "s2" in serving(made))
-            await until(lambda: len(made.registry.watches) == 1 and not made.discovery._fading)
+            await until(lambda: len(made.registry.watches) == 1 and not made.discovery._retiring)
 
     play(test)
 
 
-def test_a_server_that_a_broken_entry_names_is_held_back_for_a_while_alone(
+def test_a_server_named_by_a_broken_entry_is_held_back_for_a_limited_time(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr("forkweir.known.hearsay.SUSPECT_MS", 200.0)
@@ -107,22 +109,22 @@
 
     async def test() -> None:
         async with rig(boxes()) as made:
-            patient(made)
+            use_slow_polling(made)
             made.registry.refusing = True
             made.registry.spoils.append(Spoil("cut", 120))
-            made.registry.change(drains(made, "s4"), "terminating")
+            made.registry.change(draining_entry(made, "s4"), "terminating")
             await until(lambda: serving(made) == {"s0", "s1", "s2", "s3"})
             await until(lambda: serving(made) == set(NAMES))
 
     play(test)
 
 
-def test_the_last_server_is_not_taken_by_a_line_that_can_not_be_read() -> None:
+def test_the_last_server_is_not_removed_by_an_unreadable_line() -> None:
     async def test() -> None:
         async with rig(boxes()) as made:
             made.registry.refusing = True
             made.registry.spoils.append(Spoil("before", 0))
-            made.registry.tell([drains(made, name) for name in NAMES])
+            made.registry.tell([draining_entry(made, name) for name in NAMES])
             await until(lambda: len(serving(made)) == 1)
             assert status(await made.ask("a")) == 200
             made.registry.refusing = False
@@ -132,7 +134,7 @@
     play(test)
 
 
-def test_what_the_old_place_takes_away_is_heeded_until_the_new_one_answers() -> None:
+def test_removals_by_the_old_address_are_applied_until_the_new_one_answers() -> None:
     async def test() -> None:
         async with rig(boxes()) as made:
             new = Registry(made.boxes)
@@ -140,7 +142,7 @@
             new.start()
             made.discovery.move(("127.0.0.1", new.port))
             await until(lambda: len(new.asked) == 1)
-            made.registry.tell([drains(made, "s0"), entry("s9", 9)])
+            made.registry.tell([draining_entry(made, "s0"), entry("s9", 9)])
             await until(lambda: "s0" not in serving(made))
             assert "s9" not in made.node.servers and len(made.registry.watches) == 1
             await new.stop()
@@ -148,10 +150,10 @@
     play(test)
 
 
-def test_a_service_that_spoils_every_line_is_not_asked_faster_for_it() -> None:
+def test_a_service_that_corrupts_every_line_is_not_polled_faster() -> None:
     async def test() -> None:
         async with rig(boxes()) as made:
-            patient(made)
+            use_slow_polling(made)
             await asyncio.sleep(0.31)  # by now a node would have made its first call by itself
             asked, begin = len(made.registry.asked), asyncio.get_running_loop().time()
 
@@ -166,7 +168,7 @@
             )  # the third waits like any other
             assert asyncio.get_running_loop().time() - begin > WAIT_MS / 1000.0
             spoiling.cancel()
-            await until(lambda: len(made.discovery._fading) <= discovery.FADING_MOST)
+            await until(lambda: len(made.discovery._retiring) <= discovery.MAX_RETIRING)
 
     play(test)
 
@@ -178,7 +180,7 @@
     "in a line": [(0.5, HALF)],
     "in its pause": [(60.0, HALF)],
     "after its pause": [(150.0, HALF)],
-    "given up": [(watch.STUCK_S * 1000.0 + 120.0, HALF)],
+    "given up": [(watch.LINE_TIMEOUT_S * 1000.0 + 120.0, HALF)],
     "fading": [(20.0, NO_LIST)],
     "fading in a line": [(20.0, NO_LIST), (0.5, HALF)],
 }
@@ -186,7 +188,7 @@
 
 @pytest.mark.parametrize("missed", ["discovery_refuse", "discovery_mute"])
 @pytest.mark.parametrize("state", STATES)
-def test_a_drain_is_kept_where_framing_is_lost_in_any_state_of_a_watch(
+def test_a_drain_is_applied_where_framing_is_lost_in_any_state_of_a_watch(
     state: str, missed: str
 ) -> None:
     at = 2_000.0
@@ -210,11 +212,11 @@
     assert any("held back until a whole list comes: s1" in line for line in result.lines)
 
 
-def test_a_line_that_can_not_be_read_takes_the_last_server_from_no_later_list_either() -> None:
+def test_an_unreadable_line_does_not_remove_the_last_server_from_a_later_list() -> None:
     # Guards against claims of a garbled line, with whatever generation it states, that outrank the next whole list and empty the set.
     async def test() -> None:
         async with rig(boxes()) as made:
-            entries = ", ".join(json.dumps(drains(made, name)) for name in NAMES)
+            entries = ", ".join(json.dumps(draining_entry(made, name)) for name in NAMES)
             made.registry.tell_raw(
                 b'{"generation": 999999, "reset": false, "instances": ['
                 + entries.encode()
@@ -223,23 +225,23 @@
             await until(lambda: len(serving(made)) == 1)
             last = serving(made)
             await until(
-                lambda: bool(made.discovery.book._overruled)
+                lambda: bool(made.discovery.address_book._superseded)
             )  # the next whole list has come
             assert serving(made) == last and status(await made.ask("a")) == 200
 
     play(test)
 
 
-def test_a_server_out_by_a_departure_alone_comes_back_once_that_has_lapsed(
+def test_a_superseded_server_is_reinstated_once_its_departure_expires(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr("forkweir.known.departures.HOLD_MS", 400.0)
-    monkeypatch.setattr(address_book, "REINSTATE_S", 0.05)
+    monkeypatch.setattr(address_book, "REINSTATE_INTERVAL_S", 0.05)
 
     async def test() -> None:
         async with rig(boxes()) as made:
             made.registry.generation = 50
-            made.registry.change(drains(made, "s1"), "terminating")
+            made.registry.change(draining_entry(made, "s1"), "terminating")
             gone = made.registry.entries["s2"]
             made.registry.change(gone, "terminated")
             await until(lambda: serving(made) == set(NAMES) - {"s1", "s2"})
@@ -247,10 +249,10 @@
             behind.start()
             at = now_ms()
             made.discovery.move(("127.0.0.1", behind.port))
-            await until(lambda: len(made.discovery.book._overruled) == 2)
+            await until(lambda: len(made.discovery.address_book._superseded) == 2)
             assert serving(made) == set(NAMES) - {"s1", "s2"}
             await until(lambda: serving(made) == set(NAMES))
-            assert now_ms() - at > 300.0 and not made.discovery.book._overruled
+            assert now_ms() - at > 300.0 and not made.discovery.address_book._superseded
             await behind.stop()
 
     play(test)
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -133,7 +133,7 @@
         await process.reading
 
 
-def test_being_stopped_and_continued_costs_no_cpu(tmp_path: Path) -> None:
+def test_sigstop_and_sigcont_cost_no_cpu(tmp_path: Path) -> None:
     # Guards against a kernel thread that polls for 14 ms after each stop: a node held to a part of a core is stopped often.
     async def test() -> None:
         async with running(tmp_path / "config.json", CacheBox()) as (process, _):
@@ -150,7 +150,7 @@
     play(test)
 
 
-def test_sighup_moves_discovery_and_keeps_what_is_open(tmp_path: Path) -> None:
+def test_sighup_moves_discovery_and_keeps_open_requests(tmp_path: Path) -> None:
     # Guards against SIGHUP ending the process, and against a list that stays with the old place.
     async def test() -> None:
         held: list[bytes] = []
@@ -198,7 +198,7 @@
     play(test)
 
 
-def test_sigterm_answers_what_is_open_and_ends_with_zero(tmp_path: Path) -> None:
+def test_sigterm_answers_open_requests_and_exits_with_zero(tmp_path: Path) -> None:
     # Guards against a planned restart that loses what the node has taken.
     async def test() -> None:
         heads: list[bytes] = []
@@ -227,7 +227,7 @@
 
 
 @pytest.mark.parametrize("text", [None, "{", '{"listen": "127.0.0.1:0"}', "[]"])
-def test_a_bad_file_at_the_start_ends_the_process_with_one_line(
+def test_a_bad_file_at_startup_ends_the_process_with_one_line(
     tmp_path: Path, text: str | None
 ) -> None:
     async def test() -> None:
--- a/tests/test_silence.py
+++ b/tests/test_silence.py
@@ -1,4 +1,4 @@
-"""Cache servers that say nothing or turn bad, over loopback sockets: what is asked once more, and who is put out or spared."""
+"""Cache servers that say nothing or turn bad, over loopback sockets: what is asked once more, and who is put ejections or spared."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from forkweir.fleet import Member
 
 
-def silent_once() -> Callable[[bytes], Optional[bytes]]:
+def unresponsive_once() -> Callable[[bytes], Optional[bytes]]:
     """Leaves the first request without an answer, whichever server gets it."""
     heads: list[bytes] = []
 
@@ -31,13 +31,13 @@
     return made.node._balancer.fleet.members[name]
 
 
-def out(made: Rig, name: str) -> int:
-    """How many times a server was put out, for silence or for how it did, since it last answered well."""
+def ejections(made: Rig, name: str) -> int:
+    """How many times a server was put ejections, for silence or for how it did, since it last answered well."""
     return member(made, name).strikes + member(made, name).record.row
 
 
-def settled(made: Rig) -> None:
-    """As after many quick answers: what is out for long stands out early."""
+def use_low_hedge_threshold(made: Rig) -> None:
+    """As after many quick answers: what is ejections for long stands ejections early."""
     made.node._balancer.usual = HEDGE_LEAST
 
 
@@ -46,14 +46,12 @@
 
 
 @pytest.mark.parametrize(("lane", "method"), [("brisk", "GET"), ("pay", "PUT")])
-def test_what_may_be_repeated_is_asked_once_more_before_its_time_is_up(
-    lane: str, method: str
-) -> None:
+def test_a_retryable_request_is_hedged_before_its_timeout(lane: str, method: str) -> None:
     # Guards against an attempt that waits for its whole time on a connection gone silent.
     async def test() -> None:
-        script = silent_once()
+        script = unresponsive_once()
         async with rig({"s0": CacheBox(script), "s1": CacheBox(script)}) as made:
-            settled(made)
+            use_low_hedge_threshold(made)
             answer = await made.ask(
                 "a", "Idempotency-Key: k\r\nContent-Length: 0\r\n", lane=lane, method=method
             )
@@ -65,12 +63,12 @@
     play(test)
 
 
-def test_what_may_not_be_repeated_is_asked_once() -> None:
+def test_an_unsafe_request_is_sent_once() -> None:
     # Guards against one effect twice.
     async def test() -> None:
-        script = silent_once()
+        script = unresponsive_once()
         async with rig({"s0": CacheBox(script), "s1": CacheBox(script)}) as made:
-            settled(made)
+            use_low_hedge_threshold(made)
             assert (
                 status(await made.ask("a", "Content-Length: 0\r\n", lane="once", method="PUT"))
                 == 502
@@ -80,7 +78,7 @@
     play(test)
 
 
-def test_a_server_gone_silent_is_put_out_and_tried_with_one_request_at_a_time() -> None:
+def test_an_unresponsive_server_is_ejected_and_probed_with_one_request_at_a_time() -> None:
     # Guards against a server that hangs while the list names it, whose keys all wait for their whole time.
     async def test() -> None:
         mute = [True]
@@ -89,16 +87,18 @@
             **{f"s{n}": CacheBox() for n in range(1, 6)},
         }
         async with rig(boxes) as made:
-            settled(made)
+            use_low_hedge_threshold(made)
             n = 0
-            while not out(made, "s0"):
+            while not ejections(made, "s0"):
                 keys = range(n, n + 24)
                 answers = await asyncio.gather(
                     *(made.ask(f"a{k}", path=f"/api/{k}", lane="brisk") for k in keys)
                 )
                 assert {status(answer) for answer in answers} <= {200, 503}
                 n += 24
-            assert len(boxes["s0"].heads) >= 2 and not any(out(made, f"s{k}") for k in range(1, 6))
+            assert len(boxes["s0"].heads) >= 2 and not any(
+                ejections(made, f"s{k}") for k in range(1, 6)
+            )
             # When its time is up it gets one of many requests, and all of them are served.
             before = len(boxes["s0"].heads)
             until_ms = member(made, "s0").out_until
@@ -107,11 +107,11 @@
                 *(made.ask(f"b{k}", path=f"/api/{k}", lane="brisk") for k in range(24))
             )
             assert {status(answer) for answer in answers} == {200}
-            assert len(boxes["s0"].heads) == before + 1 and out(made, "s0") == 2
+            assert len(boxes["s0"].heads) == before + 1 and ejections(made, "s0") == 2
             # Once it answers, it is in use again.
             mute[0] = False
             n = 0
-            while out(made, "s0"):
+            while ejections(made, "s0"):
                 n += 1
                 await made.ask(f"c{n}", path=f"/api/{n}", lane="brisk")
                 await asyncio.sleep(0.01)
@@ -120,7 +120,7 @@
     play(test)
 
 
-def test_a_server_that_turns_bad_does_not_live_on_its_good_name() -> None:
+def test_a_failing_server_is_ejected_despite_its_good_history() -> None:
     # Guards against keys that go on to a server in trouble for as long as its many good answers before are remembered.
     async def test() -> None:
         bad, count = [False], itertools.count()
@@ -141,7 +141,7 @@
             bad[0] = True
             for n in range(3):
                 await batch(f"bad{n}-")
-            # Found to be bad it is out until its time is up; without that it gets more than before, as some are asked again.
+            # Found to be bad it is ejections until its time is up; without that it gets more than before, as some are asked again.
             until_ms = member(made, "s0").out_until
             await until(lambda: now_ms() > until_ms)
             assert 0 < await batch("late") < usual
@@ -149,7 +149,7 @@
     play(test)
 
 
-def test_the_time_after_which_more_is_asked_follows_what_is_usual() -> None:
+def test_the_hedge_delay_follows_the_usual_latency() -> None:
     # Guards against second requests for a good part of all, when everything has become slow.
     balancer = Balancer(settings_of(OPTIONS), 1)
     balancer.usual = 0.5
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -79,10 +79,10 @@
 
         with socket.create_server(("127.0.0.1", 0), backlog=256) as listening:
             port: int = listening.getsockname()[1]
-            desks = [free_port(), free_port()]
+            admin_ports = [free_port(), free_port()]
             more = {"PROXY_SOCKET_FD": str(listening.fileno()), "PROXY_LISTEN": f"127.0.0.1:{port}"}
             box = CacheBox(script)
-            old_more = {**more, "PROXY_ADMIN_ADDR": f"127.0.0.1:{desks[0]}"}
+            old_more = {**more, "PROXY_ADMIN_ADDR": f"127.0.0.1:{admin_ports[0]}"}
             async with running(
                 tmp_path / "config.json", box, old_more, (listening.fileno(),), port
             ) as (old, registry):
@@ -90,12 +90,12 @@
                 clients = [asyncio.create_task(load.client(f"c{n}")) for n in range(24)]
                 new = Successor(tmp_path / "config.json", registry)
                 new.more, new.descriptors = (
-                    {**more, "PROXY_ADMIN_ADDR": f"127.0.0.1:{desks[1]}"},
+                    {**more, "PROXY_ADMIN_ADDR": f"127.0.0.1:{admin_ports[1]}"},
                     (listening.fileno(),),
                 )
                 await new.start()
                 try:
-                    while await health(desks[1]) != 200:
+                    while await health(admin_ports[1]) != 200:
                         await asyncio.sleep(0.02)
                     await asyncio.sleep(0.3)
                     old.process.send_signal(signal.SIGTERM)
@@ -113,7 +113,7 @@
     play(test)
 
 
-def test_a_descriptor_that_is_no_listening_socket_ends_the_start_with_one_line(
+def test_a_descriptor_that_is_not_listening_ends_startup_with_one_line(
     tmp_path: Path,
 ) -> None:
     async def test() -> None:
@@ -133,15 +133,15 @@
 
 
 @pytest.mark.parametrize(
-    ("more", "word"),
+    ("more", "message"),
     [
         ({"PROXY_SOCKET_FD": "1"}, "PROXY_SOCKET_FD is not a descriptor: '1'"),
         ({"PROXY_SOCKET_FD": "seven"}, "PROXY_SOCKET_FD is not a descriptor: 'seven'"),
         ({"PROXY_ADMIN_ADDR": "9800"}, "not an address: '9800'"),
     ],
 )
-def test_a_variable_that_can_not_be_ends_the_start_with_one_line(
-    tmp_path: Path, more: dict[str, str], word: str
+def test_an_invalid_variable_ends_startup_with_one_line(
+    tmp_path: Path, more: dict[str, str], message: str
 ) -> None:
     async def test() -> None:
         process = Process(tmp_path / "config.json", None)
@@ -150,12 +150,12 @@
         await process.start()
         assert await process.process.wait() == 2
         await process.reading
-        assert len(process.log) == 1 and word in process.log[0]
+        assert len(process.log) == 1 and message in process.log[0]
 
     play(test)
 
 
-def test_an_operators_address_that_is_taken_is_named(tmp_path: Path) -> None:
+def test_an_operators_address_in_use_is_named(tmp_path: Path) -> None:
     async def test() -> None:
         with socket.create_server(("127.0.0.1", 0)) as taken:
             process = Process(tmp_path / "config.json", None)
