--- a/corkshift/address_book.py
+++ b/corkshift/address_book.py
@@ -1,10 +1,12 @@
-"""The address book: which cache servers discovery has listed, as the node and its decisions are to have them.
+"""The address book: the cache servers that discovery lists, as the node and its decisions use them.
 
-Whole lines are taken here, and what can still be read of lines that are not whole (`listing.claims_of`, `forkweir.known.hearsay`), with
-departures that outrank older lists (`forkweir.known.departures`) and starts on this node's clock (`forkweir.known.starts`).
+Applies whole lines, and the unconfirmed entries of corrupt or partial lines
+(`listing.unconfirmed_entries`). Departures outrank older lists (`forkweir.known.departures`), and
+start times are converted to this node's clock (`forkweir.known.starts`).
 
-A change costs in proportion to the entries that differ from what is known. A long list is taken in slices: who leaves or changes in the
-first, at once; servers that are new in slices of SLICE_SERVERS, between which the caller lets the loop run.
+The cost of a line is proportional to the entries that differ from the known ones. A long list is
+applied in slices: servers that leave or change in the first one, at once, and new servers in slices
+of SLICE_SERVERS, between which the caller lets the loop run.
 """
 
 from __future__ import annotations
@@ -27,25 +29,30 @@
 
 log = logging.getLogger(__name__)
 
-REINSTATE_INTERVAL_S = 1.0  # between two looks at servers that are out by a departure alone
-SLICE_SERVERS = 256  # that are added between two turns of the loop: some 2 ms
+REINSTATE_INTERVAL_S = 1.0  # between checks of servers that are out only by an earlier departure
+SLICE_SERVERS = 256  # added per iteration of the event loop, which takes about 2 ms
 
 Entry = tuple[Server, Address]
 
 
 class ListObserver(Protocol):
-    """Who hears of the list: a node, or what merges it with other sources (`corkshift/sources`)."""
+    """Is notified of the list: a node, or the merger of several sources (`corkshift/sources`)."""
 
     servers: dict[str, CacheServer]
 
     def on_list(self, form: str, entries: Iterable[Server]) -> None:
-        """The address book has changed, or could not be brought up to date (`forkweir.Balancer.on_list` has the forms)."""
+        """The address book has changed, or could not be updated.
+
+        `forkweir.Balancer.on_list` describes the forms.
+        """
         ...
 
     def on_unlisted_departures(self, addresses: list[Address], whole: bool) -> None:
-        """Servers that this list never named drain or are gone; whole: in a line that was read whole (else until the next such line).
+        """Servers that this list never named drain or are removed.
 
-        Another source may name them (guards against a drain that is lost on a node because its list lost the addition before it).
+        whole: in a line that was read whole; otherwise it holds until the next such line. Another
+        source may name these servers (guards against a drain that a node loses because its list
+        lost the addition before it).
         """
         ...
 
@@ -56,33 +63,36 @@
 
     server: Server
     address: Address
-    generation: int  # of that list
+    generation: int  # the list's
 
 
 class AddressBook:
-    """The servers that discovery listed, who of them leaves, and what is held against older or spoilt lists."""
+    """The servers that discovery lists, and what overrides older or partial lists."""
 
     def __init__(self, node: ListObserver, pool: Pool) -> None:
-        self.generation: Optional[int] = None  # of the last line that was taken whole
-        self.written_ms = inf  # when what is taken now may have been written: the grace of a departure runs from then
-        self.has_whole_list = False  # a whole line has been taken
+        self.generation: Optional[int] = None  # of the last whole line
+        # When the input being applied may have been written. The grace period of a departure
+        # starts then.
+        self.written_ms = inf
+        self.has_whole_list = False  # a whole line was applied
         self._node = node
         self._pool = pool
-        self._known: dict[str, Server] = {}  # each server of the book as a whole line last had it
+        self._known: dict[str, Server] = {}  # each listed server as in the last whole line
         self._names_at: dict[Address, dict[str, None]] = {}
         self._unconfirmed = Hearsay()
         self._departures = Departures()
         self._starts = Starts()
-        self._superseded: dict[
-            str, SupersededEntry
-        ] = {}  # in service by a list that is older than their departure
+        # Servers in service by a list that is older than their departure.
+        self._superseded: dict[str, SupersededEntry] = {}
         self._release_timer: Optional[asyncio.TimerHandle] = None
-        self._pending_additions: dict[
-            str, Entry
-        ] = {}  # of a long list: servers that are still to be added
+        # New servers of a long list that are still to be added.
+        self._pending_additions: dict[str, Entry] = {}
 
     def restore(self, saved: dict[str, Any]) -> None:
-        """Begin with the list as this node last had it. BadList where it is none; the node is told in any case."""
+        """Start from the list that this node last saved. BadList if it is malformed.
+
+        The node is notified in either case.
+        """
         entries: list[Server] = []
         try:
             if saved:
@@ -97,9 +107,10 @@
     def apply_line(
         self, generation: int, whole: bool, listed: list[Entry], complete: bool
     ) -> Iterator[None]:
-        """Take a line that was read whole. Yields where the loop may run before more servers are added.
+        """Apply a whole line. Yields where the loop may run before more servers are added.
 
-        all_missed: it tells all that was missed since the last line, so that nobody is held back any longer who is not in it.
+        complete: the line includes every change since the last one, so that servers which it does
+        not name are no longer held back.
         """
         missing = self._missing(generation, listed) if whole else {}
         large = whole and len(listed) > SLICE_SERVERS
@@ -139,10 +150,10 @@
             self._notify("part" if self._pending_additions else "changes", self._update(part))
 
     def _differing(self, listed: list[Entry], shared: set[Address]) -> list[Entry]:
-        """The entries of a whole list that may not be as they are known.
+        """The entries of a whole list that may differ from the known ones.
 
-        An entry that was read before is the same object (`listing.EntryCache`), so that this costs a look-up for each. Which of several
-        servers at one address counts is told by all of them together.
+        An unchanged entry is the same object (`listing.EntryCache`), so each costs one lookup. All
+        entries that share an address are included, as they decide together which of them counts.
         """
         known, held, departures = self._known, set(self._unconfirmed.held), self._departures
         return [
@@ -156,7 +167,10 @@
         ]
 
     def _split(self, pairs: list[Entry], shared: set[Address]) -> tuple[list[Entry], list[Entry]]:
-        """The entries that count at once, and the new servers that may be added later: nothing else stands at their addresses."""
+        """The entries to apply at once, and the new servers that may be added later.
+
+        The latter share their addresses with no other entry.
+        """
         book, urgent, deferred = self._node.servers, list[Entry](), list[Entry]()
         for pair in pairs:
             server, address = pair
@@ -165,7 +179,7 @@
         return urgent, deferred
 
     def _missing(self, generation: int, listed: list[Entry]) -> dict[str, Server]:
-        """Servers of the book that a whole list does not name, with what is to be told of them."""
+        """The listed servers that a whole list does not name, as entries in state "unlisted"."""
         names = {server.name for server, _ in listed}
         missing = self._unlisted(name for name in self._node.servers if name not in names)
         for name, server in missing.items():
@@ -176,7 +190,7 @@
         return {name: replace(self._known[name], state="unlisted") for name in names}
 
     def _notify(self, form: str, entries: Iterable[Server]) -> None:
-        """Hand entries on, with their starts on this node's clock."""
+        """Pass entries on, with their start times on this node's clock."""
         first, now = not self.has_whole_list and form != "hearsay", now_ms()
         self._node.on_list(form, [self._starts.read(server, first, now) for server in entries])
 
@@ -185,9 +199,11 @@
     def apply_unconfirmed(
         self, unconfirmed: list[UnconfirmedEntry], generation: Optional[int]
     ) -> None:
-        """Claims of a line that is not whole: servers that drain, are gone or may be get nothing new until a whole line settles it.
+        """Apply the entries of a partial or corrupt line.
 
-        generation: of that line; None where it can't be read, and it is taken for the one after the latest.
+        Servers that drain, are removed or are unreadable in it get no new requests until a whole
+        line settles their state. generation: of that line; None where it cannot be read, and the
+        one after the latest is assumed.
         """
         book = self._node.servers
         reports: list[Word] = []
@@ -195,16 +211,15 @@
         for entry in unconfirmed:
             name, state = entry.server.name, entry.server.state
             if self._known.get(name) is entry.server and state == "in":
-                continue  # as it is known
+                continue  # unchanged
             if name in self._pending_additions and state in ("draining", "gone"):
                 server, address = self._pending_additions[name]
-                self._pending_additions[name] = (
-                    replace(server, state="draining"),
-                    address,
-                )  # it is added as one that gets nothing
+                # It is added later as a draining server, which gets no new requests.
+                self._pending_additions[name] = (replace(server, state="draining"), address)
             if name not in book and entry.address is not None and state in ("draining", "gone"):
                 unknown.append(entry.address)
-                # Who started there later ends whoever is known there: its end is among what is lost (see `_oust`; seed 20000704).
+                # A server that started later at an address replaces the one known there, whose
+                # removal is among the lost changes (see `_remove_replaced`; scenario 20000704).
                 started_ms = entry.server.started_ms
                 same_address = [
                     other for other in self._names_at.get(entry.address, ()) if other in self._known
@@ -232,7 +247,8 @@
         held_back, restarted = self._unconfirmed.heed(reports, in_service, now_ms())
         held = set(self._unconfirmed.held)
         for entry in unconfirmed:
-            # Only who is held back, so that an older list may still bring back the last server (see `hearsay`).
+            # Only for held-back servers, so that an older list can still reinstate the last server,
+            # which is never held back (see `forkweir.known`).
             if entry.server.name in held and entry.server.state in ("draining", "gone"):
                 stated = (self.generation or 0) + 1 if generation is None else generation
                 self._departures.note(entry.server.name, stated, entry.server.started_ms, now_ms())
@@ -255,14 +271,14 @@
             self._notify("hearsay", entries)
 
     def _release_expired(self) -> None:
-        """Some servers may have been held back for long enough (the last word on any of them is that old)."""
+        """Release servers that have been held back for long enough since the last entry on any."""
         self._release_timer = None
         released = self._release(self._unconfirmed.lapse(now_ms()))
         if released:
             self._notify("hearsay", released)
 
     def _release(self, names: Iterable[str]) -> list[Server]:
-        """Servers that are no longer held back, as the module shall hear it."""
+        """Mark servers as no longer leaving, and return their entries for the decisions."""
         entries = []
         for name in names:
             server, known = self._node.servers.get(name), self._known.get(name)
@@ -272,10 +288,12 @@
         return entries
 
     def _without_superseded(self, generation: int, pairs: list[Entry]) -> list[Entry]:
-        """The entries of a list without those that are older than a departure: such a server goes on draining, or stays gone.
+        """The entries of a list without those that are older than their server's departure.
 
-        Guards against a replica of discovery that is behind the one asked before, and puts servers back that drain. Harm: where
-        another service counts generations otherwise, a server that returned meanwhile is used `departures.HOLD_MS` later.
+        Such a server keeps draining, or stays removed. Guards against a replica of discovery that
+        lags behind the one called before and would put draining servers back. Drawback: where
+        another service counts generations differently, a server that returned meanwhile is used
+        `departures.HOLD_MS` later.
         """
         kept: list[Entry] = []
         now = now_ms()
@@ -291,7 +309,7 @@
                 server.name, generation, server.started_ms, now
             ):
                 log.info(
-                    "%s stays out: generation %d is older than its departure",
+                    "%s stays out of service: generation %d is older than its departure",
                     server.name,
                     generation,
                 )
@@ -310,7 +328,7 @@
         return kept
 
     def _reinstate(self) -> None:
-        """Who is out by a departure alone that has lapsed, and that no later list has confirmed, is in service."""
+        """Put servers back in service whose departure expired without confirmation by a list."""
         now, pairs = now_ms(), []
         for name, entry in list(self._superseded.items()):
             if not self._departures.outranks(name, entry.generation, entry.server.started_ms, now):
@@ -327,9 +345,9 @@
     def _update(
         self, pairs: list[Entry], missing: Optional[dict[str, Server]] = None
     ) -> list[Server]:
-        """Bring the book up to date, and give the entries in the terms of the decisions.
+        """Update the address book, and return the entries for the decisions.
 
-        vanished: who is no longer listed, where these are of a whole list; None where they are changes alone.
+        missing: the servers that a whole list no longer names; None for a line of changes.
         """
         book = self._node.servers
         unknown = [
@@ -368,14 +386,16 @@
         return replaced + [server for server, _ in kept] + unlisted
 
     def _remove_replaced(self, pairs: list[Entry]) -> tuple[list[Server], list[Entry]]:
-        """Who is gone because another serves at its address now, as the decisions shall hear it, and the entries that count.
+        """Remove servers whose address another one serves now.
 
-        Guards against the keys of a server whose end is not told yet going to the cold one that took its place. Harm: a list
-        that gives two servers in service one address keeps only the last.
+        Returns them as entries for the decisions, and the entries of `pairs` that count. Guards
+        against the keys of a server whose removal is not notified yet going to the cold one that
+        took its address. Drawback: of two servers in service at one address only the last counts.
         """
         owner_of = {address: server.name for server, address in pairs if server.state == "in"}
         address_of = {server.name: address for server, address in pairs}
-        latest_leaving: dict[Address, Server] = {}  # who leaves from an address, started last
+        # At each address the draining server that started last.
+        latest_leaving: dict[Address, Server] = {}
         for server, address in pairs:
             if server.state == "draining" and server.started_ms > getattr(
                 latest_leaving.get(address), "started_ms", 0.0
@@ -383,7 +403,10 @@
                 latest_leaving[address] = server
 
         def succeeded(server: Server, address: Address) -> bool:
-            """Whether one that started there later already leaves (guards against its drain broken under the name of the one before it)."""
+            """Whether a server that started later at the address already leaves.
+
+            Guards against requests for the earlier server that break the drain of the later one.
+            """
             successor = latest_leaving.get(address)
             return (
                 successor is not None
@@ -431,7 +454,7 @@
 
 
 def _shared_addresses(listed: list[Entry]) -> set[Address]:
-    """The addresses that more than one entry has."""
+    """The addresses that more than one entry shares."""
     seen: set[Address] = set()
     shared: set[Address] = set()
     for _, address in listed:
--- a/corkshift/discovery.py
+++ b/corkshift/discovery.py
@@ -1,6 +1,8 @@
-"""Discovery: which calls are open, which of them is the node's watch, and what is done when one breaks or can't be read.
+"""The discovery client: opens calls, decides which of them is the node's watch, and replaces a
+watch that breaks or cannot be read.
 
-One call is `watch`'s, what its lines say is `address_book`'s. All times here are present time (`presence`) but FADING_S, which is a bound.
+`watch` handles a single call and `address_book` applies what its lines say. All durations here are
+active time (`loop_lag`), except RETIRING_S.
 """
 
 from __future__ import annotations
@@ -28,28 +30,32 @@
 
 log = logging.getLogger(__name__)
 
-# Age of the list: a change counts as notified 6 s after discovery had it, whatever became of watches and calls. SILENT_S, the pause
-# before a call (`forkweir.known.asking`), BESIDE_S and the time of one answer have to fit into that together (see docs/health.md).
-PARALLEL_CALL_DELAY_S = 2.0  # a call that is not answered by then gets another one beside it, and goes on waiting for its turn
-MAX_PENDING_CALLS = 4  # open at once without an answer; the oldest is given up for a further one
-CALL_TIMEOUT_S = (
-    PARALLEL_CALL_DELAY_S * MAX_PENDING_CALLS
-)  # a call that is not answered by then has failed
-AGENT_CALL_TIMEOUT_S = 0.1  # a call to an agent on the node's own machine, which answers at once while discovery is there
-LINE_PAUSE_S = (
-    0.1  # a line that has stopped for so long is taken for a broken one, as far as it takes away
-)
-MAX_QUEUED_LINES = 1_024  # lines behind one that is being taken in slices
-MAX_RETIRING = 2  # broken watches that are read until another one tells a whole line,
-RETIRING_S = 10.0  # and for how long
+# A change counts as notified 6 s after discovery had it, whatever happened to watches and calls.
+# SILENCE_TIMEOUT_S, the pause before a call (`forkweir.known`), PARALLEL_CALL_DELAY_S and the time
+# of one answer must fit into that together (see docs/health.md).
+
+# After this time without an answer a second call is made in parallel; the first keeps waiting.
+PARALLEL_CALL_DELAY_S = 2.0
+# Unanswered calls open at once; a further call cancels the oldest.
+MAX_PENDING_CALLS = 4
+CALL_TIMEOUT_S = PARALLEL_CALL_DELAY_S * MAX_PENDING_CALLS
+# A call to an agent on the node's own machine, which answers at once while discovery is up.
+AGENT_CALL_TIMEOUT_S = 0.1
+# The removals in a line that has stopped for this long are applied as those of a broken line.
+LINE_PAUSE_S = 0.1
+MAX_QUEUED_LINES = 1_024  # lines waiting behind one that is applied in slices
+# Lossy watches that are still read until another one delivers a whole line.
+MAX_RETIRING = 2
+RETIRING_S = 10.0  # how long such a watch is read at most
 
 
 class Discovery:
-    """Keeps the node's list by one watch, begun when the module asks.
+    """Keeps the node's server list up to date through one watch, opened when the decisions ask.
 
-    A call that is not answered soon gets another one beside it; the first watch to carry a whole line replaces all others. A watch that
-    was lost in part, or fell silent, is read on until then (make before break: what discovery writes to it meanwhile counts as notified),
-    but only for what takes servers away (`listing.claims_of`, `forkweir.known.hearsay`).
+    A call that is not answered soon gets a parallel one; the first watch to deliver a whole line
+    replaces all others. A watch that lost data, or fell silent, is read until then (make before
+    break, because what discovery writes to it meanwhile counts as notified), but only entries that
+    remove servers are applied (`listing.unconfirmed_entries`).
     """
 
     def __init__(
@@ -60,32 +66,35 @@
         agent: bool = False,
         loop_lag: Optional[LoopLagMonitor] = None,
     ) -> None:
-        """agent: lists are pushed to one on this machine, and what it has counts as told from the first moment on."""
+        """agent: lists are pushed to an agent on this machine, so that its list counts as notified
+        from the start.
+        """
         self.address_book = AddressBook(node, pool)
         self.loop_lag = loop_lag or LoopLagMonitor()
         self._node = node
         self._agent = agent
-        self._first_list_received = asyncio.Event()  # a whole line has come
+        self._first_list_received = asyncio.Event()
         self._address = address
         self._cache = EntryCache()
-        self._calls: dict[
-            Watch, asyncio.Task[None]
-        ] = {}  # any of which may become the node's watch, or is it; oldest first
-        self._retiring: dict[asyncio.Task[None], Watch] = {}  # that lost something, oldest first
-        self._changes_lost = (
-            False  # some of what discovery told is lost, and no whole line has come since
-        )
-        self._checked_ms = 0.0  # when all watches were last found to have nothing unread
+        # The node's watch and the calls that may become it, oldest first.
+        self._calls: dict[Watch, asyncio.Task[None]] = {}
+        # Watches that lost data, oldest first.
+        self._retiring: dict[asyncio.Task[None], Watch] = {}
+        # Some changes were lost, and no whole line has arrived since.
+        self._changes_lost = False
+        self._checked_ms = 0.0  # when all watches were last found to have no unread input
 
     def start(self, known: dict[str, Any]) -> None:
-        """Begin with the list as this node last had it."""
+        """Start from the list that this node last saved."""
         try:
             self.address_book.restore(known)
         except BadList as error:
-            log.warning("the known list is of no use: %s", error)
+            log.warning("the saved list in `known` is malformed and ignored: %s", error)
 
     def has_unread_input(self) -> bool:
-        """Whether a watch has bytes that this node has not looked at, because its loop was held up (a drain may stand among them)."""
+        """Whether a watch has bytes that are unread because the loop was stalled; a drain may be
+        among them.
+        """
         if not self.loop_lag.stalled_since(self._checked_ms):
             return False
         if any(watch.has_unread_input for watch in (*self._calls, *self._retiring.values())):
@@ -94,20 +103,24 @@
         return False
 
     async def wait_first_list(self) -> None:
-        """Until the first whole line has come (guards against a new process that serves by an old list with the newer one at hand)."""
+        """Wait for the first whole line.
+
+        Guards against a new process that serves from an old list while a newer one is available.
+        """
         await self._first_list_received.wait()
 
     def follow(self) -> None:
-        """Ask for changes from now on, unless a watch or a call is at it already."""
+        """Open a watch, unless a watch or a call is open already."""
         if not self._calls:
             self._call()
 
     def move(self, address: Address) -> None:
-        """Discovery is at another address from now on: ask there at once, for the whole list.
+        """Switch to discovery at another address: call it at once, for the whole list.
 
-        Guards against a list that stands still, as a place that moved lets its old watches lapse. Another service need not
-        count generations alike, so what was heard so far is no ground to ask for changes alone. Until the new place answers
-        the list stays as it is, but for what the old one still takes away.
+        Guards against a list that is no longer updated, because a service that has moved lets its
+        old watches lapse. Another service need not count generations in the same way, so the
+        generation so far is not used to ask for changes only. Until the new address answers, the
+        list stays as it is, except for removals that the old one still notifies.
         """
         self._address = address
         self.address_book.generation = None
@@ -128,11 +141,14 @@
             )
 
     def _call_in_parallel(self, late: Watch) -> None:
-        """A call has had no answer for BESIDE_S: make another one (guards against a call, or its answer, that is lost on its way)."""
+        """Make another call, as one has had no answer for PARALLEL_CALL_DELAY_S.
+
+        Guards against a call, or its answer, that is lost on the way.
+        """
         if late.answered or late not in self._calls:
             return
         log.info(
-            "discovery has not answered for %g s: another call goes beside", PARALLEL_CALL_DELAY_S
+            "discovery has not answered for %g s: making a parallel call", PARALLEL_CALL_DELAY_S
         )
         waiting = [watch for watch in self._calls if not watch.answered]
         for oldest in waiting[: max(0, len(waiting) - MAX_PENDING_CALLS + 1)]:
@@ -140,7 +156,7 @@
         self._call()
 
     def _retire(self, watch: Watch) -> None:
-        """A watch is to be replaced: it is read on for what takes away, and so is a call whose answer is still to come."""
+        """Read a watch that is to be replaced for removals only; so too a call not answered yet."""
         task = self._calls.pop(watch)
         if task.done():
             return
@@ -164,23 +180,28 @@
     async def _run(self, watch: Watch) -> None:
         try:
             await self._read_watch(watch)
-            log.info("the watch ended")
+            log.info("watch of discovery at %s:%d ended", *watch.address)
             self._on_end(watch)
         except (OSError, h11.RemoteProtocolError, BadList) as error:
-            log.info("the watch failed: %s: %s", type(error).__name__, error)
+            log.info(
+                "watch of discovery at %s:%d failed: %s: %s",
+                *watch.address,
+                type(error).__name__,
+                error,
+            )
             self._on_end(watch)
         except Exception:
-            log.exception("the watch failed")
+            log.exception("watch of discovery failed")
             self._on_end(watch)
         finally:
             watch.close()
 
     async def _read_watch(self, watch: Watch) -> None:
-        """Take what a watch tells until it ends; from when something of it is lost on, only what it takes away."""
+        """Apply what a watch delivers until it ends; once it has lost data, removals only."""
         try:
             await watch.call()
             while data := await self._next_data(watch):
-                # What stood unread while the loop was held up counts as notified from when it was written.
+                # Input that was unread during a stall counts as notified since it was written.
                 self.address_book.written_ms = now_ms() - self.loop_lag.unread_ms()
                 for line in watch.parser.receive(data):
                     if watch.retiring:
@@ -190,15 +211,17 @@
                 if watch.parser.unfinished and (entries := watch.parser.unconfirmed_entries()):
                     self.address_book.apply_unconfirmed(entries, generation_of(watch.parser.rest()))
         except (OSError, h11.RemoteProtocolError, BadList):
-            await watch.wait_applied()  # what came whole before that counts
+            await watch.wait_applied()  # lines that were complete before the failure count
             raise
         await watch.wait_applied()
 
     async def _next_data(self, watch: Watch) -> bytes:
-        """The next bytes, whatever is lost before them; none at the watch's end. TimeoutError where nothing more will come of it.
+        """The next bytes, whatever was lost before them; b"" at the watch's end.
 
-        A line that stops in its middle is heeded as it is, and given up after STUCK_S. Framing that is lost, in whatever state the
-        watch is, costs it its place alone: it is read on (guards against a watch that is hung up on while it tells a drain).
+        Raises TimeoutError where an agent's watch is silent. The removals in a line that pauses are
+        applied as they stand, and after LINE_TIMEOUT_S the watch is replaced. A watch whose framing
+        is lost, in whatever state it is, is replaced but still read (guards against one that is
+        closed while it delivers a drain).
         """
         paused = False
         while True:
@@ -208,7 +231,7 @@
                     return await watch.next_data()
             except TimeoutError:
                 if watch.stream is not None and not watch.stream.quiet:
-                    continue  # it has spoken while this node stood still
+                    continue  # input arrived while this node was stalled
                 if pausing:
                     self._apply_unconfirmed(watch.parser.rest())
                     paused = True
@@ -217,35 +240,35 @@
                     raise
                 self._replace(
                     watch,
-                    "a line that goes no further"
+                    "a line stayed incomplete"
                     if watch.parser.unfinished
                     else f"silent for {SILENCE_TIMEOUT_S:g} s",
                 )
             except h11.RemoteProtocolError as error:
-                # With the framing is lost where lines end; entries can still be told by their braces.
+                # Without framing line ends are unknown, but entries are still delimited by braces.
                 self._apply_unconfirmed(watch.parser.rest())
-                self._replace(watch, f"no chunk: {error}")
+                self._replace(watch, f"chunked framing lost: {error}")
 
     # -- lines ---------------------------------------------------------------------------
 
     def _on_line(self, watch: Watch, line: bytes) -> None:
-        """Take a whole line: a short one now, a long one in slices between which the loop runs and the watch is read on.
+        """Apply a whole line: a short one now, a long one in slices between which the loop runs.
 
-        What comes behind a long one waits for it, but what it takes away is heeded at once (guards against a drain that stands behind a
-        list of thousands of servers for as long as that takes).
+        Lines behind a long one are queued, but their removals are applied at once (guards against a
+        drain that waits while a list of thousands of servers is applied).
         """
         if watch.applying is not None:
             self._apply_unconfirmed(line)
             watch.queued_lines.append(line)
             if len(watch.queued_lines) > MAX_QUEUED_LINES:
-                self._replace(watch, "more lines than can be taken")
+                self._replace(watch, "too many lines queued behind a long list")
             return
         steps = self._apply_line(watch, line)
         if next(steps, True) is None:
             watch.applying = asyncio.create_task(self._apply_rest(watch, steps))
 
     async def _apply_rest(self, watch: Watch, steps: Iterator[None]) -> None:
-        """Take the rest of a long line, and the lines that waited for it."""
+        """Apply the rest of a long line, and the lines queued behind it."""
         try:
             while not watch.retiring:
                 await asyncio.sleep(0.0)
@@ -255,13 +278,16 @@
                     return
                 steps = self._apply_line(watch, watch.queued_lines.popleft())
         except Exception:
-            log.exception("a list could not be taken")
-            self._replace(watch, "a list that could not be taken")
+            log.exception("a list could not be applied")
+            self._replace(watch, "a list could not be applied")
         finally:
             watch.applying = None
 
     def _apply_line(self, watch: Watch, line: bytes) -> Iterator[None]:
-        """Take a whole line; yields between slices of a long one. A watch that is replaced meanwhile is no reason to go on."""
+        """Apply a whole line; yields between the slices of a long one.
+
+        The caller stops iterating when the watch is replaced meanwhile.
+        """
         try:
             raw = parse_raw_list(line)
         except BadList as error:
@@ -283,22 +309,22 @@
         self._first_list_received.set()
 
     def _apply_unconfirmed(self, text: bytes) -> None:
-        """Heed what can be read of a line that is spoilt or cut, or that came on a watch which is being replaced."""
+        """Apply the removals in a corrupt or partial line, or in a line of a retiring watch."""
         self.address_book.apply_unconfirmed(
             unconfirmed_entries(text, self._cache), generation_of(text)
         )
 
     def _replace(self, watch: Watch, why: str) -> None:
-        """Something that a watch told is lost: another one is begun at once, and this one read on for what it still takes away."""
+        """Replace a watch that lost data: have another opened at once, and retire this one."""
         if watch.retiring or watch not in self._calls:
             return
-        log.info("the watch is replaced: %s", why)
+        log.info("watch of discovery at %s:%d is replaced: %s", *watch.address, why)
         self._retire(watch)
         self._changes_lost = True
         self._node.on_list("lost", [])
 
     def _on_end(self, watch: Watch) -> None:
-        """A watch is over; where nothing replaces it yet, the module says when to ask again."""
+        """Handle a watch's end; if nothing replaces it yet, the decisions time the next call."""
         cut = watch.parser.unfinished
         if cut:
             self._apply_unconfirmed(watch.parser.rest())
--- a/corkshift/listing.py
+++ b/corkshift/listing.py
@@ -1,14 +1,17 @@
-"""What a watch of discovery carries: lines of JSON, and what can still be read of a line that is spoilt or cut. Sans-I/O.
+"""Parser of discovery's lists: JSON lines, and the entries of a corrupt or partial line. Sans-I/O.
 
-Bytes in; whole lines and claims out. Everything that knows discovery's form lives here; whether a claim is heeded is decided
-in `forkweir/known/hearsay.py`, and what a whole list does to the node's address book in `discovery`.
+Bytes go in; whole lines and unconfirmed entries come out. Everything that depends on discovery's
+format is in this module. `forkweir.known` decides whether an unconfirmed entry is applied, and
+`address_book` what a whole list changes.
 
-A claim is an entry that stands whole, from brace to brace, in bytes that are no whole line yet or never will be. It is what a line
-may still tell whose rest is lost (PROTOCOL: a change is told once discovery has written it). An entry that is cut or overwritten
-tells one thing at the most: which server it was about (state "unreadable").
+An unconfirmed entry is complete, from brace to brace, in bytes that are not yet a whole line or
+never will be. It is what can still be used of a line whose rest is lost, since by the protocol a
+change counts as notified once discovery has written it. From an entry that is cut or overwritten at
+most its server's name can be read (state "unreadable").
 
-Bounds: a line of MAX_LINE; each byte is looked at once for whole lines, and for claims as it comes (LONGEST_ENTRY bytes before it anew),
-once more where the line pauses, and once where it is given up; MOST_CLAIMS of one line.
+Bounds: MAX_LINE_BYTES for a line and MAX_UNCONFIRMED_ENTRIES of one line. Each byte is scanned once
+for line ends. For entries it is scanned as it arrives (with the MAX_ENTRY_BYTES before it), once
+more where the line pauses, and once where the line is given up.
 """
 
 from __future__ import annotations
@@ -28,40 +31,43 @@
 
 log = logging.getLogger(__name__)
 
-MAX_LINE_BYTES = 1 << 20  # bytes
-MAX_SERVERS = 4_096  # of one list
-MAX_UNCONFIRMED_ENTRIES = 4_096  # of one line
+MAX_LINE_BYTES = 1 << 20
+MAX_SERVERS = 4_096  # in one list
+MAX_UNCONFIRMED_ENTRIES = 4_096  # in one line
 MAX_WEIGHT = 1_000.0
 STATES = {"in_service": "in", "terminating": "draining", "terminated": "gone"}
 NAME_PATTERN = re.compile(r"[!-~]{1,128}")
-MAX_CACHED_ENTRIES = 2 * MAX_SERVERS  # entries that have been read
-MAX_ENTRY_BYTES = 4_096  # bytes
-_ENTRY = re.compile(rb"\{[^{}]{2,%d}\}" % MAX_ENTRY_BYTES)  # entries hold no objects
+MAX_CACHED_ENTRIES = 2 * MAX_SERVERS
+MAX_ENTRY_BYTES = 4_096
+_ENTRY = re.compile(rb"\{[^{}]{2,%d}\}" % MAX_ENTRY_BYTES)  # entries contain no objects
 _INSTANCE_ID = re.compile(rb'"instanceId"\s*:\s*"([!-~]{1,128}?)"')
 _GENERATION = re.compile(rb'"generation"\s*:\s*([0-9]{1,18})(?=[\s,}])')
 _STRING = re.compile(rb'"(?:[^"\\]|\\.)*"')
 _OPENING_BRACKETS, _CLOSING_BRACKETS = (b"{", b"["), (b"}", b"]")
-_CONTINUED_ROW_ENDS = (b"{", b"[", b",")  # what a row ends with behind which an object goes on
+# Ends of a row after which an indented object continues in the next row.
+_CONTINUED_ROW_ENDS = (b"{", b"[", b",")
 _WHOLE_LIST = re.compile(rb'"reset"\s*:\s*true')
 
 
 class BadList(Exception):
-    """Discovery wrote what is no list."""
+    """Discovery's answer or line is not a valid list."""
 
 
 @dataclass(frozen=True, slots=True)
 class UnconfirmedEntry:
-    """What a spoilt line says of one server. address: None where it can't be read."""
+    """The entry of one server in a corrupt or partial line."""
 
-    server: Server  # its state may be "unreadable" as well
-    address: Address | None
+    server: Server  # its state may also be "unreadable"
+    address: Address | None  # None where it cannot be read
 
 
 class EntryCache:
-    """Entries that were read before, so that one which comes again costs one look-up (a whole list that has hardly changed is nearly all
-    such entries, and each of its entries stands in the unfinished line first). The same fields give the same `Server` object.
+    """Cache of parsed entries, so that a repeated entry costs one lookup.
 
-    Bound: MOST_CACHED entries; when they are full all are forgotten.
+    Most entries of a whole list are unchanged, and each is first read from the unfinished line.
+    Equal fields give the same `Server` object.
+
+    Bound: MAX_CACHED_ENTRIES; a full cache is cleared.
     """
 
     __slots__ = ("_read",)
@@ -70,15 +76,18 @@
         self._read: dict[tuple[Any, ...], tuple[Server, Address]] = {}
 
     def read(self, entry: dict[str, Any]) -> tuple[Server, Address]:
-        """A server and its address; AttributeError, KeyError, OverflowError, TypeError or ValueError where the entry is none."""
+        """The server and address of an entry.
+
+        Raises AttributeError, KeyError, OverflowError, TypeError or ValueError if it is malformed.
+        """
         get = entry.get
         fields = (
-            get("instanceId"), get("hostPort"), get("lifecycle"), get("startedAtMs"), get("weight"), get("zone"), get("machineType"),
-            get("cell"),
+            get("instanceId"), get("hostPort"), get("lifecycle"), get("startedAtMs"),
+            get("weight"), get("zone"), get("machineType"), get("cell"),
         )  # fmt: skip
         try:
             known = self._read.get(fields)
-        except TypeError:  # a field that is no scalar can't be looked up
+        except TypeError:  # a field that is not a scalar is not hashable
             return _server_of(entry), ipv4_of(entry["hostPort"])
         if known is None:
             known = _server_of(entry), ipv4_of(entry["hostPort"])
@@ -89,11 +98,12 @@
 
 
 class LineParser:
-    """The body of one watch: whole lines, and what stands whole in the one that has begun.
+    """Splits the body of one watch into lines, and finds complete entries in the unfinished line.
 
-    An object may come indented, over several rows. It begins with a row that breaks where an indented one does and leaves brackets open,
-    and ends where they are closed. An empty row, or one that begins with a brace at its margin, is the next line: what is open before
-    it broke off (guards against one cut line that swallows all that come after it).
+    An object may be indented over several rows, which then form one line. It begins with a row that
+    ends as an indented one does and leaves brackets open, and ends where they are closed. An empty
+    row, or one that begins with a brace in its first column, starts the next line even if brackets
+    are open (guards against one partial line that swallows all those after it).
     """
 
     __slots__ = (
@@ -109,19 +119,19 @@
     def __init__(self, cache: Optional[EntryCache] = None) -> None:
         self._cache = cache or EntryCache()
         self._buffer = bytearray()
-        self._row_start = 0  # where the row begins that is under way,
-        self._depth = 0  # and how many brackets are open before it
-        self._searched_end = 0  # no line ends before this byte,
-        self._reported_end = 0  # and no entry that is not told yet begins before this one
-        self._scanned_end = 0  # how much there was when claims were last asked for
+        self._row_start = 0  # start of the unfinished row
+        self._depth = 0  # brackets that are open before that row
+        self._searched_end = 0  # no line ends before this byte
+        self._reported_end = 0  # end of the last entry that was returned
+        self._scanned_end = 0  # length of the buffer when entries were last searched
 
     @property
     def unfinished(self) -> bool:
-        """Whether a line has begun and not ended."""
+        """Whether a line has begun and not ended yet."""
         return bool(self._buffer)
 
     def receive(self, data: bytes) -> list[bytes]:
-        """The lines that these bytes end, without their ends; BadList for one that is longer than any list."""
+        """The lines completed by these bytes, stripped. BadList if one exceeds MAX_LINE_BYTES."""
         buffer = self._buffer
         buffer += data
         lines = []
@@ -143,11 +153,11 @@
         self._row_start = row_start - line_start
         self._searched_end = len(buffer)
         if len(buffer) > MAX_LINE_BYTES:
-            raise BadList("a line without end")
+            raise BadList(f"a line of over {MAX_LINE_BYTES} bytes")
         return lines
 
     def unconfirmed_entries(self) -> list[UnconfirmedEntry]:
-        """The entries that have come to stand whole in the unfinished line since this was last asked."""
+        """The entries that were completed in the unfinished line since the last call."""
         found = []
         begin = max(self._reported_end, self._scanned_end - MAX_ENTRY_BYTES - 2)
         self._scanned_end = len(self._buffer)
@@ -158,20 +168,21 @@
         return found[:MAX_UNCONFIRMED_ENTRIES]
 
     def rest(self) -> bytes:
-        """The unfinished line, as far as it came."""
+        """The unfinished line so far."""
         return bytes(self._buffer)
 
 
 def _net_brackets(row: bytes) -> int:
-    """How many more brackets a row of JSON opens than it closes."""
+    """The number of brackets that a row of JSON opens, less those that it closes."""
     unquoted = _STRING.sub(b"", row)
     return sum(map(unquoted.count, _OPENING_BRACKETS)) - sum(map(unquoted.count, _CLOSING_BRACKETS))
 
 
 def unconfirmed_entries(text: bytes, cache: Optional[EntryCache] = None) -> list[UnconfirmedEntry]:
-    """What can be read of a line that is spoilt or cut: entries that stand whole, and of changes also which server a broken one names.
+    """The complete entries of a corrupt or partial line, and in a line of changes the servers that
+    broken entries name.
 
-    A whole list names every server, so that one broken entry of it tells nothing.
+    A whole list names every server, so a broken entry in one gives no information.
     """
     cache = cache or EntryCache()
     found = []
@@ -196,22 +207,22 @@
 
 
 def generation_of(text: bytes) -> int | None:
-    """The generation that a line states, whole or not, as far as it can be read."""
+    """The generation stated in a line, whole or not; None where it cannot be read."""
     match = _GENERATION.search(text)
     return int(match[1]) if match is not None else None
 
 
 @dataclass(frozen=True, slots=True)
 class RawList:
-    """A whole line whose entries are still to be read."""
+    """A whole line whose entries are not parsed yet."""
 
     generation: int
-    whole: bool  # it names every server; else it tells changes
+    whole: bool  # names every server; otherwise the line holds changes
     entries: list[Any]
 
 
 def parse_raw_list(line: bytes) -> RawList:
-    """A whole line as JSON has it. BadList where it is none."""
+    """Parse the JSON of a whole line. BadList if it is malformed."""
     try:
         data = orjson.loads(line)
     except orjson.JSONDecodeError as error:
@@ -222,35 +233,46 @@
 
 
 def raw_list_of(data: dict[str, Any]) -> RawList:
-    """An object in discovery's form. BadList where it is no list, or longer than MOST_SERVERS."""
+    """A list from an object in discovery's format.
+
+    Raises BadList if it is malformed or has more than MAX_SERVERS entries.
+    """
     try:
         generation, entries = int(data["generation"]), list(data["instances"])
     except (KeyError, TypeError, ValueError) as error:
         raise BadList(f"{type(error).__name__}: {error}") from None
     if len(entries) > MAX_SERVERS:
-        raise BadList(f"{len(entries)} servers")
+        raise BadList(f"{len(entries)} servers, more than the {MAX_SERVERS} allowed")
     return RawList(generation, bool(data.get("reset")), entries)
 
 
 def read_entries(entries: Iterable[Any], cache: EntryCache) -> list[tuple[Server, Address]]:
-    """What entries say; one that can't be read is left out (guards against one costing the whole list)."""
+    """The servers and addresses of entries, without malformed ones.
+
+    Guards against one malformed entry that discards the whole list.
+    """
     pairs = []
     for entry in entries:
         try:
             pairs.append(cache.read(entry))
         except (AttributeError, KeyError, OverflowError, TypeError, ValueError) as error:
-            log.warning("an entry of the list is of no use: %s: %s", type(error).__name__, error)
+            log.warning(
+                "malformed entry of the server list ignored: %s: %s", type(error).__name__, error
+            )
     return pairs
 
 
 def parse(line: bytes) -> tuple[int, bool, list[tuple[Server, Address]]]:
-    """A whole line: its generation, whether it is the whole list, and its entries. BadList where it is none."""
+    """The generation of a line, whether it is a whole list, and its entries.
+
+    Raises BadList if it is malformed.
+    """
     raw = parse_raw_list(line)
     return raw.generation, raw.whole, read_entries(raw.entries, EntryCache())
 
 
 def read(data: dict[str, Any]) -> tuple[int, bool, list[tuple[Server, Address]]]:
-    """What an object in discovery's form holds (see `parse`)."""
+    """As `parse`, for an object in discovery's format."""
     raw = raw_list_of(data)
     return raw.generation, raw.whole, read_entries(raw.entries, EntryCache())
 
@@ -263,17 +285,20 @@
 
 
 def _unix_ms(stated: Any) -> float:
-    """A time as the list states it; ValueError where it is none (what it means on this clock: `forkweir.known.starts`)."""
+    """A time in ms by discovery's clock; `forkweir.known.starts` converts it to this node's clock.
+
+    Raises ValueError if it is not finite.
+    """
     time_ms = float(stated or 0.0)
     if not isfinite(time_ms):
-        raise ValueError("no time")
+        raise ValueError(f"not a finite time: {stated!r}")
     return max(0.0, time_ms)
 
 
 def _server_of(entry: dict[str, Any]) -> Server:
     name = entry["instanceId"]
     if not NAME_PATTERN.fullmatch(name):
-        raise ValueError("no name")
+        raise ValueError(f"not a valid instanceId: {name!r:.150}")
     return Server(
         name=name,
         zone=str(entry.get("zone") or ""),
--- a/corkshift/watch.py
+++ b/corkshift/watch.py
@@ -1,7 +1,8 @@
-"""One call to discovery: its dial, its answer, and the bytes of the watch that follows, until its end.
+"""One call to discovery: its connection, its answer, and the bytes of the watch that follows.
 
-Silence, pauses and the patience of a call are counted in present time (`presence`): time in which this node itself was held up says nothing
-of discovery. What discovery writes to a watch counts as notified, so that one that has lost something is read on until it is replaced.
+Silence, pauses and the timeout of a call are counted in active time (`loop_lag`), because time in
+which this node was stalled says nothing about discovery. What discovery writes to a watch counts as
+notified, so a watch that has lost data is read until it is replaced.
 """
 
 from __future__ import annotations
@@ -18,15 +19,15 @@
 from corkshift.seam import Address
 from corkshift.stream import Stream
 
-SILENCE_TIMEOUT_S = (
-    2.15  # the heartbeat (2 s) and as long as a node may be held up: the watch has fallen silent,
-)
-LINE_TIMEOUT_S = 1.0  # or has stopped in the middle of a line
-MAX_CHUNK_HEADER = 64  # bytes; a size of 16 digits and a short extension (RFC 9112, 7.1)
+# A watch without input for this long is unresponsive: the heartbeat's 2 s and 0.15 s for a stall.
+SILENCE_TIMEOUT_S = 2.15
+LINE_TIMEOUT_S = 1.0  # the same, in the middle of a line
+# Bytes; room for a size of 16 digits and a short extension (RFC 9112, section 7.1).
+MAX_CHUNK_HEADER = 64
 
 
 class Watch:
-    """One call to discovery, from its dial to its end."""
+    """One call to discovery, from its connection to its end."""
 
     def __init__(
         self,
@@ -36,34 +37,41 @@
         loop_lag: LoopLagMonitor,
         cache: Optional[EntryCache] = None,
     ) -> None:
-        """generation: of the list that the node has, None for a whole one; patience_s: how long the answer may take, in present time."""
+        """generation: of the node's list; None asks for a whole list.
+
+        answer_timeout_s: how long the answer may take, in active time.
+        """
         self.address = address
         self.generation = generation
         self.answer_timeout_s = answer_timeout_s
-        self.answered = False  # discovery has answered
-        self.has_whole_line = False  # a whole line has come
-        self.retiring = False  # something of it is lost, and another is to take its place: only what takes away is heeded
-        self.parallel_call_timer: Optional[ActiveTimer] = (
-            None  # of a call that may need another one beside it
-        )
+        self.answered = False
+        self.has_whole_line = False  # a whole line was received
+        # Data was lost and another watch is to replace this one: only removals are applied.
+        self.retiring = False
+        # Starts a parallel call while this one is unanswered.
+        self.parallel_call_timer: Optional[ActiveTimer] = None
         self.parser = LineParser(cache)
-        self.applying: Optional[asyncio.Task[None]] = (
-            None  # of a long line that is being taken in slices,
-        )
-        self.queued_lines: deque[bytes] = deque()  # and whole lines behind it
+        # Applies a long line in slices.
+        self.applying: Optional[asyncio.Task[None]] = None
+        self.queued_lines: deque[bytes] = deque()  # whole lines behind the one being applied
         self._loop_lag = loop_lag
         self.stream: Optional[Stream] = None
         self._http = h11.Connection(h11.CLIENT)
         self._framed = True
-        self._last_input = b""  # what the parser was last given, and what it then still held
-        self._unparsed = b""  # of that, what is to be looked at again, once the framing is lost
+        # The bytes last given to the HTTP parser, after those that it still held.
+        self._last_input = b""
+        # The part of them that is read again as plain bytes once the framing is lost.
+        self._unparsed = b""
 
     async def call(self) -> None:
-        """Dial and ask; OSError (TimeoutError among them), h11.RemoteProtocolError or BadList where there is no watch."""
+        """Connect, send the request and read the answer's head.
+
+        Raises OSError (TimeoutError included), h11.RemoteProtocolError or BadList where that fails.
+        """
         sock = seam.stream()
         try:
-            # One service answers all nodes in turn, and a call that is hung up on keeps its turn (guards against a fleet that
-            # asks anew, over and over, for what each of its nodes would have been told a moment later).
+            # The service answers all nodes in turn, and a closed call still takes its turn. A long
+            # timeout guards against a fleet that keeps repeating calls about to be answered.
             async with self._loop_lag.timeout(self.answer_timeout_s):
                 await seam.connect(sock, self.address)
                 self.stream = Stream(sock)
@@ -83,14 +91,15 @@
         self.answered = True
         self.cancel_parallel_call()
         if not isinstance(event, h11.Response) or event.status_code != 200:
-            raise BadList(f"answered {event!r:.80}")
+            raise BadList(f"discovery answered not 200 but {event!r:.80}")
 
     async def _event(self) -> object:
         assert self.stream is not None
         while (event := self._http.next_event()) is h11.NEED_DATA:
             pending = self._http.trailing_data[0]
             if self.answered and len(pending) > MAX_CHUNK_HEADER:
-                # The parser waits for a line's end that may never come (guards against a change that stands there meanwhile).
+                # The parser waits for the end of a chunk header, which may never arrive (guards
+                # against a change that stays unread meanwhile).
                 raise h11.RemoteProtocolError(f"chunk header of over {MAX_CHUNK_HEADER} bytes")
             data = await self.stream.read()
             self._last_input = pending + data
@@ -98,11 +107,12 @@
         return event
 
     async def next_data(self) -> bytes:
-        """The next bytes of the body, or of whatever comes once its framing is lost; none at the end.
+        """The next bytes of the body, or raw bytes once its framing is lost; b"" at the end.
 
-        TimeoutError where the watch has fallen silent, h11.RemoteProtocolError once, where the framing is lost.
+        Raises TimeoutError where the watch is unresponsive, and h11.RemoteProtocolError once where
+        the framing is lost.
         """
-        # One that is replaced is read on for as long as Discovery has use for it, however silent it is.
+        # A retiring watch is read until Discovery closes it, however silent it is.
         async with self._loop_lag.timeout(
             None
             if self.retiring
@@ -126,7 +136,7 @@
 
     @property
     def has_unread_input(self) -> bool:
-        """Whether bytes stand in the kernel or here that nobody has looked at; asks the kernel."""
+        """Whether bytes are unread in the kernel or in the stream's buffer; asks the kernel."""
         stream = self.stream
         return (
             self.answered
@@ -137,18 +147,18 @@
         )
 
     def cancel_parallel_call(self) -> None:
-        """No further call is needed beside this one."""
+        """Cancel the timer of the parallel call, which is no longer needed."""
         if self.parallel_call_timer is not None:
             self.parallel_call_timer.cancel()
             self.parallel_call_timer = None
 
     async def wait_applied(self) -> None:
-        """Until all lines that came whole have been taken."""
+        """Wait until all whole lines have been applied."""
         if self.applying is not None:
             await asyncio.wait([self.applying])
 
     def close(self) -> None:
-        """Hang up."""
+        """Close the connection and cancel the timer and task of this watch."""
         if self.applying is not None:
             self.applying.cancel()
         self.cancel_parallel_call()
