--- a/corkshift/__init__.py
+++ b/corkshift/__init__.py
@@ -1,1 +1,1 @@
-"""corkshift: a cache load balancer's node on real sockets, round the decisions of forkweir."""
+"""corkshift: the node of a cache load balancer, which runs the decisions of forkweir on sockets."""
--- a/corkshift/__main__.py
+++ b/corkshift/__main__.py
@@ -1,4 +1,4 @@
-"""The program: a node as the environment tells, or, with arguments, a command of the command line."""
+"""The program: a node configured by the environment or, with arguments, a command-line command."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def main() -> int:
-    """The entry of `python -m corkshift` and of the script `gradeshift`."""
+    """Entry point of `python -m corkshift` and of the script `gradeshift`."""
     if len(sys.argv) > 1:
         from corkshift.cli import command
 
--- a/corkshift/config.py
+++ b/corkshift/config.py
@@ -1,4 +1,4 @@
-"""The node's configuration: the file that PROXY_CONFIG names, and the variables beside it."""
+"""The node's configuration: the file named by PROXY_CONFIG and the other environment variables."""
 
 from __future__ import annotations
 
@@ -16,9 +16,8 @@
 from forkweir.adapter import given, settings_of
 
 _OCTET = r"(?:25[0-5]|2[0-4][0-9]|1[0-9][0-9]|[1-9]?[0-9])"
-_IPV4 = re.compile(
-    rf"{_OCTET}(?:\.{_OCTET}){{3}}"
-)  # in the one form that IPv4Address takes, ten times as fast
+# Matches the one form that IPv4Address accepts, ten times as fast.
+_IPV4 = re.compile(rf"{_OCTET}(?:\.{_OCTET}){{3}}")
 
 
 class BadConfig(Exception):
@@ -27,19 +26,18 @@
 
 @dataclass(frozen=True, slots=True)
 class TierPeers:
-    """The other nodes of the tier, where the settings let nodes send one another datagrams."""
+    """The nodes of the tier, where the settings let nodes exchange datagrams."""
 
-    listen: Address  # where datagrams arrive
-    peers: tuple[
-        Address, ...
-    ]  # of each node of the tier, this one among them, as this node has to address them
-    slot: int  # which of them is this one
+    listen: Address  # receives datagrams
+    # Each node of the tier, this one included, as this node has to address them.
+    peers: tuple[Address, ...]
+    slot: int  # index of this node in peers
     tier: int = 0
 
 
 @dataclass(frozen=True, slots=True)
 class Config:
-    """What the node is told at its start."""
+    """The node's configuration at its start."""
 
     name: str
     listen: Address
@@ -53,13 +51,13 @@
     dial_timeout_ms: float
     conn_idle_ms: float
     drain_grace_ms: float
-    admin: Optional[Address] = None  # the operators' address; none: off
-    socket_fd: Optional[int] = None  # of the clients' listening socket, where the platform holds it
-    tier_peers: Optional[TierPeers] = None  # none: this node talks to no other
+    admin: Optional[Address] = None  # the operators' address; None: disabled
+    socket_fd: Optional[int] = None  # the clients' listening socket, where it is inherited
+    tier_peers: Optional[TierPeers] = None  # None: no datagrams to other nodes
 
 
 def address_of(text: str) -> Address:
-    """Split host:port."""
+    """Split host:port. ValueError if it is malformed."""
     host, colon, port = text.rpartition(":")
     if not (host and colon and port.isascii() and port.isdigit() and 0 < int(port) < 65_536):
         raise ValueError(f"not an address: {text!r}")
@@ -67,13 +65,16 @@
 
 
 def ipv4_of(text: str) -> Address:
-    """Split an IPv4 address and its port; ValueError for anything else: a host that is no address is a name, and would be looked up."""
+    """Split an IPv4 address and its port. ValueError for anything else.
+
+    A host that is not an address would be a name, and connecting to it would look it up.
+    """
     host, port = address_of(text)
     return host if _IPV4.fullmatch(host) else str(IPv4Address(host)), port
 
 
 def load(environ: Mapping[str, str]) -> Config:
-    """Read the configuration; BadConfig has one line for the operator."""
+    """Read the configuration. BadConfig, with a one-line message for the operator, if it fails."""
     path = environ.get("PROXY_CONFIG")
     if not path:
         raise BadConfig("PROXY_CONFIG is not set")
@@ -90,7 +91,10 @@
 
 
 def config_of(data: dict[str, Any], environ: Mapping[str, str]) -> Config:
-    """The configuration that parsed JSON and the variables tell; AttributeError, KeyError, TypeError or ValueError if malformed."""
+    """The configuration from parsed JSON and environment variables.
+
+    Raises AttributeError, KeyError, TypeError or ValueError if it is malformed.
+    """
     options = data["settings"]
     allowed, contract = options.get("allowed") or {}, options.get("contract") or {}
     limits = data.get("limits") or {}
@@ -99,11 +103,11 @@
     admin = environ.get("PROXY_ADMIN_ADDR") or data.get("admin_addr")
     descriptor = environ.get("PROXY_SOCKET_FD")
     if not isinstance(known, dict):
-        raise TypeError("known is not an object")
+        raise TypeError("known is not a JSON object")
     return Config(
         name=environ.get("PROXY_NAME") or data.get("name") or "node",
         listen=address_of(environ.get("PROXY_LISTEN") or data["listen"]),
-        # The file comes first: a reload replaces it, and the environment stays what it was at the start.
+        # The file has precedence: a reload replaces it, while the environment never changes.
         discovery=address_of(data.get("discovery") or environ["PROXY_DISCOVERY"]),
         seed=seed if isinstance(seed, int) else int(seed, 16),
         sockets=int(limits.get("sockets") or 1024),
@@ -111,10 +115,10 @@
         known=known,
         settings=settings_of(options),
         max_open=int(allowed.get("maxOpen") or 10_000),
-        dial_timeout_ms=float(
-            allowed.get("dialTimeoutMs") or 250.0
-        ),  # a dial that may take no time can't be meant
-        conn_idle_ms=float(given(allowed, "connIdleMs", 15_000.0)),  # but no rest, or no grace, can
+        # A connect timeout of 0 is not meaningful and means the default. An idle time or a grace
+        # period of 0 is kept.
+        dial_timeout_ms=float(allowed.get("dialTimeoutMs") or 250.0),
+        conn_idle_ms=float(given(allowed, "connIdleMs", 15_000.0)),
         drain_grace_ms=float(given(contract, "stopSendingWithinMs", 250.0)),
         admin=address_of(admin) if admin else None,
         socket_fd=_descriptor(descriptor) if descriptor else None,
@@ -125,18 +129,21 @@
 
 
 def _tier_peers(data: dict[str, Any], options: dict[str, Any]) -> TierPeers:
-    """Who else is of this node's tier. ValueError where an address is no IPv4 address or stands there twice, or this node is not there."""
+    """The nodes of this node's tier.
+
+    Raises ValueError if an address is not IPv4 or is listed twice, or if this node is not listed.
+    """
     peers = tuple(ipv4_of(text) for text in data["peers"])
     slot = int(options.get("slotNo") or 0)
     if not 0 <= slot < len(peers):
-        raise ValueError(f"slotNo: {slot} is none of {len(peers)} peers")
+        raise ValueError(f"slotNo: {slot} is not an index of the {len(peers)} peers")
     if len(set(peers)) < len(peers):
-        raise ValueError("peers: an address stands there twice")
+        raise ValueError("peers: an address is listed twice")
     return TierPeers(ipv4_of(data["peer_listen"]), peers, slot, int(options.get("tier") or 0))
 
 
 def _descriptor(text: str) -> int:
-    """The number of an inherited descriptor (0 to 2 are the standard streams)."""
+    """The number of an inherited file descriptor (0 to 2 are the standard streams)."""
     if not (text.isascii() and text.isdigit() and 2 < int(text) < 1 << 20):
         raise ValueError(f"PROXY_SOCKET_FD is not a descriptor: {text!r}")
     return int(text)
--- a/corkshift/loop_lag.py
+++ b/corkshift/loop_lag.py
@@ -1,15 +1,19 @@
-"""When the node's loop was there to listen: one clock for time-outs of peers, and a bound for how long input can have stood unread.
+"""Event loop lag: how late the node's loop runs, and clocks that leave out the time it was stalled.
 
-A node may have a fiftieth of a core, or be stopped for a while. Time that passed while its loop did not run says nothing of its peers: what
-they sent meanwhile stands unread. A periodic timer shows how late the loop runs. From it follow
+A node may have a fiftieth of a core, or its process may be stopped for a while. Time that passes
+while the loop does not run says nothing about peers, because what they sent meanwhile is still
+unread. A periodic timer measures how late the loop runs. Two readings follow from it:
 
-- present time: real time less what was lost to holds. Time-outs that judge a peer (a silent watch, a line that goes no further, a call, a
-  dial) count it, and so do the durations of attempts by which servers are judged;
-- the moment since which input may stand unread, from which the time of a request counts that was read after a hold.
+- Active time: elapsed time minus the time lost to stalls. Timeouts that detect an unresponsive
+  peer (a silent watch, an incomplete line, a call, a dial) count active time, and so do the
+  durations of attempts by which cache servers are evaluated.
+- The longest time for which input may have been unread. The time of a request that is read after a
+  stall counts from then.
 
-Deadlines, drain graces, repeat windows and the age of the server list count real time (`seam.now_ms`), whatever the node was busy with.
+Deadlines, drain grace periods, repeat windows and the age of the server list count elapsed time
+(`seam.now_ms`), whatever the node was doing.
 
-Bounds: one timer every PERIOD_MS; one line in the log every LOG_MS.
+Bounds: one timer every PERIOD_MS, one log line every LOG_INTERVAL_MS.
 """
 
 from __future__ import annotations
@@ -25,25 +29,19 @@
 log = logging.getLogger(__name__)
 
 PERIOD_MS = 50.0
-LAG_SMOOTHING = 0.3  # weight of one tick in how late timers come lately
-STALL_THRESHOLD_MS = (
-    20.0  # a timer that comes this late has been held up; less is the ordinary scatter of a loop
-)
-MIN_UNREAD_MS = (
-    2.0 * PERIOD_MS + STALL_THRESHOLD_MS
-)  # shorter holds can't be told from none by a timer of this period
-TIMER_TOLERANCE_MS = 1.0  # a timer that comes so much early has come in time
+LAG_SMOOTHING = 0.3  # weight of one tick in the moving average of the lag
+# A timer that is later than this was stalled; less is the ordinary jitter of a loop.
+STALL_THRESHOLD_MS = 20.0
+# A timer of this period cannot tell shorter stalls from none.
+MIN_UNREAD_MS = 2.0 * PERIOD_MS + STALL_THRESHOLD_MS
+TIMER_TOLERANCE_MS = 1.0  # a timer that fires this much early counts as due
 LOG_INTERVAL_MS = 5_000.0
-STALL_BUCKETS_MS = (
-    50.0,
-    150.0,
-    500.0,
-    1_000.0,
-)  # upper bounds of the histogram's buckets; the last bucket has none
+# Upper bounds of the histogram's buckets; the last bucket has none.
+STALL_BUCKETS_MS = (50.0, 150.0, 500.0, 1_000.0)
 
 
 class LoopLagMonitor:
-    """Follows how late the running loop is. Before `start` it always passes for present."""
+    """Measures how late the running loop is. Before `start` it reports no lag."""
 
     __slots__ = (
         "stall_counts", "longest_stall_ms", "last_stall_ms", "smoothed_lag_ms",
@@ -52,28 +50,26 @@
     )  # fmt: skip
 
     def __init__(self) -> None:
-        self.stall_counts = [0] * (
-            len(STALL_BUCKETS_MS) + 1
-        )  # how often the loop was late, by by how much
+        # Number of stalls in each bucket of STALL_BUCKETS_MS.
+        self.stall_counts = [0] * (len(STALL_BUCKETS_MS) + 1)
         self.longest_stall_ms = 0.0
-        self.last_stall_ms = 0.0  # when the last hold was noticed
-        self.smoothed_lag_ms = (
-            0.0  # how late timers come lately, which is about as long as a turn of the loop takes
-        )
-        self._active_ms = 0.0  # up to the last tick
-        self._last_tick_ms: Optional[float] = None  # when that was
-        self._read_until_ms = 0.0  # what came before this has been read
+        self.last_stall_ms = 0.0  # when the last stall was noticed
+        # Moving average of how late timers fire: about the duration of one loop iteration.
+        self.smoothed_lag_ms = 0.0
+        self._active_ms = 0.0  # active time up to the last tick
+        self._last_tick_ms: Optional[float] = None
+        self._read_until_ms = 0.0  # input that arrived before this time has been read
         self._timer: Optional[asyncio.TimerHandle] = None
         self._last_log_ms = 0.0
-        self._longest_unlogged_ms = 0.0  # since the log last told
+        self._longest_unlogged_ms = 0.0  # longest stall since the last log line
 
     def start(self) -> None:
-        """Follow the running loop from now on."""
+        """Start measuring the running loop."""
         self._last_tick_ms = self._read_until_ms = now_ms()
         self._timer = asyncio.get_running_loop().call_later(PERIOD_MS / 1000.0, self._tick)
 
     def close(self) -> None:
-        """Follow it no more."""
+        """Stop measuring."""
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
@@ -89,7 +85,7 @@
             self._record_stall(late_ms, now)
         else:
             self._active_ms += now - last
-            self._read_until_ms = last  # the loop has polled since then
+            self._read_until_ms = last  # the loop has polled its sockets since then
         self._last_tick_ms = now
         self._timer = asyncio.get_running_loop().call_later(PERIOD_MS / 1000.0, self._tick)
 
@@ -97,7 +93,7 @@
         self.last_stall_ms = now
         self.stall_counts[
             next(
-                (n for n, most in enumerate(STALL_BUCKETS_MS) if late_ms <= most),
+                (n for n, upper in enumerate(STALL_BUCKETS_MS) if late_ms <= upper),
                 len(STALL_BUCKETS_MS),
             )
         ] += 1
@@ -105,7 +101,7 @@
         self._longest_unlogged_ms = max(self._longest_unlogged_ms, late_ms)
         if self._longest_unlogged_ms > MIN_UNREAD_MS and now - self._last_log_ms >= LOG_INTERVAL_MS:
             log.info(
-                "the loop was held up for up to %.0f ms since this was last told",
+                "the event loop was held up for up to %.0f ms since the last report",
                 self._longest_unlogged_ms,
             )
             self._last_log_ms, self._longest_unlogged_ms = now, 0.0
@@ -113,7 +109,7 @@
     # -- readings ------------------------------------------------------------------------
 
     def active_ms(self) -> float:
-        """A clock that stands still while the loop is held up, in ms; differences alone have a meaning."""
+        """A clock in ms that stops while the loop is stalled; only differences are meaningful."""
         now = now_ms()
         if self._last_tick_ms is None:
             return now
@@ -121,7 +117,7 @@
         return self._active_ms + (passed if passed <= PERIOD_MS + STALL_THRESHOLD_MS else PERIOD_MS)
 
     def lag_ms(self) -> float:
-        """By how much the loop is late at this moment, at the least."""
+        """Lower bound of the loop's lag at this moment."""
         return (
             0.0
             if self._last_tick_ms is None
@@ -129,7 +125,10 @@
         )
 
     def unread_ms(self) -> float:
-        """For how long input that is read now can have stood unread because the loop was held up, or turns slowly; 0 where it was not."""
+        """How long input that is read now may have been unread, in ms.
+
+        0 unless the loop was stalled or its iterations are slow.
+        """
         if self._last_tick_ms is None:
             return 0.0
         unread_ms = now_ms() - self._read_until_ms
@@ -138,20 +137,20 @@
         return self.smoothed_lag_ms if self.smoothed_lag_ms > STALL_THRESHOLD_MS else 0.0
 
     def stalled_since(self, checked_ms: float) -> bool:
-        """Whether what was last looked at then may have changed unnoticed: the loop is, or was since, held up."""
+        """Whether the loop is stalled or was since that time; a check made then is stale."""
         return self.lag_ms() > STALL_THRESHOLD_MS or checked_ms < self.last_stall_ms
 
     def timeout(self, seconds: Optional[float]) -> ActiveTimeout:
-        """As `asyncio.timeout`, in present time; None: no limit."""
+        """Like `asyncio.timeout`, in active time; None sets no limit."""
         return ActiveTimeout(self, seconds)
 
     def call_later(self, seconds: float, callback: Callable[[], object]) -> ActiveTimer:
-        """As `loop.call_later`, in present time."""
+        """Like `loop.call_later`, in active time."""
         return ActiveTimer(self, seconds, callback)
 
 
 class ActiveTimer:
-    """Calls something once so much present time has passed."""
+    """Calls a function once after the given active time."""
 
     __slots__ = ("_loop_lag", "_due_ms", "_callback", "_handle")
 
@@ -164,7 +163,7 @@
         self._handle = asyncio.get_running_loop().call_later(seconds, self._check)
 
     def cancel(self) -> None:
-        """It is not called any more."""
+        """Cancel the call."""
         self._handle.cancel()
 
     def _check(self) -> None:
@@ -176,7 +175,7 @@
 
 
 class ActiveTimeout:
-    """A scope that ends with TimeoutError once so much present time has passed in it."""
+    """A context manager that raises TimeoutError after the given active time."""
 
     __slots__ = ("_loop_lag", "_seconds", "_timeout", "_timer")
 
--- a/corkshift/service.py
+++ b/corkshift/service.py
@@ -1,4 +1,7 @@
-"""One node's life: its parts put together, reload on SIGHUP, drain on SIGTERM. Runs on either side of the seam."""
+"""Lifecycle of one node: builds its components, reloads on SIGHUP and drains on SIGTERM.
+
+Runs on the real system and on the simulated one (`corkshift.seam`).
+"""
 
 from __future__ import annotations
 
@@ -28,12 +31,13 @@
 
 log = logging.getLogger("corkshift")
 
-BODY_BYTES_PER_MB = (1 << 20) // 8  # bytes of request bodies for each megabyte of the memory limit
-FIRST_LIST_TIMEOUT_S = 1.0  # an agent that has not told its list by then is down: a node that starts serves by the list as it last was
+BODY_BYTES_PER_MB = (1 << 20) // 8  # for request bodies, per megabyte of the memory limit
+# An agent that has sent no list by then is down: the starting node serves from its saved list.
+FIRST_LIST_TIMEOUT_S = 1.0
 
 
 class Service:
-    """A node and what belongs to it, from its start to the end of its drain."""
+    """A node and its components, from its start to the end of its drain."""
 
     def __init__(
         self,
@@ -42,10 +46,12 @@
         reread: Callable[[], Optional[SourcesTable]] = lambda: None,
         tier: Optional[TierTable] = None,
     ) -> None:
-        """sources: what an operator's file has of them, and reread: the same when the file is read again (ValueError if it is bad).
-        tier: what it has of other nodes."""
-        # Descriptors: seven sixteenths for cache servers, nine for clients, after a reserve for all else (a dozen are in use).
-        # Each open request holds one of either kind, and clients have others that rest.
+        """sources: the sources of the operator's file. reread: reads them from the file again;
+        raises ValueError if it is malformed. tier: the file's settings for other nodes.
+        """
+        # Descriptors, less a reserve for everything else (about a dozen are in use): 7/16 for cache
+        # servers and 9/16 for clients. Each open request uses one of either kind, and clients also
+        # have idle connections.
         sockets = max(16, config.sockets - min(24, config.sockets // 4))
         upstream = sockets * 7 // 16
         self.config = config
@@ -63,7 +69,8 @@
         self.sources: Optional[Sources] = None
         self._reread = reread
         if sources is not None:
-            # Only where an operator's file has them: what is off costs nothing.
+            # Imported only where an operator's file has sources, so that a disabled feature costs
+            # nothing.
             from corkshift.sources.hub import Sources
 
             self.sources = Sources(self.node, self.pool, sources, config.seed)
@@ -79,14 +86,16 @@
         self.node.list_unread = self.discovery.has_unread_input
         self.tier: Optional[Carrier] = None
         if config.tier_peers is not None and (tier is None or tier.on):
-            # Only where the settings let nodes talk to one another: what is off costs nothing.
+            # Imported only where the settings let nodes exchange datagrams, so that a disabled
+            # feature costs nothing.
             from corkshift.tier.carrier import Carrier
             from corkshift.tier.options import TierTable
 
             self.tier = Carrier(self.node, config.tier_peers, tier or TierTable())
         self.admin: Optional[Admin] = None
         if config.admin is not None:
-            # Only where there is an address: what is off costs nothing.
+            # Imported only where an operators' address is set, so that a disabled feature costs
+            # nothing.
             from corkshift.admin import Admin, Status
 
             self.admin = Admin(
@@ -98,11 +107,11 @@
 
     @property
     def _shared_socket(self) -> bool:
-        """Whether other processes may hold the clients' listening socket too."""
+        """Whether other processes may also have the clients' listening socket open."""
         return self.config.socket_fd is not None
 
     def _listener(self) -> seam.Socket:
-        """The clients' listening socket: the platform's, or one of our own. OSError where there is none to be had."""
+        """The clients' listening socket, inherited or new. OSError if it cannot be opened."""
         if self.config.socket_fd is not None:
             return seam.inherited(self.config.socket_fd, KERNEL_BUFFER)
         return seam.listen(self.config.listen, KERNEL_BUFFER)
@@ -121,7 +130,8 @@
         if self.tier is not None:
             self.tier.start()
         if not self.config.settings.asked:
-            # Lists are pushed to an agent on this machine, and what it has counts as told from the first moment on.
+            # Lists are pushed to an agent on this machine, so that what it has counts as notified
+            # from the start.
             self.discovery.follow()
             await self._wait_first_list()
         if not self._stop.is_set():
@@ -139,7 +149,10 @@
             self.admin.close()
 
     def _reload_if_moved(self) -> None:
-        """Go where discovery is, if the file has changed since it was read: a SIGHUP between then and now was ignored."""
+        """Reload if the file names another address of discovery than when it was first read.
+
+        A SIGHUP that arrived before the signal handler was installed was ignored.
+        """
         try:
             fresh = load(seam.environ())
         except BadConfig:
@@ -148,7 +161,7 @@
             self.reload()
 
     async def _wait_first_list(self) -> None:
-        """Until the agent has told its list, or this node is to end, or FIRST_LIST_S are over."""
+        """Wait for the agent's list, the stop of this node or FIRST_LIST_TIMEOUT_S."""
         waits = [
             asyncio.create_task(self.discovery.wait_first_list()),
             asyncio.create_task(self._stop.wait()),
@@ -158,14 +171,15 @@
             wait.cancel()
 
     def stop(self) -> None:
-        """Begin the drain."""
+        """Start the drain."""
         self._stop.set()
 
     def reload(self) -> None:
-        """Read the file again and go where discovery is now; a file that is of no use changes nothing.
+        """Read the file again and switch to discovery's address in it; a malformed file is ignored.
 
-        Guards against SIGHUP, which ends a process that does not handle it. Only `discovery` can change in a running node; the
-        rest (limits, settings, where it listens) is what open requests were decided by, and waits for the next start.
+        Without a handler SIGHUP would end the process. Only `discovery` can change in a running
+        node; open requests were decided by the rest (limits, settings, listening addresses), which
+        takes effect at the next start.
         """
         config = self.config
         try:
@@ -178,13 +192,13 @@
             getattr(fresh, name) != getattr(config, name)
             for name in ("known", "settings", "listen", "admin", "tier_peers")
         ):
-            log.info("reload: what else has changed waits for the next start")
+            log.info("reload: other changes in the file take effect at the next start")
         self.discovery.move(fresh.discovery)
         if self.sources is not None:
             try:
                 options = self._reread()
             except ValueError as error:
-                log.error("reload: %s; the sources stay as they are", error)
+                log.error("reload: %s; the sources stay unchanged", error)
                 return
             if options is not None:
                 self.sources.reload(options)
@@ -196,5 +210,8 @@
     reread: Callable[[], Optional[SourcesTable]] = lambda: None,
     tier: Optional[TierTable] = None,
 ) -> None:
-    """Serve until SIGTERM or SIGINT, then drain. OSError where it cannot listen. The rest as `Service` has it."""
+    """Serve until SIGTERM or SIGINT, then drain. OSError if it cannot listen.
+
+    The parameters are those of `Service`.
+    """
     await Service(config, sources, reread, tier).run()
--- a/corkshift/start.py
+++ b/corkshift/start.py
@@ -1,4 +1,4 @@
-"""One node from its environment to its end: what `python -m corkshift` does without a command, and `run` with one."""
+"""Runs one node: `python -m corkshift` without a command, or the command `run`."""
 
 from __future__ import annotations
 
@@ -18,7 +18,10 @@
 
 
 def serve(operator: Optional[str] = None) -> int:
-    """Run one node as the environment tells, with an operator's file if one is named; the exit code."""
+    """Run one node configured by the environment, with an operator's file if one is named.
+
+    Returns the exit code: 0 after a drain, 1 if it cannot listen, 2 for a malformed file.
+    """
     process.prepare()
     environ = seam.environ()
     try:
@@ -30,7 +33,7 @@
     sources: Optional[SourcesTable] = None
     tier: Optional[TierTable] = None
     if operator:
-        # Only where there is a file: what is off costs nothing.
+        # Imported only where there is a file, so that a disabled feature costs nothing.
         from corkshift.cli.operator import BadOperatorFile, read
 
         try:
