--- a/tests/test_address_book.py
+++ b/tests/test_address_book.py
@@ -1,4 +1,4 @@
-"""The address book: a list that is taken in slices, as its differences, comes to the same as one that is taken at once."""
+"""The address book: a list applied in slices has the same result as one applied at once."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 class Node:
-    """Whom the book tells, and what it made of it."""
+    """Receives the book's notifications and applies them to a balancer."""
 
     def __init__(self) -> None:
         self.servers: dict[str, CacheServer] = {}
@@ -49,7 +49,7 @@
         pass
 
     def view(self) -> dict[str, tuple[object, ...]]:
-        """What is known of each server, by the book and by the decisions."""
+        """The state of each server in the book and in the decisions."""
         members = self.balancer.fleet.members
         listed = {name: (s.address, s.leaving_ms is not None) for name, s in self.servers.items()}
         here = [
@@ -67,7 +67,7 @@
 
 
 class Pool:
-    """Connections that the book closes: none."""
+    """A pool without connections to close."""
 
     def forget(self, server: CacheServer) -> None:
         pass
@@ -90,7 +90,7 @@
 
 
 class BookUnderTest:
-    """A book with its cache, and a slice size of its own."""
+    """An address book with its cache and a slice size of its own."""
 
     def __init__(self, slice_servers: int) -> None:
         self.node = Node()
@@ -100,7 +100,7 @@
 
     @contextmanager
     def _bounds(self) -> Iterator[None]:
-        """The slice size of this tested, and one moment for both (a start that is news counts from now)."""
+        """Set the slice size, and the same clock for all books (new start times count from now)."""
         names = vars(address_book)
         before = names["SLICE_SERVERS"], names["now_ms"]
         names["SLICE_SERVERS"], names["now_ms"] = self._slice_servers, lambda: NOW_MS
@@ -110,7 +110,7 @@
             names["SLICE_SERVERS"], names["now_ms"] = before
 
     def apply_line(self, line: bytes) -> int:
-        """Take a whole line; in how many slices."""
+        """Apply a whole line and return the number of slices."""
         with self._bounds():
             raw = parse_raw_list(line)
             return sum(
@@ -179,9 +179,8 @@
         )
         == 0
     )
-    assert (
-        tested.node.notified == 6 and tested.node.balancer.fleet.live == 994
-    )  # one drains, and five are not named any more
+    # One drains, and five are no longer listed.
+    assert tested.node.notified == 6 and tested.node.balancer.fleet.live == 994
 
 
 def test_a_pending_server_that_drains_meanwhile_is_added_as_draining(
@@ -208,7 +207,7 @@
 
 @pytest.mark.parametrize("count", [600, 3_000])
 def test_a_drain_behind_a_long_list_is_applied_before_the_list(count: int) -> None:
-    # Guards against a change that waits for as long as thousands of servers take.
+    # Guards against a drain that waits until thousands of servers are applied.
     async def test() -> None:
         boxes = {f"s{n}": CacheBox() for n in range(2)}
         async with rig(boxes) as made:
@@ -233,7 +232,7 @@
                 await connection.stream.write(b"%x\r\n%b\r\n" % (len(data), data))
             await until(lambda: len(made.node.servers) == count + 2)
             await until(lambda: made.discovery.address_book.generation == 3)
-            assert seen[0] < count + 2  # it was out before the last server was added
+            assert seen[0] < count + 2  # it was out of service before the last server was added
             await asyncio.sleep(0)
             assert not made.node._balancer.fleet.members["s0"].present
 
--- a/tests/test_departures.py
+++ b/tests/test_departures.py
@@ -1,7 +1,7 @@
-"""A client that leaves while its request waits: nothing of it is sent on, wherever it waits and however the client goes.
+"""A client that leaves while its request waits: the request is not forwarded, wherever it waits.
 
-What the kernel holds when the node next runs is arranged without giving it a turn in between (plain sockets, used between two awaits),
-so that each order happens every time.
+The clients use plain sockets between two awaits, so that the node does not run in between. What the
+kernel holds when the node next runs is therefore the same in every run.
 """
 
 from __future__ import annotations
@@ -23,15 +23,16 @@
 from forkweir.choice import HEDGE_LEAST
 
 HOWS = ["end", "reset"]
+# Bytes sent before the connection ends.
 BEFORE = [
     b"",
     b"\r\n",
     b"GET /api/k HTTP/1.1\r\nHost: x\r\nX: " + b"x" * 9_000,
-]  # what else stands before the end
+]
 
 
 def client(made: Rig, data: bytes = b"", receive_buffer: int = 0) -> socket.socket:
-    """A plain client that has sent these bytes; the kernel takes the connection whether or not the node runs."""
+    """A plain client that has sent these bytes; the kernel accepts it without the node."""
     sock = socket.socket()
     if receive_buffer:
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, receive_buffer)
@@ -41,7 +42,7 @@
 
 
 def leave(sock: socket.socket, how: str, before: bytes = b"") -> None:
-    """The client goes, by an end of its stream or by a reset. (A reset throws away what stands before it.)"""
+    """Close the client's connection, or reset it, which discards unread bytes before it."""
     if before:
         sock.sendall(before)
     if how == "reset":
@@ -50,7 +51,7 @@
 
 
 async def warmed(made: Rig) -> None:
-    """An idle connection to each cache server that may be used at once: nothing that is sent on waits for a dial."""
+    """Open an idle connection to each cache server, so that no request waits for a connect."""
     for server in made.node.servers.values():
         made.pool.keep(server, await made.pool.connect(server))
     await until(
@@ -68,20 +69,20 @@
 
 
 async def kept(made: Rig) -> socket.socket:
-    """A client on whose connection a request has been answered."""
+    """A client that has had a request answered on its connection."""
     sock = client(made, request("before", path="/api/before"))
     assert b"200" in await read(sock)
     return sock
 
 
 def asked(made: Rig) -> list[bytes]:
-    """The paths that cache servers were asked for, but for what `kept` asks."""
+    """The paths requested from cache servers, except those of `kept`."""
     paths = [head.split(b" ")[1] for box in made.boxes.values() for head in box.heads]
     return [path for path in paths if path != b"/api/before"]
 
 
 async def settled(made: Rig) -> None:
-    """Until nothing is open or out, and a while more."""
+    """Wait until no request or attempt is open, and 20 loop iterations more."""
     await until(lambda: not (made.node._calls or made.node._attempts or made.node._balancer.held))
     for _ in range(20):
         await asyncio.sleep(0)
@@ -89,7 +90,7 @@
 
 @asynccontextmanager
 async def dials_wait(monkeypatch: pytest.MonkeyPatch) -> AsyncIterator[Callable[[], None]]:
-    """Connections to cache servers come up only once what is given here is called."""
+    """Connects to cache servers complete only once the function yielded here is called."""
     opened, connect = asyncio.Event(), seam.connect
 
     async def slow(sock: Any, address: Any) -> None:
@@ -120,7 +121,7 @@
 def test_behind_a_slow_dial_that_comes_up_in_the_moment_of_the_leaving(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # The connection is up, and the client's end in the kernel, when the node next runs.
+    # When the node next runs, the connect has completed and the client's end is in the kernel.
     async def test() -> None:
         async with rig({"s0": CacheBox()}) as made, dials_wait(monkeypatch) as come_up:
             sock = client(made, request("a"))
@@ -173,7 +174,7 @@
     "before", [*BEFORE, b"\r\n" * 35_000], ids=["bare", "line", "half", "more-than-a-read"]
 )
 def test_while_the_node_stood_still_on_a_kept_connection(before: bytes) -> None:
-    # Request and end come in one moment: the end is heard a turn of the loop after the request was read.
+    # Request and end arrive together: the end is seen one loop iteration after the request is read.
     async def test() -> None:
         async with rig({"s0": CacheBox()}) as made:
             sock = await kept(made)
@@ -209,9 +210,8 @@
             leave(client(made, request("a")), how, before)
             hold.set()
             await read(first)
-            after = client(
-                made, request("b", path="/api/after")
-            )  # is taken behind the one that has left
+            # It is accepted after the client that left.
+            after = client(made, request("b", path="/api/after"))
             assert b"200" in await read(after)
             assert asked(made) == [b"/api/first", b"/api/after"]
 
@@ -220,7 +220,7 @@
 
 @pytest.mark.parametrize("how", HOWS)
 def test_between_two_attempts(how: str) -> None:
-    # The answer that turns the first attempt away and the client's end stand in the kernel together.
+    # The answer that rejects the first attempt and the client's end are in the kernel together.
     async def test() -> None:
         async with rig({"s0": CacheBox(), "s1": CacheBox()}) as made:
             listener = socket.create_server(("127.0.0.1", 0))
@@ -238,7 +238,7 @@
             await settled(made)
             listener.setblocking(False)
             with pytest.raises(BlockingIOError):
-                listener.accept()  # nothing was dialed for it again
+                listener.accept()  # no second connect
             box.setblocking(False)
             with pytest.raises((BlockingIOError, ConnectionError)):
                 assert box.recv(1) == b""
@@ -251,7 +251,8 @@
 
 @pytest.mark.parametrize("how", HOWS)
 def test_before_a_second_request_for_what_has_been_out_for_long(how: str) -> None:
-    # A timer is due and the client's end stands in the kernel when a node that stood still runs again: timers come first.
+    # A timer is due and the client's end is in the kernel when a stalled node runs again. Timers
+    # run first.
     async def test() -> None:
         async with rig(
             {"s0": CacheBox(lambda head: None), "s1": CacheBox(lambda head: None)}
@@ -267,7 +268,7 @@
             balancer.waits[:] = [(0.0, call.id)]
             leave(sock, how)
             made.node._due(3)
-            assert len(made.node._running) == 2  # the module has asked for it
+            assert len(made.node._running) == 2  # the decisions started a hedged request
             await settled(made)
             assert len(asked(made)) == 1
 
@@ -315,7 +316,8 @@
 def test_where_its_end_stands_behind_a_full_buffer(
     monkeypatch: pytest.MonkeyPatch, how: str
 ) -> None:
-    # The reader waits for its place in the queue, the buffer is full, and nobody reads on: the end is in the kernel alone.
+    # The reader waits in the queue with a full buffer and reads no further, so that only the kernel
+    # knows of the end.
     async def test() -> None:
         async with rig({"s0": CacheBox()}, 256) as made, dials_wait(monkeypatch) as come_up:
             sock = client(made, b"".join(request(f"a{n}", path=f"/api/{n}") for n in range(12)))
@@ -324,7 +326,7 @@
             sock.sendall(b"\r\n" * 45_000)
             await until(lambda: connection.deaf)
             leave(sock, how)
-            await until(lambda: not made.node._calls)  # the sweep looks
+            await until(lambda: not made.node._calls)  # found by the periodic sweep
             come_up()
             await settled(made)
             assert asked(made) == []
@@ -381,7 +383,7 @@
 
 
 def test_what_was_sent_stays_known_after_its_client_left() -> None:
-    # Its id is not served again while it may still run.
+    # Its transaction id is not served again while the request may still run.
     async def test() -> None:
         async with rig({"s0": CacheBox(lambda head: None)}) as made:
             sock = client(made, request("a", "Content-Length: 0\r\n", lane="order", method="PUT"))
@@ -397,7 +399,7 @@
 
 
 def test_a_client_that_is_there_is_looked_at_and_served() -> None:
-    # Bytes behind a request are no end.
+    # Bytes after a request are not an end of the connection.
     async def test() -> None:
         async with rig({"s0": CacheBox()}) as made:
             sock = client(made, request("a") + b"GET /api/later HTTP/1.1\r\n")
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -1,4 +1,4 @@
-"""What discovery tells, over loopback sockets: servers and addresses that change places, and entries of no use."""
+"""The discovery client on loopback sockets: moved servers, reused addresses, malformed entries."""
 
 from __future__ import annotations
 
@@ -25,13 +25,14 @@
             await until(lambda: made.node.servers["s0"].address[1] == new.port)
             assert status(await made.ask("after")) == 200
             assert len(old.heads) == 1 and len(new.heads) == 1
-            await until(lambda: old.open == 0)  # what rested there is closed
+            await until(lambda: old.open == 0)  # the idle connection there is closed
 
     play(test)
 
 
 def test_an_address_reused_by_another_id_no_longer_belongs_to_the_old_one() -> None:
-    # Guards against a gone server's keys, before its end is node, falling on the cold one at its address.
+    # Guards against keys of a removed server, whose end is not notified yet, going to the cold
+    # server at its address.
     async def test() -> None:
         box = CacheBox()
         async with rig({"s0": box}) as made:
@@ -42,7 +43,7 @@
             assert members["s1"].present and not members["s0"].present
             made.registry.tell([entry("s1", box.port), entry("s2", box.port, "terminating")])
             await until(lambda: "s2" in made.node.servers)
-            assert "s1" in made.node.servers  # one that leaves takes nobody's place
+            assert "s1" in made.node.servers  # a draining server replaces none at its address
             assert status(await made.ask("a")) == 200
 
     play(test)
@@ -79,7 +80,7 @@
 
 
 def test_a_draining_server_missing_from_a_whole_list_is_forgotten() -> None:
-    # Guards against the module keeping one member for each server that ever drained.
+    # Guards against the fleet keeping one member for each server that ever drained.
     balancer = Balancer(Settings(), seed=1)
     balancer.on_list(0.0, "full", [Server("s0"), Server("s1")])
     balancer.on_list(1.0, "changes", [Server("s1", state="draining")])
@@ -94,8 +95,9 @@
 def test_calls_to_a_slow_service_are_not_closed_early(
     monkeypatch: pytest.MonkeyPatch, answer_delay_s: float, calls: int
 ) -> None:
-    # Guards against a fleet whose nodes all hang up on one overbooked service, ask anew, and are never node anything. Further calls go
-    # beside the first, at most MOST_CALLS at once, and the first answer ends the others.
+    # Guards against a fleet whose nodes all close their calls to one overloaded service, call again
+    # and never get an answer. Further calls are made in parallel to the first, at most
+    # MAX_PENDING_CALLS at once, and the first answer ends the others.
     monkeypatch.setattr(discovery, "PARALLEL_CALL_DELAY_S", 0.1)
     monkeypatch.setattr(discovery, "CALL_TIMEOUT_S", 0.1 * discovery.MAX_PENDING_CALLS)
     closed_early = 0
@@ -116,7 +118,7 @@
         open_now += 1
         most_open = max(most_open, open_now)
         end = asyncio.create_task(reader.read())
-        await asyncio.wait([end], timeout=answer_delay_s)  # the others' turns
+        await asyncio.wait([end], timeout=answer_delay_s)  # while other nodes are answered
         if end.done():
             closed_early += 1
         else:
@@ -139,16 +141,16 @@
         client.follow()
         if answer_delay_s < discovery.CALL_TIMEOUT_S:
             await until(lambda: "full" in node.forms)
-            assert node.forms == ["full"]  # no call failed, none was hung up on before its answer
+            assert node.forms == ["full"]  # no call failed, none was closed before its answer
             await until(lambda: open_now == 1)
             assert len(client._calls) == 1 and not client._retiring and calls_made <= calls
         else:
-            # A answer that takes longer than MOST_CALLS calls wait: the oldest is given up for a further one, and none is added beyond.
+            # The answer takes longer than MAX_PENDING_CALLS calls wait: a further call replaces the
+            # oldest, and the number of open calls does not grow.
             await until(lambda: calls_made >= calls)
             assert node.forms == [] and closed_early >= calls - discovery.MAX_PENDING_CALLS - 1
-        assert (
-            most_open <= discovery.MAX_PENDING_CALLS + 1
-        )  # the one given up may be seen to end a moment later
+        # The server may see the end of the cancelled call a moment later.
+        assert most_open <= discovery.MAX_PENDING_CALLS + 1
         for task in client._calls.values():
             task.cancel()
 
@@ -156,7 +158,8 @@
 
 
 def test_an_indented_list_is_read_as_one_line() -> None:
-    # Over several rows, as the protocol's page shows it and as printers of JSON write it; in one piece or row by row.
+    # Over several rows, as in the protocol's description and as JSON tools print it; in one piece
+    # or row by row.
     async def test() -> None:
         async with rig({"s0": CacheBox()}) as made:
             calls = len(made.registry.asked)
@@ -176,7 +179,7 @@
                     made.registry.tell_raw(row.encode())
                     await asyncio.sleep(0)
                 await until(lambda: f"x{n}" in made.node.servers)  # noqa: B023
-            assert len(made.registry.asked) == calls  # nothing was lost, and nobody asked anew
+            assert len(made.registry.asked) == calls  # nothing was lost, and no new call was made
             last = {
                 "generation": 9,
                 "reset": False,
--- a/tests/test_list_freshness.py
+++ b/tests/test_list_freshness.py
@@ -1,6 +1,8 @@
-"""How old a node's server list may get while discovery can be reached: one bound over silence, pauses, refused and late calls.
+"""The age of a node's server list while discovery can be reached: one bound covers silent watches,
+pauses, and refused and late calls.
 
-A change counts as notified 6 s after discovery had it (STANDING.md); requests to a draining server end with the grace after that.
+A change counts as notified 6 s after discovery had it (STANDING.md); requests to a draining server
+must end within the grace period after that.
 """
 
 from __future__ import annotations
@@ -18,14 +20,14 @@
 from corkshift.seam import now_ms
 from testbed.systems.serving import Connection, Message
 
-NOTIFIED_MS = 6_000.0  # after discovery had a change it counts as notified
-GRACE_MS = 300.0  # the settings' 250 ms for ending, and 50 ms on sockets
+NOTIFIED_MS = 6_000.0  # a change counts as notified this long after discovery had it
+GRACE_MS = 300.0  # the settings' grace of 250 ms, and 50 ms for sockets
 SLOW_POLLING = {**OPTIONS, "contract": {"mustAskInMs": 60_000, "stopSendingWithinMs": 250}}
 REFUSALS = 2  # calls that are refused before the reload
 
 
 class CountingRegistry(Registry):
-    """Discovery that notes when each call came, refuses the first so many, and answers each call after a delay."""
+    """Discovery that records the times of calls, refuses the first and answers after a delay."""
 
     def __init__(self, boxes: dict[str, CacheBox], refusals: int = 0, delay_s: float = 0.0) -> None:
         super().__init__(boxes)
@@ -42,7 +44,7 @@
 
 
 async def send_until(process: Process, box: CacheBox, over: Callable[[], bool]) -> float:
-    """Send requests until it is over; when the last one reached a box (ms)."""
+    """Send requests until `over` is true; returns when the last one reached the box, in ms."""
     latest_ms, n, seen = 0.0, 0, len(box.heads)
     while not over():
         n += 1
@@ -54,8 +56,9 @@
 
 
 def test_a_drain_after_refused_calls_and_a_reload_is_kept(tmp_path: Path) -> None:
-    # The reproduction of incident 1: calls are refused, a reload moves discovery, the first call there is refused too, and a server
-    # begins to drain. The pause before the next call had doubled with each refusal, past the time by which the drain is notified.
+    # Reproduces incident 1: calls are refused, a reload moves discovery, the first call to the new
+    # address is refused too, and a server starts to drain. The pause before the next call had
+    # doubled with each refusal, beyond the time by which the drain counts as notified.
     async def test() -> None:
         leaving, staying = CacheBox(), CacheBox()
         staying.listen()
@@ -63,7 +66,7 @@
             registry.change(entry("s1", staying.port))
             await process.served("both")
             process.config["settings"] = (
-                SLOW_POLLING  # for the next process; this one keeps its own
+                SLOW_POLLING  # for the next process; the running one keeps its settings
             )
             process.process.terminate()
             await process.process.wait()
@@ -103,14 +106,15 @@
 def test_a_drain_behind_a_silent_watch_and_a_late_call_is_kept(
     tmp_path: Path, delay_s: float
 ) -> None:
-    # Measured before: the call was hung up on after 3.2 s and begun anew, up to 9.2 s after the silence.
+    # Before the fix the call was closed after 3.2 s and made again, up to 9.2 s after the watch
+    # fell silent.
     async def test() -> None:
         leaving, staying = CacheBox(), CacheBox()
         async with running(tmp_path / "config.json", leaving) as (process, registry):
             staying.listen()
             registry.change(entry("s1", staying.port))
             for connection in list(registry.watches):
-                registry._mute.add(connection)  # nothing more is written to it, and it stays open
+                registry._mute.add(connection)  # stays open, but nothing more is written to it
             silent_ms = now_ms()
             serve = registry.serve
 
@@ -128,7 +132,7 @@
 
 
 def test_a_stale_list_after_a_reload_does_not_release_a_draining_server(tmp_path: Path) -> None:
-    # Seen in the incident's record for 17 ms: the new address wrote an older version than the old one had written.
+    # Lasted 17 ms in the incident: the new address sent an older list than the old one had sent.
     async def test() -> None:
         leaving, staying = CacheBox(), CacheBox()
         async with running(tmp_path / "config.json", leaving) as (process, registry):
--- a/tests/test_listing.py
+++ b/tests/test_listing.py
@@ -1,4 +1,4 @@
-"""What a watch carries, whole, cut and spoilt: whatever bytes come, what stands whole is found, and nothing else is."""
+"""The list parser on whole, partial and corrupt lines: it finds complete entries only."""
 
 from __future__ import annotations
 
@@ -48,7 +48,7 @@
         found = states_of(unconfirmed_entries(text[:cut]))
         assert {name: state for name, state in found.items() if state != "unreadable"} == whole
         suspects = {name for name, state in found.items() if state == "unreadable"}
-        # The entry that was cut is the only suspect, and in a whole list, which names everybody, not even that one.
+        # Only the cut entry is suspect; in a whole list, which names every server, not even that.
         assert suspects <= ({f"s{len(whole)}"} if not reset else set())
 
 
@@ -60,7 +60,7 @@
             begin = end - len(json.dumps(ENTRIES[n]))
             if not begin < at < end:
                 assert found[f"s{n}"] == STATES[n], (at, n)
-        # What noise makes of a name is no name of a server (who it is not known to is passed over).
+        # A name altered by noise is no known server; entries of unknown servers are ignored.
         assert all(
             name in {"s0", "s1", "s2"} or state == "unreadable" for name, state in found.items()
         )
@@ -86,9 +86,8 @@
     assert got == [text.strip() for text in whole] and lines.rest() == part
     assert lines.unfinished == bool(part)
     wanted = [claim for claim in unconfirmed_entries(part) if claim.server.state != "unreadable"]
-    assert (
-        wanted == unconfirmed[len(unconfirmed) - len(wanted) :]
-    )  # those before are of lines that came whole later
+    # Earlier ones are of lines that were completed later.
+    assert wanted == unconfirmed[len(unconfirmed) - len(wanted) :]
 
 
 @given(st.binary(max_size=400), st.integers(0, len(TEXT)), st.integers(0, len(TEXT)))
@@ -141,7 +140,8 @@
     ["127{.0.0.1:8001", "box.example.org:8001", "::1:8001", "127.0.0.1:80011", "127.0.0.256:8001"],
 )
 def test_an_entry_whose_host_is_not_ipv4_is_left_out(host_port: str) -> None:
-    # Guards against noise within an address, in a line that can be read all the same: the node would look the name up.
+    # Guards against noise within an address in a line that is still valid JSON: the node would look
+    # the host up as a name.
     text = line([entry(0), {**entry(2, "in_service"), "hostPort": host_port}])
     assert [server.name for server, _ in parse(text)[2]] == ["s0"]
     assert states_of(unconfirmed_entries(text[:-2] + b" ")) == {
@@ -191,7 +191,7 @@
 @pytest.mark.parametrize("behind", [b"\n", line([entry(5)])], ids=["heartbeat", "list"])
 @pytest.mark.parametrize("cut", [1, 20, 80, 200, 400])
 def test_a_partial_indented_object_does_not_swallow_the_next_line(behind: bytes, cut: int) -> None:
-    # What comes next is read as ever, and of the broken one each entry that stands whole is still found.
+    # The next line is read as usual, and complete entries of the partial one are still found.
     text = json.dumps(json.loads(TEXT), indent=2).encode()
     broken = text[: text.rindex(b"\n", 0, cut + 2)] if b"\n" in text[: cut + 2] else text[:cut]
     lines = LineParser().receive(broken + b"\n" + behind)
--- a/tests/test_loop_lag.py
+++ b/tests/test_loop_lag.py
@@ -1,4 +1,6 @@
-"""Time in which the node's loop was held up: it counts against no peer, and against the time of requests that stood unread."""
+"""Stalls of the event loop: their time does not count against peers, but does against the deadlines
+of requests that were unread meanwhile.
+"""
 
 from __future__ import annotations
 
@@ -16,7 +18,7 @@
 
 
 def stall(seconds: float) -> None:
-    """Hold the loop up, as a long callback or a small share of a core does."""
+    """Block the loop, as a long callback or a small share of a core does."""
     time.sleep(seconds)
 
 
@@ -51,9 +53,7 @@
         assert 600.0 <= monitor.unread_ms() < 600.0 + 3.0 * PERIOD_MS
         assert monitor.active_ms() - before <= PERIOD_MS + STALL_THRESHOLD_MS
         await asyncio.sleep(0.0)
-        assert (
-            monitor.unread_ms() >= 600.0
-        )  # the loop has turned once, and may not have read everything
+        assert monitor.unread_ms() >= 600.0  # one loop iteration may not have read everything
         await asyncio.sleep(0.4)
         assert (
             monitor.unread_ms() < MIN_UNREAD_MS
@@ -79,7 +79,7 @@
         assert 700.0 <= now_ms() - began < 1_000.0
         async with monitor.timeout(0.3):
             stall(0.5)
-            await asyncio.sleep(0.05)  # present for 0.1 s of the 0.3
+            await asyncio.sleep(0.05)  # 0.1 s of the 0.3 s are active time
         async with monitor.timeout(None):
             await asyncio.sleep(0.01)
         called: list[float] = []
@@ -94,7 +94,7 @@
 
 
 def sent(made: Rig, data: bytes) -> socket.socket:
-    """A plain client that has sent these bytes; the kernel takes the connection whether or not the loop runs."""
+    """A plain client that has sent these bytes; the kernel accepts it without the loop."""
     sock = socket.create_connection(("127.0.0.1", made.port))
     sock.sendall(data)
     sock.setblocking(False)
@@ -108,7 +108,7 @@
 
 
 def write_drain(made: Rig, name: str) -> None:
-    """Discovery writes that a server drains, in this moment, to every watch."""
+    """Have discovery write a server's drain to every watch at once."""
     line = (
         json.dumps(
             {
@@ -124,7 +124,8 @@
 
 
 def test_the_time_a_request_was_unread_is_deducted_from_its_budget() -> None:
-    # Incident of issue 48: such requests got a whole deadline from when they were read, and were forwarded after their clients had gone.
+    # Incident of issue 48: the deadline of such requests counted from when they were read, so they
+    # were forwarded after their clients had left.
     async def test() -> None:
         box = CacheBox(good)
         async with rig({"s0": box}) as made:
@@ -152,8 +153,8 @@
 def test_an_unread_drain_is_applied_before_unread_requests(
     stall_s: float,
 ) -> None:
-    # Incident of issue 48: requests went to draining servers whose drain had been written while the node was held up. Its grace counts
-    # from when it was written.
+    # Incident of issue 48: requests went to servers whose drain was written while the node was
+    # stalled. The grace period of a drain counts from when it was written.
     async def test() -> None:
         boxes = {f"s{n}": CacheBox(good) for n in range(2)}
         async with rig(boxes) as made:
@@ -185,9 +186,8 @@
             def unread() -> bool:
                 nonlocal checks
                 checks += 1
-                if (
-                    checks == 1
-                ):  # what stands unread is a drain that was written long ago; it is read in the next turn
+                # The unread input is a drain that was written long ago, read in the next iteration.
+                if checks == 1:
                     asyncio.get_running_loop().call_soon(
                         setattr, made.node.servers["s0"], "leaving_ms", now_ms() - 1_000.0
                     )
@@ -206,7 +206,7 @@
             made.presence.start()
             await asyncio.sleep(0.2)
             write_drain(made, "s0")
-            assert not made.discovery.has_unread_input()  # the loop is there to read it
+            assert not made.discovery.has_unread_input()  # the running loop will read it
             stall(0.3)
             assert made.discovery.has_unread_input()
             await until(lambda: made.node.servers["s0"].leaving_ms is not None)
--- a/tests/test_lost_lines.py
+++ b/tests/test_lost_lines.py
@@ -1,4 +1,6 @@
-"""Lines of the list that are lost in part, over loopback sockets: draining_entry are kept all the same, and nothing more is taken away."""
+"""Partial and corrupt lines of the list on loopback sockets: their drains are still applied, and no
+other server is removed.
+"""
 
 from __future__ import annotations
 
@@ -15,9 +17,8 @@
 from testbed.systems.standins import SPOIL_HOWS, SPOILT_BY, Spoil
 
 NAMES = ("s0", "s1", "s2", "s3", "s4")
-WAIT_MS = (
-    300.0  # the shortest wait of a call after an ordinary failure here (0.3 of 0.05 x 2 x 10 s)
-)
+# The shortest pause before a call after an ordinary failure here: 0.3 of 0.05 x 2 x 10 s.
+WAIT_MS = 300.0
 
 
 def boxes() -> dict[str, CacheBox]:
@@ -25,7 +26,7 @@
 
 
 def use_slow_polling(made: Rig) -> None:
-    """As at a site that wants discovery asked within 10 s: what is not asked at once is asked much later."""
+    """Require calls within 10 s only, so that a call not made at once is made much later."""
     made.node._balancer.asking._within_ms = 10_000.0
 
 
@@ -41,17 +42,14 @@
 @pytest.mark.parametrize("answers", [True, False])
 def test_a_drain_in_a_partial_or_corrupt_line_is_applied(how: str, answers: bool) -> None:
     async def test() -> None:
-        async with rig(
-            boxes(), 512
-        ) as made:  # room for all that is asked at once, however slow the machine
+        # Enough sockets for all requests at once, however slow the machine.
+        async with rig(boxes(), 512) as made:
             use_slow_polling(made)
             made.registry.refusing = not answers
             fresh = CacheBox()
             fresh.listen()
-            first, second = (
-                draining_entry(made, "s1"),
-                entry("s9", fresh.port),
-            )  # the line is spoilt behind its first entry
+            # The line is corrupt after its first entry.
+            first, second = (draining_entry(made, "s1"), entry("s9", fresh.port))
             made.registry.spoils.append(Spoil(how, 260, SPOILT_BY[4]))
             made.registry.change(first, "terminating")
             made.registry.spoils.append(Spoil(how, 260, SPOILT_BY[4]))
@@ -62,7 +60,7 @@
                 await until(lambda: not made.discovery.address_book._unconfirmed.held)
             else:
                 assert {"s0", "s2", "s4"} <= serving(made) < set(NAMES)
-            assert ("s9" in made.node.servers) == answers  # nobody is added by a line that is lost
+            assert ("s9" in made.node.servers) == answers  # a corrupt line adds no server
             before = {name: len(box.heads) for name, box in made.boxes.items()}
             got = await asyncio.gather(*(made.ask(f"a{n}", path=f"/api/{n}") for n in range(60)))
             assert {status(answer) for answer in got} == {200}
@@ -74,7 +72,8 @@
 
 
 def test_the_next_call_is_made_at_once_and_the_old_watch_is_read_until_it_is_answered() -> None:
-    # Guards against what discovery writes to a watch that is hung up on meanwhile, which counts as told.
+    # Guards against closing the old watch at once: what discovery writes to it meanwhile counts as
+    # notified.
     async def test() -> None:
         async with rig(boxes()) as made:
             use_slow_polling(made)
@@ -89,9 +88,8 @@
                 made.registry.watches
             ) == 1 and made.discovery.address_book._unconfirmed.held == ("s2",)
             made.registry.mute = False
-            made.registry.change(
-                entry("s2", made.boxes["s2"].port)
-            )  # back in service: only a sound line may say so
+            # Back in service: only a valid line may say so.
+            made.registry.change(entry("s2", made.boxes["s2"].port))
             await asyncio.sleep(0.05)
             assert "s2" not in serving(made)
             made.discovery.move(("127.0.0.1", made.registry.port))
@@ -128,7 +126,7 @@
             await until(lambda: len(serving(made)) == 1)
             assert status(await made.ask("a")) == 200
             made.registry.refusing = False
-            made.discovery.move(("127.0.0.1", made.registry.port))  # which knows of no drain
+            made.discovery.move(("127.0.0.1", made.registry.port))  # whose list has no drain
             await until(lambda: serving(made) == set(NAMES))
 
     play(test)
@@ -154,7 +152,7 @@
     async def test() -> None:
         async with rig(boxes()) as made:
             use_slow_polling(made)
-            await asyncio.sleep(0.31)  # by now a node would have made its first call by itself
+            await asyncio.sleep(0.31)  # a node would have made its first call by now
             asked, begin = len(made.registry.asked), asyncio.get_running_loop().time()
 
             async def spoil() -> None:
@@ -163,9 +161,8 @@
                     await asyncio.sleep(0.002)
 
             spoiling = asyncio.create_task(spoil())
-            await until(
-                lambda: len(made.registry.asked) > asked + 2
-            )  # the third waits like any other
+            # The third call waits the ordinary pause.
+            await until(lambda: len(made.registry.asked) > asked + 2)
             assert asyncio.get_running_loop().time() - begin > WAIT_MS / 1000.0
             spoiling.cancel()
             await until(lambda: len(made.discovery._retiring) <= discovery.MAX_RETIRING)
@@ -173,7 +170,7 @@
     play(test)
 
 
-# What a watch has been through, as (ms before a drain is told without framing, what comes then), on the virtual clock.
+# The history of a watch: (ms before a drain arrives without framing, the fault then), virtual time.
 HALF, NO_LIST = 7.0, 0.0
 STATES: dict[str, list[tuple[float, float]]] = {
     "idle": [],
@@ -202,7 +199,7 @@
         ),
         Fault(at_ms=at, kind="box_drain", target=1, for_ms=50.0),
     ]
-    # The calls that would tell the drain anew fail for longer than it may take.
+    # Calls that would deliver the drain again fail for longer than the drain may take.
     refused = Fault(at_ms=min(fault.at_ms for fault in faults) - 0.1, kind=missed, for_ms=1_600.0)  # type: ignore[arg-type]
     world = World(
         seconds=3.0, nodes=1, boxes=3, requests_per_s=150.0, keys=20, latency_us=50, jitter_us=0
@@ -213,7 +210,8 @@
 
 
 def test_an_unreadable_line_does_not_remove_the_last_server_from_a_later_list() -> None:
-    # Guards against claims of a garbled line, with whatever generation it states, that outrank the next whole list and empty the set.
+    # Guards against entries of a corrupt line, whatever its generation, that outrank the next whole
+    # list and leave no server in service.
     async def test() -> None:
         async with rig(boxes()) as made:
             entries = ", ".join(json.dumps(draining_entry(made, name)) for name in NAMES)
@@ -224,9 +222,8 @@
             )
             await until(lambda: len(serving(made)) == 1)
             last = serving(made)
-            await until(
-                lambda: bool(made.discovery.address_book._superseded)
-            )  # the next whole list has come
+            # The next whole list has arrived.
+            await until(lambda: bool(made.discovery.address_book._superseded))
             assert serving(made) == last and status(await made.ask("a")) == 200
 
     play(test)
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -1,4 +1,4 @@
-"""The process over loopback sockets: its start, its signals, its end."""
+"""The node's process on loopback sockets: startup, signals and exit."""
 
 from __future__ import annotations
 
@@ -28,28 +28,28 @@
 
 
 def stat(path: Path) -> list[str]:
-    """What the kernel tells of a process or thread, from its state on."""
+    """The fields of /proc/.../stat of a process or thread, from its state on."""
     return (path / "stat").read_text().rpartition(")")[2].split()
 
 
 def states(pid: int) -> list[str]:
-    """The states of a process's threads, those that the kernel runs for it among them."""
+    """The states of a process's threads, kernel threads that work for it included."""
     return [stat(path)[0] for path in Path(f"/proc/{pid}/task").iterdir()]
 
 
 def cpu_s(pid: int) -> float:
-    """The CPU time of all these threads."""
+    """The CPU time of all these threads, in seconds."""
     return sum(map(int, stat(Path(f"/proc/{pid}"))[11:13])) / os.sysconf("SC_CLK_TCK")
 
 
 class Process:
-    """A node started as `run` starts it."""
+    """A node process, started by `python -m corkshift`."""
 
     def __init__(self, path: Path, registry: Registry | None, port: int = 0) -> None:
         self.path = path
         self.port = port or free_port()
-        self.more: dict[str, str] = {}  # of the environment
-        self.descriptors: tuple[int, ...] = ()  # that it inherits
+        self.more: dict[str, str] = {}  # further environment variables
+        self.descriptors: tuple[int, ...] = ()  # inherited file descriptors
         self.config: dict[str, Any] = {
             "name": "n0",
             "listen": f"127.0.0.1:{self.port}",
@@ -101,7 +101,7 @@
         return await self.send(request(txn, "Connection: close\r\n", path))
 
     async def served(self, name: str) -> None:
-        """Ask until the node serves: it has heard of a cache server by then."""
+        """Send requests until one is served, so that the node has received a list."""
         n = 0
         while status(await self.ask(f"{name}-{n}")) != 200:
             n += 1
@@ -134,7 +134,8 @@
 
 
 def test_sigstop_and_sigcont_cost_no_cpu(tmp_path: Path) -> None:
-    # Guards against a kernel thread that polls for 14 ms after each stop: a node held to a part of a core is stopped often.
+    # Guards against a kernel thread that polls for 14 ms after each stop: a node limited to a part
+    # of a core is stopped often.
     async def test() -> None:
         async with running(tmp_path / "config.json", CacheBox()) as (process, _):
             pid = process.process.pid
@@ -143,7 +144,8 @@
                 process.process.send_signal(signal.SIGSTOP)
                 await until(lambda: set(states(pid)) == {"T"})
                 process.process.send_signal(signal.SIGCONT)
-                await until(lambda: set(states(pid)) == {"S"})  # what polls has come to rest too
+                # Kernel threads that poll are idle too.
+                await until(lambda: set(states(pid)) == {"S"})
             assert cpu_s(pid) - before < 0.005 * STOPS
             assert status(await process.ask("after")) == 200
 
@@ -151,7 +153,7 @@
 
 
 def test_sighup_moves_discovery_and_keeps_open_requests(tmp_path: Path) -> None:
-    # Guards against SIGHUP ending the process, and against a list that stays with the old place.
+    # Guards against SIGHUP ending the process, and against a list from the old address.
     async def test() -> None:
         held: list[bytes] = []
         box, fresh = (
@@ -184,7 +186,7 @@
 def test_a_reload_of_a_bad_file_changes_nothing_but_the_log(
     tmp_path: Path, text: str | None
 ) -> None:
-    # Guards against a slip in the file taking a node out of service.
+    # Guards against a mistake in the file that takes a node out of service.
     async def test() -> None:
         async with running(tmp_path / "config.json", CacheBox()) as (process, registry):
             before = len(process.log)
@@ -199,7 +201,7 @@
 
 
 def test_sigterm_answers_open_requests_and_exits_with_zero(tmp_path: Path) -> None:
-    # Guards against a planned restart that loses what the node has taken.
+    # Guards against a planned restart that loses accepted requests.
     async def test() -> None:
         heads: list[bytes] = []
         release = asyncio.Event()
@@ -215,9 +217,8 @@
             slow = asyncio.create_task(process.send(request("slow", path="/slow")))
             await until(lambda: len(heads) == 1)
             process.process.send_signal(signal.SIGTERM)
-            late = await process.send(
-                request("late")
-            )  # still taken, and told that the connection ends
+            # Still accepted, and answered with Connection: close.
+            late = await process.send(request("late"))
             assert status(late) == 200 and b"connection: close" in late.lower()
             release.set()
             assert status(await slow) == 200
--- a/tests/test_silence.py
+++ b/tests/test_silence.py
@@ -1,4 +1,4 @@
-"""Cache servers that say nothing or turn bad, over loopback sockets: what is asked once more, and who is put ejections or spared."""
+"""Unresponsive and failing cache servers on loopback sockets: hedged requests and ejections."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def unresponsive_once() -> Callable[[bytes], Optional[bytes]]:
-    """Leaves the first request without an answer, whichever server gets it."""
+    """A script that leaves the first request unanswered, whichever server gets it."""
     heads: list[bytes] = []
 
     def script(head: bytes) -> Optional[bytes]:
@@ -32,12 +32,12 @@
 
 
 def ejections(made: Rig, name: str) -> int:
-    """How many times a server was put ejections, for silence or for how it did, since it last answered well."""
+    """How often a server was ejected, for silence or for errors, since its last good answer."""
     return member(made, name).strikes + member(made, name).record.row
 
 
 def use_low_hedge_threshold(made: Rig) -> None:
-    """As after many quick answers: what is ejections for long stands ejections early."""
+    """Set the hedge delay as after many quick answers, so that slow requests are hedged early."""
     made.node._balancer.usual = HEDGE_LEAST
 
 
@@ -47,7 +47,7 @@
 
 @pytest.mark.parametrize(("lane", "method"), [("brisk", "GET"), ("pay", "PUT")])
 def test_a_retryable_request_is_hedged_before_its_timeout(lane: str, method: str) -> None:
-    # Guards against an attempt that waits for its whole time on a connection gone silent.
+    # Guards against an attempt that waits for its whole deadline on an unresponsive connection.
     async def test() -> None:
         script = unresponsive_once()
         async with rig({"s0": CacheBox(script), "s1": CacheBox(script)}) as made:
@@ -56,7 +56,7 @@
                 "a", "Idempotency-Key: k\r\nContent-Length: 0\r\n", lane=lane, method=method
             )
             assert status(answer) == 200 and asked(made) == 2
-            # The one that has not answered is given up, and nothing of it stays.
+            # The unanswered attempt is cancelled and leaves no state behind.
             await until(lambda: not made.node._attempts and not made.node._balancer.held)
             await until(lambda: sum(box.open for box in made.boxes.values()) == 1)
 
@@ -64,7 +64,7 @@
 
 
 def test_an_unsafe_request_is_sent_once() -> None:
-    # Guards against one effect twice.
+    # Guards against executing one request twice.
     async def test() -> None:
         script = unresponsive_once()
         async with rig({"s0": CacheBox(script), "s1": CacheBox(script)}) as made:
@@ -79,7 +79,8 @@
 
 
 def test_an_unresponsive_server_is_ejected_and_probed_with_one_request_at_a_time() -> None:
-    # Guards against a server that hangs while the list names it, whose keys all wait for their whole time.
+    # Guards against a listed server that hangs, so that requests for its keys wait for their whole
+    # deadline.
     async def test() -> None:
         mute = [True]
         boxes = {
@@ -99,7 +100,7 @@
             assert len(boxes["s0"].heads) >= 2 and not any(
                 ejections(made, f"s{k}") for k in range(1, 6)
             )
-            # When its time is up it gets one of many requests, and all of them are served.
+            # When its ejection ends it gets one of many requests, and all of them are served.
             before = len(boxes["s0"].heads)
             until_ms = member(made, "s0").out_until
             await until(lambda: now_ms() > until_ms)
@@ -108,7 +109,7 @@
             )
             assert {status(answer) for answer in answers} == {200}
             assert len(boxes["s0"].heads) == before + 1 and ejections(made, "s0") == 2
-            # Once it answers, it is in use again.
+            # Once it answers, it is back in use.
             mute[0] = False
             n = 0
             while ejections(made, "s0"):
@@ -121,7 +122,8 @@
 
 
 def test_a_failing_server_is_ejected_despite_its_good_history() -> None:
-    # Guards against keys that go on to a server in trouble for as long as its many good answers before are remembered.
+    # Guards against keys that still go to a failing server for as long as its earlier good answers
+    # count.
     async def test() -> None:
         bad, count = [False], itertools.count()
         boxes = {
@@ -141,7 +143,8 @@
             bad[0] = True
             for n in range(3):
                 await batch(f"bad{n}-")
-            # Found to be bad it is ejections until its time is up; without that it gets more than before, as some are asked again.
+            # It is out until its ejection ends; otherwise it would get more requests than before,
+            # as some are hedged.
             until_ms = member(made, "s0").out_until
             await until(lambda: now_ms() > until_ms)
             assert 0 < await batch("late") < usual
@@ -150,7 +153,7 @@
 
 
 def test_the_hedge_delay_follows_the_usual_latency() -> None:
-    # Guards against second requests for a good part of all, when everything has become slow.
+    # Guards against hedging a large share of all requests when every server has become slow.
     balancer = Balancer(settings_of(OPTIONS), 1)
     balancer.usual = 0.5
     for n in range(400):
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -1,4 +1,4 @@
-"""An upgrade under load: two real processes on one listening socket, and nothing lost at the door between them."""
+"""An upgrade under load: two processes share one listening socket, and no connection is lost."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class Successor(Process):
-    """The process that takes over: the same file and socket, another operators' address."""
+    """The process that takes over, with the same file and socket and another operators' address."""
 
     async def stop(self) -> None:
         if self.process.returncode is None:
@@ -35,7 +35,10 @@
 
 
 class Load:
-    """Clients that ask one request after another on kept connections, and once more where a connection ended unanswered."""
+    """Clients that send sequential requests on persistent connections.
+
+    A reused connection that ends before any byte of an answer is not counted as a failure.
+    """
 
     def __init__(self, port: int) -> None:
         self.port = port
@@ -71,7 +74,7 @@
 
 
 def test_an_upgrade_under_load_loses_nothing_and_ends_the_old_process_alone(tmp_path: Path) -> None:
-    # Guards against connections left in the queue of the process that ends, or cut off by it.
+    # Guards against connections left in the accept queue of the ending process, or closed by it.
     async def test() -> None:
         async def script(head: bytes) -> bytes:
             await asyncio.sleep(0.02)
