--- a/corkshift/service.py
+++ b/corkshift/service.py
@@ -63,8 +63,8 @@
         self.node = Node(config, self.pool, min(config.max_open, upstream))
         longest_ms = max((spec.deadline_ms for spec in config.settings.classes), default=0.0)
         self.frontend = Frontend(
-            self.node, self._listener(), sockets - upstream, config.memory_mb * BODY_BYTES_PER_MB, self._shared_socket, Leave(longest_ms),
-            self.loop_lag,
+            self.node, self._listener(), sockets - upstream, config.memory_mb * BODY_BYTES_PER_MB,
+            self._shared_socket, Leave(longest_ms), self.loop_lag,
         )  # fmt: skip
         self.sources: Optional[Sources] = None
         self._reread = reread
