--- a/tests/test_departures.py
+++ b/tests/test_departures.py
@@ -22,9 +22,9 @@
 from corkshift.upstream import REST_MS
 from forkweir.choice import HEDGE_LEAST
 
-HOWS = ["end", "reset"]
+CLOSINGS = ["end", "reset"]
 # Bytes sent before the connection ends.
-BEFORE = [
+BYTES_BEFORE_END = [
     b"",
     b"\r\n",
     b"GET /api/k HTTP/1.1\r\nHost: x\r\nX: " + b"x" * 9_000,
@@ -41,16 +41,16 @@
     return sock
 
 
-def leave(sock: socket.socket, how: str, before: bytes = b"") -> None:
+def leave(sock: socket.socket, closing: str, before: bytes = b"") -> None:
     """Close the client's connection, or reset it, which discards unread bytes before it."""
     if before:
         sock.sendall(before)
-    if how == "reset":
+    if closing == "reset":
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     sock.close()
 
 
-async def warmed(made: Rig) -> None:
+async def open_idle_connections(made: Rig) -> None:
     """Open an idle connection to each cache server, so that no request waits for a connect."""
     for server in made.node.servers.values():
         made.pool.keep(server, await made.pool.connect(server))
@@ -68,20 +68,20 @@
     return await asyncio.get_running_loop().sock_recv(sock, size)
 
 
-async def kept(made: Rig) -> socket.socket:
+async def persistent_client(made: Rig) -> socket.socket:
     """A client that has had a request answered on its connection."""
     sock = client(made, request("before", path="/api/before"))
     assert b"200" in await read(sock)
     return sock
 
 
-def asked(made: Rig) -> list[bytes]:
-    """The paths requested from cache servers, except those of `kept`."""
+def requested_paths(made: Rig) -> list[bytes]:
+    """The paths requested from cache servers, except that of `persistent_client`."""
     paths = [head.split(b" ")[1] for box in made.boxes.values() for head in box.heads]
     return [path for path in paths if path != b"/api/before"]
 
 
-async def settled(made: Rig) -> None:
+async def wait_idle(made: Rig) -> None:
     """Wait until no request or attempt is open, and 20 loop iterations more."""
     await until(lambda: not (made.node._calls or made.node._attempts or made.node._balancer.held))
     for _ in range(20):
@@ -89,7 +89,7 @@
 
 
 @asynccontextmanager
-async def dials_wait(monkeypatch: pytest.MonkeyPatch) -> AsyncIterator[Callable[[], None]]:
+async def delayed_connects(monkeypatch: pytest.MonkeyPatch) -> AsyncIterator[Callable[[], None]]:
     """Connects to cache servers complete only once the function yielded here is called."""
     opened, connect = asyncio.Event(), seam.connect
 
@@ -102,98 +102,110 @@
         yield opened.set
 
 
-@pytest.mark.parametrize("before", BEFORE, ids=["bare", "line", "half"])
-@pytest.mark.parametrize("how", HOWS)
-def test_behind_a_slow_dial(monkeypatch: pytest.MonkeyPatch, how: str, before: bytes) -> None:
+@pytest.mark.parametrize("before", BYTES_BEFORE_END, ids=["bare", "line", "half"])
+@pytest.mark.parametrize("closing", CLOSINGS)
+def test_during_a_slow_connect(
+    monkeypatch: pytest.MonkeyPatch, closing: str, before: bytes
+) -> None:
     async def test() -> None:
-        async with rig({"s0": CacheBox()}) as made, dials_wait(monkeypatch) as come_up:
+        async with (
+            rig({"s0": CacheBox()}) as made,
+            delayed_connects(monkeypatch) as complete_connects,
+        ):
             sock = client(made, request("a"))
             await until(lambda: bool(made.node._running))
-            leave(sock, how, before)
+            leave(sock, closing, before)
             await until(lambda: not made.node._calls)
-            come_up()
-            await settled(made)
-            assert asked(made) == []
+            complete_connects()
+            await wait_idle(made)
+            assert requested_paths(made) == []
 
     play(test)
 
 
-def test_behind_a_slow_dial_that_comes_up_in_the_moment_of_the_leaving(
+def test_during_a_slow_connect_that_completes_as_the_client_leaves(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     # When the node next runs, the connect has completed and the client's end is in the kernel.
     async def test() -> None:
-        async with rig({"s0": CacheBox()}) as made, dials_wait(monkeypatch) as come_up:
+        async with (
+            rig({"s0": CacheBox()}) as made,
+            delayed_connects(monkeypatch) as complete_connects,
+        ):
             sock = client(made, request("a"))
             await until(lambda: bool(made.node._running))
             made.node._calls[1].since_ms -= 400.0
-            come_up()
+            complete_connects()
             leave(sock, "end")
-            await settled(made)
-            assert asked(made) == []
+            await wait_idle(made)
+            assert requested_paths(made) == []
 
     play(test)
 
 
-@pytest.mark.parametrize("how", HOWS)
-def test_behind_a_refused_dial(how: str) -> None:
+@pytest.mark.parametrize("closing", CLOSINGS)
+def test_after_a_refused_connect(closing: str) -> None:
     async def test() -> None:
         box = CacheBox()
         async with rig({"s0": box, "s1": CacheBox()}) as made:
             box.close()
             socks = [client(made, request(f"a{n}", path=f"/api/{n}")) for n in range(12)]
             for sock in socks:
-                leave(sock, how)
-            await settled(made)
-            assert asked(made) == []
+                leave(sock, closing)
+            await wait_idle(made)
+            assert requested_paths(made) == []
 
     play(test)
 
 
-@pytest.mark.parametrize("how", HOWS)
-def test_a_burst_of_a_hundred_that_leave_together(
-    monkeypatch: pytest.MonkeyPatch, how: str
+@pytest.mark.parametrize("closing", CLOSINGS)
+def test_a_hundred_clients_that_leave_together(
+    monkeypatch: pytest.MonkeyPatch, closing: str
 ) -> None:
     async def test() -> None:
         async with (
             rig({"s0": CacheBox(), "s1": CacheBox()}, 512) as made,
-            dials_wait(monkeypatch) as come_up,
+            delayed_connects(monkeypatch) as complete_connects,
         ):
             socks = [client(made, request(f"a{n}", path=f"/api/{n}")) for n in range(100)]
             await until(lambda: len(made.node._running) == 100)
             for sock in socks:
-                leave(sock, how)
-            come_up()
-            await settled(made)
-            assert asked(made) == []
+                leave(sock, closing)
+            complete_connects()
+            await wait_idle(made)
+            assert requested_paths(made) == []
 
     play(test)
 
 
 @pytest.mark.parametrize(
-    "before", [*BEFORE, b"\r\n" * 35_000], ids=["bare", "line", "half", "more-than-a-read"]
+    "before",
+    [*BYTES_BEFORE_END, b"\r\n" * 35_000],
+    ids=["bare", "line", "half", "more-than-a-read"],
 )
-def test_while_the_node_stood_still_on_a_kept_connection(before: bytes) -> None:
+def test_on_a_persistent_connection_while_the_node_is_stalled(before: bytes) -> None:
     # Request and end arrive together: the end is seen one loop iteration after the request is read.
     async def test() -> None:
         async with rig({"s0": CacheBox()}) as made:
-            sock = await kept(made)
-            await warmed(made)
+            sock = await persistent_client(made)
+            await open_idle_connections(made)
             sock.setblocking(True)
             sock.sendall(request("a"))
             leave(sock, "end", before)
-            await settled(made)
+            await wait_idle(made)
             await until(lambda: not made.frontend._connections)
-            assert asked(made) == []
+            assert requested_paths(made) == []
 
     play(test)
 
 
 @pytest.mark.parametrize(
-    "before", [*BEFORE, b"\r\n" * 40_000], ids=["bare", "line", "half", "more-than-a-buffer"]
+    "before",
+    [*BYTES_BEFORE_END, b"\r\n" * 40_000],
+    ids=["bare", "line", "half", "more-than-a-buffer"],
 )
-@pytest.mark.parametrize("how", HOWS)
-def test_in_the_accept_queue(how: str, before: bytes) -> None:
+@pytest.mark.parametrize("closing", CLOSINGS)
+def test_in_the_accept_queue(closing: str, before: bytes) -> None:
     async def test() -> None:
         hold = asyncio.Event()
 
@@ -207,19 +219,19 @@
         async with rig({"s0": box}, clients=1) as made:
             first = client(made, request("first", "Connection: close\r\n", "/api/first"))
             await until(lambda: bool(box.heads))
-            leave(client(made, request("a")), how, before)
+            leave(client(made, request("a")), closing, before)
             hold.set()
             await read(first)
             # It is accepted after the client that left.
             after = client(made, request("b", path="/api/after"))
             assert b"200" in await read(after)
-            assert asked(made) == [b"/api/first", b"/api/after"]
+            assert requested_paths(made) == [b"/api/first", b"/api/after"]
 
     play(test)
 
 
-@pytest.mark.parametrize("how", HOWS)
-def test_between_two_attempts(how: str) -> None:
+@pytest.mark.parametrize("closing", CLOSINGS)
+def test_between_two_attempts(closing: str) -> None:
     # The answer that rejects the first attempt and the client's end are in the kernel together.
     async def test() -> None:
         async with rig({"s0": CacheBox(), "s1": CacheBox()}) as made:
@@ -234,8 +246,8 @@
             made.node._calls[1].since_ms -= 400.0
             box.setblocking(True)
             box.sendall(b"HTTP/1.1 503 -\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n")
-            leave(sock, how)
-            await settled(made)
+            leave(sock, closing)
+            await wait_idle(made)
             listener.setblocking(False)
             with pytest.raises(BlockingIOError):
                 listener.accept()  # no second connect
@@ -249,49 +261,49 @@
     play(test)
 
 
-@pytest.mark.parametrize("how", HOWS)
-def test_before_a_second_request_for_what_has_been_out_for_long(how: str) -> None:
+@pytest.mark.parametrize("closing", CLOSINGS)
+def test_before_a_hedged_request(closing: str) -> None:
     # A timer is due and the client's end is in the kernel when a stalled node runs again. Timers
     # run first.
     async def test() -> None:
         async with rig(
             {"s0": CacheBox(lambda head: None), "s1": CacheBox(lambda head: None)}
         ) as made:
-            await warmed(made)
+            await open_idle_connections(made)
             balancer = made.node._balancer
             balancer.usual = HEDGE_LEAST
             sock = client(made, request("a", lane="brisk"))
-            await until(lambda: bool(asked(made)))
-            await warmed(made)
+            await until(lambda: bool(requested_paths(made)))
+            await open_idle_connections(made)
             call = made.node._calls[1]
             call.since_ms -= 400.0
             balancer.waits[:] = [(0.0, call.id)]
-            leave(sock, how)
+            leave(sock, closing)
             made.node._due(3)
             assert len(made.node._running) == 2  # the decisions started a hedged request
-            await settled(made)
-            assert len(asked(made)) == 1
+            await wait_idle(made)
+            assert len(requested_paths(made)) == 1
 
     play(test)
 
 
-@pytest.mark.parametrize("how", HOWS)
-def test_behind_an_earlier_answer_on_its_connection(how: str) -> None:
+@pytest.mark.parametrize("closing", CLOSINGS)
+def test_behind_an_earlier_answer_on_its_connection(closing: str) -> None:
     async def test() -> None:
         async with rig({"s0": CacheBox(lambda head: None)}, 256) as made:
             sock = client(made, b"".join(request(f"a{n}", path=f"/api/{n}") for n in range(20)))
-            await until(lambda: len(asked(made)) >= 5)
-            await until(lambda: len(asked(made)) == len(made.node._calls))
-            before = asked(made)
-            leave(sock, how)
-            await settled(made)
-            assert asked(made) == before and len(before) < 20
+            await until(lambda: len(requested_paths(made)) >= 5)
+            await until(lambda: len(requested_paths(made)) == len(made.node._calls))
+            before = requested_paths(made)
+            leave(sock, closing)
+            await wait_idle(made)
+            assert requested_paths(made) == before and len(before) < 20
 
     play(test)
 
 
-@pytest.mark.parametrize("how", HOWS)
-def test_behind_a_client_that_does_not_read(monkeypatch: pytest.MonkeyPatch, how: str) -> None:
+@pytest.mark.parametrize("closing", CLOSINGS)
+def test_behind_a_client_that_does_not_read(monkeypatch: pytest.MonkeyPatch, closing: str) -> None:
     async def test() -> None:
         large = whole(b"x" * 1_000_000)
         box = CacheBox(lambda head: large if head.split(b" ")[1] == b"/api/large" else good(head))
@@ -300,43 +312,46 @@
             await until(
                 lambda: any(c._stream._writer is not None for c in made.frontend._connections)
             )
-            async with dials_wait(monkeypatch) as come_up:
+            async with delayed_connects(monkeypatch) as complete_connects:
                 sock.sendall(request("b"))
                 await until(lambda: len(made.node._running) == 2)
-                leave(sock, how)
+                leave(sock, closing)
                 await until(lambda: not made.node._calls)
-                come_up()
-            await settled(made)
-            assert asked(made) == [b"/api/large"]
+                complete_connects()
+            await wait_idle(made)
+            assert requested_paths(made) == [b"/api/large"]
 
     play(test)
 
 
-@pytest.mark.parametrize("how", HOWS)
-def test_where_its_end_stands_behind_a_full_buffer(
-    monkeypatch: pytest.MonkeyPatch, how: str
+@pytest.mark.parametrize("closing", CLOSINGS)
+def test_where_its_end_is_behind_a_full_buffer(
+    monkeypatch: pytest.MonkeyPatch, closing: str
 ) -> None:
     # The reader waits in the queue with a full buffer and reads no further, so that only the kernel
     # knows of the end.
     async def test() -> None:
-        async with rig({"s0": CacheBox()}, 256) as made, dials_wait(monkeypatch) as come_up:
+        async with (
+            rig({"s0": CacheBox()}, 256) as made,
+            delayed_connects(monkeypatch) as complete_connects,
+        ):
             sock = client(made, b"".join(request(f"a{n}", path=f"/api/{n}") for n in range(12)))
             await until(lambda: len(made.node._running) >= 5)
             (connection,) = made.frontend._connections
             sock.sendall(b"\r\n" * 45_000)
             await until(lambda: connection.deaf)
-            leave(sock, how)
+            leave(sock, closing)
             await until(lambda: not made.node._calls)  # found by the periodic sweep
-            come_up()
-            await settled(made)
-            assert asked(made) == []
+            complete_connects()
+            await wait_idle(made)
+            assert requested_paths(made) == []
 
     play(test)
 
 
-@pytest.mark.parametrize("how", HOWS)
+@pytest.mark.parametrize("closing", CLOSINGS)
 @pytest.mark.parametrize("size", [200, 200_000], ids=["held", "too-large-to-hold"])
-def test_in_the_middle_of_its_body(how: str, size: int) -> None:
+def test_in_the_middle_of_its_body(closing: str, size: int) -> None:
     async def test() -> None:
         async with rig({"s0": CacheBox()}) as made:
             head = request(
@@ -344,37 +359,42 @@
             )
             sock = client(made, head + b"x" * (size - 1))
             await until(lambda: bool(made.frontend._connections))
-            leave(sock, how)
+            leave(sock, closing)
             await until(lambda: not made.frontend._connections)
-            await settled(made)
-            assert asked(made) == []
+            await wait_idle(made)
+            assert requested_paths(made) == []
 
     play(test)
 
 
-@pytest.mark.parametrize("how", HOWS)
-def test_with_a_large_body_behind_a_slow_dial(monkeypatch: pytest.MonkeyPatch, how: str) -> None:
+@pytest.mark.parametrize("closing", CLOSINGS)
+def test_with_a_large_body_during_a_slow_connect(
+    monkeypatch: pytest.MonkeyPatch, closing: str
+) -> None:
     async def test() -> None:
-        async with rig({"s0": CacheBox()}) as made, dials_wait(monkeypatch) as come_up:
+        async with (
+            rig({"s0": CacheBox()}) as made,
+            delayed_connects(monkeypatch) as complete_connects,
+        ):
             head = request(
                 "a", "Content-Length: 200000\r\nIdempotency-Key: k\r\n", lane="pay", method="PUT"
             )
             sock = client(made, head + b"x" * 150_000)
             await until(lambda: bool(made.node._running))
-            leave(sock, how)
+            leave(sock, closing)
             await until(lambda: not made.node._calls)
-            come_up()
-            await settled(made)
-            assert asked(made) == []
+            complete_connects()
+            await wait_idle(made)
+            assert requested_paths(made) == []
 
     play(test)
 
 
-def test_no_socket_left_is_answered_at_once_and_waits_nowhere() -> None:
+def test_a_request_without_a_free_socket_is_answered_at_once() -> None:
     async def test() -> None:
         async with rig({"s0": CacheBox(lambda head: None)}, sockets=8, clients=64) as made:
             socks = [client(made, request(f"a{n}", path=f"/api/{n}")) for n in range(4)]
-            await until(lambda: len(asked(made)) == 4)
+            await until(lambda: len(requested_paths(made)) == 4)
             assert b"503" in await made.ask("b")
             for sock in socks:
                 leave(sock, "end")
@@ -382,23 +402,23 @@
     play(test)
 
 
-def test_what_was_sent_stays_known_after_its_client_left() -> None:
+def test_a_forwarded_request_stays_known_after_its_client_left() -> None:
     # Its transaction id is not served again while the request may still run.
     async def test() -> None:
         async with rig({"s0": CacheBox(lambda head: None)}) as made:
             sock = client(made, request("a", "Content-Length: 0\r\n", lane="order", method="PUT"))
-            await until(lambda: bool(asked(made)))
+            await until(lambda: bool(requested_paths(made)))
             leave(sock, "end")
-            await settled(made)
+            await wait_idle(made)
             assert b"409" in await made.ask(
                 "a", "Content-Length: 0\r\n", lane="order", method="PUT"
             )
-            assert len(asked(made)) == 1
+            assert len(requested_paths(made)) == 1
 
     play(test)
 
 
-def test_a_client_that_is_there_is_looked_at_and_served() -> None:
+def test_a_connected_client_is_served() -> None:
     # Bytes after a request are not an end of the connection.
     async def test() -> None:
         async with rig({"s0": CacheBox()}) as made:
--- a/tests/test_list_freshness.py
+++ b/tests/test_list_freshness.py
@@ -55,7 +55,7 @@
     return latest_ms
 
 
-def test_a_drain_after_refused_calls_and_a_reload_is_kept(tmp_path: Path) -> None:
+def test_a_drain_after_refused_calls_and_a_reload_is_honored(tmp_path: Path) -> None:
     # Reproduces incident 1: calls are refused, a reload moves discovery, the first call to the new
     # address is refused too, and a server starts to drain. The pause before the next call had
     # doubled with each refusal, beyond the time by which the drain counts as notified.
@@ -103,7 +103,7 @@
 
 
 @pytest.mark.parametrize("delay_s", [0.0, 3.0, 4.0])
-def test_a_drain_behind_a_silent_watch_and_a_late_call_is_kept(
+def test_a_drain_behind_a_silent_watch_and_a_late_call_is_honored(
     tmp_path: Path, delay_s: float
 ) -> None:
     # Before the fix the call was closed after 3.2 s and made again, up to 9.2 s after the watch
--- a/tests/test_listing.py
+++ b/tests/test_listing.py
@@ -36,7 +36,7 @@
 
 
 def states_of(unconfirmed: list[UnconfirmedEntry]) -> dict[str, str]:
-    return {claim.server.name: claim.server.state for claim in unconfirmed}
+    return {found_entry.server.name: found_entry.server.state for found_entry in unconfirmed}
 
 
 @pytest.mark.parametrize("reset", [False, True])
@@ -85,7 +85,11 @@
     *whole, part = body.split(b"\n")
     assert got == [text.strip() for text in whole] and lines.rest() == part
     assert lines.unfinished == bool(part)
-    wanted = [claim for claim in unconfirmed_entries(part) if claim.server.state != "unreadable"]
+    wanted = [
+        found_entry
+        for found_entry in unconfirmed_entries(part)
+        if found_entry.server.state != "unreadable"
+    ]
     # Earlier ones are of lines that were completed later.
     assert wanted == unconfirmed[len(unconfirmed) - len(wanted) :]
 
--- a/tests/test_loop_lag.py
+++ b/tests/test_loop_lag.py
@@ -142,8 +142,8 @@
                 made.figures.refused["late"] + made.figures.refused["behind"] == 1
                 and len(box.heads) == before + 1
             )
-            told = int(box.heads[-1].partition(b"X-Remaining-Ms: ")[2].split(b"\r\n")[0])
-            assert 3_500 < told <= 5_000 - 690
+            remaining_ms = int(box.heads[-1].partition(b"X-Remaining-Ms: ")[2].split(b"\r\n")[0])
+            assert 3_500 < remaining_ms <= 5_000 - 690
             made.presence.close()
 
     play(test)
--- a/tests/test_lost_lines.py
+++ b/tests/test_lost_lines.py
@@ -155,16 +155,16 @@
             await asyncio.sleep(0.31)  # a node would have made its first call by now
             asked, begin = len(made.registry.asked), asyncio.get_running_loop().time()
 
-            async def spoil() -> None:
+            async def corrupt() -> None:
                 while True:
                     made.registry.tell_raw(b"{\n")
                     await asyncio.sleep(0.002)
 
-            spoiling = asyncio.create_task(spoil())
+            corrupting = asyncio.create_task(corrupt())
             # The third call waits the ordinary pause.
             await until(lambda: len(made.registry.asked) > asked + 2)
             assert asyncio.get_running_loop().time() - begin > WAIT_MS / 1000.0
-            spoiling.cancel()
+            corrupting.cancel()
             await until(lambda: len(made.discovery._retiring) <= discovery.MAX_RETIRING)
 
     play(test)
@@ -239,8 +239,8 @@
         async with rig(boxes()) as made:
             made.registry.generation = 50
             made.registry.change(draining_entry(made, "s1"), "terminating")
-            gone = made.registry.entries["s2"]
-            made.registry.change(gone, "terminated")
+            removed_entry = made.registry.entries["s2"]
+            made.registry.change(removed_entry, "terminated")
             await until(lambda: serving(made) == set(NAMES) - {"s1", "s2"})
             behind = Registry(made.boxes)
             behind.start()
--- a/tests/test_narrow_moments.py
+++ b/tests/test_narrow_moments.py
@@ -10,7 +10,7 @@
 
 import pytest
 from loopback import CacheBox, Rig, good, options_of, play, request, rig, status, until, whole
-from test_departures import asked, client, dials_wait, read
+from test_departures import client, delayed_connects, read, requested_paths
 
 from corkshift.frontend import ClientConnection
 from corkshift.seam import now_ms
@@ -129,7 +129,7 @@
 
         async with rig({"s0": CacheBox(held)}, clients=2, leave=leaving()) as made:
             first = [client(made, request(f"a{n}", path=f"/api/{n}")) for n in range(2)]
-            await until(lambda: len(asked(made)) == 2)
+            await until(lambda: len(requested_paths(made)) == 2)
             waiting = [client(made, request(f"b{n}", path=f"/api/b{n}")) for n in range(3)]
             draining = asyncio.create_task(made.frontend.drain())
             await until(lambda: not made.frontend.duty.lasting)
@@ -163,14 +163,14 @@
             )
             connection = only(made)
             sock.sendall(request("b"))
-            await until(lambda: connection._stream.has_input or len(asked(made)) == 2)
+            await until(lambda: connection._stream.has_input or len(requested_paths(made)) == 2)
             got = b""
             while piece := await read(sock):
                 got += piece
             assert (
                 b"Connection: close" in got and got.endswith(b"x") and got.count(b"HTTP/1.1") == 1
             )
-            assert asked(made) == [b"/api/large"]
+            assert requested_paths(made) == [b"/api/large"]
             sock.close()
 
     play(test)
@@ -208,7 +208,7 @@
     async def test() -> None:
         async with rig({"s0": CacheBox(lambda head: None)}) as made:
             sock = client(made, request("a"))
-            await until(lambda: bool(asked(made)))
+            await until(lambda: bool(requested_paths(made)))
             followed: list[bool] = []
             made.node.follow = lambda: followed.append(True)
             made.node._decide(None, lambda: [("refuse", 1, "soon", "gate"), ("follow", True)])  # type: ignore[list-item]
@@ -227,7 +227,7 @@
 ) -> None:
     # For drains a send counts from its first byte.
     async def test() -> None:
-        async with rig({"s0": CacheBox()}) as made, dials_wait(monkeypatch) as come_up:
+        async with rig({"s0": CacheBox()}) as made, delayed_connects(monkeypatch) as come_up:
             received = bytearray()
 
             async def take(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -267,7 +267,7 @@
             raise ConnectionResetError
 
         async with rig({"s0": CacheBox(reset), "s1": CacheBox(reset)}, options=options) as made:
-            async with dials_wait(monkeypatch) as come_up:
+            async with delayed_connects(monkeypatch) as come_up:
                 asking = asyncio.create_task(
                     made.ask(
                         "a", "Content-Length: 0\r\nIdempotency-Key: k\r\n", lane="pay", method="PUT"
@@ -278,7 +278,7 @@
                 made.node._calls[1].ran_ms = now_ms() - 2_100.0
                 come_up()
                 await asking
-            assert asked(made) == []
+            assert requested_paths(made) == []
 
     play(test)
 
--- a/tests/test_silence.py
+++ b/tests/test_silence.py
@@ -41,21 +41,21 @@
     made.node._balancer.usual = HEDGE_LEAST
 
 
-def asked(made: Rig) -> int:
+def received_requests(made: Rig) -> int:
     return sum(len(box.heads) for box in made.boxes.values())
 
 
-@pytest.mark.parametrize(("lane", "method"), [("brisk", "GET"), ("pay", "PUT")])
-def test_a_retryable_request_is_hedged_before_its_timeout(lane: str, method: str) -> None:
+@pytest.mark.parametrize(("class_name", "method"), [("brisk", "GET"), ("pay", "PUT")])
+def test_a_retryable_request_is_hedged_before_its_timeout(class_name: str, method: str) -> None:
     # Guards against an attempt that waits for its whole deadline on an unresponsive connection.
     async def test() -> None:
         script = unresponsive_once()
         async with rig({"s0": CacheBox(script), "s1": CacheBox(script)}) as made:
             use_low_hedge_threshold(made)
             answer = await made.ask(
-                "a", "Idempotency-Key: k\r\nContent-Length: 0\r\n", lane=lane, method=method
+                "a", "Idempotency-Key: k\r\nContent-Length: 0\r\n", lane=class_name, method=method
             )
-            assert status(answer) == 200 and asked(made) == 2
+            assert status(answer) == 200 and received_requests(made) == 2
             # The unanswered attempt is cancelled and leaves no state behind.
             await until(lambda: not made.node._attempts and not made.node._balancer.held)
             await until(lambda: sum(box.open for box in made.boxes.values()) == 1)
@@ -73,7 +73,7 @@
                 status(await made.ask("a", "Content-Length: 0\r\n", lane="once", method="PUT"))
                 == 502
             )
-            assert asked(made) == 1
+            assert received_requests(made) == 1
 
     play(test)
 
