--- a/corkshift/service.py
+++ b/corkshift/service.py
@@ -43,7 +43,7 @@
         self,
         config: Config,
         sources: Optional[SourcesTable] = None,
-        reread: Callable[[], Optional[SourcesTable]] = lambda: None,
+        reread_sources: Callable[[], Optional[SourcesTable]] = lambda: None,
         tier: Optional[TierTable] = None,
     ) -> None:
         """sources: the sources of the operator's file. reread: reads them from the file again;
@@ -67,7 +67,7 @@
             self._shared_socket, Leave(longest_ms), self.loop_lag,
         )  # fmt: skip
         self.sources: Optional[Sources] = None
-        self._reread = reread
+        self._reread_sources = reread_sources
         if sources is not None:
             # Imported only where an operator's file has sources, so that a disabled feature costs
             # nothing.
@@ -196,7 +196,7 @@
         self.discovery.move(fresh.discovery)
         if self.sources is not None:
             try:
-                options = self._reread()
+                options = self._reread_sources()
             except ValueError as error:
                 log.error("reload: %s; the sources stay unchanged", error)
                 return
@@ -207,11 +207,11 @@
 async def run(
     config: Config,
     sources: Optional[SourcesTable] = None,
-    reread: Callable[[], Optional[SourcesTable]] = lambda: None,
+    reread_sources: Callable[[], Optional[SourcesTable]] = lambda: None,
     tier: Optional[TierTable] = None,
 ) -> None:
     """Serve until SIGTERM or SIGINT, then drain. OSError if it cannot listen.
 
     The parameters are those of `Service`.
     """
-    await Service(config, sources, reread, tier).run()
+    await Service(config, sources, reread_sources, tier).run()
--- a/corkshift/start.py
+++ b/corkshift/start.py
@@ -43,13 +43,13 @@
             print(f"corkshift: {error}", file=sys.stderr)
             return 2
 
-    def reread() -> Optional[SourcesTable]:
+    def reread_sources() -> Optional[SourcesTable]:
         from corkshift.cli.operator import read
 
         return read(operator).sources if operator else None
 
     try:
-        process.play(run(config, sources, reread, tier))
+        process.play(run(config, sources, reread_sources, tier))
     except OSError as error:
         print(f"corkshift: cannot listen: {error.strerror or error}", file=sys.stderr)
         return 1
--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -93,7 +93,7 @@
         )
         process.reading = asyncio.create_task(process._read_log())
         try:
-            await process.served("start")
+            await process.wait_served("start")
             pid = process.process.pid
             if breach:
                 await until(lambda: any("BREACH" in line for line in process.log))
--- a/tests/test_list_freshness.py
+++ b/tests/test_list_freshness.py
@@ -64,7 +64,7 @@
         staying.listen()
         async with running(tmp_path / "config.json", leaving) as (process, registry):
             registry.change(entry("s1", staying.port))
-            await process.served("both")
+            await process.wait_served("both")
             process.config["settings"] = (
                 SLOW_POLLING  # for the next process; the running one keeps its settings
             )
@@ -80,7 +80,7 @@
             process.config["discovery"] = f"127.0.0.1:{refusing.port}"
             process.write()
             await process.start()
-            await process.served("again")
+            await process.wait_served("again")
             while len(refusing.calls_ms) < REFUSALS:
                 await asyncio.sleep(0.01)
             await asyncio.sleep(0.1)
@@ -138,7 +138,7 @@
         async with running(tmp_path / "config.json", leaving) as (process, registry):
             staying.listen()
             registry.change(entry("s1", staying.port))
-            await process.served("both")
+            await process.wait_served("both")
             behind: Any = CountingRegistry({"s0": leaving, "s1": staying})
             behind.start()
             registry.generation = 40
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -48,7 +48,7 @@
     def __init__(self, path: Path, registry: Registry | None, port: int = 0) -> None:
         self.path = path
         self.port = port or free_port()
-        self.more: dict[str, str] = {}  # further environment variables
+        self.extra_environ: dict[str, str] = {}  # further environment variables
         self.descriptors: tuple[int, ...] = ()  # inherited file descriptors
         self.config: dict[str, Any] = {
             "name": "n0",
@@ -69,7 +69,7 @@
             **os.environ,
             "PROXY_CONFIG": str(self.path),
             "PROXY_DISCOVERY": self.config["discovery"],
-            **self.more,
+            **self.extra_environ,
         }
         self.process = await asyncio.create_subprocess_exec(
             sys.executable,
@@ -100,7 +100,7 @@
     async def ask(self, txn: str, path: str = "/api/k") -> bytes:
         return await self.send(request(txn, "Connection: close\r\n", path))
 
-    async def served(self, name: str) -> None:
+    async def wait_served(self, name: str) -> None:
         """Send requests until one is served, so that the node has received a list."""
         n = 0
         while status(await self.ask(f"{name}-{n}")) != 200:
@@ -112,7 +112,7 @@
 async def running(
     path: Path,
     box: CacheBox,
-    more: dict[str, str] | None = None,
+    extra_environ: dict[str, str] | None = None,
     descriptors: tuple[int, ...] = (),
     port: int = 0,
 ) -> AsyncIterator[tuple[Process, Registry]]:
@@ -120,11 +120,11 @@
     registry = Registry({"s0": box})
     registry.start()
     process = Process(path, registry, port)
-    process.more, process.descriptors = more or {}, descriptors
+    process.extra_environ, process.descriptors = extra_environ or {}, descriptors
     process.write()
     await process.start()
     try:
-        await process.served("start")
+        await process.wait_served("start")
         yield process, registry
     finally:
         if process.process.returncode is None:
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -54,7 +54,7 @@
 
 async def figures(process: Process) -> dict[str, int]:
     """What `/admin/stats` says."""
-    host, port = process.more["PROXY_ADMIN_ADDR"].split(":")
+    host, port = process.extra_environ["PROXY_ADMIN_ADDR"].split(":")
     reader, writer = await asyncio.open_connection(host, int(port))
     writer.write(b"GET /admin/stats HTTP/1.1\r\nHost: x\r\n\r\n")
     text = (await reader.read()).partition(b"\r\n\r\n")[2].decode()
@@ -131,7 +131,7 @@
             shim.fail(SystemCall.CONNECT, error, times=4)
             assert set(await ask_all(process, "a")) <= {200, 503}
             shim.heal(SystemCall.CONNECT)
-            await process.served("again")
+            await process.wait_served("again")
 
     play(test)
 
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -44,11 +44,11 @@
         self.port = port
         self.answers: dict[str, int] = {}
         self.unanswered: list[str] = []
-        self.over = False
+        self.stopped = False
 
     async def client(self, name: str) -> None:
         n, reader, writer, fresh = 0, None, None, True
-        while not self.over:
+        while not self.stopped:
             n += 1
             if writer is None or reader is None:
                 reader, writer = await asyncio.open_connection("127.0.0.1", self.port)
@@ -92,7 +92,7 @@
                 load = Load(port)
                 clients = [asyncio.create_task(load.client(f"c{n}")) for n in range(24)]
                 new = Successor(tmp_path / "config.json", registry)
-                new.more, new.descriptors = (
+                new.extra_environ, new.descriptors = (
                     {**more, "PROXY_ADMIN_ADDR": f"127.0.0.1:{admin_ports[1]}"},
                     (listening.fileno(),),
                 )
@@ -106,7 +106,7 @@
                     before = len(load.answers)
                     while len(load.answers) < before + 200:
                         await asyncio.sleep(0.02)
-                    load.over = True
+                    load.stopped = True
                     await asyncio.gather(*clients)
                     assert load.unanswered == [] and set(load.answers.values()) == {200}
                     assert new.process.returncode is None
@@ -123,7 +123,7 @@
         with socket.socket() as sock:
             process = Process(tmp_path / "config.json", None)
             process.write()
-            process.more, process.descriptors = (
+            process.extra_environ, process.descriptors = (
                 {"PROXY_SOCKET_FD": str(sock.fileno())},
                 (sock.fileno(),),
             )
@@ -149,7 +149,7 @@
     async def test() -> None:
         process = Process(tmp_path / "config.json", None)
         process.write()
-        process.more = more
+        process.extra_environ = more
         await process.start()
         assert await process.process.wait() == 2
         await process.reading
