--- a/corkshift/listing.py
+++ b/corkshift/listing.py
@@ -122,7 +122,7 @@
         self._row_start = 0  # start of the unfinished row
         self._depth = 0  # brackets that are open before that row
         self._searched_end = 0  # no line ends before this byte
-        self._reported_end = 0  # end of the last entry that was returned
+        self._reported_end = 0  # end of the last entry that was found
         self._scanned_end = 0  # length of the buffer when entries were last searched
 
     @property
--- a/corkshift/service.py
+++ b/corkshift/service.py
@@ -46,8 +46,8 @@
         reread_sources: Callable[[], Optional[SourcesTable]] = lambda: None,
         tier: Optional[TierTable] = None,
     ) -> None:
-        """sources: the sources of the operator's file. reread: reads them from the file again;
-        raises ValueError if it is malformed. tier: the file's settings for other nodes.
+        """sources: the sources of the operator's file. reread_sources: reads them from the file
+        again; raises ValueError if it is malformed. tier: the file's settings for other nodes.
         """
         # Descriptors, less a reserve for everything else (about a dozen are in use): 7/16 for cache
         # servers and 9/16 for clients. Each open request uses one of either kind, and clients also
