--- a/corkshift/address_book.py
+++ b/corkshift/address_book.py
@@ -19,7 +19,7 @@
 from math import inf
 from typing import Any, Optional, Protocol
 
-from corkshift.listing import UnconfirmedEntry, read
+from corkshift.listing import RecoveredEntry, read
 from corkshift.seam import Address, now_ms
 from corkshift.upstream import CacheServer, Pool
 from forkweir import Server
@@ -197,7 +197,7 @@
     # -- lines that are not whole --------------------------------------------------------
 
     def apply_unconfirmed(
-        self, unconfirmed: list[UnconfirmedEntry], generation: Optional[int]
+        self, unconfirmed: list[RecoveredEntry], generation: Optional[int]
     ) -> None:
         """Apply the entries of a partial or corrupt line.
 
--- a/corkshift/listing.py
+++ b/corkshift/listing.py
@@ -54,7 +54,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class UnconfirmedEntry:
+class RecoveredEntry:
     """The entry of one server in a corrupt or partial line."""
 
     server: Server  # its state may also be "unreadable"
@@ -156,7 +156,7 @@
             raise BadList(f"a line of over {MAX_LINE_BYTES} bytes")
         return lines
 
-    def unconfirmed_entries(self) -> list[UnconfirmedEntry]:
+    def unconfirmed_entries(self) -> list[RecoveredEntry]:
         """The entries that were completed in the unfinished line since the last call."""
         found = []
         begin = max(self._reported_end, self._scanned_end - MAX_ENTRY_BYTES - 2)
@@ -178,7 +178,7 @@
     return sum(map(unquoted.count, _OPENING_BRACKETS)) - sum(map(unquoted.count, _CLOSING_BRACKETS))
 
 
-def unconfirmed_entries(text: bytes, cache: Optional[EntryCache] = None) -> list[UnconfirmedEntry]:
+def unconfirmed_entries(text: bytes, cache: Optional[EntryCache] = None) -> list[RecoveredEntry]:
     """The complete entries of a corrupt or partial line, and in a line of changes the servers that
     broken entries name.
 
@@ -199,7 +199,7 @@
         known = {entry.server.name for entry in found}
         names = dict.fromkeys(match[1].decode() for match in _INSTANCE_ID.finditer(rest))
         found += [
-            UnconfirmedEntry(Server(name, state="unreadable"), None)
+            RecoveredEntry(Server(name, state="unreadable"), None)
             for name in names
             if name not in known
         ]
@@ -277,9 +277,9 @@
     return raw.generation, raw.whole, read_entries(raw.entries, EntryCache())
 
 
-def _unconfirmed_entry(text: bytes, cache: EntryCache) -> UnconfirmedEntry | None:
+def _unconfirmed_entry(text: bytes, cache: EntryCache) -> RecoveredEntry | None:
     try:
-        return UnconfirmedEntry(*cache.read(orjson.loads(text)))
+        return RecoveredEntry(*cache.read(orjson.loads(text)))
     except (AttributeError, KeyError, OverflowError, TypeError, ValueError):
         return None
 
--- a/tests/test_listing.py
+++ b/tests/test_listing.py
@@ -14,7 +14,7 @@
     MAX_LINE_BYTES,
     BadList,
     LineParser,
-    UnconfirmedEntry,
+    RecoveredEntry,
     parse,
     unconfirmed_entries,
 )
@@ -35,7 +35,7 @@
 STATES = ["draining", "gone", "in"]
 
 
-def states_of(unconfirmed: list[UnconfirmedEntry]) -> dict[str, str]:
+def states_of(unconfirmed: list[RecoveredEntry]) -> dict[str, str]:
     return {found_entry.server.name: found_entry.server.state for found_entry in unconfirmed}
 
 
