--- a/corkshift/admin/status.py
+++ b/corkshift/admin/status.py
@@ -6,9 +6,9 @@
 
 from corkshift.discovery import Discovery
 from corkshift.frontend import Frontend
+from corkshift.loop_lag import STALL_BUCKETS_MS
 from corkshift.metrics import KINDS, Metrics
 from corkshift.node import Node
-from corkshift.presence import HOLDS_MS
 from corkshift.seam import now_ms
 
 METRIC_PREFIX = "svc"
@@ -78,13 +78,13 @@
             f"{METRIC_PREFIX}.pool.{state}={count}" for state, count in self.node.health().items()
         ]
         presence = self.frontend.loop_lag
-        bounds = [f"{most:g}" for most in HOLDS_MS] + ["more"]
+        bounds = [f"{most:g}" for most in STALL_BUCKETS_MS] + ["more"]
         rows += [
             f"{METRIC_PREFIX}.loop.late_ms.{bound}={count}"
-            for bound, count in zip(bounds, presence.holds, strict=True)
+            for bound, count in zip(bounds, presence.stall_counts, strict=True)
         ]
         rows += [
-            f"{METRIC_PREFIX}.loop.longest_ms={presence.longest_ms:.0f}",
-            f"{METRIC_PREFIX}.loop.turn_ms={presence.turn_ms:.0f}",
+            f"{METRIC_PREFIX}.loop.longest_ms={presence.longest_stall_ms:.0f}",
+            f"{METRIC_PREFIX}.loop.turn_ms={presence.smoothed_lag_ms:.0f}",
         ]
         return "\n".join(rows) + "\n"
--- a/corkshift/frontend.py
+++ b/corkshift/frontend.py
@@ -15,10 +15,10 @@
 
 from corkshift.budget import MAX_BODY_BYTES, MAX_BUFFERED_BODY_BYTES, BodyBudget, PieceCounter
 from corkshift.listener import Listener
+from corkshift.loop_lag import LoopLagMonitor
 from corkshift.messages import ClientRequest, Response
 from corkshift.node import Node
 from corkshift.plain import COMPLETE_REQUEST, CompleteRequest, request_head
-from corkshift.presence import Presence
 from corkshift.relay import Relay
 from corkshift.seam import Address, Socket, now_ms
 from corkshift.stream import READ_BYTES, Stream
@@ -507,10 +507,10 @@
 
     def __init__(
         self, node: Node, listener: Socket, limit: int, body_bytes: int, shared: bool = False, leave: Optional[ShutdownSchedule] = None,
-        loop_lag: Optional[Presence] = None,
+        loop_lag: Optional[LoopLagMonitor] = None,
     ) -> None:  # fmt: skip
         self.node = node
-        self.loop_lag = loop_lag or Presence()
+        self.loop_lag = loop_lag or LoopLagMonitor()
         self._leave = leave or ShutdownSchedule(MAX_COUNTED_DEADLINE_MS)
         self.budget = BodyBudget(body_bytes)
         self.duty = Lifecycle()
--- a/corkshift/listing.py
+++ b/corkshift/listing.py
@@ -1,14 +1,17 @@
-"""What a watch of discovery carries: lines of JSON, and what can still be read of a line that is spoilt or cut. Sans-I/O.
+"""Parser of discovery's lists: JSON lines, and the entries of a corrupt or partial line. Sans-I/O.
 
-Bytes in; whole lines and claims out. Everything that knows discovery's form lives here; whether a claim is heeded is decided
-in `forkweir/known/hearsay.py`, and what a whole list does to the node's address book in `discovery`.
+Bytes go in; whole lines and unconfirmed entries come out. Everything that depends on discovery's
+format is in this module. `forkweir.known` decides whether an unconfirmed entry is applied, and
+`address_book` what a whole list changes.
 
-A claim is an entry that stands whole, from brace to brace, in bytes that are no whole line yet or never will be. It is what a line
-may still tell whose rest is lost (PROTOCOL: a change is told once discovery has written it). An entry that is cut or overwritten
-tells one thing at the most: which server it was about (state "unreadable").
+An unconfirmed entry is complete, from brace to brace, in bytes that are not yet a whole line or
+never will be. It is what can still be used of a line whose rest is lost, since by the protocol a
+change counts as notified once discovery has written it. From an entry that is cut or overwritten at
+most its server's name can be read (state "unreadable").
 
-Bounds: a line of MAX_LINE; each byte is looked at once for whole lines, and for claims as it comes (LONGEST_ENTRY bytes before it anew),
-once more where the line pauses, and once where it is given up; MOST_CLAIMS of one line.
+Bounds: MAX_LINE_BYTES for a line and MAX_UNCONFIRMED_ENTRIES of one line. Each byte is scanned once
+for line ends. For entries it is scanned as it arrives (with the MAX_ENTRY_BYTES before it), once
+more where the line pauses, and once where the line is given up.
 """
 
 from __future__ import annotations
@@ -28,40 +31,43 @@
 
 log = logging.getLogger(__name__)
 
-MAX_LINE = 1 << 20  # bytes
-MOST_SERVERS = 4_096  # of one list
-MOST_CLAIMS = 4_096  # of one line
-MOST_WEIGHT = 1_000.0
+MAX_LINE_BYTES = 1 << 20
+MAX_SERVERS = 4_096  # in one list
+MAX_UNCONFIRMED_ENTRIES = 4_096  # in one line
+MAX_WEIGHT = 1_000.0
 STATES = {"in_service": "in", "terminating": "draining", "terminated": "gone"}
-NAME_FORM = re.compile(r"[!-~]{1,128}")
-MOST_CACHED = 2 * MOST_SERVERS  # entries that have been read
-LONGEST_ENTRY = 4_096  # bytes
-_ENTRY = re.compile(rb"\{[^{}]{2,%d}\}" % LONGEST_ENTRY)  # entries hold no objects
-_NAMED = re.compile(rb'"instanceId"\s*:\s*"([!-~]{1,128}?)"')
+NAME_PATTERN = re.compile(r"[!-~]{1,128}")
+MAX_CACHED_ENTRIES = 2 * MAX_SERVERS
+MAX_ENTRY_BYTES = 4_096
+_ENTRY = re.compile(rb"\{[^{}]{2,%d}\}" % MAX_ENTRY_BYTES)  # entries contain no objects
+_INSTANCE_ID = re.compile(rb'"instanceId"\s*:\s*"([!-~]{1,128}?)"')
 _GENERATION = re.compile(rb'"generation"\s*:\s*([0-9]{1,18})(?=[\s,}])')
 _STRING = re.compile(rb'"(?:[^"\\]|\\.)*"')
-_OPENS, _CLOSES = (b"{", b"["), (b"}", b"]")
-_GOES_ON = (b"{", b"[", b",")  # what a row ends with behind which an object goes on
+_OPENING_BRACKETS, _CLOSING_BRACKETS = (b"{", b"["), (b"}", b"]")
+# Ends of a row after which an indented object continues in the next row.
+_CONTINUED_ROW_ENDS = (b"{", b"[", b",")
 _WHOLE_LIST = re.compile(rb'"reset"\s*:\s*true')
 
 
 class BadList(Exception):
-    """Discovery wrote what is no list."""
+    """Discovery's answer or line is not a valid list."""
 
 
 @dataclass(frozen=True, slots=True)
-class Claim:
-    """What a spoilt line says of one server. address: None where it can't be read."""
+class RecoveredEntry:
+    """The entry of one server in a corrupt or partial line."""
 
-    server: Server  # its state may be "unreadable" as well
-    address: Address | None
+    server: Server  # its state may also be "unreadable"
+    address: Address | None  # None where it cannot be read
 
 
 class EntryCache:
-    """Entries that were read before, so that one which comes again costs one look-up (a whole list that has hardly changed is nearly all
-    such entries, and each of its entries stands in the unfinished line first). The same fields give the same `Server` object.
+    """Cache of parsed entries, so that a repeated entry costs one lookup.
 
-    Bound: MOST_CACHED entries; when they are full all are forgotten.
+    Most entries of a whole list are unchanged, and each is first read from the unfinished line.
+    Equal fields give the same `Server` object.
+
+    Bound: MAX_CACHED_ENTRIES; a full cache is cleared.
     """
 
     __slots__ = ("_read",)
@@ -70,200 +76,229 @@
         self._read: dict[tuple[Any, ...], tuple[Server, Address]] = {}
 
     def read(self, entry: dict[str, Any]) -> tuple[Server, Address]:
-        """A server and its address; AttributeError, KeyError, OverflowError, TypeError or ValueError where the entry is none."""
+        """The server and address of an entry.
+
+        Raises AttributeError, KeyError, OverflowError, TypeError or ValueError if it is malformed.
+        """
         get = entry.get
         fields = (
-            get("instanceId"), get("hostPort"), get("lifecycle"), get("startedAtMs"), get("weight"), get("zone"), get("machineType"),
-            get("cell"),
+            get("instanceId"), get("hostPort"), get("lifecycle"), get("startedAtMs"),
+            get("weight"), get("zone"), get("machineType"), get("cell"),
         )  # fmt: skip
         try:
             known = self._read.get(fields)
-        except TypeError:  # a field that is no scalar can't be looked up
+        except TypeError:  # a field that is not a scalar is not hashable
             return _server_of(entry), ipv4_of(entry["hostPort"])
         if known is None:
             known = _server_of(entry), ipv4_of(entry["hostPort"])
-            if len(self._read) >= MOST_CACHED:
+            if len(self._read) >= MAX_CACHED_ENTRIES:
                 self._read.clear()
             self._read[fields] = known
         return known
 
 
-class Lines:
-    """The body of one watch: whole lines, and what stands whole in the one that has begun.
+class LineParser:
+    """Splits the body of one watch into lines, and finds complete entries in the unfinished line.
 
-    An object may come indented, over several rows. It begins with a row that breaks where an indented one does and leaves brackets open,
-    and ends where they are closed. An empty row, or one that begins with a brace at its margin, is the next line: what is open before
-    it broke off (guards against one cut line that swallows all that come after it).
+    An object may be indented over several rows, which then form one line. It begins with a row that
+    ends as an indented one does and leaves brackets open, and ends where they are closed. An empty
+    row, or one that begins with a brace in its first column, starts the next line even if brackets
+    are open (guards against one partial line that swallows all those after it).
     """
 
-    __slots__ = ("_part", "_row", "_depth", "_searched", "_claimed", "_scanned", "_cache")
+    __slots__ = (
+        "_buffer",
+        "_row_start",
+        "_depth",
+        "_searched_end",
+        "_reported_end",
+        "_scanned_end",
+        "_cache",
+    )
 
     def __init__(self, cache: Optional[EntryCache] = None) -> None:
         self._cache = cache or EntryCache()
-        self._part = bytearray()
-        self._row = 0  # where the row begins that is under way,
-        self._depth = 0  # and how many brackets are open before it
-        self._searched = 0  # no line ends before this byte,
-        self._claimed = 0  # and no entry that is not told yet begins before this one
-        self._scanned = 0  # how much there was when claims were last asked for
+        self._buffer = bytearray()
+        self._row_start = 0  # start of the unfinished row
+        self._depth = 0  # brackets that are open before that row
+        self._searched_end = 0  # no line ends before this byte
+        self._reported_end = 0  # end of the last entry that was found
+        self._scanned_end = 0  # length of the buffer when entries were last searched
 
     @property
     def unfinished(self) -> bool:
-        """Whether a line has begun and not ended."""
-        return bool(self._part)
+        """Whether a line has begun and not ended yet."""
+        return bool(self._buffer)
 
     def receive(self, data: bytes) -> list[bytes]:
-        """The lines that these bytes end, without their ends; BadList for one that is longer than any list."""
-        part = self._part
-        part += data
+        """The lines completed by these bytes, stripped. BadList if one exceeds MAX_LINE_BYTES."""
+        buffer = self._buffer
+        buffer += data
         lines = []
-        at, row = 0, self._row
-        while (end := part.find(b"\n", max(row, self._searched))) >= 0:
-            text = bytes(part[row:end]).strip()
-            if self._depth and (not text or part.startswith(b"{", row)):
-                lines.append(bytes(part[at:row]).strip())
-                at, self._depth = row, 0
-            if self._depth or text.endswith(_GOES_ON):
-                self._depth = max(0, self._depth + _opened(text))
-            row = end + 1
+        line_start, row_start = 0, self._row_start
+        while (row_end := buffer.find(b"\n", max(row_start, self._searched_end))) >= 0:
+            text = bytes(buffer[row_start:row_end]).strip()
+            if self._depth and (not text or buffer.startswith(b"{", row_start)):
+                lines.append(bytes(buffer[line_start:row_start]).strip())
+                line_start, self._depth = row_start, 0
+            if self._depth or text.endswith(_CONTINUED_ROW_ENDS):
+                self._depth = max(0, self._depth + _net_brackets(text))
+            row_start = row_end + 1
             if not self._depth:
-                lines.append(bytes(part[at:end]).strip())
-                at = row
-        if at:
-            del part[:at]
-            self._claimed = self._scanned = 0
-        self._row = row - at
-        self._searched = len(part)
-        if len(part) > MAX_LINE:
-            raise BadList("a line without end")
+                lines.append(bytes(buffer[line_start:row_end]).strip())
+                line_start = row_start
+        if line_start:
+            del buffer[:line_start]
+            self._reported_end = self._scanned_end = 0
+        self._row_start = row_start - line_start
+        self._searched_end = len(buffer)
+        if len(buffer) > MAX_LINE_BYTES:
+            raise BadList(f"a line of over {MAX_LINE_BYTES} bytes")
         return lines
 
-    def claims(self) -> list[Claim]:
-        """The entries that have come to stand whole in the unfinished line since this was last asked."""
+    def unconfirmed_entries(self) -> list[RecoveredEntry]:
+        """The entries that were completed in the unfinished line since the last call."""
         found = []
-        begin = max(self._claimed, self._scanned - LONGEST_ENTRY - 2)
-        self._scanned = len(self._part)
-        for match in _ENTRY.finditer(self._part, begin):
-            self._claimed = match.end()
-            if (claim := _claim(match[0], self._cache)) is not None:
-                found.append(claim)
-        return found[:MOST_CLAIMS]
+        begin = max(self._reported_end, self._scanned_end - MAX_ENTRY_BYTES - 2)
+        self._scanned_end = len(self._buffer)
+        for match in _ENTRY.finditer(self._buffer, begin):
+            self._reported_end = match.end()
+            if (entry := _unconfirmed_entry(match[0], self._cache)) is not None:
+                found.append(entry)
+        return found[:MAX_UNCONFIRMED_ENTRIES]
 
     def rest(self) -> bytes:
-        """The unfinished line, as far as it came."""
-        return bytes(self._part)
+        """The unfinished line so far."""
+        return bytes(self._buffer)
 
 
-def _opened(row: bytes) -> int:
-    """How many more brackets a row of JSON opens than it closes."""
-    bare = _STRING.sub(b"", row)
-    return sum(map(bare.count, _OPENS)) - sum(map(bare.count, _CLOSES))
+def _net_brackets(row: bytes) -> int:
+    """The number of brackets that a row of JSON opens, less those that it closes."""
+    unquoted = _STRING.sub(b"", row)
+    return sum(map(unquoted.count, _OPENING_BRACKETS)) - sum(map(unquoted.count, _CLOSING_BRACKETS))
 
 
-def claims_of(text: bytes, cache: Optional[EntryCache] = None) -> list[Claim]:
-    """What can be read of a line that is spoilt or cut: entries that stand whole, and of changes also which server a broken one names.
+def unconfirmed_entries(text: bytes, cache: Optional[EntryCache] = None) -> list[RecoveredEntry]:
+    """The complete entries of a corrupt or partial line, and in a line of changes the servers that
+    broken entries name.
 
-    A whole list names every server, so that one broken entry of it tells nothing.
+    A whole list names every server, so a broken entry in one gives no information.
     """
     cache = cache or EntryCache()
     found = []
     rest = bytearray()
-    at = 0
+    position = 0
     for match in _ENTRY.finditer(text):
-        claim = _claim(match[0], cache)
-        rest += text[at : match.start() if claim is not None else match.end()]
-        at = match.end()
-        if claim is not None:
-            found.append(claim)
-    rest += text[at:]
+        entry = _unconfirmed_entry(match[0], cache)
+        rest += text[position : match.start() if entry is not None else match.end()]
+        position = match.end()
+        if entry is not None:
+            found.append(entry)
+    rest += text[position:]
     if not _WHOLE_LIST.search(rest):
-        known = {claim.server.name for claim in found}
-        names = dict.fromkeys(match[1].decode() for match in _NAMED.finditer(rest))
+        known = {entry.server.name for entry in found}
+        names = dict.fromkeys(match[1].decode() for match in _INSTANCE_ID.finditer(rest))
         found += [
-            Claim(Server(name, state="unreadable"), None) for name in names if name not in known
+            RecoveredEntry(Server(name, state="unreadable"), None)
+            for name in names
+            if name not in known
         ]
-    return found[:MOST_CLAIMS]
+    return found[:MAX_UNCONFIRMED_ENTRIES]
 
 
 def generation_of(text: bytes) -> int | None:
-    """The generation that a line states, whole or not, as far as it can be read."""
+    """The generation stated in a line, whole or not; None where it cannot be read."""
     match = _GENERATION.search(text)
     return int(match[1]) if match is not None else None
 
 
 @dataclass(frozen=True, slots=True)
 class RawList:
-    """A whole line whose entries are still to be read."""
+    """A whole line whose entries are not parsed yet."""
 
     generation: int
-    whole: bool  # it names every server; else it tells changes
+    whole: bool  # names every server; otherwise the line holds changes
     entries: list[Any]
 
 
-def parse_raw(line: bytes) -> RawList:
-    """A whole line as JSON has it. BadList where it is none."""
+def parse_raw_list(line: bytes) -> RawList:
+    """Parse the JSON of a whole line. BadList if it is malformed."""
     try:
         data = orjson.loads(line)
     except orjson.JSONDecodeError as error:
         raise BadList(f"not JSON: {error}") from None
     if not isinstance(data, dict):
         raise BadList("not an object")
-    return raw_of(data)
+    return raw_list_of(data)
 
 
-def raw_of(data: dict[str, Any]) -> RawList:
-    """An object in discovery's form. BadList where it is no list, or longer than MOST_SERVERS."""
+def raw_list_of(data: dict[str, Any]) -> RawList:
+    """A list from an object in discovery's format.
+
+    Raises BadList if it is malformed or has more than MAX_SERVERS entries.
+    """
     try:
         generation, entries = int(data["generation"]), list(data["instances"])
     except (KeyError, TypeError, ValueError) as error:
         raise BadList(f"{type(error).__name__}: {error}") from None
-    if len(entries) > MOST_SERVERS:
-        raise BadList(f"{len(entries)} servers")
+    if len(entries) > MAX_SERVERS:
+        raise BadList(f"{len(entries)} servers, more than the {MAX_SERVERS} allowed")
     return RawList(generation, bool(data.get("reset")), entries)
 
 
 def read_entries(entries: Iterable[Any], cache: EntryCache) -> list[tuple[Server, Address]]:
-    """What entries say; one that can't be read is left out (guards against one costing the whole list)."""
+    """The servers and addresses of entries, without malformed ones.
+
+    Guards against one malformed entry that discards the whole list.
+    """
     pairs = []
     for entry in entries:
         try:
             pairs.append(cache.read(entry))
         except (AttributeError, KeyError, OverflowError, TypeError, ValueError) as error:
-            log.warning("an entry of the list is of no use: %s: %s", type(error).__name__, error)
+            log.warning(
+                "malformed entry of the server list ignored: %s: %s", type(error).__name__, error
+            )
     return pairs
 
 
 def parse(line: bytes) -> tuple[int, bool, list[tuple[Server, Address]]]:
-    """A whole line: its generation, whether it is the whole list, and its entries. BadList where it is none."""
-    raw = parse_raw(line)
+    """The generation of a line, whether it is a whole list, and its entries.
+
+    Raises BadList if it is malformed.
+    """
+    raw = parse_raw_list(line)
     return raw.generation, raw.whole, read_entries(raw.entries, EntryCache())
 
 
 def read(data: dict[str, Any]) -> tuple[int, bool, list[tuple[Server, Address]]]:
-    """What an object in discovery's form holds (see `parse`)."""
-    raw = raw_of(data)
+    """As `parse`, for an object in discovery's format."""
+    raw = raw_list_of(data)
     return raw.generation, raw.whole, read_entries(raw.entries, EntryCache())
 
 
-def _claim(text: bytes, cache: EntryCache) -> Claim | None:
+def _unconfirmed_entry(text: bytes, cache: EntryCache) -> RecoveredEntry | None:
     try:
-        return Claim(*cache.read(orjson.loads(text)))
+        return RecoveredEntry(*cache.read(orjson.loads(text)))
     except (AttributeError, KeyError, OverflowError, TypeError, ValueError):
         return None
 
 
 def _unix_ms(stated: Any) -> float:
-    """A time as the list states it; ValueError where it is none (what it means on this clock: `forkweir.known.starts`)."""
-    time = float(stated or 0.0)
-    if not isfinite(time):
-        raise ValueError("no time")
-    return max(0.0, time)
+    """A time in ms by discovery's clock; `forkweir.known.starts` converts it to this node's clock.
+
+    Raises ValueError if it is not finite.
+    """
+    time_ms = float(stated or 0.0)
+    if not isfinite(time_ms):
+        raise ValueError(f"not a finite time: {stated!r}")
+    return max(0.0, time_ms)
 
 
 def _server_of(entry: dict[str, Any]) -> Server:
     name = entry["instanceId"]
-    if not NAME_FORM.fullmatch(name):
-        raise ValueError("no name")
+    if not NAME_PATTERN.fullmatch(name):
+        raise ValueError(f"not a valid instanceId: {name!r:.150}")
     return Server(
         name=name,
         zone=str(entry.get("zone") or ""),
@@ -271,7 +306,7 @@
         cell=int(entry.get("cell") or 0),
         state=STATES[entry["lifecycle"]],
         weight=min(
-            MOST_WEIGHT, max(0.0, float(1.0 if entry.get("weight") is None else entry["weight"]))
+            MAX_WEIGHT, max(0.0, float(1.0 if entry.get("weight") is None else entry["weight"]))
         ),
         started_ms=_unix_ms(entry.get("startedAtMs")),
     )
--- a/corkshift/node.py
+++ b/corkshift/node.py
@@ -150,7 +150,8 @@
         self._calls[request.id] = request
         self._tries[request.id] = 0
         if budget <= 0.0 or (
-            request.body_rest is None and self._loop_lag.turn_ms * LOOP_TURNS_PER_REQUEST > budget
+            request.body_rest is None
+            and self._loop_lag.smoothed_lag_ms * LOOP_TURNS_PER_REQUEST > budget
         ):
             # Its client has given up, or will before this node could serve it. Under overload the
             # node would otherwise work on requests that it can only fail. After a brief pause of
@@ -210,7 +211,7 @@
         self.servers_known = self.servers_known or bool(self.servers)
         self._decide(None, lambda: self._balancer.on_list(now_ms(), form, entries))
 
-    def overheard(self, places: list[Address], whole: bool) -> None:
+    def on_unlisted_departures(self, addresses: list[Address], whole: bool) -> None:
         """Ignore departures of servers that the list never named: there is no other source here."""
 
     def _on_backstop(self, request: ClientRequest) -> None:
@@ -270,7 +271,7 @@
             if action[1] == REBUILD_TIMER:
                 # Background work runs at most in every other turn of the event loop, so that a
                 # request doesn't wait for a slice of it in each of its turns.
-                wait_ms = max(wait_ms, self._loop_lag.turn_ms)
+                wait_ms = max(wait_ms, self._loop_lag.smoothed_lag_ms)
             asyncio.get_running_loop().call_later(wait_ms / 1000.0, self._on_timer, action[1])
         elif action[0] == "follow":
             self.follow()
--- a/corkshift/service.py
+++ b/corkshift/service.py
@@ -1,4 +1,7 @@
-"""One node's life: its parts put together, reload on SIGHUP, drain on SIGTERM. Runs on either side of the seam."""
+"""Lifecycle of one node: builds its components, reloads on SIGHUP and drains on SIGTERM.
+
+Runs on the real system and on the simulated one (`corkshift.seam`).
+"""
 
 from __future__ import annotations
 
@@ -12,9 +15,9 @@
 from corkshift.config import BadConfig, Config, load
 from corkshift.discovery import Discovery
 from corkshift.frontend import Frontend
+from corkshift.loop_lag import LoopLagMonitor
 from corkshift.metrics import Metrics
 from corkshift.node import Node
-from corkshift.presence import Presence
 from corkshift.stream import KERNEL_BUFFER_BYTES
 from corkshift.upstream import Pool
 from forkweir.limits.lifecycle import ShutdownSchedule
@@ -28,42 +31,46 @@
 
 log = logging.getLogger("corkshift")
 
-BODY_SHARE = (1 << 20) // 8  # bytes of request bodies for each megabyte of the memory limit
-FIRST_LIST_S = 1.0  # an agent that has not told its list by then is down: a node that starts serves by the list as it last was
+BODY_BYTES_PER_MB = (1 << 20) // 8  # for request bodies, per megabyte of the memory limit
+# An agent that has sent no list by then is down: the starting node serves from its saved list.
+FIRST_LIST_TIMEOUT_S = 1.0
 
 
 class Service:
-    """A node and what belongs to it, from its start to the end of its drain."""
+    """A node and its components, from its start to the end of its drain."""
 
     def __init__(
         self,
         config: Config,
         sources: Optional[SourcesTable] = None,
-        reread: Callable[[], Optional[SourcesTable]] = lambda: None,
+        reread_sources: Callable[[], Optional[SourcesTable]] = lambda: None,
         tier: Optional[TierTable] = None,
     ) -> None:
-        """sources: what an operator's file has of them, and reread: the same when the file is read again (ValueError if it is bad).
-        tier: what it has of other nodes."""
-        # Descriptors: seven sixteenths for cache servers, nine for clients, after a reserve for all else (a dozen are in use).
-        # Each open request holds one of either kind, and clients have others that rest.
+        """sources: the sources of the operator's file. reread_sources: reads them from the file
+        again; raises ValueError if it is malformed. tier: the file's settings for other nodes.
+        """
+        # Descriptors, less a reserve for everything else (about a dozen are in use): 7/16 for cache
+        # servers and 9/16 for clients. Each open request uses one of either kind, and clients also
+        # have idle connections.
         sockets = max(16, config.sockets - min(24, config.sockets // 4))
         upstream = sockets * 7 // 16
         self.config = config
         self.figures = Metrics(spec.name for spec in config.settings.classes)
-        self.presence = Presence()
+        self.loop_lag = LoopLagMonitor()
         self.pool = Pool(
-            upstream, config.dial_timeout_ms, config.conn_idle_ms, self.figures, self.presence
+            upstream, config.dial_timeout_ms, config.conn_idle_ms, self.figures, self.loop_lag
         )
         self.node = Node(config, self.pool, min(config.max_open, upstream))
         longest_ms = max((spec.deadline_ms for spec in config.settings.classes), default=0.0)
         self.frontend = Frontend(
-            self.node, self._listener(), sockets - upstream, config.memory_mb * BODY_SHARE, self._shared, ShutdownSchedule(longest_ms),
-            self.presence,
+            self.node, self._listener(), sockets - upstream, config.memory_mb * BODY_BYTES_PER_MB,
+            self._shared_socket, ShutdownSchedule(longest_ms), self.loop_lag,
         )  # fmt: skip
         self.sources: Optional[Sources] = None
-        self._reread = reread
+        self._reread_sources = reread_sources
         if sources is not None:
-            # Only where an operator's file has them: what is off costs nothing.
+            # Imported only where an operator's file has sources, so that a disabled feature costs
+            # nothing.
             from corkshift.sources.hub import Sources
 
             self.sources = Sources(self.node, self.pool, sources, config.seed)
@@ -73,20 +80,22 @@
             self.pool,
             config.discovery,
             agent=not config.settings.poll_list,
-            presence=self.presence,
+            loop_lag=self.loop_lag,
         )
         self.node.follow = self.discovery.follow
-        self.node.list_unread = self.discovery.unread
+        self.node.list_unread = self.discovery.has_unread_input
         self.tier: Optional[Carrier] = None
-        if config.neighbours is not None and (tier is None or tier.on):
-            # Only where the settings let nodes talk to one another: what is off costs nothing.
+        if config.tier_peers is not None and (tier is None or tier.on):
+            # Imported only where the settings let nodes exchange datagrams, so that a disabled
+            # feature costs nothing.
             from corkshift.tier.carrier import Carrier
             from corkshift.tier.options import TierTable
 
-            self.tier = Carrier(self.node, config.neighbours, tier or TierTable())
+            self.tier = Carrier(self.node, config.tier_peers, tier or TierTable())
         self.admin: Optional[Admin] = None
         if config.admin is not None:
-            # Only where there is an address: what is off costs nothing.
+            # Imported only where an operators' address is set, so that a disabled feature costs
+            # nothing.
             from corkshift.admin import Admin, Status
 
             self.admin = Admin(
@@ -97,12 +106,12 @@
         self._stop = asyncio.Event()
 
     @property
-    def _shared(self) -> bool:
-        """Whether other processes may hold the clients' listening socket too."""
+    def _shared_socket(self) -> bool:
+        """Whether other processes may also have the clients' listening socket open."""
         return self.config.socket_fd is not None
 
     def _listener(self) -> seam.Socket:
-        """The clients' listening socket: the platform's, or one of our own. OSError where there is none to be had."""
+        """The clients' listening socket, inherited or new. OSError if it cannot be opened."""
         if self.config.socket_fd is not None:
             return seam.inherited_listener(self.config.socket_fd, KERNEL_BUFFER_BYTES)
         return seam.bind_listener(self.config.listen, KERNEL_BUFFER_BYTES)
@@ -113,24 +122,25 @@
         loop.add_signal_handler(signal.SIGHUP, self.reload)
         for number in (signal.SIGTERM, signal.SIGINT):
             loop.add_signal_handler(number, self.stop)
-        self.presence.start()
+        self.loop_lag.start()
         self.discovery.start(self.config.known)
-        self._catch_up()
+        self._reload_if_moved()
         if self.sources is not None:
             self.sources.start()
         if self.tier is not None:
             self.tier.start()
         if not self.config.settings.poll_list:
-            # Lists are pushed to an agent on this machine, and what it has counts as told from the first moment on.
+            # Lists are pushed to an agent on this machine, so that what it has counts as notified
+            # from the start.
             self.discovery.follow()
-            await self._first_list()
+            await self._wait_first_list()
         if not self._stop.is_set():
             self.frontend.start()
             if self.admin is not None:
                 self.admin.start()
         await self._stop.wait()
         await self.frontend.drain()
-        self.presence.close()
+        self.loop_lag.close()
         if self.sources is not None:
             self.sources.close()
         if self.tier is not None:
@@ -138,8 +148,11 @@
         if self.admin is not None:
             self.admin.close()
 
-    def _catch_up(self) -> None:
-        """Go where discovery is, if the file has changed since it was read: a SIGHUP between then and now was ignored."""
+    def _reload_if_moved(self) -> None:
+        """Reload if the file names another address of discovery than when it was first read.
+
+        A SIGHUP that arrived before the signal handler was installed was ignored.
+        """
         try:
             fresh = load(seam.environ())
         except BadConfig:
@@ -147,22 +160,26 @@
         if fresh.discovery != self.config.discovery:
             self.reload()
 
-    async def _first_list(self) -> None:
-        """Until the agent has told its list, or this node is to end, or FIRST_LIST_S are over."""
-        waits = [asyncio.create_task(self.discovery.told()), asyncio.create_task(self._stop.wait())]
-        await asyncio.wait(waits, timeout=FIRST_LIST_S, return_when=asyncio.FIRST_COMPLETED)
+    async def _wait_first_list(self) -> None:
+        """Wait for the agent's list, the stop of this node or FIRST_LIST_TIMEOUT_S."""
+        waits = [
+            asyncio.create_task(self.discovery.wait_first_list()),
+            asyncio.create_task(self._stop.wait()),
+        ]
+        await asyncio.wait(waits, timeout=FIRST_LIST_TIMEOUT_S, return_when=asyncio.FIRST_COMPLETED)
         for wait in waits:
             wait.cancel()
 
     def stop(self) -> None:
-        """Begin the drain."""
+        """Start the drain."""
         self._stop.set()
 
     def reload(self) -> None:
-        """Read the file again and go where discovery is now; a file that is of no use changes nothing.
+        """Read the file again and switch to discovery's address in it; a malformed file is ignored.
 
-        Guards against SIGHUP, which ends a process that does not handle it. Only `discovery` can change in a running node; the
-        rest (limits, settings, where it listens) is what open requests were decided by, and waits for the next start.
+        Without a handler SIGHUP would end the process. Only `discovery` can change in a running
+        node; open requests were decided by the rest (limits, settings, listening addresses), which
+        takes effect at the next start.
         """
         config = self.config
         try:
@@ -173,15 +190,15 @@
         log.info("reload: discovery is at %s:%d", *fresh.discovery)
         if any(
             getattr(fresh, name) != getattr(config, name)
-            for name in ("known", "settings", "listen", "admin", "neighbours")
+            for name in ("known", "settings", "listen", "admin", "tier_peers")
         ):
-            log.info("reload: what else has changed waits for the next start")
+            log.info("reload: other changes in the file take effect at the next start")
         self.discovery.move(fresh.discovery)
         if self.sources is not None:
             try:
-                options = self._reread()
+                options = self._reread_sources()
             except ValueError as error:
-                log.error("reload: %s; the sources stay as they are", error)
+                log.error("reload: %s; the sources stay unchanged", error)
                 return
             if options is not None:
                 self.sources.reload(options)
@@ -190,8 +207,11 @@
 async def run(
     config: Config,
     sources: Optional[SourcesTable] = None,
-    reread: Callable[[], Optional[SourcesTable]] = lambda: None,
+    reread_sources: Callable[[], Optional[SourcesTable]] = lambda: None,
     tier: Optional[TierTable] = None,
 ) -> None:
-    """Serve until SIGTERM or SIGINT, then drain. OSError where it cannot listen. The rest as `Service` has it."""
-    await Service(config, sources, reread, tier).run()
+    """Serve until SIGTERM or SIGINT, then drain. OSError if it cannot listen.
+
+    The parameters are those of `Service`.
+    """
+    await Service(config, sources, reread_sources, tier).run()
--- a/corkshift/sources/boxlist.py
+++ b/corkshift/sources/boxlist.py
@@ -56,7 +56,7 @@
         self._unconfirmed_drains: dict[Address, None] = {}  # until a whole line is read
         self._unconfirmed_removals: list[Claim] = []  # of the line being read
 
-    def overheard(self, places: list[Address], whole: bool) -> None:
+    def on_unlisted_departures(self, addresses: list[Address], whole: bool) -> None:
         """Receive addresses of servers that drain or are removed but that the list never named.
 
         Another source may name them (see `corkshift.address_book.Listener`). whole: whether the
@@ -64,10 +64,10 @@
         """
         if whole:
             self._unconfirmed_removals += [
-                Claim(address, "gone") for address in places[:MAX_UNCONFIRMED]
+                Claim(address, "gone") for address in addresses[:MAX_UNCONFIRMED]
             ]
             return
-        for address in places:
+        for address in addresses:
             if (
                 len(self._unconfirmed_drains) < MAX_UNCONFIRMED
                 and address not in self._unconfirmed_drains
--- a/corkshift/start.py
+++ b/corkshift/start.py
@@ -1,4 +1,4 @@
-"""One node from its environment to its end: what `python -m corkshift` does without a command, and `run` with one."""
+"""Runs one node: `python -m corkshift` without a command, or the command `run`."""
 
 from __future__ import annotations
 
@@ -14,11 +14,14 @@
     from corkshift.sources.options import SourcesTable
     from corkshift.tier.options import TierTable
 
-OPERATOR = "GRADESHIFT_OPERATOR"
+OPERATOR_VARIABLE = "GRADESHIFT_OPERATOR"
 
 
 def serve(operator: Optional[str] = None) -> int:
-    """Run one node as the environment tells, with an operator's file if one is named; the exit code."""
+    """Run one node configured by the environment, with an operator's file if one is named.
+
+    Returns the exit code: 0 after a drain, 1 if it cannot listen, 2 for a malformed file.
+    """
     process.prepare()
     environ = seam.environ()
     try:
@@ -26,11 +29,11 @@
     except BadConfig as error:
         print(f"corkshift: {error}", file=sys.stderr)
         return 2
-    operator = operator or environ.get(OPERATOR)
+    operator = operator or environ.get(OPERATOR_VARIABLE)
     sources: Optional[SourcesTable] = None
     tier: Optional[TierTable] = None
     if operator:
-        # Only where there is a file: what is off costs nothing.
+        # Imported only where there is a file, so that a disabled feature costs nothing.
         from corkshift.cli.operator import BadOperatorFile, load_operator_file
 
         try:
@@ -40,13 +43,13 @@
             print(f"corkshift: {error}", file=sys.stderr)
             return 2
 
-    def reread() -> Optional[SourcesTable]:
+    def reread_sources() -> Optional[SourcesTable]:
         from corkshift.cli.operator import load_operator_file
 
         return load_operator_file(operator).sources if operator else None
 
     try:
-        process.run(run(config, sources, reread, tier))
+        process.run(run(config, sources, reread_sources, tier))
     except OSError as error:
         print(f"corkshift: cannot listen: {error.strerror or error}", file=sys.stderr)
         return 1
--- a/corkshift/upstream.py
+++ b/corkshift/upstream.py
@@ -11,10 +11,10 @@
 
 from corkshift import seam
 from corkshift.budget import MAX_BODY_BYTES, MAX_BUFFERED_BODY_BYTES, PieceCounter
+from corkshift.loop_lag import LoopLagMonitor
 from corkshift.messages import ClientRequest, Response
 from corkshift.metrics import Metrics
 from corkshift.plain import response_head
-from corkshift.presence import Presence
 from corkshift.relay import BodyAborted, Relay
 from corkshift.seam import Address, now_ms
 from corkshift.seam.errors import LOCAL_ERRNOS, error_name
@@ -90,11 +90,11 @@
         dial_timeout_ms: float,
         conn_idle_ms: float,
         metrics: Metrics,
-        loop_lag: Optional[Presence] = None,
+        loop_lag: Optional[LoopLagMonitor] = None,
     ) -> None:
         self._limit = limit
         self.metrics = metrics
-        self.loop_lag = loop_lag or Presence()
+        self.loop_lag = loop_lag or LoopLagMonitor()
         self._dial_s = dial_timeout_ms / 1000.0
         self._idle_ms = conn_idle_ms * IDLE_TIMEOUT_SHARE
         self._open = 0
@@ -252,7 +252,7 @@
     ) -> None:
         self.server = server
         # For a request too large to buffer, set again when its last byte is written.
-        self._started_ms = pool.loop_lag.present_ms()
+        self._started_ms = pool.loop_lag.active_ms()
         self._pool = pool
         self.request = request
         self._within_ms = within_ms
@@ -279,7 +279,7 @@
     @property
     def elapsed_ms(self) -> float:
         """The attempt's duration less event loop lag, which says nothing about the server."""
-        return self._pool.loop_lag.present_ms() - self._started_ms
+        return self._pool.loop_lag.active_ms() - self._started_ms
 
     def abort_response(self) -> None:
         """Let the client see that a streamed response is incomplete, unless it has ended."""
@@ -435,7 +435,7 @@
                 return False
         if not await self._send_last(stream, ahead[-1:], True):
             return False
-        self._started_ms = self._pool.loop_lag.present_ms()
+        self._started_ms = self._pool.loop_lag.active_ms()
         self._owner.on_fully_sent(request)
         self._timeout.reschedule(asyncio.get_running_loop().time() + self._within_ms / 1000.0)
         return True
--- a/corkshift/watch.py
+++ b/corkshift/watch.py
@@ -1,7 +1,8 @@
-"""One call to discovery: its dial, its answer, and the bytes of the watch that follows, until its end.
+"""One call to discovery: its connection, its answer, and the bytes of the watch that follows.
 
-Silence, pauses and the patience of a call are counted in present time (`presence`): time in which this node itself was held up says nothing
-of discovery. What discovery writes to a watch counts as notified, so that one that has lost something is read on until it is replaced.
+Silence, pauses and the timeout of a call are counted in active time (`loop_lag`), because time in
+which this node was stalled says nothing about discovery. What discovery writes to a watch counts as
+notified, so a watch that has lost data is read until it is replaced.
 """
 
 from __future__ import annotations
@@ -13,58 +14,65 @@
 import h11
 
 from corkshift import seam
-from corkshift.listing import BadList, EntryCache, Lines
-from corkshift.presence import Presence, PresentTimer
+from corkshift.listing import BadList, EntryCache, LineParser
+from corkshift.loop_lag import ActiveTimer, LoopLagMonitor
 from corkshift.seam import Address
 from corkshift.stream import Stream
 
-SILENT_S = (
-    2.15  # the heartbeat (2 s) and as long as a node may be held up: the watch has fallen silent,
-)
-STUCK_S = 1.0  # or has stopped in the middle of a line
-CHUNK_HEAD = 64  # bytes; a size of 16 digits and a short extension (RFC 9112, 7.1)
+# A watch without input for this long is unresponsive: the heartbeat's 2 s and 0.15 s for a stall.
+SILENCE_TIMEOUT_S = 2.15
+LINE_TIMEOUT_S = 1.0  # the same, in the middle of a line
+# Bytes; room for a size of 16 digits and a short extension (RFC 9112, section 7.1).
+MAX_CHUNK_HEADER = 64
 
 
 class Watch:
-    """One call to discovery, from its dial to its end."""
+    """One call to discovery, from its connection to its end."""
 
     def __init__(
         self,
         address: Address,
         generation: Optional[int],
-        patience_s: float,
-        presence: Presence,
+        answer_timeout_s: float,
+        loop_lag: LoopLagMonitor,
         cache: Optional[EntryCache] = None,
     ) -> None:
-        """generation: of the list that the node has, None for a whole one; patience_s: how long the answer may take, in present time."""
+        """generation: of the node's list; None asks for a whole list.
+
+        answer_timeout_s: how long the answer may take, in active time.
+        """
         self.address = address
         self.generation = generation
-        self.patience_s = patience_s
-        self.begun = False  # discovery has answered
-        self.carried = False  # a whole line has come
-        self.fading = False  # something of it is lost, and another is to take its place: only what takes away is heeded
-        self.reminder: Optional[PresentTimer] = (
-            None  # of a call that may need another one beside it
-        )
-        self.lines = Lines(cache)
-        self.taking: Optional[asyncio.Task[None]] = (
-            None  # of a long line that is being taken in slices,
-        )
-        self.waiting: deque[bytes] = deque()  # and whole lines behind it
-        self._presence = presence
+        self.answer_timeout_s = answer_timeout_s
+        self.answered = False
+        self.has_whole_line = False  # a whole line was received
+        # Data was lost and another watch is to replace this one: only removals are applied.
+        self.retiring = False
+        # Starts a parallel call while this one is unanswered.
+        self.parallel_call_timer: Optional[ActiveTimer] = None
+        self.parser = LineParser(cache)
+        # Applies a long line in slices.
+        self.applying: Optional[asyncio.Task[None]] = None
+        self.queued_lines: deque[bytes] = deque()  # whole lines behind the one being applied
+        self._loop_lag = loop_lag
         self.stream: Optional[Stream] = None
-        self._parser = h11.Connection(h11.CLIENT)
+        self._http = h11.Connection(h11.CLIENT)
         self._framed = True
-        self._latest = b""  # what the parser was last given, and what it then still held
-        self._left = b""  # of that, what is to be looked at again, once the framing is lost
+        # The bytes last given to the HTTP parser, after those that it still held.
+        self._last_input = b""
+        # The part of them that is read again as plain bytes once the framing is lost.
+        self._unparsed = b""
 
     async def call(self) -> None:
-        """Dial and ask; OSError (TimeoutError among them), h11.RemoteProtocolError or BadList where there is no watch."""
+        """Connect, send the request and read the answer's head.
+
+        Raises OSError (TimeoutError included), h11.RemoteProtocolError or BadList where that fails.
+        """
         sock = seam.tcp_socket()
         try:
-            # One service answers all nodes in turn, and a call that is hung up on keeps its turn (guards against a fleet that
-            # asks anew, over and over, for what each of its nodes would have been told a moment later).
-            async with self._presence.timeout(self.patience_s):
+            # The service answers all nodes in turn, and a closed call still takes its turn. A long
+            # timeout guards against a fleet that keeps repeating calls about to be answered.
+            async with self._loop_lag.timeout(self.answer_timeout_s):
                 await seam.connect(sock, self.address)
                 self.stream = Stream(sock)
                 after = "" if self.generation is None else f"&after={self.generation}"
@@ -72,7 +80,7 @@
                 host = f"{self.address[0]}:{self.address[1]}"
                 request = h11.Request(method="GET", target=target, headers=[("Host", host)])
                 await self.stream.write(
-                    self._parser.send(request) + self._parser.send(h11.EndOfMessage())
+                    self._http.send(request) + self._http.send(h11.EndOfMessage())
                 )
                 while isinstance(event := await self._event(), h11.InformationalResponse):
                     pass
@@ -80,73 +88,79 @@
             if self.stream is None:
                 sock.close()
             raise
-        self.begun = True
-        self.remind_no_more()
+        self.answered = True
+        self.cancel_parallel_call()
         if not isinstance(event, h11.Response) or event.status_code != 200:
-            raise BadList(f"answered {event!r:.80}")
+            raise BadList(f"discovery answered not 200 but {event!r:.80}")
 
     async def _event(self) -> object:
         assert self.stream is not None
-        while (event := self._parser.next_event()) is h11.NEED_DATA:
-            held = self._parser.trailing_data[0]
-            if self.begun and len(held) > CHUNK_HEAD:
-                # The parser waits for a line's end that may never come (guards against a change that stands there meanwhile).
-                raise h11.RemoteProtocolError(f"chunk header of over {CHUNK_HEAD} bytes")
+        while (event := self._http.next_event()) is h11.NEED_DATA:
+            pending = self._http.trailing_data[0]
+            if self.answered and len(pending) > MAX_CHUNK_HEADER:
+                # The parser waits for the end of a chunk header, which may never arrive (guards
+                # against a change that stays unread meanwhile).
+                raise h11.RemoteProtocolError(f"chunk header of over {MAX_CHUNK_HEADER} bytes")
             data = await self.stream.read()
-            self._latest = held + data
-            self._parser.receive_data(data)
+            self._last_input = pending + data
+            self._http.receive_data(data)
         return event
 
-    async def data(self) -> bytes:
-        """The next bytes of the body, or of whatever comes once its framing is lost; none at the end.
+    async def next_data(self) -> bytes:
+        """The next bytes of the body, or raw bytes once its framing is lost; b"" at the end.
 
-        TimeoutError where the watch has fallen silent, h11.RemoteProtocolError once, where the framing is lost.
+        Raises TimeoutError where the watch is unresponsive, and h11.RemoteProtocolError once where
+        the framing is lost.
         """
-        # One that is replaced is read on for as long as Discovery has use for it, however silent it is.
-        async with self._presence.timeout(
-            None if self.fading else STUCK_S if self.lines.unfinished else SILENT_S
+        # A retiring watch is read until Discovery closes it, however silent it is.
+        async with self._loop_lag.timeout(
+            None
+            if self.retiring
+            else LINE_TIMEOUT_S
+            if self.parser.unfinished
+            else SILENCE_TIMEOUT_S
         ):
             if self._framed:
                 try:
                     event = await self._event()
                 except h11.RemoteProtocolError:
                     self._framed = False
-                    self._left = self._latest
+                    self._unparsed = self._last_input
                     raise
                 return bytes(event.data) if isinstance(event, h11.Data) else b""
-            if self._left:
-                left, self._left = self._left, b""
+            if self._unparsed:
+                left, self._unparsed = self._unparsed, b""
                 return left
             assert self.stream is not None
             return await self.stream.read()
 
     @property
-    def unread(self) -> bool:
-        """Whether bytes stand in the kernel or here that nobody has looked at; asks the kernel."""
+    def has_unread_input(self) -> bool:
+        """Whether bytes are unread in the kernel or in the stream's buffer; asks the kernel."""
         stream = self.stream
         return (
-            self.begun
+            self.answered
             and stream is not None
             and not stream.closed
             and not stream.no_input
             and stream.has_input
         )
 
-    def remind_no_more(self) -> None:
-        """No further call is needed beside this one."""
-        if self.reminder is not None:
-            self.reminder.cancel()
-            self.reminder = None
-
-    async def taken(self) -> None:
-        """Until all lines that came whole have been taken."""
-        if self.taking is not None:
-            await asyncio.wait([self.taking])
-
-    def end(self) -> None:
-        """Hang up."""
-        if self.taking is not None:
-            self.taking.cancel()
-        self.remind_no_more()
+    def cancel_parallel_call(self) -> None:
+        """Cancel the timer of the parallel call, which is no longer needed."""
+        if self.parallel_call_timer is not None:
+            self.parallel_call_timer.cancel()
+            self.parallel_call_timer = None
+
+    async def wait_applied(self) -> None:
+        """Wait until all whole lines have been applied."""
+        if self.applying is not None:
+            await asyncio.wait([self.applying])
+
+    def close(self) -> None:
+        """Close the connection and cancel the timer and task of this watch."""
+        if self.applying is not None:
+            self.applying.cancel()
+        self.cancel_parallel_call()
         if self.stream is not None:
             self.stream.abort()
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -11,9 +11,9 @@
 from corkshift.config import Config
 from corkshift.discovery import Discovery
 from corkshift.frontend import Frontend
+from corkshift.loop_lag import LoopLagMonitor
 from corkshift.metrics import Metrics
 from corkshift.node import Node
-from corkshift.presence import Presence
 from corkshift.stream import KERNEL_BUFFER_BYTES
 from corkshift.upstream import Pool
 from forkweir.adapter import settings_of
@@ -186,7 +186,7 @@
         self.boxes = boxes
         self.registry = registry
         self.metrics = Metrics(spec.name for spec in config.settings.classes)
-        self.loop_lag = Presence()  # reports no lag until a test starts it
+        self.loop_lag = LoopLagMonitor()  # reports no lag until a test starts it
         self.pool = Pool(
             sockets // 2, config.dial_timeout_ms, config.conn_idle_ms, self.metrics, self.loop_lag
         )
@@ -195,9 +195,9 @@
         self.frontend = Frontend(
             self.node, listener, clients, 1 << 20, leave=leave, loop_lag=self.loop_lag
         )
-        self.discovery = Discovery(self.node, self.pool, config.discovery, presence=self.loop_lag)
+        self.discovery = Discovery(self.node, self.pool, config.discovery, loop_lag=self.loop_lag)
         self.node.follow = self.discovery.follow
-        self.node.list_unread = self.discovery.unread
+        self.node.list_unread = self.discovery.has_unread_input
 
     @property
     def port(self) -> int:
--- a/tests/test_departures.py
+++ b/tests/test_departures.py
@@ -1,7 +1,7 @@
-"""A client that leaves while its request waits: nothing of it is sent on, wherever it waits and however the client goes.
+"""A client that leaves while its request waits: the request is not forwarded, wherever it waits.
 
-What the kernel holds when the node next runs is arranged without giving it a turn in between (plain sockets, used between two awaits),
-so that each order happens every time.
+The clients use plain sockets between two awaits, so that the node does not run in between. What the
+kernel holds when the node next runs is therefore the same in every run.
 """
 
 from __future__ import annotations
@@ -22,16 +22,17 @@
 from corkshift.upstream import MIN_IDLE_MS
 from forkweir.choice import HEDGE_MIN
 
-HOWS = ["end", "reset"]
-BEFORE = [
+CLOSINGS = ["end", "reset"]
+# Bytes sent before the connection ends.
+BYTES_BEFORE_END = [
     b"",
     b"\r\n",
     b"GET /api/k HTTP/1.1\r\nHost: x\r\nX: " + b"x" * 9_000,
-]  # what else stands before the end
+]
 
 
 def client(made: Rig, data: bytes = b"", receive_buffer: int = 0) -> socket.socket:
-    """A plain client that has sent these bytes; the kernel takes the connection whether or not the node runs."""
+    """A plain client that has sent these bytes; the kernel accepts it without the node."""
     sock = socket.socket()
     if receive_buffer:
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, receive_buffer)
@@ -40,17 +41,17 @@
     return sock
 
 
-def leave(sock: socket.socket, how: str, before: bytes = b"") -> None:
-    """The client goes, by an end of its stream or by a reset. (A reset throws away what stands before it.)"""
+def leave(sock: socket.socket, closing: str, before: bytes = b"") -> None:
+    """Close the client's connection, or reset it, which discards unread bytes before it."""
     if before:
         sock.sendall(before)
-    if how == "reset":
+    if closing == "reset":
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     sock.close()
 
 
-async def warmed(made: Rig) -> None:
-    """An idle connection to each cache server that may be used at once: nothing that is sent on waits for a dial."""
+async def open_idle_connections(made: Rig) -> None:
+    """Open an idle connection to each cache server, so that no request waits for a connect."""
     for server in made.node.servers.values():
         made.pool.keep(server, await made.pool.connect(server))
     await until(
@@ -67,29 +68,29 @@
     return await asyncio.get_running_loop().sock_recv(sock, size)
 
 
-async def kept(made: Rig) -> socket.socket:
-    """A client on whose connection a request has been answered."""
+async def persistent_client(made: Rig) -> socket.socket:
+    """A client that has had a request answered on its connection."""
     sock = client(made, request("before", path="/api/before"))
     assert b"200" in await read(sock)
     return sock
 
 
-def asked(made: Rig) -> list[bytes]:
-    """The paths that cache servers were asked for, but for what `kept` asks."""
+def requested_paths(made: Rig) -> list[bytes]:
+    """The paths requested from cache servers, except that of `persistent_client`."""
     paths = [head.split(b" ")[1] for box in made.boxes.values() for head in box.heads]
     return [path for path in paths if path != b"/api/before"]
 
 
-async def settled(made: Rig) -> None:
-    """Until nothing is open or out, and a while more."""
+async def wait_idle(made: Rig) -> None:
+    """Wait until no request or attempt is open, and 20 loop iterations more."""
     await until(lambda: not (made.node._calls or made.node._attempts or made.node._balancer.held))
     for _ in range(20):
         await asyncio.sleep(0)
 
 
 @asynccontextmanager
-async def dials_wait(monkeypatch: pytest.MonkeyPatch) -> AsyncIterator[Callable[[], None]]:
-    """Connections to cache servers come up only once what is given here is called."""
+async def delayed_connects(monkeypatch: pytest.MonkeyPatch) -> AsyncIterator[Callable[[], None]]:
+    """Connects to cache servers complete only once the function yielded here is called."""
     opened, connect = asyncio.Event(), seam.connect
 
     async def slow(sock: Any, address: Any) -> None:
@@ -101,98 +102,110 @@
         yield opened.set
 
 
-@pytest.mark.parametrize("before", BEFORE, ids=["bare", "line", "half"])
-@pytest.mark.parametrize("how", HOWS)
-def test_behind_a_slow_dial(monkeypatch: pytest.MonkeyPatch, how: str, before: bytes) -> None:
+@pytest.mark.parametrize("before", BYTES_BEFORE_END, ids=["bare", "line", "half"])
+@pytest.mark.parametrize("closing", CLOSINGS)
+def test_during_a_slow_connect(
+    monkeypatch: pytest.MonkeyPatch, closing: str, before: bytes
+) -> None:
     async def test() -> None:
-        async with rig({"s0": CacheBox()}) as made, dials_wait(monkeypatch) as come_up:
+        async with (
+            rig({"s0": CacheBox()}) as made,
+            delayed_connects(monkeypatch) as complete_connects,
+        ):
             sock = client(made, request("a"))
             await until(lambda: bool(made.node._running))
-            leave(sock, how, before)
+            leave(sock, closing, before)
             await until(lambda: not made.node._calls)
-            come_up()
-            await settled(made)
-            assert asked(made) == []
+            complete_connects()
+            await wait_idle(made)
+            assert requested_paths(made) == []
 
     run_async(test)
 
 
-def test_behind_a_slow_dial_that_comes_up_in_the_moment_of_the_leaving(
+def test_during_a_slow_connect_that_completes_as_the_client_leaves(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # The connection is up, and the client's end in the kernel, when the node next runs.
+    # When the node next runs, the connect has completed and the client's end is in the kernel.
     async def test() -> None:
-        async with rig({"s0": CacheBox()}) as made, dials_wait(monkeypatch) as come_up:
+        async with (
+            rig({"s0": CacheBox()}) as made,
+            delayed_connects(monkeypatch) as complete_connects,
+        ):
             sock = client(made, request("a"))
             await until(lambda: bool(made.node._running))
             made.node._calls[1].since_ms -= 400.0
-            come_up()
+            complete_connects()
             leave(sock, "end")
-            await settled(made)
-            assert asked(made) == []
+            await wait_idle(made)
+            assert requested_paths(made) == []
 
     run_async(test)
 
 
-@pytest.mark.parametrize("how", HOWS)
-def test_behind_a_refused_dial(how: str) -> None:
+@pytest.mark.parametrize("closing", CLOSINGS)
+def test_after_a_refused_connect(closing: str) -> None:
     async def test() -> None:
         box = CacheBox()
         async with rig({"s0": box, "s1": CacheBox()}) as made:
             box.close()
             socks = [client(made, request(f"a{n}", path=f"/api/{n}")) for n in range(12)]
             for sock in socks:
-                leave(sock, how)
-            await settled(made)
-            assert asked(made) == []
+                leave(sock, closing)
+            await wait_idle(made)
+            assert requested_paths(made) == []
 
     run_async(test)
 
 
-@pytest.mark.parametrize("how", HOWS)
-def test_a_burst_of_a_hundred_that_leave_together(
-    monkeypatch: pytest.MonkeyPatch, how: str
+@pytest.mark.parametrize("closing", CLOSINGS)
+def test_a_hundred_clients_that_leave_together(
+    monkeypatch: pytest.MonkeyPatch, closing: str
 ) -> None:
     async def test() -> None:
         async with (
             rig({"s0": CacheBox(), "s1": CacheBox()}, 512) as made,
-            dials_wait(monkeypatch) as come_up,
+            delayed_connects(monkeypatch) as complete_connects,
         ):
             socks = [client(made, request(f"a{n}", path=f"/api/{n}")) for n in range(100)]
             await until(lambda: len(made.node._running) == 100)
             for sock in socks:
-                leave(sock, how)
-            come_up()
-            await settled(made)
-            assert asked(made) == []
+                leave(sock, closing)
+            complete_connects()
+            await wait_idle(made)
+            assert requested_paths(made) == []
 
     run_async(test)
 
 
 @pytest.mark.parametrize(
-    "before", [*BEFORE, b"\r\n" * 35_000], ids=["bare", "line", "half", "more-than-a-read"]
+    "before",
+    [*BYTES_BEFORE_END, b"\r\n" * 35_000],
+    ids=["bare", "line", "half", "more-than-a-read"],
 )
-def test_while_the_node_stood_still_on_a_kept_connection(before: bytes) -> None:
-    # Request and end come in one moment: the end is heard a turn of the loop after the request was read.
+def test_on_a_persistent_connection_while_the_node_is_stalled(before: bytes) -> None:
+    # Request and end arrive together: the end is seen one loop iteration after the request is read.
     async def test() -> None:
         async with rig({"s0": CacheBox()}) as made:
-            sock = await kept(made)
-            await warmed(made)
+            sock = await persistent_client(made)
+            await open_idle_connections(made)
             sock.setblocking(True)
             sock.sendall(request("a"))
             leave(sock, "end", before)
-            await settled(made)
+            await wait_idle(made)
             await until(lambda: not made.frontend._connections)
-            assert asked(made) == []
+            assert requested_paths(made) == []
 
     run_async(test)
 
 
 @pytest.mark.parametrize(
-    "before", [*BEFORE, b"\r\n" * 40_000], ids=["bare", "line", "half", "more-than-a-buffer"]
+    "before",
+    [*BYTES_BEFORE_END, b"\r\n" * 40_000],
+    ids=["bare", "line", "half", "more-than-a-buffer"],
 )
-@pytest.mark.parametrize("how", HOWS)
-def test_in_the_accept_queue(how: str, before: bytes) -> None:
+@pytest.mark.parametrize("closing", CLOSINGS)
+def test_in_the_accept_queue(closing: str, before: bytes) -> None:
     async def test() -> None:
         hold = asyncio.Event()
 
@@ -206,21 +219,20 @@
         async with rig({"s0": box}, clients=1) as made:
             first = client(made, request("first", "Connection: close\r\n", "/api/first"))
             await until(lambda: bool(box.heads))
-            leave(client(made, request("a")), how, before)
+            leave(client(made, request("a")), closing, before)
             hold.set()
             await read(first)
-            after = client(
-                made, request("b", path="/api/after")
-            )  # is taken behind the one that has left
+            # It is accepted after the client that left.
+            after = client(made, request("b", path="/api/after"))
             assert b"200" in await read(after)
-            assert asked(made) == [b"/api/first", b"/api/after"]
+            assert requested_paths(made) == [b"/api/first", b"/api/after"]
 
     run_async(test)
 
 
-@pytest.mark.parametrize("how", HOWS)
-def test_between_two_attempts(how: str) -> None:
-    # The answer that turns the first attempt away and the client's end stand in the kernel together.
+@pytest.mark.parametrize("closing", CLOSINGS)
+def test_between_two_attempts(closing: str) -> None:
+    # The answer that rejects the first attempt and the client's end are in the kernel together.
     async def test() -> None:
         async with rig({"s0": CacheBox(), "s1": CacheBox()}) as made:
             listener = socket.create_server(("127.0.0.1", 0))
@@ -234,11 +246,11 @@
             made.node._calls[1].since_ms -= 400.0
             box.setblocking(True)
             box.sendall(b"HTTP/1.1 503 -\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n")
-            leave(sock, how)
-            await settled(made)
+            leave(sock, closing)
+            await wait_idle(made)
             listener.setblocking(False)
             with pytest.raises(BlockingIOError):
-                listener.accept()  # nothing was dialed for it again
+                listener.accept()  # no second connect
             box.setblocking(False)
             with pytest.raises((BlockingIOError, ConnectionError)):
                 assert box.recv(1) == b""
@@ -249,48 +261,49 @@
     run_async(test)
 
 
-@pytest.mark.parametrize("how", HOWS)
-def test_before_a_second_request_for_what_has_been_out_for_long(how: str) -> None:
-    # A timer is due and the client's end stands in the kernel when a node that stood still runs again: timers come first.
+@pytest.mark.parametrize("closing", CLOSINGS)
+def test_before_a_hedged_request(closing: str) -> None:
+    # A timer is due and the client's end is in the kernel when a stalled node runs again. Timers
+    # run first.
     async def test() -> None:
         async with rig(
             {"s0": CacheBox(lambda head: None), "s1": CacheBox(lambda head: None)}
         ) as made:
-            await warmed(made)
+            await open_idle_connections(made)
             balancer = made.node._balancer
             balancer.hedge_share = HEDGE_MIN
             sock = client(made, request("a", class_name="brisk"))
-            await until(lambda: bool(asked(made)))
-            await warmed(made)
+            await until(lambda: bool(requested_paths(made)))
+            await open_idle_connections(made)
             call = made.node._calls[1]
             call.since_ms -= 400.0
             balancer.hedge_queue[:] = [(0.0, call.id)]
-            leave(sock, how)
+            leave(sock, closing)
             made.node._on_timer(3)
-            assert len(made.node._running) == 2  # the module has asked for it
-            await settled(made)
-            assert len(asked(made)) == 1
+            assert len(made.node._running) == 2  # the decisions started a hedged request
+            await wait_idle(made)
+            assert len(requested_paths(made)) == 1
 
     run_async(test)
 
 
-@pytest.mark.parametrize("how", HOWS)
-def test_behind_an_earlier_answer_on_its_connection(how: str) -> None:
+@pytest.mark.parametrize("closing", CLOSINGS)
+def test_behind_an_earlier_answer_on_its_connection(closing: str) -> None:
     async def test() -> None:
         async with rig({"s0": CacheBox(lambda head: None)}, 256) as made:
             sock = client(made, b"".join(request(f"a{n}", path=f"/api/{n}") for n in range(20)))
-            await until(lambda: len(asked(made)) >= 5)
-            await until(lambda: len(asked(made)) == len(made.node._calls))
-            before = asked(made)
-            leave(sock, how)
-            await settled(made)
-            assert asked(made) == before and len(before) < 20
+            await until(lambda: len(requested_paths(made)) >= 5)
+            await until(lambda: len(requested_paths(made)) == len(made.node._calls))
+            before = requested_paths(made)
+            leave(sock, closing)
+            await wait_idle(made)
+            assert requested_paths(made) == before and len(before) < 20
 
     run_async(test)
 
 
-@pytest.mark.parametrize("how", HOWS)
-def test_behind_a_client_that_does_not_read(monkeypatch: pytest.MonkeyPatch, how: str) -> None:
+@pytest.mark.parametrize("closing", CLOSINGS)
+def test_behind_a_client_that_does_not_read(monkeypatch: pytest.MonkeyPatch, closing: str) -> None:
     async def test() -> None:
         large = whole(b"x" * 1_000_000)
         box = CacheBox(lambda head: large if head.split(b" ")[1] == b"/api/large" else good(head))
@@ -299,42 +312,46 @@
             await until(
                 lambda: any(c._stream._writer is not None for c in made.frontend._connections)
             )
-            async with dials_wait(monkeypatch) as come_up:
+            async with delayed_connects(monkeypatch) as complete_connects:
                 sock.sendall(request("b"))
                 await until(lambda: len(made.node._running) == 2)
-                leave(sock, how)
+                leave(sock, closing)
                 await until(lambda: not made.node._calls)
-                come_up()
-            await settled(made)
-            assert asked(made) == [b"/api/large"]
+                complete_connects()
+            await wait_idle(made)
+            assert requested_paths(made) == [b"/api/large"]
 
     run_async(test)
 
 
-@pytest.mark.parametrize("how", HOWS)
-def test_where_its_end_stands_behind_a_full_buffer(
-    monkeypatch: pytest.MonkeyPatch, how: str
+@pytest.mark.parametrize("closing", CLOSINGS)
+def test_where_its_end_is_behind_a_full_buffer(
+    monkeypatch: pytest.MonkeyPatch, closing: str
 ) -> None:
-    # The reader waits for its place in the queue, the buffer is full, and nobody reads on: the end is in the kernel alone.
+    # The reader waits in the queue with a full buffer and reads no further, so that only the kernel
+    # knows of the end.
     async def test() -> None:
-        async with rig({"s0": CacheBox()}, 256) as made, dials_wait(monkeypatch) as come_up:
+        async with (
+            rig({"s0": CacheBox()}, 256) as made,
+            delayed_connects(monkeypatch) as complete_connects,
+        ):
             sock = client(made, b"".join(request(f"a{n}", path=f"/api/{n}") for n in range(12)))
             await until(lambda: len(made.node._running) >= 5)
             (connection,) = made.frontend._connections
             sock.sendall(b"\r\n" * 45_000)
             await until(lambda: connection.reading_paused)
-            leave(sock, how)
-            await until(lambda: not made.node._calls)  # the sweep looks
-            come_up()
-            await settled(made)
-            assert asked(made) == []
+            leave(sock, closing)
+            await until(lambda: not made.node._calls)  # found by the periodic sweep
+            complete_connects()
+            await wait_idle(made)
+            assert requested_paths(made) == []
 
     run_async(test)
 
 
-@pytest.mark.parametrize("how", HOWS)
+@pytest.mark.parametrize("closing", CLOSINGS)
 @pytest.mark.parametrize("size", [200, 200_000], ids=["held", "too-large-to-hold"])
-def test_in_the_middle_of_its_body(how: str, size: int) -> None:
+def test_in_the_middle_of_its_body(closing: str, size: int) -> None:
     async def test() -> None:
         async with rig({"s0": CacheBox()}) as made:
             head = request(
@@ -345,18 +362,23 @@
             )
             sock = client(made, head + b"x" * (size - 1))
             await until(lambda: bool(made.frontend._connections))
-            leave(sock, how)
+            leave(sock, closing)
             await until(lambda: not made.frontend._connections)
-            await settled(made)
-            assert asked(made) == []
+            await wait_idle(made)
+            assert requested_paths(made) == []
 
     run_async(test)
 
 
-@pytest.mark.parametrize("how", HOWS)
-def test_with_a_large_body_behind_a_slow_dial(monkeypatch: pytest.MonkeyPatch, how: str) -> None:
+@pytest.mark.parametrize("closing", CLOSINGS)
+def test_with_a_large_body_during_a_slow_connect(
+    monkeypatch: pytest.MonkeyPatch, closing: str
+) -> None:
     async def test() -> None:
-        async with rig({"s0": CacheBox()}) as made, dials_wait(monkeypatch) as come_up:
+        async with (
+            rig({"s0": CacheBox()}) as made,
+            delayed_connects(monkeypatch) as complete_connects,
+        ):
             head = request(
                 "a",
                 "Content-Length: 200000\r\nIdempotency-Key: k\r\n",
@@ -365,20 +387,20 @@
             )
             sock = client(made, head + b"x" * 150_000)
             await until(lambda: bool(made.node._running))
-            leave(sock, how)
+            leave(sock, closing)
             await until(lambda: not made.node._calls)
-            come_up()
-            await settled(made)
-            assert asked(made) == []
+            complete_connects()
+            await wait_idle(made)
+            assert requested_paths(made) == []
 
     run_async(test)
 
 
-def test_no_socket_left_is_answered_at_once_and_waits_nowhere() -> None:
+def test_a_request_without_a_free_socket_is_answered_at_once() -> None:
     async def test() -> None:
         async with rig({"s0": CacheBox(lambda head: None)}, sockets=8, clients=64) as made:
             socks = [client(made, request(f"a{n}", path=f"/api/{n}")) for n in range(4)]
-            await until(lambda: len(asked(made)) == 4)
+            await until(lambda: len(requested_paths(made)) == 4)
             assert b"503" in await made.ask("b")
             for sock in socks:
                 leave(sock, "end")
@@ -386,26 +408,26 @@
     run_async(test)
 
 
-def test_what_was_sent_stays_known_after_its_client_left() -> None:
-    # Its id is not served again while it may still run.
+def test_a_forwarded_request_stays_known_after_its_client_left() -> None:
+    # Its transaction id is not served again while the request may still run.
     async def test() -> None:
         async with rig({"s0": CacheBox(lambda head: None)}) as made:
             sock = client(
                 made, request("a", "Content-Length: 0\r\n", class_name="order", method="PUT")
             )
-            await until(lambda: bool(asked(made)))
+            await until(lambda: bool(requested_paths(made)))
             leave(sock, "end")
-            await settled(made)
+            await wait_idle(made)
             assert b"409" in await made.ask(
                 "a", "Content-Length: 0\r\n", class_name="order", method="PUT"
             )
-            assert len(asked(made)) == 1
+            assert len(requested_paths(made)) == 1
 
     run_async(test)
 
 
-def test_a_client_that_is_there_is_looked_at_and_served() -> None:
-    # Bytes behind a request are no end.
+def test_a_connected_client_is_served() -> None:
+    # Bytes after a request are not an end of the connection.
     async def test() -> None:
         async with rig({"s0": CacheBox()}) as made:
             sock = client(made, request("a") + b"GET /api/later HTTP/1.1\r\n")
--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -95,7 +95,7 @@
         )
         process.reading = asyncio.create_task(process._read_log())
         try:
-            await process.served("start")
+            await process.wait_served("start")
             pid = process.process.pid
             if breach:
                 await until(lambda: any("BREACH" in line for line in process.log))
--- a/tests/test_lost_lines.py
+++ b/tests/test_lost_lines.py
@@ -1,4 +1,6 @@
-"""Lines of the list that are lost in part, over loopback sockets: drains are kept all the same, and nothing more is taken away."""
+"""Partial and corrupt lines of the list on loopback sockets: their drains are still applied, and no
+other server is removed.
+"""
 
 from __future__ import annotations
 
@@ -15,21 +17,20 @@
 from testbed.systems.standins import SPOIL_HOWS, SPOILT_BY, Spoil
 
 NAMES = ("s0", "s1", "s2", "s3", "s4")
-WAIT_MS = (
-    300.0  # the shortest wait of a call after an ordinary failure here (0.3 of 0.05 x 2 x 10 s)
-)
+# The shortest pause before a call after an ordinary failure here: 0.3 of 0.05 x 2 x 10 s.
+WAIT_MS = 300.0
 
 
 def boxes() -> dict[str, CacheBox]:
     return {name: CacheBox() for name in NAMES}
 
 
-def patient(made: Rig) -> None:
-    """As at a site that wants discovery asked within 10 s: what is not asked at once is asked much later."""
+def use_slow_polling(made: Rig) -> None:
+    """Require calls within 10 s only, so that a call not made at once is made much later."""
     made.node._balancer.polling._within_ms = 10_000.0
 
 
-def drains(made: Rig, name: str) -> dict[str, object]:
+def draining_entry(made: Rig, name: str) -> dict[str, object]:
     return entry(name, made.boxes[name].port, "terminating")
 
 
@@ -39,30 +40,27 @@
 
 @pytest.mark.parametrize("how", SPOIL_HOWS)
 @pytest.mark.parametrize("answers", [True, False])
-def test_a_drain_in_a_line_that_is_lost_in_part_is_kept(how: str, answers: bool) -> None:
+def test_a_drain_in_a_partial_or_corrupt_line_is_applied(how: str, answers: bool) -> None:
     async def test() -> None:
-        async with rig(
-            boxes(), 512
-        ) as made:  # room for all that is asked at once, however slow the machine
-            patient(made)
+        # Enough sockets for all requests at once, however slow the machine.
+        async with rig(boxes(), 512) as made:
+            use_slow_polling(made)
             made.registry.refusing = not answers
             fresh = CacheBox()
             fresh.listen()
-            first, second = (
-                drains(made, "s1"),
-                entry("s9", fresh.port),
-            )  # the line is spoilt behind its first entry
+            # The line is corrupt after its first entry.
+            first, second = (draining_entry(made, "s1"), entry("s9", fresh.port))
             made.registry.spoils.append(Spoil(how, 260, SPOILT_BY[4]))
             made.registry.change(first, "terminating")
             made.registry.spoils.append(Spoil(how, 260, SPOILT_BY[4]))
-            made.registry.tell([drains(made, "s3"), second])
+            made.registry.tell([draining_entry(made, "s3"), second])
             await until(lambda: "s1" not in serving(made))
             if answers:
                 await until(lambda: serving(made) == {*NAMES, "s9"} - {"s1", "s3"})
-                await until(lambda: not made.discovery.book._hearsay.held_back)
+                await until(lambda: not made.discovery.address_book._unconfirmed.held_back)
             else:
                 assert {"s0", "s2", "s4"} <= serving(made) < set(NAMES)
-            assert ("s9" in made.node.servers) == answers  # nobody is added by a line that is lost
+            assert ("s9" in made.node.servers) == answers  # a corrupt line adds no server
             before = {name: len(box.heads) for name, box in made.boxes.items()}
             got = await asyncio.gather(*(made.ask(f"a{n}", path=f"/api/{n}") for n in range(60)))
             assert {status(answer) for answer in got} == {200}
@@ -73,35 +71,35 @@
     run_async(test)
 
 
-def test_the_next_call_goes_out_at_once_and_the_old_watch_stays_until_it_is_answered() -> None:
-    # Guards against what discovery writes to a watch that is hung up on meanwhile, which counts as told.
+def test_the_next_call_is_made_at_once_and_the_old_watch_is_read_until_it_is_answered() -> None:
+    # Guards against closing the old watch at once: what discovery writes to it meanwhile counts as
+    # notified.
     async def test() -> None:
         async with rig(boxes()) as made:
-            patient(made)
+            use_slow_polling(made)
             made.registry.mute = True
             asked, at = len(made.registry.asked), now_ms()
             made.registry.tell_raw(b"no list\n")
             await until(lambda: len(made.registry.asked) > asked)
             assert now_ms() - at < WAIT_MS
-            made.registry.change(drains(made, "s2"), "terminating")
+            made.registry.change(draining_entry(made, "s2"), "terminating")
             await until(lambda: "s2" not in serving(made))
-            assert len(made.registry.watches) == 1 and made.discovery.book._hearsay.held_back == (
-                "s2",
-            )
+            assert len(
+                made.registry.watches
+            ) == 1 and made.discovery.address_book._unconfirmed.held_back == ("s2",)
             made.registry.mute = False
-            made.registry.change(
-                entry("s2", made.boxes["s2"].port)
-            )  # back in service: only a sound line may say so
+            # Back in service: only a valid line may say so.
+            made.registry.change(entry("s2", made.boxes["s2"].port))
             await asyncio.sleep(0.05)
             assert "s2" not in serving(made)
             made.discovery.move(("127.0.0.1", made.registry.port))
             await until(lambda: "s2" in serving(made))
-            await until(lambda: len(made.registry.watches) == 1 and not made.discovery._fading)
+            await until(lambda: len(made.registry.watches) == 1 and not made.discovery._retiring)
 
     run_async(test)
 
 
-def test_a_server_that_a_broken_entry_names_is_held_back_for_a_while_alone(
+def test_a_server_named_by_a_broken_entry_is_held_back_for_a_limited_time(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr("forkweir.known.unconfirmed.UNREADABLE_TIMEOUT_MS", 200.0)
@@ -109,32 +107,32 @@
 
     async def test() -> None:
         async with rig(boxes()) as made:
-            patient(made)
+            use_slow_polling(made)
             made.registry.refusing = True
             made.registry.spoils.append(Spoil("cut", 120))
-            made.registry.change(drains(made, "s4"), "terminating")
+            made.registry.change(draining_entry(made, "s4"), "terminating")
             await until(lambda: serving(made) == {"s0", "s1", "s2", "s3"})
             await until(lambda: serving(made) == set(NAMES))
 
     run_async(test)
 
 
-def test_the_last_server_is_not_taken_by_a_line_that_can_not_be_read() -> None:
+def test_the_last_server_is_not_removed_by_an_unreadable_line() -> None:
     async def test() -> None:
         async with rig(boxes()) as made:
             made.registry.refusing = True
             made.registry.spoils.append(Spoil("before", 0))
-            made.registry.tell([drains(made, name) for name in NAMES])
+            made.registry.tell([draining_entry(made, name) for name in NAMES])
             await until(lambda: len(serving(made)) == 1)
             assert status(await made.ask("a")) == 200
             made.registry.refusing = False
-            made.discovery.move(("127.0.0.1", made.registry.port))  # which knows of no drain
+            made.discovery.move(("127.0.0.1", made.registry.port))  # whose list has no drain
             await until(lambda: serving(made) == set(NAMES))
 
     run_async(test)
 
 
-def test_what_the_old_place_takes_away_is_heeded_until_the_new_one_answers() -> None:
+def test_removals_by_the_old_address_are_applied_until_the_new_one_answers() -> None:
     async def test() -> None:
         async with rig(boxes()) as made:
             new = Registry(made.boxes)
@@ -142,7 +140,7 @@
             new.start()
             made.discovery.move(("127.0.0.1", new.port))
             await until(lambda: len(new.asked) == 1)
-            made.registry.tell([drains(made, "s0"), entry("s9", 9)])
+            made.registry.tell([draining_entry(made, "s0"), entry("s9", 9)])
             await until(lambda: "s0" not in serving(made))
             assert "s9" not in made.node.servers and len(made.registry.watches) == 1
             await new.stop()
@@ -150,37 +148,36 @@
     run_async(test)
 
 
-def test_a_service_that_spoils_every_line_is_not_asked_faster_for_it() -> None:
+def test_a_service_that_corrupts_every_line_is_not_polled_faster() -> None:
     async def test() -> None:
         async with rig(boxes()) as made:
-            patient(made)
-            await asyncio.sleep(0.31)  # by now a node would have made its first call by itself
+            use_slow_polling(made)
+            await asyncio.sleep(0.31)  # a node would have made its first call by now
             asked, begin = len(made.registry.asked), asyncio.get_running_loop().time()
 
-            async def spoil() -> None:
+            async def corrupt() -> None:
                 while True:
                     made.registry.tell_raw(b"{\n")
                     await asyncio.sleep(0.002)
 
-            spoiling = asyncio.create_task(spoil())
-            await until(
-                lambda: len(made.registry.asked) > asked + 2
-            )  # the third waits like any other
+            corrupting = asyncio.create_task(corrupt())
+            # The third call waits the ordinary pause.
+            await until(lambda: len(made.registry.asked) > asked + 2)
             assert asyncio.get_running_loop().time() - begin > WAIT_MS / 1000.0
-            spoiling.cancel()
-            await until(lambda: len(made.discovery._fading) <= discovery.FADING_MOST)
+            corrupting.cancel()
+            await until(lambda: len(made.discovery._retiring) <= discovery.MAX_RETIRING)
 
     run_async(test)
 
 
-# What a watch has been through, as (ms before a drain is told without framing, what comes then), on the virtual clock.
+# The history of a watch: (ms before a drain arrives without framing, the fault then), virtual time.
 HALF, NO_LIST = 7.0, 0.0
 STATES: dict[str, list[tuple[float, float]]] = {
     "idle": [],
     "in a line": [(0.5, HALF)],
     "in its pause": [(60.0, HALF)],
     "after its pause": [(150.0, HALF)],
-    "given up": [(watch.STUCK_S * 1000.0 + 120.0, HALF)],
+    "given up": [(watch.LINE_TIMEOUT_S * 1000.0 + 120.0, HALF)],
     "fading": [(20.0, NO_LIST)],
     "fading in a line": [(20.0, NO_LIST), (0.5, HALF)],
 }
@@ -188,7 +185,7 @@
 
 @pytest.mark.parametrize("missed", ["discovery_refuse", "discovery_mute"])
 @pytest.mark.parametrize("state", STATES)
-def test_a_drain_is_kept_where_framing_is_lost_in_any_state_of_a_watch(
+def test_a_drain_is_applied_where_framing_is_lost_in_any_state_of_a_watch(
     state: str, missed: str
 ) -> None:
     at = 2_000.0
@@ -202,7 +199,7 @@
         ),
         Fault(at_ms=at, kind="box_drain", target=1, for_ms=50.0),
     ]
-    # The calls that would tell the drain anew fail for longer than it may take.
+    # Calls that would deliver the drain again fail for longer than the drain may take.
     refused = Fault(at_ms=min(fault.at_ms for fault in faults) - 0.1, kind=missed, for_ms=1_600.0)  # type: ignore[arg-type]
     world = World(
         seconds=3.0, nodes=1, boxes=3, requests_per_s=150.0, keys=20, latency_us=50, jitter_us=0
@@ -212,11 +209,12 @@
     assert any("held back until a whole list comes: s1" in line for line in result.lines)
 
 
-def test_a_line_that_can_not_be_read_takes_the_last_server_from_no_later_list_either() -> None:
-    # Guards against claims of a garbled line, with whatever generation it states, that outrank the next whole list and empty the set.
+def test_an_unreadable_line_does_not_remove_the_last_server_from_a_later_list() -> None:
+    # Guards against entries of a corrupt line, whatever its generation, that outrank the next whole
+    # list and leave no server in service.
     async def test() -> None:
         async with rig(boxes()) as made:
-            entries = ", ".join(json.dumps(drains(made, name)) for name in NAMES)
+            entries = ", ".join(json.dumps(draining_entry(made, name)) for name in NAMES)
             made.registry.tell_raw(
                 b'{"generation": 999999, "reset": false, "instances": ['
                 + entries.encode()
@@ -224,35 +222,34 @@
             )
             await until(lambda: len(serving(made)) == 1)
             last = serving(made)
-            await until(
-                lambda: bool(made.discovery.book._overruled)
-            )  # the next whole list has come
+            # The next whole list has arrived.
+            await until(lambda: bool(made.discovery.address_book._superseded))
             assert serving(made) == last and status(await made.ask("a")) == 200
 
     run_async(test)
 
 
-def test_a_server_out_by_a_departure_alone_comes_back_once_that_has_lapsed(
+def test_a_superseded_server_is_reinstated_once_its_departure_expires(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr("forkweir.known.departures.HOLD_MS", 400.0)
-    monkeypatch.setattr(address_book, "REINSTATE_S", 0.05)
+    monkeypatch.setattr(address_book, "REINSTATE_INTERVAL_S", 0.05)
 
     async def test() -> None:
         async with rig(boxes()) as made:
             made.registry.generation = 50
-            made.registry.change(drains(made, "s1"), "terminating")
-            gone = made.registry.entries["s2"]
-            made.registry.change(gone, "terminated")
+            made.registry.change(draining_entry(made, "s1"), "terminating")
+            removed_entry = made.registry.entries["s2"]
+            made.registry.change(removed_entry, "terminated")
             await until(lambda: serving(made) == set(NAMES) - {"s1", "s2"})
             behind = Registry(made.boxes)
             behind.start()
             at = now_ms()
             made.discovery.move(("127.0.0.1", behind.port))
-            await until(lambda: len(made.discovery.book._overruled) == 2)
+            await until(lambda: len(made.discovery.address_book._superseded) == 2)
             assert serving(made) == set(NAMES) - {"s1", "s2"}
             await until(lambda: serving(made) == set(NAMES))
-            assert now_ms() - at > 300.0 and not made.discovery.book._overruled
+            assert now_ms() - at > 300.0 and not made.discovery.address_book._superseded
             await behind.stop()
 
     run_async(test)
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -1,4 +1,4 @@
-"""The process over loopback sockets: its start, its signals, its end."""
+"""The node's process on loopback sockets: startup, signals and exit."""
 
 from __future__ import annotations
 
@@ -28,28 +28,28 @@
 
 
 def stat(path: Path) -> list[str]:
-    """What the kernel tells of a process or thread, from its state on."""
+    """The fields of /proc/.../stat of a process or thread, from its state on."""
     return (path / "stat").read_text().rpartition(")")[2].split()
 
 
 def states(pid: int) -> list[str]:
-    """The states of a process's threads, those that the kernel runs for it among them."""
+    """The states of a process's threads, kernel threads that work for it included."""
     return [stat(path)[0] for path in Path(f"/proc/{pid}/task").iterdir()]
 
 
 def cpu_s(pid: int) -> float:
-    """The CPU time of all these threads."""
+    """The CPU time of all these threads, in seconds."""
     return sum(map(int, stat(Path(f"/proc/{pid}"))[11:13])) / os.sysconf("SC_CLK_TCK")
 
 
 class Process:
-    """A node started as `run` starts it."""
+    """A node process, started by `python -m corkshift`."""
 
     def __init__(self, path: Path, registry: Registry | None, port: int = 0) -> None:
         self.path = path
         self.port = port or free_port()
-        self.more: dict[str, str] = {}  # of the environment
-        self.descriptors: tuple[int, ...] = ()  # that it inherits
+        self.extra_environ: dict[str, str] = {}  # further environment variables
+        self.descriptors: tuple[int, ...] = ()  # inherited file descriptors
         self.config: dict[str, Any] = {
             "name": "n0",
             "listen": f"127.0.0.1:{self.port}",
@@ -69,7 +69,7 @@
             **os.environ,
             "PROXY_CONFIG": str(self.path),
             "PROXY_DISCOVERY": self.config["discovery"],
-            **self.more,
+            **self.extra_environ,
         }
         self.process = await asyncio.create_subprocess_exec(
             sys.executable,
@@ -100,8 +100,8 @@
     async def ask(self, txn: str, path: str = "/api/k") -> bytes:
         return await self.send(request(txn, "Connection: close\r\n", path))
 
-    async def served(self, name: str) -> None:
-        """Ask until the node serves: it has heard of a cache server by then."""
+    async def wait_served(self, name: str) -> None:
+        """Send requests until one is served, so that the node has received a list."""
         n = 0
         while status(await self.ask(f"{name}-{n}")) != 200:
             n += 1
@@ -112,7 +112,7 @@
 async def running(
     path: Path,
     box: CacheBox,
-    more: dict[str, str] | None = None,
+    extra_environ: dict[str, str] | None = None,
     descriptors: tuple[int, ...] = (),
     port: int = 0,
 ) -> AsyncIterator[tuple[Process, Registry]]:
@@ -120,11 +120,11 @@
     registry = Registry({"s0": box})
     registry.start()
     process = Process(path, registry, port)
-    process.more, process.descriptors = more or {}, descriptors
+    process.extra_environ, process.descriptors = extra_environ or {}, descriptors
     process.write()
     await process.start()
     try:
-        await process.served("start")
+        await process.wait_served("start")
         yield process, registry
     finally:
         if process.process.returncode is None:
@@ -133,8 +133,9 @@
         await process.reading
 
 
-def test_being_stopped_and_continued_costs_no_cpu(tmp_path: Path) -> None:
-    # Guards against a kernel thread that polls for 14 ms after each stop: a node held to a part of a core is stopped often.
+def test_sigstop_and_sigcont_cost_no_cpu(tmp_path: Path) -> None:
+    # Guards against a kernel thread that polls for 14 ms after each stop: a node limited to a part
+    # of a core is stopped often.
     async def test() -> None:
         async with running(tmp_path / "config.json", CacheBox()) as (process, _):
             pid = process.process.pid
@@ -143,15 +144,16 @@
                 process.process.send_signal(signal.SIGSTOP)
                 await until(lambda: set(states(pid)) == {"T"})
                 process.process.send_signal(signal.SIGCONT)
-                await until(lambda: set(states(pid)) == {"S"})  # what polls has come to rest too
+                # Kernel threads that poll are idle too.
+                await until(lambda: set(states(pid)) == {"S"})
             assert cpu_s(pid) - before < 0.005 * STOPS
             assert status(await process.ask("after")) == 200
 
     run_async(test)
 
 
-def test_sighup_moves_discovery_and_keeps_what_is_open(tmp_path: Path) -> None:
-    # Guards against SIGHUP ending the process, and against a list that stays with the old place.
+def test_sighup_moves_discovery_and_keeps_open_requests(tmp_path: Path) -> None:
+    # Guards against SIGHUP ending the process, and against a list from the old address.
     async def test() -> None:
         held: list[bytes] = []
         box, fresh = (
@@ -184,7 +186,7 @@
 def test_a_reload_of_a_bad_file_changes_nothing_but_the_log(
     tmp_path: Path, text: str | None
 ) -> None:
-    # Guards against a slip in the file taking a node out of service.
+    # Guards against a mistake in the file that takes a node out of service.
     async def test() -> None:
         async with running(tmp_path / "config.json", CacheBox()) as (process, registry):
             before = len(process.log)
@@ -198,8 +200,8 @@
     run_async(test)
 
 
-def test_sigterm_answers_what_is_open_and_ends_with_zero(tmp_path: Path) -> None:
-    # Guards against a planned restart that loses what the node has taken.
+def test_sigterm_answers_open_requests_and_exits_with_zero(tmp_path: Path) -> None:
+    # Guards against a planned restart that loses accepted requests.
     async def test() -> None:
         heads: list[bytes] = []
         release = asyncio.Event()
@@ -215,9 +217,8 @@
             slow = asyncio.create_task(process.send(request("slow", path="/slow")))
             await until(lambda: len(heads) == 1)
             process.process.send_signal(signal.SIGTERM)
-            late = await process.send(
-                request("late")
-            )  # still taken, and told that the connection ends
+            # Still accepted, and answered with Connection: close.
+            late = await process.send(request("late"))
             assert status(late) == 200 and b"connection: close" in late.lower()
             release.set()
             assert status(await slow) == 200
@@ -227,7 +228,7 @@
 
 
 @pytest.mark.parametrize("text", [None, "{", '{"listen": "127.0.0.1:0"}', "[]"])
-def test_a_bad_file_at_the_start_ends_the_process_with_one_line(
+def test_a_bad_file_at_startup_ends_the_process_with_one_line(
     tmp_path: Path, text: str | None
 ) -> None:
     async def test() -> None:
--- a/tests/test_silence.py
+++ b/tests/test_silence.py
@@ -1,4 +1,4 @@
-"""Cache servers that say nothing or turn bad, over loopback sockets: what is asked once more, and who is put out or spared."""
+"""Unresponsive and failing cache servers on loopback sockets: hedged requests and ejections."""
 
 from __future__ import annotations
 
@@ -16,8 +16,8 @@
 from forkweir.fleet import Member
 
 
-def silent_once() -> Callable[[bytes], Optional[bytes]]:
-    """Leaves the first request without an answer, whichever server gets it."""
+def unresponsive_once() -> Callable[[bytes], Optional[bytes]]:
+    """A script that leaves the first request unanswered, whichever server gets it."""
     heads: list[bytes] = []
 
     def script(head: bytes) -> Optional[bytes]:
@@ -31,59 +31,61 @@
     return made.node._balancer.fleet.members[name]
 
 
-def out(made: Rig, name: str) -> int:
-    """How many times a server was put out, for silence or for how it did, since it last answered well."""
+def ejections(made: Rig, name: str) -> int:
+    """How often a server was ejected, for silence or for errors, since its last good answer."""
     return member(made, name).ejections + member(made, name).suspicion.detections
 
 
-def settled(made: Rig) -> None:
-    """As after many quick answers: what is out for long stands out early."""
+def use_low_hedge_threshold(made: Rig) -> None:
+    """Set the hedge delay as after many quick answers, so that slow requests are hedged early."""
     made.node._balancer.hedge_share = HEDGE_MIN
 
 
-def asked(made: Rig) -> int:
+def received_requests(made: Rig) -> int:
     return sum(len(box.heads) for box in made.boxes.values())
 
 
-@pytest.mark.parametrize(("lane", "method"), [("brisk", "GET"), ("pay", "PUT")])
-def test_what_may_be_repeated_is_asked_once_more_before_its_time_is_up(
-    lane: str, method: str
-) -> None:
-    # Guards against an attempt that waits for its whole time on a connection gone silent.
+@pytest.mark.parametrize(("class_name", "method"), [("brisk", "GET"), ("pay", "PUT")])
+def test_a_retryable_request_is_hedged_before_its_timeout(class_name: str, method: str) -> None:
+    # Guards against an attempt that waits for its whole deadline on an unresponsive connection.
     async def test() -> None:
-        script = silent_once()
+        script = unresponsive_once()
         async with rig({"s0": CacheBox(script), "s1": CacheBox(script)}) as made:
-            settled(made)
+            use_low_hedge_threshold(made)
             answer = await made.ask(
-                "a", "Idempotency-Key: k\r\nContent-Length: 0\r\n", class_name=lane, method=method
+                "a",
+                "Idempotency-Key: k\r\nContent-Length: 0\r\n",
+                class_name=class_name,
+                method=method,
             )
-            assert status(answer) == 200 and asked(made) == 2
-            # The one that has not answered is given up, and nothing of it stays.
+            assert status(answer) == 200 and received_requests(made) == 2
+            # The unanswered attempt is cancelled and leaves no state behind.
             await until(lambda: not made.node._attempts and not made.node._balancer.held)
             await until(lambda: sum(box.open for box in made.boxes.values()) == 1)
 
     run_async(test)
 
 
-def test_what_may_not_be_repeated_is_asked_once() -> None:
-    # Guards against one effect twice.
+def test_an_unsafe_request_is_sent_once() -> None:
+    # Guards against executing one request twice.
     async def test() -> None:
-        script = silent_once()
+        script = unresponsive_once()
         async with rig({"s0": CacheBox(script), "s1": CacheBox(script)}) as made:
-            settled(made)
+            use_low_hedge_threshold(made)
             assert (
                 status(
                     await made.ask("a", "Content-Length: 0\r\n", class_name="once", method="PUT")
                 )
                 == 502
             )
-            assert asked(made) == 1
+            assert received_requests(made) == 1
 
     run_async(test)
 
 
-def test_a_server_gone_silent_is_put_out_and_tried_with_one_request_at_a_time() -> None:
-    # Guards against a server that hangs while the list names it, whose keys all wait for their whole time.
+def test_an_unresponsive_server_is_ejected_and_probed_with_one_request_at_a_time() -> None:
+    # Guards against a listed server that hangs, so that requests for its keys wait for their whole
+    # deadline.
     async def test() -> None:
         mute = [True]
         boxes = {
@@ -91,17 +93,19 @@
             **{f"s{n}": CacheBox() for n in range(1, 6)},
         }
         async with rig(boxes) as made:
-            settled(made)
+            use_low_hedge_threshold(made)
             n = 0
-            while not out(made, "s0"):
+            while not ejections(made, "s0"):
                 keys = range(n, n + 24)
                 answers = await asyncio.gather(
                     *(made.ask(f"a{k}", path=f"/api/{k}", class_name="brisk") for k in keys)
                 )
                 assert {status(answer) for answer in answers} <= {200, 503}
                 n += 24
-            assert len(boxes["s0"].heads) >= 2 and not any(out(made, f"s{k}") for k in range(1, 6))
-            # When its time is up it gets one of many requests, and all of them are served.
+            assert len(boxes["s0"].heads) >= 2 and not any(
+                ejections(made, f"s{k}") for k in range(1, 6)
+            )
+            # When its ejection ends it gets one of many requests, and all of them are served.
             before = len(boxes["s0"].heads)
             until_ms = member(made, "s0").ejected_until
             await until(lambda: now_ms() > until_ms)
@@ -109,11 +113,11 @@
                 *(made.ask(f"b{k}", path=f"/api/{k}", class_name="brisk") for k in range(24))
             )
             assert {status(answer) for answer in answers} == {200}
-            assert len(boxes["s0"].heads) == before + 1 and out(made, "s0") == 2
-            # Once it answers, it is in use again.
+            assert len(boxes["s0"].heads) == before + 1 and ejections(made, "s0") == 2
+            # Once it answers, it is back in use.
             mute[0] = False
             n = 0
-            while out(made, "s0"):
+            while ejections(made, "s0"):
                 n += 1
                 await made.ask(f"c{n}", path=f"/api/{n}", class_name="brisk")
                 await asyncio.sleep(0.01)
@@ -122,8 +126,9 @@
     run_async(test)
 
 
-def test_a_server_that_turns_bad_does_not_live_on_its_good_name() -> None:
-    # Guards against keys that go on to a server in trouble for as long as its many good answers before are remembered.
+def test_a_failing_server_is_ejected_despite_its_good_history() -> None:
+    # Guards against keys that still go to a failing server for as long as its earlier good answers
+    # count.
     async def test() -> None:
         bad, count = [False], itertools.count()
         boxes = {
@@ -146,7 +151,8 @@
             bad[0] = True
             for n in range(3):
                 await batch(f"bad{n}-")
-            # Found to be bad it is out until its time is up; without that it gets more than before, as some are asked again.
+            # It is out until its ejection ends; otherwise it would get more requests than before,
+            # as some are hedged.
             until_ms = member(made, "s0").ejected_until
             await until(lambda: now_ms() > until_ms)
             assert 0 < await batch("late") < usual
@@ -154,8 +160,8 @@
     run_async(test)
 
 
-def test_the_time_after_which_more_is_asked_follows_what_is_usual() -> None:
-    # Guards against second requests for a good part of all, when everything has become slow.
+def test_the_hedge_delay_follows_the_usual_latency() -> None:
+    # Guards against hedging a large share of all requests when every server has become slow.
     balancer = Balancer(settings_of(OPTIONS), 1)
     balancer.hedge_share = 0.5
     for n in range(400):
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -56,7 +56,7 @@
 
 async def figures(process: Process) -> dict[str, int]:
     """The metrics of `/admin/stats`."""
-    host, port = process.more["PROXY_ADMIN_ADDR"].split(":")
+    host, port = process.extra_environ["PROXY_ADMIN_ADDR"].split(":")
     reader, writer = await asyncio.open_connection(host, int(port))
     writer.write(b"GET /admin/stats HTTP/1.1\r\nHost: x\r\n\r\n")
     text = (await reader.read()).partition(b"\r\n\r\n")[2].decode()
@@ -135,7 +135,7 @@
             shim.fail(SystemCall.CONNECT, error, times=4)
             assert set(await ask_all(process, "a")) <= {200, 503}
             shim.heal(SystemCall.CONNECT)
-            await process.served("again")
+            await process.wait_served("again")
 
     run_async(test)
 
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -1,4 +1,4 @@
-"""An upgrade under load: two real processes on one listening socket, and nothing lost at the door between them."""
+"""An upgrade under load: two processes share one listening socket, and no connection is lost."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class Successor(Process):
-    """The process that takes over: the same file and socket, another operators' address."""
+    """The process that takes over, with the same file and socket and another operators' address."""
 
     async def stop(self) -> None:
         if self.process.returncode is None:
@@ -35,17 +35,20 @@
 
 
 class Load:
-    """Clients that ask one request after another on kept connections, and once more where a connection ended unanswered."""
+    """Clients that send sequential requests on persistent connections.
+
+    A reused connection that ends before any byte of an answer is not counted as a failure.
+    """
 
     def __init__(self, port: int) -> None:
         self.port = port
         self.answers: dict[str, int] = {}
         self.unanswered: list[str] = []
-        self.over = False
+        self.stopped = False
 
     async def client(self, name: str) -> None:
         n, reader, writer, fresh = 0, None, None, True
-        while not self.over:
+        while not self.stopped:
             n += 1
             if writer is None or reader is None:
                 reader, writer = await asyncio.open_connection("127.0.0.1", self.port)
@@ -71,7 +74,7 @@
 
 
 def test_an_upgrade_under_load_loses_nothing_and_ends_the_old_process_alone(tmp_path: Path) -> None:
-    # Guards against connections left in the queue of the process that ends, or cut off by it.
+    # Guards against connections left in the accept queue of the ending process, or closed by it.
     async def test() -> None:
         async def script(head: bytes) -> bytes:
             await asyncio.sleep(0.02)
@@ -79,23 +82,23 @@
 
         with socket.create_server(("127.0.0.1", 0), backlog=256) as listening:
             port: int = listening.getsockname()[1]
-            desks = [free_port(), free_port()]
+            admin_ports = [free_port(), free_port()]
             more = {"PROXY_SOCKET_FD": str(listening.fileno()), "PROXY_LISTEN": f"127.0.0.1:{port}"}
             box = CacheBox(script)
-            old_more = {**more, "PROXY_ADMIN_ADDR": f"127.0.0.1:{desks[0]}"}
+            old_more = {**more, "PROXY_ADMIN_ADDR": f"127.0.0.1:{admin_ports[0]}"}
             async with running(
                 tmp_path / "config.json", box, old_more, (listening.fileno(),), port
             ) as (old, registry):
                 load = Load(port)
                 clients = [asyncio.create_task(load.client(f"c{n}")) for n in range(24)]
                 new = Successor(tmp_path / "config.json", registry)
-                new.more, new.descriptors = (
-                    {**more, "PROXY_ADMIN_ADDR": f"127.0.0.1:{desks[1]}"},
+                new.extra_environ, new.descriptors = (
+                    {**more, "PROXY_ADMIN_ADDR": f"127.0.0.1:{admin_ports[1]}"},
                     (listening.fileno(),),
                 )
                 await new.start()
                 try:
-                    while await health(desks[1]) != 200:
+                    while await health(admin_ports[1]) != 200:
                         await asyncio.sleep(0.02)
                     await asyncio.sleep(0.3)
                     old.process.send_signal(signal.SIGTERM)
@@ -103,7 +106,7 @@
                     before = len(load.answers)
                     while len(load.answers) < before + 200:
                         await asyncio.sleep(0.02)
-                    load.over = True
+                    load.stopped = True
                     await asyncio.gather(*clients)
                     assert load.unanswered == [] and set(load.answers.values()) == {200}
                     assert new.process.returncode is None
@@ -113,14 +116,14 @@
     run_async(test)
 
 
-def test_a_descriptor_that_is_no_listening_socket_ends_the_start_with_one_line(
+def test_a_descriptor_that_is_not_listening_ends_startup_with_one_line(
     tmp_path: Path,
 ) -> None:
     async def test() -> None:
         with socket.socket() as sock:
             process = Process(tmp_path / "config.json", None)
             process.write()
-            process.more, process.descriptors = (
+            process.extra_environ, process.descriptors = (
                 {"PROXY_SOCKET_FD": str(sock.fileno())},
                 (sock.fileno(),),
             )
@@ -133,29 +136,29 @@
 
 
 @pytest.mark.parametrize(
-    ("more", "word"),
+    ("more", "message"),
     [
         ({"PROXY_SOCKET_FD": "1"}, "PROXY_SOCKET_FD is not a descriptor: '1'"),
         ({"PROXY_SOCKET_FD": "seven"}, "PROXY_SOCKET_FD is not a descriptor: 'seven'"),
         ({"PROXY_ADMIN_ADDR": "9800"}, "not an address: '9800'"),
     ],
 )
-def test_a_variable_that_can_not_be_ends_the_start_with_one_line(
-    tmp_path: Path, more: dict[str, str], word: str
+def test_an_invalid_variable_ends_startup_with_one_line(
+    tmp_path: Path, more: dict[str, str], message: str
 ) -> None:
     async def test() -> None:
         process = Process(tmp_path / "config.json", None)
         process.write()
-        process.more = more
+        process.extra_environ = more
         await process.start()
         assert await process.process.wait() == 2
         await process.reading
-        assert len(process.log) == 1 and word in process.log[0]
+        assert len(process.log) == 1 and message in process.log[0]
 
     run_async(test)
 
 
-def test_an_operators_address_that_is_taken_is_named(tmp_path: Path) -> None:
+def test_an_operators_address_in_use_is_named(tmp_path: Path) -> None:
     async def test() -> None:
         with socket.create_server(("127.0.0.1", 0)) as taken:
             process = Process(tmp_path / "config.json", None)
