--- a/benchmarks/tier.py
+++ b/benchmarks/tier.py
@@ -20,7 +20,7 @@
 
 import msgspec
 
-from forkweir.tier.lending import WHOLE
+from forkweir.tier.leases import TOTAL_SHARES
 from testbed.check.lending import Scope, walk
 from testbed.nights.explore import play as play_night
 from testbed.nights.script import TIERED_FROM, draw
@@ -153,7 +153,7 @@
     figures: dict[str, Any] = {}
     with ProcessPoolExecutor(min(2, jobs)) as pool:
         for seed, report in _over(pool, _play_processes, seeds):
-            held = max(report["most_held"].values(), default=0) / WHOLE
+            held = max(report["most_held"].values(), default=0) / TOTAL_SHARES
             cold = max((box["worst"] for box in report["cold"].values()), default=0.0)
             requests = report["requests"]
             print(
@@ -279,7 +279,7 @@
         range(count - count // 2 + (count % 2 == 0 and count > 4), count)
     )  # never more than half of the votes
     night = Night(Script(count, 60.0), seed).run(SETTLED_MS)
-    keeper = next(node.tier.slot for node in night.nodes if node.tier.keeps(node.now))
+    keeper = next(node.tier.slot for node in night.nodes if node.tier.is_leader(node.now))
     victim = (keeper + 1) % count or 1
     seen: dict[int, float] = {}
 
@@ -294,14 +294,14 @@
     known = night.now - died
     night._revive(victim)
     night.run(night.now + SETTLED_MS)
-    keeper = next(node.tier.slot for node in night.nodes if node.tier.keeps(node.now))
+    keeper = next(node.tier.slot for node in night.nodes if node.tier.is_leader(node.now))
     night._do_kill(Trouble(0.0, "kill", (keeper,), 0.0))
     died = night.now
-    _until(night, lambda: any(node.tier.keeps(node.now) for node in night.alive()), 60_000.0)
+    _until(night, lambda: any(node.tier.is_leader(node.now) for node in night.alive()), 60_000.0)
     again = night.now - died
     night._revive(keeper)
     night.run(night.now + SETTLED_MS)
-    keeper = next(node.tier.slot for node in night.nodes if node.tier.keeps(node.now))
+    keeper = next(node.tier.slot for node in night.nodes if node.tier.is_leader(node.now))
     away = tuple(slot for slot in some if slot != keeper)
     night._do_kill(Trouble(0.0, "kill", away, 0.0))
     went = night.now
@@ -333,7 +333,9 @@
 def _fair(night: Night) -> bool:
     """Whether each node that lives has its part of each bound, by max-min of equal wants."""
     alive = night.alive()
-    return all(node.holds(bound) >= FAIR * WHOLE / len(alive) for bound in BOUNDS for node in alive)
+    return all(
+        node.holds(bound) >= FAIR * TOTAL_SHARES / len(alive) for bound in BOUNDS for node in alive
+    )
 
 
 def main() -> int:
--- a/corkshift/node.py
+++ b/corkshift/node.py
@@ -81,9 +81,9 @@
 
     def join(self, tier: Tier) -> None:
         """From now on this node has its parts of the bounds of a tier."""
-        from forkweir.tier.seat import Seat
+        from forkweir.tier.balancer_adapter import BalancerAdapter
 
-        Seat(self._balancer, tier)
+        BalancerAdapter(self._balancer, tier)
 
     def avoided(self) -> int:
         """How many of the listed cache servers get nothing now because of how they did."""
--- a/corkshift/service.py
+++ b/corkshift/service.py
@@ -23,8 +23,8 @@
     from corkshift.admin import Admin
     from corkshift.sources.hub import Sources
     from corkshift.sources.options import SourcesTable
-    from corkshift.tier.carrier import Carrier
     from corkshift.tier.options import TierTable
+    from corkshift.tier.transport import UdpTransport
 
 log = logging.getLogger("corkshift")
 
@@ -77,13 +77,13 @@
         )
         self.node.follow = self.discovery.follow
         self.node.list_unread = self.discovery.unread
-        self.tier: Optional[Carrier] = None
+        self.tier: Optional[UdpTransport] = None
         if config.neighbours is not None and (tier is None or tier.on):
             # Only where the settings let nodes talk to one another: what is off costs nothing.
-            from corkshift.tier.carrier import Carrier
             from corkshift.tier.options import TierTable
+            from corkshift.tier.transport import UdpTransport
 
-            self.tier = Carrier(self.node, config.neighbours, tier or TierTable())
+            self.tier = UdpTransport(self.node, config.neighbours, tier or TierTable())
         self.admin: Optional[Admin] = None
         if config.admin is not None:
             # Only where there is an address: what is off costs nothing.
--- a/corkshift/tier/options.py
+++ b/corkshift/tier/options.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from corkshift.cli.schema import Table
-from forkweir.tier.options import FLOOR, PERIOD_MS, Options
+from forkweir.tier.options import DEFAULT_FLOOR, DEFAULT_PERIOD_MS, Options
 
 
 class TierTable(Table, frozen=True, kw_only=True):
@@ -18,10 +18,10 @@
 
     on: bool = True
     floor: Annotated[float, msgspec.Meta(ge=0.0, le=1.0)] = (
-        FLOOR  # of its own part of each bound: what a node has that hears nobody
+        DEFAULT_FLOOR  # of its own part of each bound: what a node has that hears nobody
     )
     period_ms: Annotated[float, msgspec.Meta(ge=50.0, le=10_000.0)] = (
-        PERIOD_MS  # between two questions, and two beats of a keeper
+        DEFAULT_PERIOD_MS  # between two questions, and two beats of a keeper
     )
     shares: bool = True  # whether this node has its part of what cold boxes get,
     fetches: bool = False  # and of the fetches in flight while the order book presses,
--- a/corkshift/tier/carrier.py
+++ b/corkshift/tier/transport.py
@@ -19,22 +19,22 @@
 from corkshift.node import Node
 from corkshift.seam import Address, now_ms
 from corkshift.tier.options import TierTable
-from forkweir.tier.lending import WHOLE, Lease
-from forkweir.tier.lines import BUCKETS, packed
-from forkweir.tier.members import Standing
-from forkweir.tier.options import TICKS
+from forkweir.tier.leases import TOTAL_SHARES, Lease
+from forkweir.tier.members import MemberState
+from forkweir.tier.options import TICKS_PER_PERIOD
+from forkweir.tier.shared_line import BUCKETS, pack
 from forkweir.tier.tier import Tier
-from forkweir.tier.wire import MOST
+from forkweir.tier.wire import MAX_DATAGRAM_BYTES
 
 log = logging.getLogger(__name__)
 
-READS = 64
-BUFFER = 65_536
-LEASES_TOLD = 512  # that were taken last, for `tier show` and the rig
-LOG_MS = 1_000.0  # between two lines of the log on who takes part
+MAX_READS_PER_TURN = 64
+RECEIVE_BUFFER_BYTES = 65_536
+MAX_RECENT_LEASES = 512  # that were taken last, for `tier show` and the rig
+LOG_INTERVAL_MS = 1_000.0  # between two lines of the log on who takes part
 
 
-class Carrier:
+class UdpTransport:
     """Takes part in the tier for one node."""
 
     def __init__(self, node: Node, neighbours: Neighbours, options: TierTable) -> None:
@@ -52,21 +52,21 @@
             options.options(),
             neighbours.tier,
         )
-        self.lost = 0  # datagrams that did not go out
+        self.send_failures = 0  # datagrams that did not go out
         self._slots = {address: slot for slot, address in enumerate(neighbours.peers)}
         self._peers = neighbours.peers
-        self._taken: deque[tuple[int, int, float, float]] = deque(
-            maxlen=LEASES_TOLD
+        self._recent_leases: deque[tuple[int, int, float, float]] = deque(
+            maxlen=MAX_RECENT_LEASES
         )  # bound, parts, from when, until when
         self._timer: Optional[asyncio.TimerHandle] = None
-        self._told: list[str] = []
-        self._told_ms = 0.0
-        self.tier.dealer.holdings.on_take = self._took
-        self.tier.members.on_change = self._changed
-        self._disagreed = False
+        self._changes: list[str] = []
+        self._changes_logged_ms = 0.0
+        self.tier.allocator.held_leases.on_lease = self._on_lease
+        self.tier.members.on_change = self._on_member_change
+        self._in_conflict = False
         self._sock = seam.datagram()
         try:
-            seam.bound_buffers(self._sock, BUFFER)
+            seam.bound_buffers(self._sock, RECEIVE_BUFFER_BYTES)
             self._sock.bind(neighbours.listen)
         except OSError as error:
             self._sock.close()
@@ -98,16 +98,16 @@
 
     def _tick(self) -> None:
         self._timer = asyncio.get_running_loop().call_later(
-            self.tier.options.period_ms / TICKS / 1000.0, self._tick
+            self.tier.options.period_ms / TICKS_PER_PERIOD / 1000.0, self._tick
         )
         now = now_ms()
         self._send(self.tier.tick(now))
-        if self._told and now - self._told_ms >= LOG_MS:
-            log.info("tier: %s", ", ".join(self._told))
-            self._told, self._told_ms = [], now
-        if self.tier.disagrees(now) != self._disagreed:
-            self._disagreed = not self._disagreed
-            if self._disagreed:
+        if self._changes and now - self._changes_logged_ms >= LOG_INTERVAL_MS:
+            log.info("tier: %s", ", ".join(self._changes))
+            self._changes, self._changes_logged_ms = [], now
+        if self.tier.has_config_conflict(now) != self._in_conflict:
+            self._in_conflict = not self._in_conflict
+            if self._in_conflict:
                 log.warning(
                     "tier: others count the tier otherwise, or have other constants of it: every node keeps to its floor"
                 )
@@ -115,9 +115,9 @@
                 log.info("tier: nobody disagrees any more")
 
     def _read(self) -> None:
-        for _ in range(READS):
+        for _ in range(MAX_READS_PER_TURN):
             try:
-                data, sender = self._sock.recvfrom(MOST + 1)
+                data, sender = self._sock.recvfrom(MAX_DATAGRAM_BYTES + 1)
             except BlockingIOError:
                 return
             except OSError as error:
@@ -133,16 +133,16 @@
             try:
                 self._sock.sendto(data, self._peers[slot])
             except OSError:
-                self.lost += 1
+                self.send_failures += 1
 
     # -- what is told --------------------------------------------------------------------
 
-    def _took(self, bound: int, lease: Lease, now: float) -> None:
-        self._taken.append((bound, lease.parts, now, lease.until_ms))
+    def _on_lease(self, limit: int, lease: Lease, now: float) -> None:
+        self._recent_leases.append((limit, lease.shares, now, lease.until_ms))
 
-    def _changed(self, slot: int, state: Standing, now: float) -> None:
-        if len(self._told) < 8:
-            self._told.append(f"n{slot} is {state}")
+    def _on_member_change(self, slot: int, state: MemberState, now: float) -> None:
+        if len(self._changes) < 8:
+            self._changes.append(f"n{slot} is {state}")
 
     def view(self) -> bytes:
         """What this node knows and holds, as JSON, for `tier show`."""
@@ -152,19 +152,19 @@
                 "slot": slot,
                 "state": entry.state,
                 "incarnation": entry.incarnation,
-                "heard_ms_ago": _since(entry.heard_ms, now),
+                "heard_ms_ago": _elapsed_ms(entry.heard_ms, now),
             }
             for slot, entry in enumerate(tier.members.entries)
         ]
         leases = [
             {
-                "bound": bound,
-                "parts": lease.parts,
+                "bound": limit,
+                "parts": lease.shares,
                 "size": lease.size,
-                "keeper": lease.keeper[0],
+                "keeper": lease.leader[0],
                 "ends_in_ms": lease.until_ms - now,
             }
-            for bound, lease in sorted(tier.dealer.holdings.leases.items())
+            for limit, lease in sorted(tier.allocator.held_leases.leases.items())
             if lease.until_ms > now
         ]
         view: dict[str, Any] = {
@@ -174,37 +174,41 @@
             "digest": tier.digest,
             "token": tier.token,
             "incarnation": tier.members.incarnation,
-            "keeps": tier.keeps(now),
-            "follows": tier.followed if tier.dealer.voter.promised is not None else -1,
-            "disagrees": tier.disagrees(now),
-            "whole": WHOLE,
+            "keeps": tier.is_leader(now),
+            "follows": tier.followed_leader if tier.allocator.voter.voted_for is not None else -1,
+            "disagrees": tier.has_config_conflict(now),
+            "whole": TOTAL_SHARES,
             "floor": tier.options.floor,
-            "sizes": {"work": tier.sizes[0], "fetches": tier.sizes[1]},
-            "own": {"work": tier.claims.own_work, "fetches": tier.claims.own_fetches},
-            "line": _line(tier, now),
+            "sizes": {"work": tier.limit_totals[0], "fetches": tier.limit_totals[1]},
+            "own": {"work": tier.demand.own_work, "fetches": tier.demand.own_fetches},
+            "line": _line_view(tier, now),
             "members": members,
             "leases": leases,
-            "taken": [list(taken) for taken in self._taken],
-            "names": tier.claims.names(),
-            "counts": {**tier.counts, "bytes_out": tier.bytes_out, "lost": self.lost},
+            "taken": [list(recent) for recent in self._recent_leases],
+            "names": tier.demand.server_names(),
+            "counts": {**tier.counts, "bytes_out": tier.bytes_out, "lost": self.send_failures},
         }
         return orjson.dumps(view)
 
 
-def _line(tier: Tier, now: float) -> Optional[dict[str, Any]]:
+def _line_view(tier: Tier, now: float) -> Optional[dict[str, Any]]:
     """The common line as this node has it; none where there is none. digest: the same at nodes that have the same."""
-    table = tier.claims.lines.told(now) if tier.claims.lines is not None else None
+    table = (
+        tier.demand.shared_line.current_entries(now)
+        if tier.demand.shared_line is not None
+        else None
+    )
     if table is None:
         return None
     name, shares = table
     heaviest = [[bucket / BUCKETS, share] for bucket, share in shares[:8]]
     return {
         "table": list(name),
-        "digest": f"{crc32(packed(shares)):08x}",
+        "digest": f"{crc32(pack(shares)):08x}",
         "told": len(shares),
         "heavy": heaviest,
     }
 
 
-def _since(at_ms: float, now: float) -> Optional[int]:
+def _elapsed_ms(at_ms: float, now: float) -> Optional[int]:
     return round(now - at_ms) if at_ms > 0.0 else None
--- a/forkweir/adapter.py
+++ b/forkweir/adapter.py
@@ -176,7 +176,7 @@
         if not (options.get("allowed") or {}).get("peers"):
             return []
         # Only there: what is off costs nothing.
-        from forkweir.tier.seat import Seat
+        from forkweir.tier.balancer_adapter import BalancerAdapter
         from forkweir.tier.tier import Tier
 
         tier = Tier(
@@ -187,14 +187,17 @@
             now,
             tier=options.get("tier") or 0,
         )
-        self.tiers[i] = Seat(self.instances[i], tier).tier
+        self.tiers[i] = BalancerAdapter(self.instances[i], tier).tier
         return self._tick(now, i)
 
     def _tick(self, now: float, i: int) -> list[Action]:
-        from forkweir.tier.options import TICKS
+        from forkweir.tier.options import TICKS_PER_PERIOD
 
         tier = self.tiers[i]
-        return [*said(tier.tick(now)), ("timer", TIER_TIMER, now + tier.options.period_ms / TICKS)]
+        return [
+            *said(tier.tick(now)),
+            ("timer", TIER_TIMER, now + tier.options.period_ms / TICKS_PER_PERIOD),
+        ]
 
     def run(self, source: BinaryIO, sink: BinaryIO) -> None:
         """Serve batches until the input ends."""
--- a/forkweir/tier/claims.py
+++ b/forkweir/tier/demand.py
@@ -20,137 +20,141 @@
 from typing import Optional
 
 from forkweir.limits.work import Faded
-from forkweir.tier.lending import WHOLE, Holdings
-from forkweir.tier.lines import Lines, Table
+from forkweir.tier.leases import TOTAL_SHARES, HeldLeases
+from forkweir.tier.shared_line import LineTable, SharedLineState
 
-FETCHES = 0
+FETCHES_LIMIT_ID = 0
 """The id of the bound on fetches; those of cold servers are 1 and more (`id_of`)."""
-WANTED_MS = 1_500.0
-EVIDENCE_MS = 500.0
-MOST = 256  # cold servers
+DEMAND_DECAY_MS = 1_500.0
+DEMAND_EVIDENCE_MS = 500.0
+MAX_SERVERS = 256  # cold servers
 
 
-def id_of(server: str) -> int:
+def limit_id(server: str) -> int:
     """The id of the bound on a cold server's work: the same at all nodes, 1 to 2 ** 32 - 1."""
     return (
         int.from_bytes(blake2b(server.encode(), digest_size=4, person=b"tier").digest(), "big") or 1
     )
 
 
-class Claims:
+class Demand:
     """One node's wants, and what it has of them."""
 
     __slots__ = (
         "floor",
-        "holdings",
-        "shares",
-        "deals_fetches",
-        "lines",
+        "held_leases",
+        "allocates_work",
+        "allocates_fetches",
+        "shared_line",
         "own_work",
         "own_fetches",
-        "_wanted",
-        "_names",
-        "_flight_ms",
+        "_requested",
+        "_server_names",
+        "_fetch_ms",
     )
 
     def __init__(
         self,
         floor: float,
-        holdings: Holdings,
+        holdings: HeldLeases,
         shares: bool = True,
         fetches: bool = True,
         line: bool = True,
     ) -> None:
         self.floor = floor
-        self.holdings = holdings
-        self.shares = shares  # whether work to cold servers is dealt here,
-        self.deals_fetches = fetches  # and fetches
-        self.lines = Lines() if line else None  # none: this node has its own line
+        self.held_leases = holdings
+        self.allocates_work = shares  # whether work to cold servers is dealt here,
+        self.allocates_fetches = fetches  # and fetches
+        self.shared_line = SharedLineState() if line else None  # none: this node has its own line
         self.own_work = 0.0  # work a ms that a warm server of weight 1 gets from this node
         self.own_fetches = 0.0  # in flight, as it would bound them by itself
-        self._wanted: dict[int, Faded] = {}
-        self._names: dict[int, str] = {}  # "" where two have one id: neither is dealt
-        self._flight_ms = 0.0  # how long a fetch is in flight
+        self._requested: dict[int, Faded] = {}
+        self._server_names: dict[int, str] = {}  # "" where two have one id: neither is dealt
+        self._fetch_ms = 0.0  # how long a fetch is in flight
 
     # -- what the module says ------------------------------------------------------------
 
     def wants_work(self, server: str, work: float, now: float) -> None:
         """The module asks for room at a cold server, for work (ms) that counts by what part of it the server can do now."""
-        if not self.shares:
+        if not self.allocates_work:
             return
-        bound = id_of(server)
-        name = self._names.get(bound)
-        if name is None:
-            if len(self._names) >= MOST:
+        limit = limit_id(server)
+        server_name = self._server_names.get(limit)
+        if server_name is None:
+            if len(self._server_names) >= MAX_SERVERS:
                 return
-            self._names[bound] = server
-        elif name != server:
-            self._names[bound] = ""
+            self._server_names[limit] = server
+        elif server_name != server:
+            self._server_names[limit] = ""
             return
-        self._wants(bound, work, now)
+        self._record(limit, work, now)
 
     def wants_fetches(self, fetches: float, flight_ms: float, now: float) -> None:
         """The module asks for room for so many expected fetches, each of which takes so long."""
-        if not self.deals_fetches:
+        if not self.allocates_fetches:
             return
-        self._flight_ms = flight_ms
-        self._wants(FETCHES, fetches, now)
+        self._fetch_ms = flight_ms
+        self._record(FETCHES_LIMIT_ID, fetches, now)
 
-    def _wants(self, bound: int, amount: float, now: float) -> None:
-        wanted = self._wanted.get(bound)
-        if wanted is None:
-            wanted = self._wanted[bound] = Faded(WANTED_MS)
-        wanted.add(now, amount)
+    def _record(self, limit: int, amount: float, now: float) -> None:
+        requested = self._requested.get(limit)
+        if requested is None:
+            requested = self._requested[limit] = Faded(DEMAND_DECAY_MS)
+        requested.add(now, amount)
 
-    def names(self) -> dict[str, str]:
+    def server_names(self) -> dict[str, str]:
         """The servers that bounds are about, by id."""
-        return {str(bound): name for bound, name in self._names.items()}
+        return {str(limit): server_name for limit, server_name in self._server_names.items()}
 
-    def line(self, position: float, ranges: int, now: float) -> Optional[Table]:
+    def line(self, position: float, ranges: int, now: float) -> Optional[LineTable]:
         """See `Parts`."""
-        if self.lines is None:
+        if self.shared_line is None:
             return None
-        self.lines.sketch.arrive(position)
-        return self.lines.table(ranges, now)
+        self.shared_line.sketch.add(position)
+        return self.shared_line.table(ranges, now)
 
     # -- what the module gets ------------------------------------------------------------
 
     def work(self, server: str, own: float, now: float) -> float:
         """Work a ms for each unit of weight that a cold server may get from this node. own: by itself."""
-        if not self.shares:
+        if not self.allocates_work:
             return own
         self.own_work = own
-        bound = id_of(server)
-        return self._part(bound, own, now) if self._names.get(bound) == server else self.floor * own
+        limit = limit_id(server)
+        return (
+            self._limit(limit, own, now)
+            if self._server_names.get(limit) == server
+            else self.floor * own
+        )
 
     def fetches(self, own: float, now: float) -> float:
         """Fetches in flight that this node may have while the order book presses. own: by itself."""
-        if not self.deals_fetches:
+        if not self.allocates_fetches:
             return own
         self.own_fetches = own
-        return self._part(FETCHES, own, now)
+        return self._limit(FETCHES_LIMIT_ID, own, now)
 
-    def _part(self, bound: int, own: float, now: float) -> float:
-        lease = self.holdings.lease(bound, now)
-        held = lease.parts / WHOLE * lease.size if lease is not None else 0.0
+    def _limit(self, limit: int, own: float, now: float) -> float:
+        lease = self.held_leases.lease(limit, now)
+        held = lease.shares / TOTAL_SHARES * lease.size if lease is not None else 0.0
         return self.floor * own + (1.0 - self.floor) * held
 
     # -- what the keeper is told ---------------------------------------------------------
 
-    def wanted(self, now: float) -> list[tuple[int, float]]:
+    def above_floor(self, now: float) -> list[tuple[int, float]]:
         """Of each bound what is wanted of it beyond the floor, the most first, in the unit of its `own`."""
-        wants = []
-        for bound, faded in list(self._wanted.items()):
+        demand = []
+        for limit, faded in list(self._requested.items()):
             faded.add(now, 0.0)
-            rate = faded.rate(EVIDENCE_MS)
-            if rate * WANTED_MS < 1e-6:
-                del self._wanted[bound]
-                self._names.pop(bound, None)
+            rate = faded.rate(DEMAND_EVIDENCE_MS)
+            if rate * DEMAND_DECAY_MS < 1e-6:
+                del self._requested[limit]
+                self._server_names.pop(limit, None)
                 continue
-            if bound == FETCHES:
-                beyond = rate * self._flight_ms - self.floor * self.own_fetches
+            if limit == FETCHES_LIMIT_ID:
+                beyond = rate * self._fetch_ms - self.floor * self.own_fetches
             else:
                 beyond = rate - self.floor * self.own_work
-            if beyond > 0.0 and self._names.get(bound) != "":
-                wants.append((bound, beyond))
-        return sorted(wants, key=lambda want: (-want[1], want[0]))
+            if beyond > 0.0 and self._server_names.get(limit) != "":
+                demand.append((limit, beyond))
+        return sorted(demand, key=lambda want: (-want[1], want[0]))
--- a/forkweir/tier/lending.py
+++ b/forkweir/tier/leases.py
@@ -39,13 +39,13 @@
 from dataclasses import dataclass
 from typing import Optional
 
-WHOLE = 60_000  # parts of each bound
-DRIFT = 0.05  # of a clock, either way
-HELD = (1.0 - DRIFT) / (1.0 + DRIFT)
-MOST_BOUNDS = 512
-ECHOES = 16
+TOTAL_SHARES = 60_000  # parts of each bound
+MAX_CLOCK_DRIFT = 0.05  # of a clock, either way
+CLOCK_SAFETY_FACTOR = (1.0 - MAX_CLOCK_DRIFT) / (1.0 + MAX_CLOCK_DRIFT)
+MAX_LIMITS = 512
+MAX_PENDING_REPLIES = 16
 
-Who = tuple[int, int]
+ProcessId = tuple[int, int]
 """A process: its node's number, and its token."""
 
 
@@ -54,7 +54,7 @@
     return (count + (count % 2 == 0)) // 2 + 1
 
 
-def weight(slot: int, count: int) -> int:
+def vote_weight(slot: int, count: int) -> int:
     """How many votes a node has: of an even number of nodes the first has two, so that there is always more than half."""
     return 2 if slot == 0 and count % 2 == 0 else 1
 
@@ -62,283 +62,295 @@
 class Voter:
     """One node's promise."""
 
-    __slots__ = ("vote_ms", "promised", "until_ms", "number")
+    __slots__ = ("vote_ms", "voted_for", "until_ms", "call_number")
 
     def __init__(self, vote_ms: float, now: float) -> None:
         self.vote_ms = vote_ms
-        self.promised: Optional[Who] = None
+        self.voted_for: Optional[ProcessId] = None
         self.until_ms = now + vote_ms
-        self.number = 0  # the highest of the calls for which it is promised
+        self.call_number = 0  # the highest of the calls for which it is promised
 
-    def ask(self, who: Who, number: int, now: float) -> bool:
+    def request_vote(self, process: ProcessId, number: int, now: float) -> bool:
         """A process asks for the vote by a call of this number; whether it is promised to it from now on."""
-        if now < self.until_ms and who != self.promised:
+        if now < self.until_ms and process != self.voted_for:
             return False
-        self.number = max(self.number, number) if who == self.promised else number
-        self.promised, self.until_ms = who, now + self.vote_ms
+        self.call_number = max(self.call_number, number) if process == self.voted_for else number
+        self.voted_for, self.until_ms = process, now + self.vote_ms
         return True
 
-    def release(self, who: Who, number: int, now: float) -> None:
+    def release(self, process: ProcessId, number: int, now: float) -> None:
         """A process has stood back, and counts no vote for its calls up to this number.
 
         Guards against a split vote that binds everybody for a whole span. A word of this that is late harms nothing: a promise for a
         later call stands.
         """
-        if self.promised == who and self.number <= number:
-            self.promised, self.until_ms = None, now
+        if self.voted_for == process and self.call_number <= number:
+            self.voted_for, self.until_ms = None, now
 
-    def refuse(self, now: float) -> None:
+    def withhold(self, now: float) -> None:
         """Promise nobody anything anew for a while; what is promised stands."""
         if now >= self.until_ms:
-            self.promised, self.until_ms = None, now + self.vote_ms
+            self.voted_for, self.until_ms = None, now + self.vote_ms
 
 
 class Candidacy:
     """The votes that one process has."""
 
-    __slots__ = ("count", "vote_ms", "_votes", "_calls")
+    __slots__ = ("count", "vote_ms", "_votes", "_calls_sent_ms")
 
     def __init__(self, count: int, vote_ms: float) -> None:
         self.count = count
         self.vote_ms = vote_ms
         self._votes: dict[int, float] = {}  # by node: until when it counts
-        self._calls: dict[int, float] = {}  # by number: when it was sent, oldest first
+        self._calls_sent_ms: dict[int, float] = {}  # by number: when it was sent, oldest first
 
-    def called(self, number: int, now: float) -> None:
+    def call_sent(self, number: int, now: float) -> None:
         """A call goes out (to one node or more)."""
-        self._calls[number] = now
-        while self._calls:
-            first = next(iter(self._calls))
-            if now - self._calls[first] <= self.vote_ms:
+        self._calls_sent_ms[number] = now
+        while self._calls_sent_ms:
+            first = next(iter(self._calls_sent_ms))
+            if now - self._calls_sent_ms[first] <= self.vote_ms:
                 break
-            del self._calls[first]
+            del self._calls_sent_ms[first]
 
-    def drop(self) -> None:
+    def withdraw(self) -> None:
         """Stand no more: no vote for any call so far counts, and the promise of the node to itself is void (`Voter.release`)."""
         self._votes.clear()
-        self._calls.clear()
+        self._calls_sent_ms.clear()
 
-    def voted(self, slot: int, echo: int) -> bool:
+    def vote_received(self, slot: int, echo: int) -> bool:
         """A node's vote came, in answer to a call; whether that call is known."""
-        sent = self._calls.get(echo)
+        sent = self._calls_sent_ms.get(echo)
         if sent is None:
             return False
-        self._votes[slot] = max(self._votes.get(slot, 0.0), sent + HELD * self.vote_ms)
+        self._votes[slot] = max(
+            self._votes.get(slot, 0.0), sent + CLOCK_SAFETY_FACTOR * self.vote_ms
+        )
         return True
 
-    def stands_until(self) -> float:
+    def majority_until(self) -> float:
         """Up to when votes of more than half stand; a time that has passed where they do not."""
-        needed, have = majority(self.count), 0
+        needed, votes = majority(self.count), 0
         for slot, until in sorted(self._votes.items(), key=lambda vote: -vote[1]):
-            have += weight(slot, self.count)
-            if have >= needed:
+            votes += vote_weight(slot, self.count)
+            if votes >= needed:
                 return until
         return -1e12
 
 
-def divide(total: int, wants: Mapping[int, float]) -> dict[int, int]:
+def allocate_fairly(total: int, demand: Mapping[int, float]) -> dict[int, int]:
     """Deal so many parts by what each wants (in parts): max-min fair, and what is left evenly over all that want any."""
-    asking = sorted(((want, slot) for slot, want in wants.items() if want > 0.0))
-    dealt: dict[int, int] = {}
-    left = total
-    for n, (want, slot) in enumerate(asking):
-        fair = left // (len(asking) - n)
-        dealt[slot] = fair if want >= fair else int(want)
-        left -= dealt[slot]
-    if asking and left:
-        each = left // len(asking)
-        for slot in dealt:
-            dealt[slot] += each
-    return dealt
+    requesting = sorted(((amount, slot) for slot, amount in demand.items() if amount > 0.0))
+    allocated: dict[int, int] = {}
+    remaining = total
+    for n, (amount, slot) in enumerate(requesting):
+        fair = remaining // (len(requesting) - n)
+        allocated[slot] = fair if amount >= fair else int(amount)
+        remaining -= allocated[slot]
+    if requesting and remaining:
+        each = remaining // len(requesting)
+        for slot in allocated:
+            allocated[slot] += each
+    return allocated
 
 
 class Ledger:
     """What a keeper has granted, and what of it may still be spent."""
 
-    __slots__ = ("_out",)
+    __slots__ = ("_grants",)
 
     def __init__(self) -> None:
-        self._out: dict[
-            int, dict[Who, list[tuple[float, int]]]
+        self._grants: dict[
+            int, dict[ProcessId, list[tuple[float, int]]]
         ] = {}  # by bound and holder: until when, how much; both falling or rising
 
-    def holders(self, bound: int, now: float) -> dict[Who, int]:
+    def outstanding(self, limit: int, now: float) -> dict[ProcessId, int]:
         """The most that each may spend of a bound by what it was granted."""
-        out = self._out.get(bound, {})
-        for who in list(out):
-            out[who] = [(until, parts) for until, parts in out[who] if until > now]
-            if not out[who]:
-                del out[who]
-        return {who: max(parts for _, parts in grants) for who, grants in out.items()}
-
-    def deal(
-        self, bound: int, wants: Mapping[Who, float], hold_ms: float, now: float
-    ) -> dict[Who, int]:
+        by_process = self._grants.get(limit, {})
+        for process in list(by_process):
+            by_process[process] = [
+                (until, shares) for until, shares in by_process[process] if until > now
+            ]
+            if not by_process[process]:
+                del by_process[process]
+        return {
+            process: max(shares for _, shares in grants) for process, grants in by_process.items()
+        }
+
+    def grant(
+        self, limit: int, demand: Mapping[ProcessId, float], lease_ms: float, now: float
+    ) -> dict[ProcessId, int]:
         """Grant anew: by holder, how many parts until hold_ms from now. wants: in parts.
 
         Whoever no longer wants any is granted none, and keeps what it was granted until that ends.
         """
-        if bound not in self._out and len(self._out) >= MOST_BOUNDS:
+        if limit not in self._grants and len(self._grants) >= MAX_LIMITS:
             return {}
-        most = self.holders(bound, now)
-        taken = sum(most.values())
-        by_slot = {who[0]: who for who in wants}
-        target = divide(WHOLE, {who[0]: want for who, want in wants.items()})
-        granted: dict[Who, int] = {}
-        out = self._out.setdefault(bound, {})
-        for slot, parts in target.items():
-            who = by_slot[slot]
-            mine = most.get(who, 0)
-            parts = max(0, min(parts, WHOLE - taken + mine))
-            granted[who] = parts
+        held = self.outstanding(limit, now)
+        total_held = sum(held.values())
+        by_slot = {process[0]: process for process in demand}
+        target = allocate_fairly(
+            TOTAL_SHARES, {process[0]: amount for process, amount in demand.items()}
+        )
+        granted: dict[ProcessId, int] = {}
+        by_process = self._grants.setdefault(limit, {})
+        for slot, shares in target.items():
+            process = by_slot[slot]
+            own = held.get(process, 0)
+            shares = max(0, min(shares, TOTAL_SHARES - total_held + own))
+            granted[process] = shares
             # Earlier grants that are smaller say nothing any more: the holder has this one at most, or a larger one that ends sooner.
-            out[who] = [grant for grant in out.get(who, []) if grant[1] > parts] + [
-                (now + hold_ms, parts)
-            ]
-            taken += max(mine, parts) - mine
+            by_process[process] = [
+                grant for grant in by_process.get(process, []) if grant[1] > shares
+            ] + [(now + lease_ms, shares)]
+            total_held += max(own, shares) - own
         return granted
 
-    def forget(self, now: float) -> None:
+    def remove_expired(self, now: float) -> None:
         """Let go of bounds of which nothing is out."""
-        for bound in [b for b in self._out if not self.holders(b, now)]:
-            del self._out[bound]
+        for limit in [old for old in self._grants if not self.outstanding(old, now)]:
+            del self._grants[limit]
 
 
 @dataclass(slots=True)
 class Lease:
     """Parts of one bound. size: of the whole bound as it was granted, in the unit of the bound."""
 
-    parts: int
+    shares: int
     until_ms: float
     size: float
-    keeper: Who
+    leader: ProcessId
     number: int
 
 
-class Holdings:
+class HeldLeases:
     """What one process may spend."""
 
-    __slots__ = ("leases", "on_take", "_sent", "_number")
+    __slots__ = ("leases", "on_lease", "_replies_sent_ms", "_reply_number")
 
     def __init__(self) -> None:
         self.leases: dict[int, Lease] = {}
-        self.on_take: Callable[[int, Lease, float], None] = lambda bound, lease, now: None
-        self._sent: dict[int, float] = {}  # by number of a reply: when it was sent
-        self._number = 0
+        self.on_lease: Callable[[int, Lease, float], None] = lambda limit, lease, now: None
+        self._replies_sent_ms: dict[int, float] = {}  # by number of a reply: when it was sent
+        self._reply_number = 0
 
-    def replies(self, now: float) -> int:
+    def next_reply_number(self, now: float) -> int:
         """A reply goes out: its number."""
-        self._number += 1
-        self._sent[self._number] = now
-        self._sent.pop(self._number - ECHOES, None)
-        return self._number
+        self._reply_number += 1
+        self._replies_sent_ms[self._reply_number] = now
+        self._replies_sent_ms.pop(self._reply_number - MAX_PENDING_REPLIES, None)
+        return self._reply_number
 
-    def take(
+    def accept_grant(
         self,
-        keeper: Who,
+        leader: ProcessId,
         number: int,
         echo: int,
-        hold_ms: float,
+        lease_ms: float,
         size: float,
-        bound: int,
-        parts: int,
+        limit: int,
+        shares: int,
         now: float,
     ) -> bool:
         """A grant came; whether it counts. Of two from one keeper the one with the higher number does."""
-        sent = self._sent.get(echo)
+        sent = self._replies_sent_ms.get(echo)
         if sent is None:
             return False
-        until = sent + HELD * hold_ms
-        held = self.leases.get(bound)
-        if until <= now or (held is not None and held.keeper == keeper and number <= held.number):
+        until = sent + CLOCK_SAFETY_FACTOR * lease_ms
+        held = self.leases.get(limit)
+        if until <= now or (held is not None and held.leader == leader and number <= held.number):
             return False
-        if held is None and len(self.leases) >= MOST_BOUNDS:
-            self.forget(now)
-            if len(self.leases) >= MOST_BOUNDS:
+        if held is None and len(self.leases) >= MAX_LIMITS:
+            self.remove_expired(now)
+            if len(self.leases) >= MAX_LIMITS:
                 return False
-        lease = self.leases[bound] = Lease(min(parts, WHOLE), until, size, keeper, number)
-        self.on_take(bound, lease, now)
+        lease = self.leases[limit] = Lease(min(shares, TOTAL_SHARES), until, size, leader, number)
+        self.on_lease(limit, lease, now)
         return True
 
-    def lease(self, bound: int, now: float) -> Optional[Lease]:
+    def lease(self, limit: int, now: float) -> Optional[Lease]:
         """What is held of a bound now, if anything is."""
-        lease = self.leases.get(bound)
+        lease = self.leases.get(limit)
         return lease if lease is not None and now < lease.until_ms else None
 
-    def forget(self, now: float) -> None:
+    def remove_expired(self, now: float) -> None:
         """Let go of leases that have ended."""
-        for bound in [b for b, lease in self.leases.items() if lease.until_ms <= now]:
-            del self.leases[bound]
+        for limit in [old for old, lease in self.leases.items() if lease.until_ms <= now]:
+            del self.leases[limit]
 
 
-class Dealer:
+class Allocator:
     """One process's part in all of this: its promise, its candidacy, what it has granted and what it holds.
 
     What is said to whom is the business of `Tier`, which carries these calls and replies in datagrams, and of the checker of small scopes
     (`testbed/check`), which carries them in every order.
     """
 
-    __slots__ = ("who", "voter", "candidacy", "ledger", "holdings", "number")
+    __slots__ = ("process", "voter", "candidacy", "ledger", "held_leases", "call_number")
 
-    def __init__(self, who: Who, count: int, vote_ms: float, now: float) -> None:
-        self.who = who
+    def __init__(self, process: ProcessId, count: int, vote_ms: float, now: float) -> None:
+        self.process = process
         self.voter = Voter(vote_ms, now)
         self.candidacy = Candidacy(count, vote_ms)
         self.ledger = Ledger()
-        self.holdings = Holdings()
-        self.number = 0
+        self.held_leases = HeldLeases()
+        self.call_number = 0
 
-    def keeps(self, now: float) -> bool:
+    def is_leader(self, now: float) -> bool:
         """Whether this process is keeper."""
-        return now < self.candidacy.stands_until()
+        return now < self.candidacy.majority_until()
 
-    def call(self, now: float) -> bool:
+    def start_call(self, now: float) -> bool:
         """Call the others (by `number`), which takes this node's own vote; whether it has that."""
-        if not self.voter.ask(self.who, self.number + 1, now):
+        if not self.voter.request_vote(self.process, self.call_number + 1, now):
             return False
-        self.number += 1
-        self.candidacy.called(self.number, now)
-        self.candidacy.voted(self.who[0], self.number)
+        self.call_number += 1
+        self.candidacy.call_sent(self.call_number, now)
+        self.candidacy.vote_received(self.process[0], self.call_number)
         return True
 
-    def hold_ms(self, most_ms: float, now: float) -> int:
+    def lease_ms(self, max_ms: float, now: float) -> int:
         """For how long a keeper may grant now, in whole ms; 0 where it is none."""
-        return max(0, int(min(most_ms, self.candidacy.stands_until() - now)))
+        return max(0, int(min(max_ms, self.candidacy.majority_until() - now)))
 
-    def called(self, keeper: Who, number: int, now: float) -> tuple[bool, int]:
+    def on_call(self, leader: ProcessId, number: int, now: float) -> tuple[bool, int]:
         """Another calls; whether it gets this node's vote, and what `stand_back` gives where this one does so for a lower node, else 0."""
-        void = 0
-        if keeper[0] < self.who[0] and self.voter.promised == self.who and not self.keeps(now):
-            void = self.stand_back(now)
-        return self.voter.ask(keeper, number, now), void
-
-    def voted(self, slot: int, to: int, echo: int) -> None:
+        void_number = 0
+        if (
+            leader[0] < self.process[0]
+            and self.voter.voted_for == self.process
+            and not self.is_leader(now)
+        ):
+            void_number = self.step_down(now)
+        return self.voter.request_vote(leader, number, now), void_number
+
+    def on_vote(self, slot: int, to: int, echo: int) -> None:
         """A node's vote came, for a call with this number of the process with token `to`."""
-        if to == self.who[1]:
-            self.candidacy.voted(slot, echo)
+        if to == self.process[1]:
+            self.candidacy.vote_received(slot, echo)
 
-    def granted(
+    def on_grant(
         self,
-        keeper: Who,
+        leader: ProcessId,
         to: int,
         number: int,
         echo: int,
-        hold_ms: float,
+        lease_ms: float,
         size: float,
-        bound: int,
-        parts: int,
+        limit: int,
+        shares: int,
         now: float,
     ) -> bool:
         """A grant came for the process with token `to`; whether it counts."""
-        return to == self.who[1] and self.holdings.take(
-            keeper, number, echo, hold_ms, size, bound, parts, now
+        return to == self.process[1] and self.held_leases.accept_grant(
+            leader, number, echo, lease_ms, size, limit, shares, now
         )
 
-    def stand_back(self, now: float) -> int:
+    def step_down(self, now: float) -> int:
         """Stand no more; the number up to which no vote for its calls counts, for the others to know (`Voter.release`).
 
         Of one that is keeper nothing may be granted anew before its grants have ended (see `Tier._stands`).
         """
-        self.candidacy.drop()
-        self.voter.release(self.who, self.number, now)
-        return self.number
+        self.candidacy.withdraw()
+        self.voter.release(self.process, self.call_number, now)
+        return self.call_number
--- a/forkweir/tier/members.py
+++ b/forkweir/tier/members.py
@@ -34,36 +34,36 @@
 from math import log2, log10
 from typing import Literal
 
-from forkweir.tier.wire import NEWS, News
+from forkweir.tier.wire import MAX_UPDATES, MemberUpdate
 
-Standing = Literal["alive", "suspect", "dead", "left", "unknown"]
-STATES: tuple[Standing, ...] = ("alive", "suspect", "dead", "left")
+MemberState = Literal["alive", "suspect", "dead", "left", "unknown"]
+STATES: tuple[MemberState, ...] = ("alive", "suspect", "dead", "left")
 """On the wire by their places; of one incarnation the later goes before the earlier."""
-RELAYS = 3
-ASK_AGAIN = 0.4  # of a period without an answer: others are asked to ask
-SUSPICION = 3.0  # periods, times log10(n), at least this many
-SPREAD = 3.0
-JOIN = 3  # questions a period of a node that joins,
+RELAY_COUNT = 3
+RELAY_AFTER_PERIODS = 0.4  # of a period without an answer: others are asked to ask
+SUSPICION_PERIODS = 3.0  # periods, times log10(n), at least this many
+GOSSIP_FACTOR = 3.0
+JOIN_PROBES = 3  # questions a period of a node that joins,
 JOIN_PERIODS = 8  # for so many of them
-GONE_EVERY = 4
-SLOWEST = 4
-LATE = 1.5  # periods between two ticks: this node stood still
+ABSENT_PROBE_PERIODS = 4
+MAX_SLOWNESS = 4
+STALL_PERIODS = 1.5  # periods between two ticks: this node stood still
 
 
 @dataclass(slots=True)
-class Entry:
+class MemberEntry:
     """What is known of one node."""
 
-    state: Standing = "unknown"
+    state: MemberState = "unknown"
     incarnation: int = 0
     token: int = 0
     since_ms: float = 0.0  # of its state
     heard_ms: float = -1e12  # from itself
-    untold: int = 0  # datagrams that are still to carry this
+    sends_left: int = 0  # datagrams that are still to carry this
 
 
 @dataclass(frozen=True, slots=True)
-class Question:
+class Probe:
     """What is to be asked. relay: by whom, -1 where we ask ourselves."""
 
     to: int
@@ -72,7 +72,7 @@
 
 
 @dataclass(slots=True)
-class _Out:
+class _PendingProbe:
     to: int
     number: int
     sent_ms: float
@@ -89,30 +89,33 @@
         self.count = count
         self.incarnation = incarnation
         self.period_ms = period_ms
-        self.entries = [Entry() for _ in range(count)]
-        self.entries[slot] = Entry("alive", incarnation, 0, now, now, self._spread)
+        self.entries = [MemberEntry() for _ in range(count)]
+        self.entries[slot] = MemberEntry("alive", incarnation, 0, now, now, self._sends_per_update)
         self.slowness = 0
-        self.on_change: Callable[[int, Standing, float], None] = lambda slot, state, now: None
+        self.on_change: Callable[[int, MemberState, float], None] = lambda slot, state, now: None
         self._random = random.Random(f"members/{seed}/{slot}")
         self._round: list[int] = []
-        self._gone: list[int] = []
-        self._out: dict[int, _Out] = {}  # by number
-        self._number = 0
-        self._next_ms = now
-        self._last_ms = now
+        self._absent_round: list[int] = []
+        self._pending: dict[int, _PendingProbe] = {}  # by number
+        self._probe_number = 0
+        self._next_probe_ms = now
+        self._last_tick_ms = now
         self._periods = 0
         self._cursor = slot
-        self._suspects: dict[int, float] = {}  # since when
+        self._suspected_ms: dict[int, float] = {}  # since when
 
     @property
-    def _spread(self) -> int:
-        return int(SPREAD * log2(self.count + 1)) + 1
+    def _sends_per_update(self) -> int:
+        return int(GOSSIP_FACTOR * log2(self.count + 1)) + 1
 
     @property
     def suspicion_ms(self) -> float:
         """How long a suspect has to refute."""
         return (
-            self.period_ms * SUSPICION * max(1.0, log10(self.count)) * (1.0 + 0.5 * self.slowness)
+            self.period_ms
+            * SUSPICION_PERIODS
+            * max(1.0, log10(self.count))
+            * (1.0 + 0.5 * self.slowness)
         )
 
     @property
@@ -124,11 +127,11 @@
             if slot != self.slot
         )
 
-    def state(self, slot: int) -> Standing:
+    def state(self, slot: int) -> MemberState:
         """What a node is to this one."""
         return self.entries[slot].state
 
-    def there(self) -> list[int]:
+    def participants(self) -> list[int]:
         """Those that take part, this one among them, in the order of their numbers. A suspect does until it is dead."""
         return [
             slot for slot, entry in enumerate(self.entries) if entry.state in ("alive", "suspect")
@@ -136,7 +139,7 @@
 
     # -- what comes ----------------------------------------------------------------------
 
-    def heard(self, slot: int, incarnation: int, token: int, now: float) -> bool:
+    def on_datagram(self, slot: int, incarnation: int, token: int, now: float) -> bool:
         """A datagram came from a node itself; whether it is of a process that is not older than what is known."""
         entry = self.entries[slot]
         if slot == self.slot or incarnation < entry.incarnation:
@@ -146,9 +149,9 @@
         entry.token, entry.heard_ms = token, now
         return True
 
-    def told(self, news: tuple[News, ...], now: float) -> None:
+    def apply_updates(self, updates: tuple[MemberUpdate, ...], now: float) -> None:
         """Another node's news."""
-        for slot, incarnation, code in news:
+        for slot, incarnation, code in updates:
             if slot >= self.count:
                 continue
             if slot == self.slot:
@@ -156,7 +159,7 @@
                 if incarnation > self.incarnation or (incarnation == self.incarnation and code):
                     self.incarnation = min(incarnation + 1, 0xFFFFFFFF)
                     entry = self.entries[slot]
-                    entry.incarnation, entry.untold = self.incarnation, self._spread
+                    entry.incarnation, entry.sends_left = self.incarnation, self._sends_per_update
                 continue
             entry, state = self.entries[slot], STATES[code]
             known = entry.state != "unknown"
@@ -167,71 +170,73 @@
                 continue
             self._move(slot, state, incarnation, now)
 
-    def answered(self, number: int) -> None:
+    def on_ack(self, number: int) -> None:
         """An answer to one of our questions came."""
-        if self._out.pop(number, None) is not None:
+        if self._pending.pop(number, None) is not None:
             self.slowness = max(0, self.slowness - 1)
 
-    def left(self, slot: int, incarnation: int, now: float) -> None:
+    def on_leave(self, slot: int, incarnation: int, now: float) -> None:
         """A node says that it ends in order."""
         if incarnation >= self.entries[slot].incarnation and slot != self.slot:
             self._move(slot, "left", incarnation, now)
 
-    def _move(self, slot: int, state: Standing, incarnation: int, now: float) -> None:
+    def _move(self, slot: int, state: MemberState, incarnation: int, now: float) -> None:
         entry = self.entries[slot]
         changed = state != entry.state
         entry.state, entry.incarnation, entry.since_ms = state, incarnation, now
-        entry.untold = self._spread
+        entry.sends_left = self._sends_per_update
         if state == "suspect":
-            self._suspects.setdefault(slot, now)
+            self._suspected_ms.setdefault(slot, now)
         else:
-            self._suspects.pop(slot, None)
+            self._suspected_ms.pop(slot, None)
         if changed:
             self.on_change(slot, state, now)
 
     # -- what goes -----------------------------------------------------------------------
 
-    def tick(self, now: float) -> list[Question]:
+    def tick(self, now: float) -> list[Probe]:
         """Time has passed; what to ask now."""
-        stood_still = now - self._last_ms > LATE * self.period_ms
-        self._last_ms = now
-        if stood_still:
-            self.slowness = min(SLOWEST, self.slowness + 2)
-            self._out.clear()  # the answers may wait in our own socket
-            for slot in self._suspects:
-                self._suspects[slot] = now
-        questions = []
-        for out in list(self._out.values()):
-            waited = now - out.sent_ms
+        stalled = now - self._last_tick_ms > STALL_PERIODS * self.period_ms
+        self._last_tick_ms = now
+        if stalled:
+            self.slowness = min(MAX_SLOWNESS, self.slowness + 2)
+            self._pending.clear()  # the answers may wait in our own socket
+            for slot in self._suspected_ms:
+                self._suspected_ms[slot] = now
+        probes = []
+        for pending in list(self._pending.values()):
+            waited = now - pending.sent_ms
             if waited >= self.period_ms * (1.0 + 0.5 * self.slowness):
-                del self._out[out.number]
-                if self.entries[out.to].state == "alive":
-                    self.slowness = min(SLOWEST, self.slowness + 1)
-                    self._move(out.to, "suspect", self.entries[out.to].incarnation, now)
-            elif not out.relayed and waited >= ASK_AGAIN * self.period_ms:
-                out.relayed = True
-                others = [s for s in self.there() if s not in (self.slot, out.to)]
-                for other in self._random.sample(others, min(RELAYS, len(others))):
-                    questions.append(Question(out.to, out.number, other))
-        for slot, since in list(self._suspects.items()):
+                del self._pending[pending.number]
+                if self.entries[pending.to].state == "alive":
+                    self.slowness = min(MAX_SLOWNESS, self.slowness + 1)
+                    self._move(pending.to, "suspect", self.entries[pending.to].incarnation, now)
+            elif not pending.relayed and waited >= RELAY_AFTER_PERIODS * self.period_ms:
+                pending.relayed = True
+                others = [s for s in self.participants() if s not in (self.slot, pending.to)]
+                for other in self._random.sample(others, min(RELAY_COUNT, len(others))):
+                    probes.append(Probe(pending.to, pending.number, other))
+        for slot, since in list(self._suspected_ms.items()):
             if now - since >= self.suspicion_ms:
                 self._move(slot, "dead", self.entries[slot].incarnation, now)
-        if now >= self._next_ms:
-            self._next_ms = max(self._next_ms + self.period_ms, now + 0.5 * self.period_ms)
+        if now >= self._next_probe_ms:
+            self._next_probe_ms = max(
+                self._next_probe_ms + self.period_ms, now + 0.5 * self.period_ms
+            )
             self._periods += 1
-            for _ in range(JOIN if self.joining else 1):
+            for _ in range(JOIN_PROBES if self.joining else 1):
                 slot = self._next_of_round()
                 if slot >= 0:
-                    questions.append(self._ask(slot, now))
-            if self._periods % GONE_EVERY == 0 and (slot := self._next_gone()) >= 0:
-                questions.append(self._ask(slot, now))
-        return questions
+                    probes.append(self._start_probe(slot, now))
+            if self._periods % ABSENT_PROBE_PERIODS == 0 and (slot := self._next_absent()) >= 0:
+                probes.append(self._start_probe(slot, now))
+        return probes
 
-    def _ask(self, slot: int, now: float) -> Question:
-        self._number += 1
+    def _start_probe(self, slot: int, now: float) -> Probe:
+        self._probe_number += 1
         if self.entries[slot].state in ("alive", "suspect"):
-            self._out[self._number] = _Out(slot, self._number, now)
-        return Question(slot, self._number)
+            self._pending[self._probe_number] = _PendingProbe(slot, self._probe_number, now)
+        return Probe(slot, self._probe_number)
 
     def _next_of_round(self) -> int:
         """The next one to ask: each that takes part once a round, in a drawn order; while joining also those never heard of."""
@@ -246,42 +251,42 @@
             self._random.shuffle(self._round)
         return -1
 
-    def _next_gone(self) -> int:
+    def _next_absent(self) -> int:
         for _ in range(2):
-            while self._gone:
-                slot = self._gone.pop()
+            while self._absent_round:
+                slot = self._absent_round.pop()
                 if self.entries[slot].state not in ("alive", "suspect"):
                     return slot
-            self._gone = [slot for slot in range(self.count) if slot != self.slot]
-            self._random.shuffle(self._gone)
+            self._absent_round = [slot for slot in range(self.count) if slot != self.slot]
+            self._random.shuffle(self._absent_round)
         return -1
 
-    def news(self, to: int, full: bool = False) -> tuple[News, ...]:
+    def updates_for(self, to: int, full: bool = False) -> tuple[MemberUpdate, ...]:
         """What goes with a datagram to a node: that it is suspected or thought dead, what is new; in full the rest too, in turn."""
         entry = self.entries[to]
-        chosen: dict[int, News] = {}
+        chosen: dict[int, MemberUpdate] = {}
         if entry.state in ("suspect", "dead"):
             chosen[to] = (to, entry.incarnation, STATES.index(entry.state))
-        fresh = sorted(
-            (slot for slot, entry in enumerate(self.entries) if entry.untold > 0),
-            key=lambda s: -self.entries[s].untold,
+        newest = sorted(
+            (slot for slot, entry in enumerate(self.entries) if entry.sends_left > 0),
+            key=lambda s: -self.entries[s].sends_left,
         )
-        for slot in fresh[:NEWS]:
-            if len(chosen) < NEWS and slot != to:
-                self.entries[slot].untold -= 1
-                chosen[slot] = self._of(slot)
+        for slot in newest[:MAX_UPDATES]:
+            if len(chosen) < MAX_UPDATES and slot != to:
+                self.entries[slot].sends_left -= 1
+                chosen[slot] = self._update_of(slot)
         if full:
-            for slot in self._others(to):
-                if len(chosen) >= NEWS:
+            for slot in self._known_except(to):
+                if len(chosen) >= MAX_UPDATES:
                     break
-                chosen.setdefault(slot, self._of(slot))
+                chosen.setdefault(slot, self._update_of(slot))
         return tuple(chosen.values())
 
-    def _of(self, slot: int) -> News:
+    def _update_of(self, slot: int) -> MemberUpdate:
         entry = self.entries[slot]
         return slot, entry.incarnation, STATES.index(entry.state)
 
-    def _others(self, to: int) -> Iterator[int]:
+    def _known_except(self, to: int) -> Iterator[int]:
         for _ in range(self.count):
             self._cursor = (self._cursor + 1) % self.count
             if self._cursor != to and self.entries[self._cursor].state != "unknown":
--- a/forkweir/tier/options.py
+++ b/forkweir/tier/options.py
@@ -4,12 +4,12 @@
 
 from dataclasses import dataclass
 
-PERIOD_MS = 500.0  # between two questions of `members`, and two beats of a keeper
-FLOOR = 0.5  # of what a node takes by itself: what it has when it hears nobody
-CROWD = (
+DEFAULT_PERIOD_MS = 500.0  # between two questions of `members`, and two beats of a keeper
+DEFAULT_FLOOR = 0.5  # of what a node takes by itself: what it has when it hears nobody
+MAX_NODES_AT_FULL_RATE = (
     200  # nodes; a keeper of more has longer beats, so that it handles no more datagrams a second
 )
-TICKS = 4  # of a caller's clock in a period, at least
+TICKS_PER_PERIOD = 4  # of a caller's clock in a period, at least
 
 
 @dataclass(frozen=True, slots=True)
@@ -20,13 +20,13 @@
     The first two must be the same at all nodes of a tier, the others need not be.
     """
 
-    floor: float = FLOOR
-    period_ms: float = PERIOD_MS
+    floor: float = DEFAULT_FLOOR
+    period_ms: float = DEFAULT_PERIOD_MS
     shares: bool = True
     fetches: bool = False  # these three did not pay at full size (docs/tier.md)
     line: bool = False
     signals: bool = False
 
-    def beat_ms(self, count: int) -> float:
+    def heartbeat_ms(self, count: int) -> float:
         """Between two calls of the keeper of so many nodes."""
-        return self.period_ms * max(1.0, count / CROWD)
+        return self.period_ms * max(1.0, count / MAX_NODES_AT_FULL_RATE)
--- a/forkweir/tier/signals.py
+++ b/forkweir/tier/signals.py
@@ -27,46 +27,46 @@
 
 from forkweir.known.doubt import PRIOR_ODDS
 
-ON_A_PAGE = 36
-RECEIVERS = 16
-AGED_MS = 4_000.0
-TOLD_GOOD_MS = 3_000.0  # how long a good answer of one that was bad is told
-WEIGHT = 0.5
-MOST_OF_ONE = 4.0
-MOST_OF_ALL = 4.0  # one good answer of one's own outweighs it for some 15 s
-BACK = 2
-MOST_MEMBERS = 256
-STEP = 0.05  # of the logarithm, on the wire
+MAX_REPORTED_BOXES = 36
+REPORT_RECIPIENTS = 16
+REPORT_TTL_MS = 4_000.0
+RECOVERY_REPORT_MS = 3_000.0  # how long a good answer of one that was bad is told
+PEER_EVIDENCE_WEIGHT = 0.5
+MAX_ODDS_PER_PEER = 4.0
+MAX_PEER_ODDS = 4.0  # one good answer of one's own outweighs it for some 15 s
+MIN_RECOVERY_REPORTS = 2
+MAX_REPORTERS = 256
+ODDS_STEP = 0.05  # of the logarithm, on the wire
 
 
 @dataclass(slots=True)
-class Word:
+class PeerReport:
     """What a member said of a box, and when that came."""
 
     odds: float
-    at_ms: float
+    received_ms: float
 
 
 @dataclass(frozen=True, slots=True)
-class Hearsay:
+class PeerEvidence:
     """What is heard of a box. odds: to be added to those of one's own test; back: whether others had good answers of it again."""
 
     odds: float
-    back: bool
+    recovered: bool
 
 
-def packed(words: Iterable[tuple[int, float]]) -> bytes:
+def pack(reports: Iterable[tuple[int, float]]) -> bytes:
     """Ids of boxes and odds, as they travel: four bytes and one."""
     return b"".join(
-        box.to_bytes(4, "big") + bytes([min(255, max(0, round(odds / STEP) + 128))])
-        for box, odds in words
+        box.to_bytes(4, "big") + bytes([min(255, max(0, round(odds / ODDS_STEP) + 128))])
+        for box, odds in reports
     )
 
 
-def unpacked(data: bytes) -> list[tuple[int, float]]:
+def unpack(data: bytes) -> list[tuple[int, float]]:
     """The same again; bytes that make no whole entry are left out."""
     return [
-        (int.from_bytes(data[n : n + 4], "big"), (data[n + 4] - 128) * STEP)
+        (int.from_bytes(data[n : n + 4], "big"), (data[n + 4] - 128) * ODDS_STEP)
         for n in range(0, len(data) - 4, 5)
     ]
 
@@ -74,64 +74,72 @@
 class Signals:
     """One node's side: what it has to tell, and what it heard."""
 
-    __slots__ = ("_own", "_good_ms", "_words", "_numbers")
+    __slots__ = ("_bad", "_recovered", "_reports", "_last_reports")
 
     def __init__(self) -> None:
-        self._own: dict[int, float] = {}  # boxes that it holds to be bad,
-        self._good_ms: dict[
+        self._bad: dict[int, float] = {}  # boxes that it holds to be bad,
+        self._recovered: dict[
             int, tuple[float, float]
         ] = {}  # and those that it no longer does: since when, and its odds
-        self._words: dict[int, dict[int, Word]] = {}  # by box and member
-        self._numbers: dict[
+        self._reports: dict[int, dict[int, PeerReport]] = {}  # by box and member
+        self._last_reports: dict[
             int, tuple[int, int]
         ] = {}  # of each member: its token, and the number of its last word
 
-    def saw(self, bad: Mapping[int, float], odds: Mapping[int, float], now: float) -> None:
+    def update_own(self, bad: Mapping[int, float], odds: Mapping[int, float], now: float) -> None:
         """Where the node's own tests stand now. bad: the odds of the boxes that it holds to be bad; odds: of all that it knows."""
-        for box in self._own:
+        for box in self._bad:
             if box not in bad and box in odds:
-                self._good_ms[box] = now, odds[box]
-        self._own = dict(bad)
+                self._recovered[box] = now, odds[box]
+        self._bad = dict(bad)
         for box in [
-            b for b, (at, _) in self._good_ms.items() if b in bad or now - at > TOLD_GOOD_MS
+            old
+            for old, (at, _) in self._recovered.items()
+            if old in bad or now - at > RECOVERY_REPORT_MS
         ]:
-            del self._good_ms[box]
+            del self._recovered[box]
 
-    def told(self) -> list[tuple[int, float]]:
+    def to_report(self) -> list[tuple[int, float]]:
         """What there is to tell, the surest first."""
-        bad = sorted(self._own.items(), key=lambda row: (-row[1], row[0]))
-        good = [(box, min(0.0, odds)) for box, (_, odds) in sorted(self._good_ms.items())]
-        return (bad + good)[:ON_A_PAGE]
+        bad = sorted(self._bad.items(), key=lambda row: (-row[1], row[0]))
+        good = [(box, min(0.0, odds)) for box, (_, odds) in sorted(self._recovered.items())]
+        return (bad + good)[:MAX_REPORTED_BOXES]
 
-    def heard(
-        self, member: int, token: int, number: int, words: Iterable[tuple[int, float]], now: float
+    def on_report(
+        self, member: int, token: int, number: int, reports: Iterable[tuple[int, float]], now: float
     ) -> bool:
         """A member's word; whether it is newer than its last one. What it said before and does not repeat is forgotten."""
-        last = self._numbers.get(member)
+        last = self._last_reports.get(member)
         if last is not None and last[0] == token and number <= last[1]:
             return False
-        self._numbers[member] = token, number
-        for of_box in self._words.values():
-            of_box.pop(member, None)
-        for box, odds in words:
-            of_box = self._words.setdefault(box, {})
-            if len(of_box) < MOST_MEMBERS:
-                of_box[member] = Word(odds, now)
+        self._last_reports[member] = token, number
+        for by_member in self._reports.values():
+            by_member.pop(member, None)
+        for box, odds in reports:
+            by_member = self._reports.setdefault(box, {})
+            if len(by_member) < MAX_REPORTERS:
+                by_member[member] = PeerReport(odds, now)
         return True
 
-    def hearsay(self, now: float) -> dict[int, Hearsay]:
+    def evidence(self, now: float) -> dict[int, PeerEvidence]:
         """What is heard of each box now."""
         result = {}
-        for box, of_box in list(self._words.items()):
-            for member in [m for m, word in of_box.items() if now - word.at_ms > AGED_MS]:
-                del of_box[member]
-            if not of_box:
-                del self._words[box]
+        for box, by_member in list(self._reports.items()):
+            for member in [
+                m for m, report in by_member.items() if now - report.received_ms > REPORT_TTL_MS
+            ]:
+                del by_member[member]
+            if not by_member:
+                del self._reports[box]
                 continue
-            words = [word.odds for word in of_box.values()]
-            over = sorted(min(MOST_OF_ONE, odds - PRIOR_ODDS) for odds in words if odds > 0.0)[:-1]
-            back = sum(odds <= 0.0 for odds in words) >= BACK and not any(
-                odds > 0.0 for odds in words
+            reports = [report.odds for report in by_member.values()]
+            excess = sorted(
+                min(MAX_ODDS_PER_PEER, odds - PRIOR_ODDS) for odds in reports if odds > 0.0
+            )[:-1]
+            recovered = sum(odds <= 0.0 for odds in reports) >= MIN_RECOVERY_REPORTS and not any(
+                odds > 0.0 for odds in reports
+            )
+            result[box] = PeerEvidence(
+                min(MAX_PEER_ODDS, PEER_EVIDENCE_WEIGHT * sum(excess)), recovered
             )
-            result[box] = Hearsay(min(MOST_OF_ALL, WEIGHT * sum(over)), back)
         return result
--- a/forkweir/tier/tier.py
+++ b/forkweir/tier/tier.py
@@ -23,45 +23,47 @@
 from statistics import median
 
 from forkweir.tier import signals, wire
-from forkweir.tier.claims import FETCHES, Claims
-from forkweir.tier.lending import MOST_BOUNDS, WHOLE, Dealer, Who
-from forkweir.tier.lines import ON_A_PAGE, WINDOW, merged, packed, unpacked
-from forkweir.tier.members import Members, Question
+from forkweir.tier.demand import FETCHES_LIMIT_ID, Demand
+from forkweir.tier.leases import MAX_LIMITS, TOTAL_SHARES, Allocator, ProcessId
+from forkweir.tier.members import Members, Probe
 from forkweir.tier.options import Options
-from forkweir.tier.signals import RECEIVERS, Signals
-from forkweir.tier.wire import ENTRIES, FORMAT, Message
-
-VOTE_BEATS = 8.0
-HOLD_BEATS = 5.0
-QUIET_BEATS = 2.5  # without a call of the one that has the vote: somebody else may stand
-RANK_BEATS = 0.5  # and each one later by so much times its rank
-FIRST_BEATS = 1.5  # after the start, before anybody stands
-TOLD = 2.5  # beats
-LIAR = 4.0
-WORD_PERIODS = 1.5  # between two words on boxes, if there is anything to tell
-LINE_BEATS = 4  # between two words on the line
-CALLS = 13
-
-USUAL = Options()
+from forkweir.tier.shared_line import ENTRIES_PER_PAGE, WINDOW_ARRIVALS, merge, pack, unpack
+from forkweir.tier.signals import REPORT_RECIPIENTS, Signals
+from forkweir.tier.wire import FORMAT_VERSION, MAX_ENTRIES, Message
+
+VOTE_HEARTBEATS = 8.0
+LEASE_HEARTBEATS = 5.0
+ELECTION_TIMEOUT_HEARTBEATS = (
+    2.5  # without a call of the one that has the vote: somebody else may stand
+)
+ELECTION_STAGGER_HEARTBEATS = 0.5  # and each one later by so much times its rank
+STARTUP_HEARTBEATS = 1.5  # after the start, before anybody stands
+REPORT_TTL_HEARTBEATS = 2.5  # beats
+OUTLIER_FACTOR = 4.0
+SIGNAL_PERIODS = 1.5  # between two words on boxes, if there is anything to tell
+LINE_HEARTBEATS = 4  # between two words on the line
+MAX_CALL_PAGES = 13
+
+DEFAULT_OPTIONS = Options()
 
 Send = tuple[int, bytes]
 """To which node, and what."""
 
 
 @dataclass(slots=True)
-class Told:
+class NodeReport:
     """What a keeper knows of one process. wants: by bound, how much and when it was said."""
 
     token: int
-    number: int = 0  # of its last reply
-    at_ms: float = 0.0
-    own: tuple[float, float] = (0.0, 0.0)
-    wants: dict[int, tuple[float, float]] = field(default_factory=dict)
+    reply_number: int = 0  # of its last reply
+    received_ms: float = 0.0
+    own_limits: tuple[float, float] = (0.0, 0.0)
+    demands: dict[int, tuple[float, float]] = field(default_factory=dict)
     filled: float = 0.0  # what part of its window is arrivals,
-    heavy: dict[int, float] = field(
+    heavy_buckets: dict[int, float] = field(
         default_factory=dict
     )  # and what is asked for often there: by bucket, its part of the window
-    heavy_number: int = 0  # the call after which it said so
+    heavy_call_number: int = 0  # the call after which it said so
 
 
 class Tier:
@@ -74,13 +76,13 @@
         seed: int,
         incarnation: int,
         now: float,
-        options: Options = USUAL,
+        options: Options = DEFAULT_OPTIONS,
         tier: int = 0,
     ) -> None:
         """slot: this node's number, of count nodes; incarnation: Unix seconds; tier: number of the tier; seed: new with each start."""
-        if not 0 <= slot < count <= wire.MOST_NODES:
+        if not 0 <= slot < count <= wire.MAX_NODES:
             raise ValueError(
-                f"node {slot} of {count}: a tier has at most {wire.MOST_NODES} nodes, counted from 0"
+                f"node {slot} of {count}: a tier has at most {wire.MAX_NODES} nodes, counted from 0"
             )
         self.slot = slot
         self.count = count
@@ -88,248 +90,302 @@
         self.digest = _digest(options, count, tier)
         self._random = random.Random(f"tier/{seed}/{slot}")
         self.token = self._random.getrandbits(32) or 1
-        self.beat_ms = options.beat_ms(count)
+        self.heartbeat_ms = options.heartbeat_ms(count)
         self.members = Members(slot, count, incarnation, seed, options.period_ms, now)
-        self.vote_ms = VOTE_BEATS * self.beat_ms
-        self.dealer = Dealer((slot, self.token), count, self.vote_ms, now)
-        self.claims = Claims(
-            options.floor, self.dealer.holdings, options.shares, options.fetches, options.line
+        self.vote_ms = VOTE_HEARTBEATS * self.heartbeat_ms
+        self.allocator = Allocator((slot, self.token), count, self.vote_ms, now)
+        self.demand = Demand(
+            options.floor, self.allocator.held_leases, options.shares, options.fetches, options.line
         )
         self.signals = (
             Signals() if options.signals else None
         )  # none: this node neither tells nor heeds what was seen of boxes
-        self.attend: Callable[[float], None] = lambda now: (
+        self.update_signals: Callable[[float], None] = lambda now: (
             None
         )  # brings `signals` and what follows from them up to date
-        self.sizes = (0.0, 0.0)  # of the tier, as the keeper had them
-        self.followed = -1  # whose calls this node answers with its vote
-        self.prepare: Callable[[float], None] = lambda now: (
+        self.limit_totals = (0.0, 0.0)  # of the tier, as the keeper had them
+        self.followed_leader = -1  # whose calls this node answers with its vote
+        self.update_demand: Callable[[float], None] = lambda now: (
             None
         )  # brings `claims` up to date before it is read
         self.counts = dict.fromkeys(
             ("in", "out", "malformed", "foreign", "impostor", "stranger", "old"), 0
         )
         self.bytes_out = 0
-        self._told: dict[int, Told] = {}
-        self._relays: dict[
+        self._reports: dict[int, NodeReport] = {}
+        self._pending_relays: dict[
             int, tuple[int, int]
         ] = {}  # by number of our question: for whom, and by what number of theirs
-        self._relayed = 0
-        self._called_ms = now  # when a call last came that got the vote
-        self._next_beat_ms = now + FIRST_BEATS * self.beat_ms * (1.0 + 0.2 * self._random.random())
-        self._stood_ms = -1.0  # since when it stands without a majority
-        self._rest_ms = 0.0
-        self._foreign_ms = -1e12  # when it last heard itself of another digest,
-        self._foreign_told_ms = -1e12  # and when another said that it had
-        self._reached: set[int] = set()  # who was called in the last beat,
-        self._beat_number = 0  # and the number of that call
-        self._beats = 0
-        self._next_word_ms = now
-        self._words = 0  # on boxes, that were told
-        self._silent = True  # nothing was told last
-        self._void = 0  # of a candidacy that has ended, and of which the others are still to be told: its last call
+        self._relay_count = 0
+        self._last_leader_call_ms = now  # when a call last came that got the vote
+        self._next_heartbeat_ms = now + STARTUP_HEARTBEATS * self.heartbeat_ms * (
+            1.0 + 0.2 * self._random.random()
+        )
+        self._candidate_since_ms = -1.0  # since when it stands without a majority
+        self._backoff_until_ms = 0.0
+        self._conflict_seen_ms = -1e12  # when it last heard itself of another digest,
+        self._conflict_reported_ms = -1e12  # and when another said that it had
+        self._called_slots: set[int] = set()  # who was called in the last beat,
+        self._heartbeat_number = 0  # and the number of that call
+        self._heartbeats = 0
+        self._next_signals_ms = now
+        self._signals_number = 0  # on boxes, that were told
+        self._nothing_reported = True  # nothing was told last
+        self._void_number = 0  # of a candidacy that has ended, and of which the others are still to be told: its last call
 
     # -- what others ask -----------------------------------------------------------------
 
-    def keeps(self, now: float) -> bool:
+    def is_leader(self, now: float) -> bool:
         """Whether this process is keeper."""
-        return self.dealer.keeps(now)
+        return self.allocator.is_leader(now)
 
-    def disagrees(self, now: float) -> bool:
+    def has_config_conflict(self, now: float) -> bool:
         """Whether another count or other constants of the tier were heard of lately."""
-        return now - max(self._foreign_ms, self._foreign_told_ms) < self.vote_ms
+        return now - max(self._conflict_seen_ms, self._conflict_reported_ms) < self.vote_ms
 
     # -- time ----------------------------------------------------------------------------
 
     def tick(self, now: float) -> list[Send]:
         """Time has passed."""
-        sends = [send for question in self.members.tick(now) for send in self._question(question)]
-        self.attend(now)
-        if self.signals is not None and now >= self._next_word_ms:
-            self._next_word_ms = now + WORD_PERIODS * self.options.period_ms
-            sends += self._tell_seen()
-        if now >= self._next_beat_ms:
-            self._next_beat_ms = max(self._next_beat_ms + self.beat_ms, now + 0.5 * self.beat_ms)
-            if self._stands(now):
+        sends = [send for probe in self.members.tick(now) for send in self._send_probe(probe)]
+        self.update_signals(now)
+        if self.signals is not None and now >= self._next_signals_ms:
+            self._next_signals_ms = now + SIGNAL_PERIODS * self.options.period_ms
+            sends += self._send_signals()
+        if now >= self._next_heartbeat_ms:
+            self._next_heartbeat_ms = max(
+                self._next_heartbeat_ms + self.heartbeat_ms, now + 0.5 * self.heartbeat_ms
+            )
+            if self._should_call(now):
                 sends += self._call_all(now)
-            sends += self._say_back()
-        elif self._reached and self.keeps(now):
-            sends += self._call_new()
-        return self._counted(sends)
+            sends += self._announce_step_down()
+        elif self._called_slots and self.is_leader(now):
+            sends += self._call_newcomers()
+        return self._count_sends(sends)
 
     def leave(self, now: float) -> list[Send]:
         """The process ends in order: some are told, and tell the others."""
-        others = [slot for slot in self.members.there() if slot != self.slot]
-        some = self._random.sample(others, min(len(others), 4))
-        return self._counted([self._send(slot, wire.Leave(*self._head())) for slot in some])
+        others = [slot for slot in self.members.participants() if slot != self.slot]
+        recipients = self._random.sample(others, min(len(others), 4))
+        return self._count_sends(
+            [self._send(slot, wire.Leave(*self._header())) for slot in recipients]
+        )
 
-    def _stands(self, now: float) -> bool:
+    def _should_call(self, now: float) -> bool:
         """Whether this process calls others: it is keeper, or nobody else seems to be."""
-        if self.disagrees(now):
+        if self.has_config_conflict(now):
             # For a whole span of a vote from now on: by then what it may have granted as keeper has ended too.
-            self.dealer.voter.refuse(now)
-            self.dealer.candidacy.drop()
+            self.allocator.voter.withhold(now)
+            self.allocator.candidacy.withdraw()
             return False
-        if self.keeps(now):
-            self._stood_ms = -1.0
-            return self.dealer.call(now)
-        quiet = QUIET_BEATS + RANK_BEATS * self.members.there().index(self.slot)
-        if now < self._rest_ms or now - self._called_ms < quiet * self.beat_ms:
+        if self.is_leader(now):
+            self._candidate_since_ms = -1.0
+            return self.allocator.start_call(now)
+        timeout_heartbeats = (
+            ELECTION_TIMEOUT_HEARTBEATS
+            + ELECTION_STAGGER_HEARTBEATS * self.members.participants().index(self.slot)
+        )
+        if (
+            now < self._backoff_until_ms
+            or now - self._last_leader_call_ms < timeout_heartbeats * self.heartbeat_ms
+        ):
             return False
-        if self._stood_ms >= 0.0 and now - self._stood_ms > 2.0 * self.vote_ms:
-            self._rest_ms = now + self.vote_ms * (1.0 + self._random.random())
-            self._stood_ms = -1.0
-            self._void = self.dealer.stand_back(now)
+        if self._candidate_since_ms >= 0.0 and now - self._candidate_since_ms > 2.0 * self.vote_ms:
+            self._backoff_until_ms = now + self.vote_ms * (1.0 + self._random.random())
+            self._candidate_since_ms = -1.0
+            self._void_number = self.allocator.step_down(now)
             return False
-        if not self.dealer.call(now):
+        if not self.allocator.start_call(now):
             return False
-        if self._stood_ms < 0.0:
-            self._stood_ms = now
+        if self._candidate_since_ms < 0.0:
+            self._candidate_since_ms = now
         return True
 
     # -- the keeper's side ---------------------------------------------------------------
 
     def _call_all(self, now: float) -> Iterator[Send]:
         """One beat: ask for votes, and tell each what it gets of what it said it wants."""
-        dealer = self.dealer
-        number = dealer.number
-        self._beats += 1
-        heavy = self._beats % LINE_BEATS == 0
-        hold_ms = dealer.hold_ms(HOLD_BEATS * self.beat_ms, now)
-        self._reached.clear()
-        self._beat_number = number
-        self._tell_own(now)
-        dealt = self._deal(hold_ms, now) if hold_ms else {}
-        sizes = wire.scaled(self.sizes[0]), wire.scaled(self.sizes[1])
+        allocator = self.allocator
+        number = allocator.call_number
+        self._heartbeats += 1
+        heavy_wanted = self._heartbeats % LINE_HEARTBEATS == 0
+        lease_ms = allocator.lease_ms(LEASE_HEARTBEATS * self.heartbeat_ms, now)
+        self._called_slots.clear()
+        self._heartbeat_number = number
+        self._record_own_report(now)
+        allocated = self._allocate(lease_ms, now) if lease_ms else {}
+        limit_totals = (
+            wire.encode_amount(self.limit_totals[0]),
+            wire.encode_amount(self.limit_totals[1]),
+        )
         for slot in range(self.count):
             if self.members.state(slot) in ("dead", "left") and slot != self.slot:
                 continue
-            self._reached.add(slot)
-            known = self._told.get(slot)
-            grants = list(dealt.get(slot, {}).items())
+            self._called_slots.add(slot)
+            known = self._reports.get(slot)
+            grants = list(allocated.get(slot, {}).items())
             if slot == self.slot:
-                for bound, parts in grants:
-                    size = self._size_of(bound, sizes)
-                    dealer.granted(
-                        dealer.who,
+                for limit, shares in grants:
+                    total = self._total_of(limit, limit_totals)
+                    allocator.on_grant(
+                        allocator.process,
                         self.token,
                         number,
-                        self._told[slot].number,
-                        hold_ms,
-                        size,
-                        bound,
-                        parts,
+                        self._reports[slot].reply_number,
+                        lease_ms,
+                        total,
+                        limit,
+                        shares,
                         now,
                     )
                 continue
-            token, echo = (known.token, known.number) if known is not None and grants else (0, 0)
-            for page in range(max(1, min(CALLS, -(-len(grants) // ENTRIES)))):
-                dealer.number += page > 0
-                some = tuple(grants[page * ENTRIES : (page + 1) * ENTRIES])
+            token, echo = (
+                (known.token, known.reply_number) if known is not None and grants else (0, 0)
+            )
+            for page in range(max(1, min(MAX_CALL_PAGES, -(-len(grants) // MAX_ENTRIES)))):
+                allocator.call_number += page > 0
+                entries = tuple(grants[page * MAX_ENTRIES : (page + 1) * MAX_ENTRIES])
                 call = wire.Call(
-                    *self._head(),
+                    *self._header(),
                     token,
-                    dealer.number if page else number,
+                    allocator.call_number if page else number,
                     not page,
                     echo,
-                    hold_ms,
-                    sizes,
-                    heavy,
-                    some,
+                    lease_ms,
+                    limit_totals,
+                    heavy_wanted,
+                    entries,
                 )
                 yield self._send(slot, call)
-        if hold_ms and heavy:
-            yield from self._tell_line(number, now)
+        if lease_ms and heavy_wanted:
+            yield from self._send_line(number, now)
 
-    def _call_new(self) -> Iterator[Send]:
+    def _call_newcomers(self) -> Iterator[Send]:
         """Between two beats, call those that have come since the last one, so that they have their parts a beat sooner."""
-        for slot in self.members.there():
-            if slot != self.slot and slot not in self._reached:
-                self._reached.add(slot)
-                sizes = wire.scaled(self.sizes[0]), wire.scaled(self.sizes[1])
+        for slot in self.members.participants():
+            if slot != self.slot and slot not in self._called_slots:
+                self._called_slots.add(slot)
+                limit_totals = (
+                    wire.encode_amount(self.limit_totals[0]),
+                    wire.encode_amount(self.limit_totals[1]),
+                )
                 yield self._send(
                     slot,
-                    wire.Call(*self._head(), 0, self._beat_number, True, 0, 0, sizes, False, ()),
+                    wire.Call(
+                        *self._header(),
+                        0,
+                        self._heartbeat_number,
+                        True,
+                        0,
+                        0,
+                        limit_totals,
+                        False,
+                        (),
+                    ),
                 )
 
-    def _tell_line(self, number: int, now: float) -> Iterator[Send]:
+    def _send_line(self, number: int, now: float) -> Iterator[Send]:
         """Merge what all nodes are asked for often, and tell them."""
-        lines, oldest = self.claims.lines, now - 2.0 * LINE_BEATS * TOLD * self.beat_ms
+        lines, oldest = (
+            self.demand.shared_line,
+            now - 2.0 * LINE_HEARTBEATS * REPORT_TTL_HEARTBEATS * self.heartbeat_ms,
+        )
         if lines is None:
             return
-        told = {
-            slot: (t.filled, t.heavy)
-            for slot, t in self._told.items()
-            if t.at_ms >= oldest and slot != self.slot
+        by_node = {
+            slot: (report.filled, report.heavy_buckets)
+            for slot, report in self._reports.items()
+            if report.received_ms >= oldest and slot != self.slot
         }
-        told[self.slot] = lines.sketch.weight / WINDOW, dict(unpacked(packed(lines.sketch.heavy())))
-        filled, shares = merged(told)
-        code = wire.scaled(filled)
-        data = packed(shares)
+        by_node[self.slot] = (
+            lines.sketch.weight / WINDOW_ARRIVALS,
+            dict(unpack(pack(lines.sketch.heavy_buckets()))),
+        )
+        filled, fractions = merge(by_node)
+        filled_step = wire.encode_amount(filled)
+        data = pack(fractions)
         pages = _pages(data)
-        for page, some in enumerate(pages):
-            lines.page(self.token, number, page, len(pages), wire.unscaled(code), some, now)
-            for slot in self.members.there():
+        for page, page_data in enumerate(pages):
+            lines.on_page(
+                self.token,
+                number,
+                page,
+                len(pages),
+                wire.decode_amount(filled_step),
+                page_data,
+                now,
+            )
+            for slot in self.members.participants():
                 if slot != self.slot:
                     yield self._send(
-                        slot, wire.Line(*self._head(), number, page, len(pages), code, some)
+                        slot,
+                        wire.Line(
+                            *self._header(), number, page, len(pages), filled_step, page_data
+                        ),
                     )
 
-    def _tell_heavy(self, keeper: int, number: int) -> Iterator[Send]:
+    def _send_heavy(self, leader: int, number: int) -> Iterator[Send]:
         """Tell the keeper what is asked for often here."""
-        if self.claims.lines is None:
+        if self.demand.shared_line is None:
             return
-        sketch = self.claims.lines.sketch
-        filled = wire.scaled(sketch.weight / WINDOW)
-        for page, some in enumerate(_pages(packed(sketch.heavy()))):
-            yield self._send(keeper, wire.Heavy(*self._head(), number, page, filled, some))
+        sketch = self.demand.shared_line.sketch
+        filled = wire.encode_amount(sketch.weight / WINDOW_ARRIVALS)
+        for page, page_data in enumerate(_pages(pack(sketch.heavy_buckets()))):
+            yield self._send(leader, wire.Heavy(*self._header(), number, page, filled, page_data))
 
-    def _say_back(self) -> Iterator[Send]:
+    def _announce_step_down(self) -> Iterator[Send]:
         """Tell all that this process stands no more, once, if it has stood back."""
-        void, self._void = self._void, 0
-        if void:
-            for slot in self.members.there():
+        void_number, self._void_number = self._void_number, 0
+        if void_number:
+            for slot in self.members.participants():
                 if slot != self.slot:
-                    yield self._send(slot, wire.Back(*self._head(), void))
+                    yield self._send(slot, wire.Back(*self._header(), void_number))
 
-    def _tell_own(self, now: float) -> None:
+    def _record_own_report(self, now: float) -> None:
         """The keeper is a node like any other: it tells itself what it wants."""
-        self.prepare(now)
-        told = self._told.get(self.slot)
-        if told is None:
-            told = self._told[self.slot] = Told(self.token)
-        told.number, told.at_ms = self.dealer.holdings.replies(now), now
-        told.own = self.claims.own_work, self.claims.own_fetches
-        told.wants = {bound: (amount, now) for bound, amount in self.claims.wanted(now)}
-
-    def _deal(self, hold_ms: int, now: float) -> dict[int, dict[int, int]]:
+        self.update_demand(now)
+        report = self._reports.get(self.slot)
+        if report is None:
+            report = self._reports[self.slot] = NodeReport(self.token)
+        report.reply_number, report.received_ms = (
+            self.allocator.held_leases.next_reply_number(now),
+            now,
+        )
+        report.own_limits = self.demand.own_work, self.demand.own_fetches
+        report.demands = {limit: (amount, now) for limit, amount in self.demand.above_floor(now)}
+
+    def _allocate(self, lease_ms: int, now: float) -> dict[int, dict[int, int]]:
         """Grant anew what was asked for lately: by node and bound."""
-        oldest = now - TOLD * self.beat_ms
-        lately = {slot: told for slot, told in self._told.items() if told.at_ms >= oldest}
-        self.sizes = (
-            _size([told.own[0] for told in lately.values()]),
-            _size([told.own[1] for told in lately.values()]),
+        oldest = now - REPORT_TTL_HEARTBEATS * self.heartbeat_ms
+        recent = {
+            slot: report for slot, report in self._reports.items() if report.received_ms >= oldest
+        }
+        self.limit_totals = (
+            _limit_total([report.own_limits[0] for report in recent.values()]),
+            _limit_total([report.own_limits[1] for report in recent.values()]),
         )
-        wants: dict[int, dict[Who, float]] = {}
-        for slot, told in lately.items():
-            for bound in [b for b, (_, at) in told.wants.items() if at < oldest]:
-                del told.wants[bound]
-            for bound, (amount, _) in told.wants.items():
-                pool = (1.0 - self.options.floor) * self.sizes[bound == FETCHES]
+        demand: dict[int, dict[ProcessId, float]] = {}
+        for slot, report in recent.items():
+            for limit in [old for old, (_, at) in report.demands.items() if at < oldest]:
+                del report.demands[limit]
+            for limit, (amount, _) in report.demands.items():
+                pool = (1.0 - self.options.floor) * self.limit_totals[limit == FETCHES_LIMIT_ID]
                 if pool > 0.0:
-                    wants.setdefault(bound, {})[slot, told.token] = min(
-                        WHOLE, WHOLE * amount / pool
+                    demand.setdefault(limit, {})[slot, report.token] = min(
+                        TOTAL_SHARES, TOTAL_SHARES * amount / pool
                     )
-        self.dealer.ledger.forget(now)
-        dealt: dict[int, dict[int, int]] = {}
-        for bound, by_who in wants.items():
-            for (slot, _), parts in self.dealer.ledger.deal(bound, by_who, hold_ms, now).items():
-                dealt.setdefault(slot, {})[bound] = parts
-        return dealt
+        self.allocator.ledger.remove_expired(now)
+        allocated: dict[int, dict[int, int]] = {}
+        for limit, by_process in demand.items():
+            for (slot, _), shares in self.allocator.ledger.grant(
+                limit, by_process, lease_ms, now
+            ).items():
+                allocated.setdefault(slot, {})[limit] = shares
+        return allocated
 
     @staticmethod
-    def _size_of(bound: int, sizes: tuple[int, int]) -> float:
-        return wire.unscaled(sizes[bound == FETCHES])
+    def _total_of(limit: int, limit_totals: tuple[int, int]) -> float:
+        return wire.decode_amount(limit_totals[limit == FETCHES_LIMIT_ID])
 
     # -- datagrams -----------------------------------------------------------------------
 
@@ -346,62 +402,66 @@
             return []
         if message.digest != self.digest:
             self.counts["foreign"] += 1
-            self._foreign_ms = now
+            self._conflict_seen_ms = now
             return []
         if message.slot != sender or sender == self.slot:
             self.counts["impostor"] += 1
-            self._foreign_ms = now  # two lists of peers that differ in their order
+            self._conflict_seen_ms = now  # two lists of peers that differ in their order
             return []
-        if not self.members.heard(sender, message.incarnation, message.token, now):
+        if not self.members.on_datagram(sender, message.incarnation, message.token, now):
             self.counts["old"] += 1
             return []
-        return self._counted(list(self._receive(sender, message, now)))
+        return self._count_sends(list(self._receive(sender, message, now)))
 
     def _receive(self, sender: int, message: Message, now: float) -> Iterator[Send]:
         if isinstance(message, wire.Ping):
-            self.members.told(message.news, now)
+            self.members.apply_updates(message.updates, now)
             yield self._send(
                 sender,
                 wire.Ack(
-                    *self._head(), message.number, self.members.news(sender, full=message.joining)
+                    *self._header(),
+                    message.number,
+                    self.members.updates_for(sender, full=message.joining),
                 ),
             )
         elif isinstance(message, wire.Ack):
-            self.members.told(message.news, now)
-            asked_for = self._relays.pop(message.number, None)
-            if asked_for is not None:
-                yield self._send(asked_for[0], wire.Ack(*self._head(), asked_for[1], ()))
-            self.members.answered(message.number)
+            self.members.apply_updates(message.updates, now)
+            requester = self._pending_relays.pop(message.number, None)
+            if requester is not None:
+                yield self._send(requester[0], wire.Ack(*self._header(), requester[1], ()))
+            self.members.on_ack(message.number)
         elif isinstance(message, wire.Relay):
-            self.members.told(message.news, now)
+            self.members.apply_updates(message.updates, now)
             if message.target < self.count and message.target not in (self.slot, sender):
-                self._relayed = (self._relayed + 1) % 1_000
-                number = 0xFFFF0000 + self._relayed  # apart from the questions of our own
-                self._relays[number] = sender, message.number
-                while len(self._relays) > 64:
-                    del self._relays[next(iter(self._relays))]
+                self._relay_count = (self._relay_count + 1) % 1_000
+                number = 0xFFFF0000 + self._relay_count  # apart from the questions of our own
+                self._pending_relays[number] = sender, message.number
+                while len(self._pending_relays) > 64:
+                    del self._pending_relays[next(iter(self._pending_relays))]
                 yield self._send(
                     message.target,
-                    wire.Ping(*self._head(), number, False, self.members.news(message.target)),
+                    wire.Ping(
+                        *self._header(), number, False, self.members.updates_for(message.target)
+                    ),
                 )
         elif isinstance(message, wire.Call):
-            yield from self._called(sender, message, now)
+            yield from self._on_call(sender, message, now)
         elif isinstance(message, wire.Reply):
-            self._replied(sender, message, now)
+            self._on_reply(sender, message, now)
         elif isinstance(message, wire.Heavy):
-            self._heavy(sender, message, now)
+            self._on_heavy(sender, message, now)
         elif isinstance(message, wire.Seen):
             if self.signals is not None:
-                self.signals.heard(
-                    sender, message.token, message.number, signals.unpacked(message.data), now
+                self.signals.on_report(
+                    sender, message.token, message.number, signals.unpack(message.data), now
                 )
         elif isinstance(message, wire.Line):
-            if self.claims.lines is not None and self.dealer.voter.promised == (
+            if self.demand.shared_line is not None and self.allocator.voter.voted_for == (
                 sender,
                 message.token,
             ):
-                filled = wire.unscaled(message.filled)
-                self.claims.lines.page(
+                filled = wire.decode_amount(message.filled)
+                self.demand.shared_line.on_page(
                     message.token,
                     message.number,
                     message.page,
@@ -411,117 +471,138 @@
                     now,
                 )
         elif isinstance(message, wire.Back):
-            self.dealer.voter.release((sender, message.token), message.number, now)
+            self.allocator.voter.release((sender, message.token), message.number, now)
         else:
-            self.members.left(sender, message.incarnation, now)
-
-    def _called(self, sender: int, call: wire.Call, now: float) -> Iterator[Send]:
-        keeper = sender, call.token
-        for bound, parts in call.grants:
-            size = self._size_of(bound, call.sizes)
-            self.dealer.granted(
-                keeper, call.to, call.number, call.echo, call.hold_ms, size, bound, parts, now
+            self.members.on_leave(sender, message.incarnation, now)
+
+    def _on_call(self, sender: int, call: wire.Call, now: float) -> Iterator[Send]:
+        leader = sender, call.token
+        for limit, shares in call.grants:
+            total = self._total_of(limit, call.limit_totals)
+            self.allocator.on_grant(
+                leader, call.to, call.number, call.echo, call.lease_ms, total, limit, shares, now
             )
-        if not call.answer:
+        if not call.reply_wanted:
             return
-        vote, void = (
-            (False, 0) if self.disagrees(now) else self.dealer.called(keeper, call.number, now)
+        vote, void_number = (
+            (False, 0)
+            if self.has_config_conflict(now)
+            else self.allocator.on_call(leader, call.number, now)
         )
-        if void:
-            self._void, self._stood_ms = void, -1.0
-            yield from self._say_back()
+        if void_number:
+            self._void_number, self._candidate_since_ms = void_number, -1.0
+            yield from self._announce_step_down()
         if vote:
-            self._called_ms, self.followed = now, sender
-            self.sizes = wire.unscaled(call.sizes[0]), wire.unscaled(call.sizes[1])
-        if vote and call.heavy:
-            yield from self._tell_heavy(sender, call.number)
-        self.prepare(now)
-        wants = [(bound, wire.scaled(amount)) for bound, amount in self.claims.wanted(now)][
-            : CALLS * ENTRIES
-        ]
-        own = wire.scaled(self.claims.own_work), wire.scaled(self.claims.own_fetches)
-        other = now - self._foreign_ms < self.vote_ms
-        for page in range(max(1, -(-len(wants) // ENTRIES))):
-            number = self.dealer.holdings.replies(now) if not page else 0
-            some = tuple(wants[page * ENTRIES : (page + 1) * ENTRIES])
+            self._last_leader_call_ms, self.followed_leader = now, sender
+            self.limit_totals = (
+                wire.decode_amount(call.limit_totals[0]),
+                wire.decode_amount(call.limit_totals[1]),
+            )
+        if vote and call.heavy_wanted:
+            yield from self._send_heavy(sender, call.number)
+        self.update_demand(now)
+        demand = [
+            (limit, wire.encode_amount(amount)) for limit, amount in self.demand.above_floor(now)
+        ][: MAX_CALL_PAGES * MAX_ENTRIES]
+        own_limits = (
+            wire.encode_amount(self.demand.own_work),
+            wire.encode_amount(self.demand.own_fetches),
+        )
+        config_conflict = now - self._conflict_seen_ms < self.vote_ms
+        for page in range(max(1, -(-len(demand) // MAX_ENTRIES))):
+            number = self.allocator.held_leases.next_reply_number(now) if not page else 0
+            entries = tuple(demand[page * MAX_ENTRIES : (page + 1) * MAX_ENTRIES])
             yield self._send(
                 sender,
                 wire.Reply(
-                    *self._head(),
+                    *self._header(),
                     call.token,
                     number,
                     call.number,
                     vote and not page,
-                    other,
-                    own,
-                    some,
+                    config_conflict,
+                    own_limits,
+                    entries,
                 ),
             )
 
-    def _replied(self, sender: int, reply: wire.Reply, now: float) -> None:
+    def _on_reply(self, sender: int, reply: wire.Reply, now: float) -> None:
         if reply.to != self.token:
             self.counts["old"] += 1
             return
-        if reply.other:
-            self._foreign_told_ms = now
+        if reply.config_conflict:
+            self._conflict_reported_ms = now
         if reply.vote:
-            self.dealer.voted(sender, reply.to, reply.echo)
-        told = self._told.get(sender)
-        if told is None or told.token != reply.token:
-            told = self._told[sender] = Told(reply.token)
+            self.allocator.on_vote(sender, reply.to, reply.echo)
+        report = self._reports.get(sender)
+        if report is None or report.token != reply.token:
+            report = self._reports[sender] = NodeReport(reply.token)
         if reply.number:
-            if reply.number <= told.number:
+            if reply.number <= report.reply_number:
                 self.counts["old"] += 1
                 return
-            told.number = reply.number
-        told.at_ms = now
-        told.own = wire.unscaled(reply.own[0]), wire.unscaled(reply.own[1])
-        for bound, step in reply.wants:
-            if bound in told.wants or len(told.wants) < MOST_BOUNDS:
-                told.wants[bound] = wire.unscaled(step), now
-
-    def _tell_seen(self) -> Iterator[Send]:
+            report.reply_number = reply.number
+        report.received_ms = now
+        report.own_limits = (
+            wire.decode_amount(reply.own_limits[0]),
+            wire.decode_amount(reply.own_limits[1]),
+        )
+        for limit, step in reply.demand:
+            if limit in report.demands or len(report.demands) < MAX_LIMITS:
+                report.demands[limit] = wire.decode_amount(step), now
+
+    def _send_signals(self) -> Iterator[Send]:
         """Tell some members which boxes this node holds to be bad; once more, with nothing in it, when there are none any more."""
         assert self.signals is not None
-        told = self.signals.told()
-        if not told and self._silent:
+        reports = self.signals.to_report()
+        if not reports and self._nothing_reported:
             return
-        self._silent = not told
-        self._words += 1
-        others = [slot for slot in self.members.there() if slot != self.slot]
-        data = signals.packed(told)
-        for slot in self._random.sample(others, min(RECEIVERS, len(others))):
-            yield self._send(slot, wire.Seen(*self._head(), self._words, data))
-
-    def _heavy(self, sender: int, message: wire.Heavy, now: float) -> None:
-        told = self._told.get(sender)
-        if told is None or told.token != message.token or message.number < told.heavy_number:
+        self._nothing_reported = not reports
+        self._signals_number += 1
+        others = [slot for slot in self.members.participants() if slot != self.slot]
+        data = signals.pack(reports)
+        for slot in self._random.sample(others, min(REPORT_RECIPIENTS, len(others))):
+            yield self._send(slot, wire.Seen(*self._header(), self._signals_number, data))
+
+    def _on_heavy(self, sender: int, message: wire.Heavy, now: float) -> None:
+        report = self._reports.get(sender)
+        if (
+            report is None
+            or report.token != message.token
+            or message.number < report.heavy_call_number
+        ):
             self.counts["old"] += 1
             return
-        if message.number > told.heavy_number:
-            told.heavy, told.heavy_number = {}, message.number
-        told.filled = wire.unscaled(message.filled)
-        told.heavy.update(unpacked(message.data))
+        if message.number > report.heavy_call_number:
+            report.heavy_buckets, report.heavy_call_number = {}, message.number
+        report.filled = wire.decode_amount(message.filled)
+        report.heavy_buckets.update(unpack(message.data))
 
-    def _question(self, question: Question) -> Iterator[Send]:
-        if question.relay >= 0:
+    def _send_probe(self, probe: Probe) -> Iterator[Send]:
+        if probe.relay >= 0:
             relay = wire.Relay(
-                *self._head(), question.number, question.to, self.members.news(question.relay)
+                *self._header(),
+                probe.number,
+                probe.to,
+                self.members.updates_for(probe.relay),
             )
-            yield self._send(question.relay, relay)
+            yield self._send(probe.relay, relay)
         else:
             ping = wire.Ping(
-                *self._head(), question.number, self.members.joining, self.members.news(question.to)
+                *self._header(),
+                probe.number,
+                self.members.joining,
+                self.members.updates_for(probe.to),
             )
-            yield self._send(question.to, ping)
+            yield self._send(probe.to, ping)
 
-    def _head(self) -> tuple[int, int, int, int, int]:
-        return FORMAT, self.digest, self.slot, self.members.incarnation, self.token
+    def _header(self) -> tuple[int, int, int, int, int]:
+        return FORMAT_VERSION, self.digest, self.slot, self.members.incarnation, self.token
 
     def _send(self, slot: int, message: Message) -> Send:
         return slot, wire.encode(message)
 
-    def _counted(self, sends: list[Send]) -> list[Send]:
+    def _count_sends(self, sends: list[Send]) -> list[Send]:
         self.counts["out"] += len(sends)
         self.bytes_out += sum(len(data) for _, data in sends)
         return sends
@@ -529,20 +610,23 @@
 
 def _digest(options: Options, count: int, tier: int) -> int:
     """Of what nodes must agree on to deal with one another."""
-    text = f"{FORMAT}/{tier}/{count}/{options.floor:.6f}/{options.period_ms:.3f}/{WHOLE}/{VOTE_BEATS}/{HOLD_BEATS}"
+    text = (
+        f"{FORMAT_VERSION}/{tier}/{count}/{options.floor:.6f}/{options.period_ms:.3f}"
+        f"/{TOTAL_SHARES}/{VOTE_HEARTBEATS}/{LEASE_HEARTBEATS}"
+    )
     return int.from_bytes(blake2b(text.encode(), digest_size=4).digest(), "big")
 
 
 def _pages(data: bytes) -> list[bytes]:
     """Shares as they are told, in pages; one at least."""
-    size = 3 * ON_A_PAGE
-    return [data[at : at + size] for at in range(0, max(1, len(data)), size)]
+    total = 3 * ENTRIES_PER_PAGE
+    return [data[at : at + total] for at in range(0, max(1, len(data)), total)]
 
 
-def _size(owns: list[float]) -> float:
+def _limit_total(own_limits: list[float]) -> float:
     """The sum of what nodes would take by themselves, none counted for more than LIAR times the median of those that would take any."""
-    some = [own for own in owns if own > 0.0]
-    if not some:
+    positive = [own_limit for own_limit in own_limits if own_limit > 0.0]
+    if not positive:
         return 0.0
-    most = LIAR * median(some)
-    return sum(min(own, most) for own in some)
+    max_counted = OUTLIER_FACTOR * median(positive)
+    return sum(min(own_limit, max_counted) for own_limit in positive)
--- a/forkweir/tier/wire.py
+++ b/forkweir/tier/wire.py
@@ -27,28 +27,28 @@
 
 import msgspec
 
-FORMAT = 1
-MOST = 256  # bytes
-NEWS = 14  # 9 bytes each, 11 in tiers of more than 256
-ENTRIES = 18  # 9 to 11 bytes each
-MOST_NODES = 4_096
-SCALE = 96.0  # steps for a factor of two
-LARGEST = 4_095  # of a scaled amount: 2 ** (4095 / SCALE) - 1, some 7e12 millionths
+FORMAT_VERSION = 1
+MAX_DATAGRAM_BYTES = 256  # bytes
+MAX_UPDATES = 14  # 9 bytes each, 11 in tiers of more than 256
+MAX_ENTRIES = 18  # 9 to 11 bytes each
+MAX_NODES = 4_096
+STEPS_PER_DOUBLING = 96.0  # steps for a factor of two
+MAX_SCALED = 4_095  # of a scaled amount: 2 ** (4095 / SCALE) - 1, some 7e12 millionths
 
 Number = Annotated[int, msgspec.Meta(ge=0, le=0xFFFFFFFF)]
-Slot = Annotated[int, msgspec.Meta(ge=0, lt=MOST_NODES)]
+Slot = Annotated[int, msgspec.Meta(ge=0, lt=MAX_NODES)]
 State = Annotated[int, msgspec.Meta(ge=0, le=3)]
-Scaled = Annotated[int, msgspec.Meta(ge=0, le=LARGEST)]
-Parts = Annotated[int, msgspec.Meta(ge=0, le=0xFFFF)]
+Scaled = Annotated[int, msgspec.Meta(ge=0, le=MAX_SCALED)]
+ShareCount = Annotated[int, msgspec.Meta(ge=0, le=0xFFFF)]
 Page = Annotated[int, msgspec.Meta(ge=0, le=15)]
-Shares = Annotated[bytes, msgspec.Meta(max_length=198)]  # three bytes each
+PackedEntries = Annotated[bytes, msgspec.Meta(max_length=198)]  # three bytes each
 Millis = Annotated[int, msgspec.Meta(ge=0, le=0xFFFF)]
 
-News = tuple[Slot, Number, State]
+MemberUpdate = tuple[Slot, Number, State]
 """Of a node: its number, incarnation, and state (`members.STATES`)."""
-Want = tuple[Number, Scaled]
+DemandEntry = tuple[Number, Scaled]
 """Of a bound: its id, and how much is wanted (`scaled`)."""
-Grant = tuple[Number, Parts]
+Grant = tuple[Number, ShareCount]
 """Of a bound: its id, and so many parts of `lending.WHOLE`."""
 
 
@@ -56,38 +56,38 @@
     """A datagram breaks the form."""
 
 
-class _Head(msgspec.Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
-    form: Number
+class _Header(msgspec.Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
+    format_version: Number
     digest: Number
     slot: Slot
     incarnation: Number
     token: Number
 
 
-class Ping(_Head, frozen=True, tag=1):
+class Ping(_Header, frozen=True, tag=1):
     """Are you there? number: of this question. joining: tell me who else is."""
 
     number: Number
     joining: bool
-    news: Annotated[tuple[News, ...], msgspec.Meta(max_length=NEWS)]
+    updates: Annotated[tuple[MemberUpdate, ...], msgspec.Meta(max_length=MAX_UPDATES)]
 
 
-class Ack(_Head, frozen=True, tag=2):
+class Ack(_Header, frozen=True, tag=2):
     """I am. number: of the question."""
 
     number: Number
-    news: Annotated[tuple[News, ...], msgspec.Meta(max_length=NEWS)]
+    updates: Annotated[tuple[MemberUpdate, ...], msgspec.Meta(max_length=MAX_UPDATES)]
 
 
-class Relay(_Head, frozen=True, tag=3):
+class Relay(_Header, frozen=True, tag=3):
     """Ask `target` for me. number: of my question to it."""
 
     number: Number
     target: Slot
-    news: Annotated[tuple[News, ...], msgspec.Meta(max_length=NEWS)]
+    updates: Annotated[tuple[MemberUpdate, ...], msgspec.Meta(max_length=MAX_UPDATES)]
 
 
-class Call(_Head, frozen=True, tag=4):
+class Call(_Header, frozen=True, tag=4):
     """A keeper's, or a candidate's, word to one process.
 
     to: its token, 0 where that is not known (and nothing is granted). number: rises with each call of a caller. answer: whether a reply
@@ -97,15 +97,15 @@
 
     to: Number
     number: Number
-    answer: bool
+    reply_wanted: bool
     echo: Number
-    hold_ms: Millis
-    sizes: tuple[Scaled, Scaled]
-    heavy: bool
-    grants: Annotated[tuple[Grant, ...], msgspec.Meta(max_length=ENTRIES)]
+    lease_ms: Millis
+    limit_totals: tuple[Scaled, Scaled]
+    heavy_wanted: bool
+    grants: Annotated[tuple[Grant, ...], msgspec.Meta(max_length=MAX_ENTRIES)]
 
 
-class Reply(_Head, frozen=True, tag=5):
+class Reply(_Header, frozen=True, tag=5):
     """To a call. to: the caller's token; number: of this reply, 0 of a further page; echo: of the call. own: of work and of fetches, what
     the node would take by itself (`scaled`). other: whether it heard itself, lately, of another count or other constants of the tier."""
 
@@ -113,46 +113,46 @@
     number: Number
     echo: Number
     vote: bool
-    other: bool
-    own: tuple[Scaled, Scaled]
-    wants: Annotated[tuple[Want, ...], msgspec.Meta(max_length=ENTRIES)]
+    config_conflict: bool
+    own_limits: tuple[Scaled, Scaled]
+    demand: Annotated[tuple[DemandEntry, ...], msgspec.Meta(max_length=MAX_ENTRIES)]
 
 
-class Leave(_Head, frozen=True, tag=6):
+class Leave(_Header, frozen=True, tag=6):
     """I end in order."""
 
 
-class Back(_Head, frozen=True, tag=7):
+class Back(_Header, frozen=True, tag=7):
     """I stand no more. number: of the last of my calls."""
 
     number: Number
 
 
-class Heavy(_Head, frozen=True, tag=8):
+class Heavy(_Header, frozen=True, tag=8):
     """What is asked for often here. number: of the call that it follows; filled: what part of the node's window is arrivals (`scaled`);
     data: `lines.packed`."""
 
     number: Number
     page: Page
     filled: Scaled
-    data: Shares
+    data: PackedEntries
 
 
-class Line(_Head, frozen=True, tag=9):
+class Line(_Header, frozen=True, tag=9):
     """What is asked for often at all nodes together. number: of the table, rising; filled: what part of the common window is arrivals."""
 
     number: Number
     page: Page
     pages: Page
     filled: Scaled
-    data: Shares
+    data: PackedEntries
 
 
-class Seen(_Head, frozen=True, tag=10):
+class Seen(_Header, frozen=True, tag=10):
     """Boxes that I hold to be bad, or did until lately. number: of this word, rising; data: `signals.packed`."""
 
     number: Number
-    data: Shares
+    data: PackedEntries
 
 
 Message = Ping | Ack | Relay | Call | Reply | Leave | Back | Heavy | Line | Seen
@@ -164,30 +164,30 @@
 def encode(message: Message) -> bytes:
     """A datagram's bytes, at most MOST of them."""
     data = _encoder.encode(message)
-    assert len(data) <= MOST, f"{type(message).__name__} of {len(data)} bytes"
+    assert len(data) <= MAX_DATAGRAM_BYTES, f"{type(message).__name__} of {len(data)} bytes"
     return data
 
 
 def decode(data: bytes) -> Message:
     """The message of a datagram; Malformed where it is none."""
-    if len(data) > MOST:
+    if len(data) > MAX_DATAGRAM_BYTES:
         raise Malformed("too long")
     try:
         message = _decoder.decode(data)
     except (msgspec.DecodeError, RecursionError) as error:
         raise Malformed(str(error)) from None
-    if message.form != FORMAT:
-        raise Malformed(f"format {message.form}")
+    if message.format_version != FORMAT_VERSION:
+        raise Malformed(f"format {message.format_version}")
     return message
 
 
-def scaled(amount: float) -> int:
+def encode_amount(amount: float) -> int:
     """An amount (0 or more) on a scale of logarithms, from a millionth on; what is beyond it, infinity among it, is its largest step."""
     if not amount > 0.0:
         return 0
-    return min(LARGEST, round(SCALE * log2(1.0 + 1e6 * min(amount, 1e9))))
+    return min(MAX_SCALED, round(STEPS_PER_DOUBLING * log2(1.0 + 1e6 * min(amount, 1e9))))
 
 
-def unscaled(step: int) -> float:
+def decode_amount(step: int) -> float:
     """The amount that a step of the scale stands for."""
-    return float(2.0 ** (step / SCALE) - 1.0) / 1e6
+    return float(2.0 ** (step / STEPS_PER_DOUBLING) - 1.0) / 1e6
--- a/testbed/check/lending.py
+++ b/testbed/check/lending.py
@@ -17,7 +17,7 @@
 from dataclasses import dataclass
 from typing import NamedTuple, Optional
 
-from forkweir.tier.lending import DRIFT, WHOLE, Dealer, Lease
+from forkweir.tier.leases import MAX_CLOCK_DRIFT, TOTAL_SHARES, Allocator, Lease
 
 NODES = 3
 VOTE = 3.0
@@ -43,7 +43,7 @@
     """A moment of the scope."""
 
     at: int
-    dealers: list[Dealer]
+    dealers: list[Allocator]
     known: list[
         dict[int, tuple[int, int]]
     ]  # of each node: by other, its token and the number of its last reply
@@ -91,51 +91,54 @@
     restarts: int = 0
     bounds: int = 1
     callers: tuple[int, ...] = (0, 1)
-    rates: tuple[float, float, float] = (1.0 - DRIFT, 1.0 + DRIFT, 1.0)
+    rates: tuple[float, float, float] = (1.0 - MAX_CLOCK_DRIFT, 1.0 + MAX_CLOCK_DRIFT, 1.0)
     most_states: int = 2_000_000
 
 
-def _copied(dealer: Dealer) -> Dealer:
-    new = Dealer(dealer.who, NODES, dealer.voter.vote_ms, 0.0)
-    new.number = dealer.number
-    new.voter.promised, new.voter.until_ms, new.voter.number = (
-        dealer.voter.promised,
+def _copied(dealer: Allocator) -> Allocator:
+    new = Allocator(dealer.process, NODES, dealer.voter.vote_ms, 0.0)
+    new.call_number = dealer.call_number
+    new.voter.voted_for, new.voter.until_ms, new.voter.call_number = (
+        dealer.voter.voted_for,
         dealer.voter.until_ms,
-        dealer.voter.number,
+        dealer.voter.call_number,
     )
-    new.candidacy._votes, new.candidacy._calls = (
+    new.candidacy._votes, new.candidacy._calls_sent_ms = (
         dict(dealer.candidacy._votes),
-        dict(dealer.candidacy._calls),
+        dict(dealer.candidacy._calls_sent_ms),
     )
-    new.ledger._out = {
+    new.ledger._grants = {
         bound: {who: list(grants) for who, grants in out.items()}
-        for bound, out in dealer.ledger._out.items()
+        for bound, out in dealer.ledger._grants.items()
     }
-    old = dealer.holdings
-    new.holdings._sent, new.holdings._number = dict(old._sent), old._number
-    new.holdings.leases = {
-        b: Lease(x.parts, x.until_ms, x.size, x.keeper, x.number) for b, x in old.leases.items()
+    old = dealer.held_leases
+    new.held_leases._replies_sent_ms, new.held_leases._reply_number = (
+        dict(old._replies_sent_ms),
+        old._reply_number,
+    )
+    new.held_leases.leases = {
+        b: Lease(x.shares, x.until_ms, x.size, x.leader, x.number) for b, x in old.leases.items()
     }
     return new
 
 
-def _key(dealer: Dealer, known: dict[int, tuple[int, int]]) -> int:
+def _key(dealer: Allocator, known: dict[int, tuple[int, int]]) -> int:
     held = tuple(
-        (b, x.parts, x.until_ms, x.keeper, x.number)
-        for b, x in sorted(dealer.holdings.leases.items())
+        (b, x.shares, x.until_ms, x.leader, x.number)
+        for b, x in sorted(dealer.held_leases.leases.items())
     )
     out = tuple(
         (b, tuple(sorted((w, tuple(g)) for w, g in o.items())))
-        for b, o in sorted(dealer.ledger._out.items())
+        for b, o in sorted(dealer.ledger._grants.items())
     )
     votes, calls, sent = (
         dealer.candidacy._votes.items(),
-        dealer.candidacy._calls.items(),
-        dealer.holdings._sent.items(),
+        dealer.candidacy._calls_sent_ms.items(),
+        dealer.held_leases._replies_sent_ms.items(),
     )
-    promise = dealer.voter.promised, dealer.voter.until_ms, dealer.voter.number
+    promise = dealer.voter.voted_for, dealer.voter.until_ms, dealer.voter.call_number
     said = tuple(sorted(votes)), tuple(calls), tuple(sent), tuple(sorted(known.items()))
-    return hash((dealer.who, dealer.number, promise, said, held, out))
+    return hash((dealer.process, dealer.call_number, promise, said, held, out))
 
 
 class Walk:
@@ -151,7 +154,7 @@
 
     def run(self) -> Outcome:
         """Walk until the scope ends, or the invariant breaks."""
-        dealers = [Dealer((n, 1), NODES, VOTE * UNIT, -VOTE * UNIT) for n in range(NODES)]
+        dealers = [Allocator((n, 1), NODES, VOTE * UNIT, -VOTE * UNIT) for n in range(NODES)]
         keys = [_key(dealer, {}) for dealer in dealers]
         first = State(
             0,
@@ -174,7 +177,7 @@
                 for bound in range(self.scope.bounds)
             ]
             self.granted += any(held)
-            if max(held) > WHOLE:
+            if max(held) > TOTAL_SHARES:
                 assert state.trail is not None
                 return Outcome(self.states, tuple(state.trail.steps()), False, self.granted)
             if self.states >= self.scope.most_states:
@@ -190,8 +193,8 @@
         return hash((state.at, *state.keys, state.out, state.calls, state.doubles, state.restarts))
 
     def _held(self, state: State, node: int, bound: int) -> int:
-        lease = state.dealers[node].holdings.lease(bound, self.clock(node, state))
-        return lease.parts if lease is not None else 0
+        lease = state.dealers[node].held_leases.lease(bound, self.clock(node, state))
+        return lease.shares if lease is not None else 0
 
     def _next(self, state: State) -> Iterator[State]:
         if state.at < self.scope.span:
@@ -229,7 +232,7 @@
             for node in range(NODES):
                 following = self._after(state, f"n{node} is killed and begins anew", node)
                 following.restarts -= 1
-                following.dealers[node] = Dealer(
+                following.dealers[node] = Allocator(
                     (node, 2), NODES, VOTE * UNIT, self.clock(node, state)
                 )
                 following.known[node] = {}
@@ -266,25 +269,25 @@
 
     def _call(self, state: State, node: int) -> bool:
         dealer, now = state.dealers[node], self.clock(node, state)
-        if not dealer.call(now):
+        if not dealer.start_call(now):
             return False
-        hold = dealer.hold_ms(HOLD * UNIT, now)
+        hold = dealer.lease_ms(HOLD * UNIT, now)
         known = state.known[node]
         granted: dict[int, list[int]] = {}
         if hold:
-            number = dealer.holdings.replies(now)
+            number = dealer.held_leases.next_reply_number(now)
             wants: dict[tuple[int, int], float] = {
-                (other, token): WHOLE for other, (token, _) in known.items()
+                (other, token): TOTAL_SHARES for other, (token, _) in known.items()
             }
-            wants[dealer.who] = WHOLE
+            wants[dealer.process] = TOTAL_SHARES
             for bound in range(self.scope.bounds):
-                for who, parts in dealer.ledger.deal(bound, wants, hold, now).items():
+                for who, parts in dealer.ledger.grant(bound, wants, hold, now).items():
                     granted.setdefault(who[0], []).append(parts)
-                    if who == dealer.who:
-                        dealer.granted(
-                            dealer.who,
-                            dealer.who[1],
-                            dealer.number,
+                    if who == dealer.process:
+                        dealer.on_grant(
+                            dealer.process,
+                            dealer.process[1],
+                            dealer.call_number,
                             number,
                             hold,
                             1.0,
@@ -297,7 +300,8 @@
                 token, echo = known.get(other, (0, 0))
                 what = (hold, *granted.get(other, ())) if token else (0,)
                 self._put(
-                    state, Datagram("call", dealer.who, other, token, dealer.number, echo, what)
+                    state,
+                    Datagram("call", dealer.process, other, token, dealer.call_number, echo, what),
                 )
         return True
 
@@ -307,7 +311,7 @@
         if datagram.kind == "call":
             hold, *parts = datagram.what
             for bound, some in enumerate(parts):
-                dealer.granted(
+                dealer.on_grant(
                     datagram.sender,
                     datagram.token,
                     datagram.number,
@@ -318,14 +322,14 @@
                     some,
                     now,
                 )
-            vote, void = dealer.called(datagram.sender, datagram.number, now)
+            vote, void = dealer.on_call(datagram.sender, datagram.number, now)
             for other in range(NODES):
                 if void and other != node:
-                    self._put(state, Datagram("back", dealer.who, other, 0, void, 0, ()))
-            number = dealer.holdings.replies(now)
+                    self._put(state, Datagram("back", dealer.process, other, 0, void, 0, ()))
+            number = dealer.held_leases.next_reply_number(now)
             reply = Datagram(
                 "reply",
-                dealer.who,
+                dealer.process,
                 datagram.sender[0],
                 datagram.sender[1],
                 number,
@@ -338,10 +342,10 @@
             dealer.voter.release(datagram.sender, datagram.number, now)
             return
         sender, token = datagram.sender
-        if datagram.token != dealer.who[1]:
+        if datagram.token != dealer.process[1]:
             return
         if datagram.what[0]:
-            dealer.voted(sender, datagram.token, datagram.echo)
+            dealer.on_vote(sender, datagram.token, datagram.echo)
         known = state.known[node].get(sender)
         if known is None or known[0] != token or known[1] < datagram.number:
             state.known[node][sender] = token, datagram.number
--- a/testbed/nights/rules.py
+++ b/testbed/nights/rules.py
@@ -32,8 +32,8 @@
 from corkshift.discovery import FADING_MOST
 from corkshift.service import Service
 from corkshift.sources.dns import AT_ONCE
-from corkshift.tier.carrier import Carrier
-from forkweir.tier.lending import WHOLE, Lease
+from corkshift.tier.transport import UdpTransport
+from forkweir.tier.leases import TOTAL_SHARES, Lease
 from testbed.machine.net import VirtualSocket
 from testbed.machine.parts import Owner
 from testbed.systems.clients import Ask, Observer
@@ -384,27 +384,30 @@
 
     # -- the tier ------------------------------------------------------------------------
 
-    def joins(self, process: Owner, carrier: Carrier) -> None:
+    def joins(self, process: Owner, carrier: UdpTransport) -> None:
         """A node takes part in the tier: rule 9 is looked at whenever it takes a lease, as a sum can rise at no other moment."""
-        holdings, told = carrier.tier.dealer.holdings, carrier.tier.dealer.holdings.on_take
+        holdings, told = (
+            carrier.tier.allocator.held_leases,
+            carrier.tier.allocator.held_leases.on_lease,
+        )
 
         def took(bound: int, lease: Lease, now: float) -> None:
             told(bound, lease, now)
             self.leases += 1
             self._shares(bound)
 
-        holdings.on_take = took
+        holdings.on_lease = took
 
     def _shares(self, bound: int) -> None:
         held = {}
         for process, service in self.services.items():
             if process.alive and service.tier is not None:
-                lease = service.tier.tier.dealer.holdings.lease(bound, process.now_ms())
+                lease = service.tier.tier.allocator.held_leases.lease(bound, process.now_ms())
                 if lease is not None:
-                    held[process.name] = lease.parts
+                    held[process.name] = lease.shares
         self.most_held[bound] = max(self.most_held.get(bound, 0), sum(held.values()))
-        if sum(held.values()) > WHOLE:
-            self.broken("shares add up", f"of bound {bound} {held} are held, {WHOLE} in all")
+        if sum(held.values()) > TOTAL_SHARES:
+            self.broken("shares add up", f"of bound {bound} {held} are held, {TOTAL_SHARES} in all")
 
     # -- the wire ------------------------------------------------------------------------
 
--- a/testbed/nights/simulation.py
+++ b/testbed/nights/simulation.py
@@ -415,8 +415,8 @@
         await self.front.task
         for owner, service in self.rules.services.items():
             if service.tier is not None and owner.running:
-                self.tier_at_end[0][owner.name] = service.tier.tier.members.there()
-                if service.tier.tier.keeps(owner.now_ms()):
+                self.tier_at_end[0][owner.name] = service.tier.tier.members.participants()
+                if service.tier.tier.is_leader(owner.now_ms()):
                     self.tier_at_end[1].append(owner.name)
         await asyncio.sleep(SOON_S)
         self._read_books(self.rules.timers_at_rest)
--- a/testbed/tier/defects.py
+++ b/testbed/tier/defects.py
@@ -7,8 +7,8 @@
 from typing import Any, Optional
 from unittest.mock import patch
 
-from forkweir.tier import lending
-from forkweir.tier.lending import Candidacy, Dealer, Holdings, Lease, Ledger, Voter, Who
+from forkweir.tier import leases
+from forkweir.tier.leases import Allocator, Candidacy, HeldLeases, Lease, Ledger, ProcessId, Voter
 
 Patch = Callable[[], Any]
 
@@ -16,23 +16,23 @@
 def _never_given_back() -> Any:
     """A lease that has ended is still held."""
 
-    def lease(self: Holdings, bound: int, now: float) -> Optional[Lease]:
+    def lease(self: HeldLeases, bound: int, now: float) -> Optional[Lease]:
         return self.leases.get(bound)
 
-    return patch.object(Holdings, "lease", lease)
+    return patch.object(HeldLeases, "lease", lease)
 
 
 def _spent_twice() -> Any:
     """What a holder is granted less of is given to others at once, though it may not have heard of it."""
 
-    def holders(self: Ledger, bound: int, now: float) -> dict[Who, int]:
+    def holders(self: Ledger, bound: int, now: float) -> dict[ProcessId, int]:
         return {
             who: grants[-1][1]
-            for who, grants in self._out.get(bound, {}).items()
+            for who, grants in self._grants.get(bound, {}).items()
             if grants[-1][0] > now
         }
 
-    return patch.object(Ledger, "holders", holders)
+    return patch.object(Ledger, "outstanding", holders)
 
 
 def _votes_at_once() -> Any:
@@ -48,11 +48,11 @@
 
 def _counts_from_its_coming() -> Any:
     """A grant counts from when it comes, and not from when the reply that it answers was sent."""
-    usual = Holdings.take
+    usual = HeldLeases.accept_grant
 
     def take(
-        self: Holdings,
-        keeper: Who,
+        self: HeldLeases,
+        keeper: ProcessId,
         number: int,
         echo: int,
         hold_ms: float,
@@ -61,62 +61,62 @@
         parts: int,
         now: float,
     ) -> bool:
-        if echo in self._sent:
-            self._sent[echo] = now
+        if echo in self._replies_sent_ms:
+            self._replies_sent_ms[echo] = now
         return usual(self, keeper, number, echo, hold_ms, size, bound, parts, now)
 
-    return patch.object(Holdings, "take", take)
+    return patch.object(HeldLeases, "accept_grant", take)
 
 
 def _trusts_clocks() -> Any:
     """Nothing is taken off for clocks that run apart."""
-    return patch.object(lending, "HELD", 1.0)
+    return patch.object(leases, "CLOCK_SAFETY_FACTOR", 1.0)
 
 
 def _votes_for_two() -> Any:
     """A promise is forgotten when another asks."""
 
-    def ask(self: Voter, who: Who, number: int, now: float) -> bool:
-        self.promised, self.until_ms = who, now + self.vote_ms
+    def ask(self: Voter, who: ProcessId, number: int, now: float) -> bool:
+        self.voted_for, self.until_ms = who, now + self.vote_ms
         return True
 
-    return patch.object(Voter, "ask", ask)
+    return patch.object(Voter, "request_vote", ask)
 
 
 def _late_word() -> Any:
     """Word that a candidate has stood back frees whoever promised it the vote, whichever call that was for."""
 
-    def release(self: Voter, who: Who, number: int, now: float) -> None:
-        if self.promised == who:
-            self.promised, self.until_ms = None, now
+    def release(self: Voter, who: ProcessId, number: int, now: float) -> None:
+        if self.voted_for == who:
+            self.voted_for, self.until_ms = None, now
 
     return patch.object(Voter, "release", release)
 
 
 def _outlasts_its_majority() -> Any:
     """A keeper grants for as long as ever, however soon the votes end that it has."""
-    usual = Candidacy.stands_until
+    usual = Candidacy.majority_until
 
     def stands_until(self: Candidacy) -> float:
         until = usual(self)
         return until + 4.0 * self.vote_ms if until > 0.0 else until
 
-    return patch.object(Candidacy, "stands_until", stands_until)
+    return patch.object(Candidacy, "majority_until", stands_until)
 
 
 def _half_is_enough() -> Any:
     """Half of the votes pass for more than half."""
-    return patch.object(lending, "majority", lambda count: max(1, count // 2))
+    return patch.object(leases, "majority", lambda count: max(1, count // 2))
 
 
 def _any_process() -> Any:
     """A grant for the process before it is taken by the one that has the node's address now."""
-    usual = Dealer.granted
+    usual = Allocator.on_grant
 
-    def granted(self: Dealer, keeper: Who, to: int, *rest: Any) -> bool:
-        return usual(self, keeper, self.who[1], *rest)
+    def granted(self: Allocator, keeper: ProcessId, to: int, *rest: Any) -> bool:
+        return usual(self, keeper, self.process[1], *rest)
 
-    return patch.object(Dealer, "granted", granted)
+    return patch.object(Allocator, "on_grant", granted)
 
 
 DEFECTS: dict[str, Patch] = {
--- a/testbed/tier/model.py
+++ b/testbed/tier/model.py
@@ -15,14 +15,14 @@
 from heapq import heappop, heappush
 from typing import Any, Literal, Optional
 
-from forkweir.tier.claims import FETCHES, Claims
-from forkweir.tier.lending import DRIFT, WHOLE, Lease
-from forkweir.tier.members import Standing
-from forkweir.tier.options import TICKS, Options
+from forkweir.tier.demand import FETCHES_LIMIT_ID, Demand
+from forkweir.tier.leases import MAX_CLOCK_DRIFT, TOTAL_SHARES, Lease
+from forkweir.tier.members import MemberState
+from forkweir.tier.options import TICKS_PER_PERIOD, Options
 from forkweir.tier.tier import Tier
 
 SOCKET = 200  # datagrams that wait in a socket that nobody reads
-BOUNDS = (FETCHES, 11, 12)
+BOUNDS = (FETCHES_LIMIT_ID, 11, 12)
 UNIX_S = 1_764_547_200
 USUAL = Options()
 
@@ -63,7 +63,7 @@
     loss: float = 0.0
     delay_ms: float = 1.0
     double: float = 0.0
-    drift: float = DRIFT
+    drift: float = MAX_CLOCK_DRIFT
     skewed: bool = True
     troubles: list[Trouble] = field(default_factory=list)
     demands: str = "even"  # even, uneven, changing
@@ -80,12 +80,12 @@
     cut: int = 0  # how many troubles cut it
 
 
-class Wanted(Claims):
+class Wanted(Demand):
     """Claims whose wants are given and not counted."""
 
     __slots__ = ("given",)
 
-    def wanted(self, now: float) -> list[tuple[int, float]]:
+    def above_floor(self, now: float) -> list[tuple[int, float]]:
         return sorted(self.given.items(), key=lambda want: -want[1])
 
     given: dict[int, float]
@@ -103,12 +103,12 @@
         self.tier = Tier(
             slot, night.script.nodes, night.rng.getrandbits(48), wall_s, self.now, night.options
         )
-        claims = Wanted(night.options.floor, self.tier.dealer.holdings)
+        claims = Wanted(night.options.floor, self.tier.allocator.held_leases)
         claims.own_work, claims.own_fetches = 1.0, 8.0
         claims.given = {}
-        self.tier.claims = claims
+        self.tier.demand = claims
         self.claims = claims
-        self.tier.dealer.holdings.on_take = self._taken
+        self.tier.allocator.held_leases.on_lease = self._taken
         self.tier.members.on_change = self._changed
 
     @property
@@ -118,13 +118,13 @@
 
     def holds(self, bound: int) -> int:
         """The parts that it believes it may spend now."""
-        lease = self.tier.dealer.holdings.lease(bound, self.now)
-        return lease.parts if lease is not None else 0
+        lease = self.tier.allocator.held_leases.lease(bound, self.now)
+        return lease.shares if lease is not None else 0
 
     def _taken(self, bound: int, lease: Lease, now: float) -> None:
         self.night.check(bound)
 
-    def _changed(self, slot: int, state: Standing, now: float) -> None:
+    def _changed(self, slot: int, state: MemberState, now: float) -> None:
         self.night.on_change(self.tier.slot, slot, state)
 
 
@@ -140,7 +140,7 @@
         self.sent_bytes = 0
         self.datagrams = 0
         self.most: dict[int, int] = dict.fromkeys(BOUNDS, 0)
-        self.on_change: Callable[[int, int, Standing], None] = lambda by, slot, state: None
+        self.on_change: Callable[[int, int, MemberState], None] = lambda by, slot, state: None
         self._events: list[tuple[float, int, Callable[..., None], tuple[Any, ...]]] = []
         self._count = 0
         n = script.nodes
@@ -184,9 +184,9 @@
         total = sum(node.holds(bound) for node in self.all if node.state != "gone")
         if total > self.most.get(bound, 0):
             self.most[bound] = total
-        if total > WHOLE:
+        if total > TOTAL_SHARES:
             self.failures.append(
-                f"{self.now / 1000.0:.3f} s: bound {bound}: {total} parts are held of {WHOLE}"
+                f"{self.now / 1000.0:.3f} s: bound {bound}: {total} parts are held of {TOTAL_SHARES}"
             )
 
     def _start(self, slot: int, wall_s: Optional[int] = None) -> Node:
@@ -229,7 +229,7 @@
 
     @property
     def _tick_ms(self) -> float:
-        return self.options.period_ms / TICKS
+        return self.options.period_ms / TICKS_PER_PERIOD
 
     def _tick(self, node: Node) -> None:
         if node.state == "gone":
--- a/testbed/tier/processes.py
+++ b/testbed/tier/processes.py
@@ -29,7 +29,7 @@
 import msgspec
 
 from corkshift.seam import Address, now_ms
-from forkweir.tier.lending import WHOLE
+from forkweir.tier.leases import TOTAL_SHARES
 from testbed.nights.script import BETWEEN, Fault, Script, each
 from testbed.nights.simulation import JUNK as SMALL_JUNK
 from testbed.nights.simulation import tier_table
@@ -649,10 +649,10 @@
         failures = list(self.watch.failures)
         held = most_held(spans)
         for bound, (parts, at) in held.items():
-            if parts > WHOLE:
+            if parts > TOTAL_SHARES:
                 who = {f"n{node}": some for node, some in at_time(spans, bound, at).items()}
                 failures.append(
-                    f"shares add up: of bound {bound} {parts} parts of {WHOLE} at {(at - self._began) / 1000.0:.3f} s: {who}"
+                    f"shares add up: of bound {bound} {parts} parts of {TOTAL_SHARES} at {(at - self._began) / 1000.0:.3f} s: {who}"
                 )
         for name, cold in self.watch.cold.items():
             if cold.worst() > 1.0:
@@ -691,7 +691,7 @@
             "lines": {name: view["line"] and view["line"]["digest"] for name, view in views.items()},
             "leases": len(spans),
             "most_held": {names.get(str(bound), str(bound)) or "fetches": parts for bound, (parts, _) in sorted(held.items())},
-            "whole": WHOLE,
+            "whole": TOTAL_SHARES,
             "held": [
                 [round((s.since - self._began) / 1000.0, 3), round((s.until - self._began) / 1000.0, 3), f"n{s.node}", s.bound, s.parts]
                 for s in sorted(spans, key=lambda span: span.since)[:MOST_TOLD]
--- a/testbed/tier/virtual.py
+++ b/testbed/tier/virtual.py
@@ -4,7 +4,7 @@
 
 from typing import Any
 
-from forkweir.tier.lending import WHOLE
+from forkweir.tier.leases import TOTAL_SHARES
 from testbed.nights.script import Script
 from testbed.nights.simulation import run as play
 
@@ -26,7 +26,7 @@
         "fetches": result.fetches,
         "leases": result.leases,
         "most_held": {str(bound): parts for bound, parts in sorted(result.most_held.items())},
-        "whole": WHOLE,
+        "whole": TOTAL_SHARES,
         "trace": result.digest,
         "cold": {},
         "members": result.members,
--- a/tests/tier/test_lending.py
+++ b/tests/tier/test_leases.py
@@ -6,17 +6,17 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from forkweir.tier.lending import (
-    HELD,
-    WHOLE,
+from forkweir.tier.leases import (
+    CLOCK_SAFETY_FACTOR,
+    TOTAL_SHARES,
+    Allocator,
     Candidacy,
-    Dealer,
-    Holdings,
+    HeldLeases,
     Ledger,
     Voter,
-    divide,
+    allocate_fairly,
     majority,
-    weight,
+    vote_weight,
 )
 from testbed.check.lending import Scope, walk
 from testbed.tier.defects import planted
@@ -29,8 +29,8 @@
 @given(wants)
 @settings(max_examples=300, deadline=None)
 def test_dealing_is_max_min_fair(want: dict[int, float]) -> None:
-    dealt = divide(WHOLE, want)
-    assert sum(dealt.values()) <= WHOLE
+    dealt = allocate_fairly(TOTAL_SHARES, want)
+    assert sum(dealt.values()) <= TOTAL_SHARES
     assert dealt.keys() == {slot for slot, amount in want.items() if amount > 0.0}
     for slot, parts in dealt.items():
         if (
@@ -47,7 +47,9 @@
                 if other <= want[other_slot]
             ), dealt
     if dealt:
-        assert sum(dealt.values()) > WHOLE - 2 * len(dealt)  # nothing is left over but by rounding
+        assert sum(dealt.values()) > TOTAL_SHARES - 2 * len(
+            dealt
+        )  # nothing is left over but by rounding
 
 
 @given(
@@ -67,7 +69,7 @@
     ledger, now, grants = Ledger(), 0.0, list[tuple[tuple[int, int], int, float]]()
     for want, passed in rounds:
         now += passed
-        for who, parts in ledger.deal(
+        for who, parts in ledger.grant(
             7, {(slot, 1): amount for slot, amount in want.items()}, 1_000.0, now
         ).items():
             grants.append((who, parts, now + 1_000.0))
@@ -75,69 +77,73 @@
         for who, parts, until in grants:
             if until > now:
                 worst[who] = max(worst.get(who, 0), parts)
-        assert sum(worst.values()) <= WHOLE
-        assert {who: parts for who, parts in ledger.holders(7, now).items() if parts} == {
+        assert sum(worst.values()) <= TOTAL_SHARES
+        assert {who: parts for who, parts in ledger.outstanding(7, now).items() if parts} == {
             who: p for who, p in worst.items() if p
         }
 
 
 def test_a_vote_is_promised_to_one_and_by_a_new_process_to_nobody() -> None:
     voter = Voter(4_000.0, 100.0)
-    assert not voter.ask((1, 5), 1, 4_000.0)  # the process before it may have promised
-    assert voter.ask((1, 5), 1, 4_100.0) and voter.ask((1, 5), 3, 5_000.0)
-    assert not voter.ask((2, 6), 1, 8_999.0) and not voter.ask(
+    assert not voter.request_vote((1, 5), 1, 4_000.0)  # the process before it may have promised
+    assert voter.request_vote((1, 5), 1, 4_100.0) and voter.request_vote((1, 5), 3, 5_000.0)
+    assert not voter.request_vote((2, 6), 1, 8_999.0) and not voter.request_vote(
         (1, 7), 4, 8_999.0
     )  # nor to another process of the same node
-    assert voter.ask((2, 6), 1, 9_000.0)
+    assert voter.request_vote((2, 6), 1, 9_000.0)
     voter.release((1, 5), 9, 9_001.0)
-    assert not voter.ask((1, 5), 10, 9_001.0)  # what is not promised to it can't be released by it
-    assert voter.ask((2, 6), 4, 9_002.0) and voter.ask((2, 6), 2, 9_003.0)
+    assert not voter.request_vote(
+        (1, 5), 10, 9_001.0
+    )  # what is not promised to it can't be released by it
+    assert voter.request_vote((2, 6), 4, 9_002.0) and voter.request_vote((2, 6), 2, 9_003.0)
     voter.release((2, 6), 3, 9_004.0)  # late: said of an earlier candidacy
-    assert not voter.ask((1, 5), 11, 9_005.0)
+    assert not voter.request_vote((1, 5), 11, 9_005.0)
     voter.release((2, 6), 4, 9_006.0)
-    assert voter.ask((1, 5), 12, 9_007.0)
+    assert voter.request_vote((1, 5), 12, 9_007.0)
 
 
 def test_votes_count_from_the_call_and_of_an_even_number_the_first_counts_twice() -> None:
     assert [majority(n) for n in (1, 2, 3, 4, 5, 37, 200)] == [1, 2, 2, 3, 3, 19, 101]
-    assert [weight(0, 4), weight(1, 4), weight(0, 5)] == [2, 1, 1]
+    assert [vote_weight(0, 4), vote_weight(1, 4), vote_weight(0, 5)] == [2, 1, 1]
     candidacy = Candidacy(4, 4_000.0)
-    candidacy.called(1, 0.0)
-    candidacy.called(2, 500.0)
-    candidacy.voted(0, 1)
-    candidacy.voted(3, 2)
-    assert candidacy.stands_until() == pytest.approx(
-        HELD * 4_000.0
+    candidacy.call_sent(1, 0.0)
+    candidacy.call_sent(2, 500.0)
+    candidacy.vote_received(0, 1)
+    candidacy.vote_received(3, 2)
+    assert candidacy.majority_until() == pytest.approx(
+        CLOCK_SAFETY_FACTOR * 4_000.0
     )  # both are needed, so the one that ends first ends it
-    assert not candidacy.voted(2, 9)  # a call that was never sent
-    candidacy.drop()
-    assert not candidacy.voted(0, 2) and candidacy.stands_until() < 0.0
+    assert not candidacy.vote_received(2, 9)  # a call that was never sent
+    candidacy.withdraw()
+    assert not candidacy.vote_received(0, 2) and candidacy.majority_until() < 0.0
 
 
 def test_a_grant_counts_from_the_reply_it_answers_and_for_its_process_alone() -> None:
-    holdings = Holdings()
-    first = holdings.replies(1_000.0)
-    assert holdings.take((0, 9), 5, first, 2_000.0, 3.0, 7, 600, 1_500.0)
+    holdings = HeldLeases()
+    first = holdings.next_reply_number(1_000.0)
+    assert holdings.accept_grant((0, 9), 5, first, 2_000.0, 3.0, 7, 600, 1_500.0)
     lease = holdings.lease(7, 2_000.0)
     assert (
         lease is not None
-        and lease.until_ms == pytest.approx(1_000.0 + HELD * 2_000.0)
+        and lease.until_ms == pytest.approx(1_000.0 + CLOCK_SAFETY_FACTOR * 2_000.0)
         and lease.size == 3.0
     )
-    assert not holdings.take(
+    assert not holdings.accept_grant(
         (0, 9), 4, first, 2_000.0, 3.0, 7, 900, 1_600.0
     )  # an older word of the same keeper
-    assert not holdings.take(
+    assert not holdings.accept_grant(
         (0, 9), 6, 99, 2_000.0, 3.0, 7, 900, 1_600.0
     )  # an answer to nothing that was said
-    assert not holdings.take((0, 9), 6, first, 2_000.0, 3.0, 7, 900, 3_000.0)  # it came too late
-    assert holdings.lease(7, 1_000.0 + HELD * 2_000.0) is None
-    dealer = Dealer((1, 44), 3, 4_000.0, 0.0)
-    number = dealer.holdings.replies(1_000.0)
-    assert not dealer.granted(
+    assert not holdings.accept_grant(
+        (0, 9), 6, first, 2_000.0, 3.0, 7, 900, 3_000.0
+    )  # it came too late
+    assert holdings.lease(7, 1_000.0 + CLOCK_SAFETY_FACTOR * 2_000.0) is None
+    dealer = Allocator((1, 44), 3, 4_000.0, 0.0)
+    number = dealer.held_leases.next_reply_number(1_000.0)
+    assert not dealer.on_grant(
         (0, 9), 43, 5, number, 2_000.0, 1.0, 7, 600, 1_100.0
     )  # meant for the process before it
-    assert dealer.granted((0, 9), 44, 5, number, 2_000.0, 1.0, 7, 600, 1_100.0)
+    assert dealer.on_grant((0, 9), 44, 5, number, 2_000.0, 1.0, 7, 600, 1_100.0)
 
 
 def test_every_interleaving_of_a_small_scope_keeps_the_whole() -> None:
--- a/tests/tier/test_model.py
+++ b/tests/tier/test_model.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from forkweir.tier.lending import WHOLE
+from forkweir.tier.leases import TOTAL_SHARES
 from testbed.tier.defects import DEFECTS, planted
 from testbed.tier.model import BOUNDS, Night, Script, Trouble, draw, play
 
@@ -14,7 +14,7 @@
     for seed in range(1, 201):
         night = Night(draw(seed), seed).run()
         assert night.failures == [], f"seed {seed}"
-        held += max(night.most.values()) > WHOLE // 2
+        held += max(night.most.values()) > TOTAL_SHARES // 2
     assert held > 120  # in most of them something is dealt
 
 
@@ -58,18 +58,19 @@
     script = Script(count, 40.0, troubles=[Trouble(10_000.0, "half", (), 10_000.0)], skewed=False)
     night = Night(script, 3).run(9_000.0)
     even = [[node.holds(bound) for node in night.alive()] for bound in BOUNDS]
-    assert all(min(parts) > 0.9 * WHOLE / count for parts in even), even
+    assert all(min(parts) > 0.9 * TOTAL_SHARES / count for parts in even), even
     night.run(19_900.0)
     rest = [[node.holds(bound) for node in night.alive()] for bound in BOUNDS]
     left = count - count // 2
     assert (
-        all(min(parts) > 0.9 * WHOLE / left for parts in rest)
+        all(min(parts) > 0.9 * TOTAL_SHARES / left for parts in rest)
         if count % 2
         else all(max(parts) == 0 for parts in rest)
     ), rest
     night.run()
     assert all(
-        min(node.holds(bound) for node in night.alive()) > 0.9 * WHOLE / count for bound in BOUNDS
+        min(node.holds(bound) for node in night.alive()) > 0.9 * TOTAL_SHARES / count
+        for bound in BOUNDS
     )
     assert night.failures == []
 
@@ -79,8 +80,8 @@
     night = Night(script, 4).run()
     for bound in BOUNDS:
         honest = [node.holds(bound) for node in night.nodes if node.tier.slot != 2]
-        assert min(honest) >= 0.99 * WHOLE / 6, honest
-    sizes = max(node.tier.sizes[0] for node in night.nodes)
+        assert min(honest) >= 0.99 * TOTAL_SHARES / 6, honest
+    sizes = max(node.tier.limit_totals[0] for node in night.nodes)
     assert sizes <= 6.0 + 4.0  # it counts for four times the median at most
 
 
@@ -101,7 +102,10 @@
         night.run(night.now + 15_000.0)
         held = [node.holds(bound) for bound in BOUNDS for node in night.alive()]
         expected.append(
-            (len(night.alive()), min(held) > 0.9 * WHOLE / alive if alive > 12 else max(held) == 0)
+            (
+                len(night.alive()),
+                min(held) > 0.9 * TOTAL_SHARES / alive if alive > 12 else max(held) == 0,
+            )
         )
     assert expected == [(4, True), (14, True), (24, True), (14, True), (4, True)]
     assert night.failures == []
@@ -114,33 +118,38 @@
     )
     night = Night(script, 8).run(95_000.0)
     others = [node.holds(0) for node in night.nodes[2:]]
-    assert min(others) > 0.9 * WHOLE / 3 and [node.holds(0) for node in night.nodes[:2]] == [0, 0]
+    assert min(others) > 0.9 * TOTAL_SHARES / 3 and [node.holds(0) for node in night.nodes[:2]] == [
+        0,
+        0,
+    ]
     night.run()
-    assert min(node.holds(0) for node in night.nodes) > 0.9 * WHOLE / 5 and night.failures == []
+    assert (
+        min(node.holds(0) for node in night.nodes) > 0.9 * TOTAL_SHARES / 5 and night.failures == []
+    )
 
 
 def test_one_that_comes_between_two_beats_is_called_at_once() -> None:
     night = Night(
         Script(5, 30.0, skewed=False, troubles=[Trouble(8_000.0, "kill", (4,), 0.0)]), 6
     ).run(16_000.0)
-    keeper = next(node for node in night.nodes if node.tier.keeps(node.now))
+    keeper = next(node for node in night.nodes if node.tier.is_leader(node.now))
     night._revive(4)
-    while 4 not in keeper.tier.members.there():
+    while 4 not in keeper.tier.members.participants():
         night.run(night.now + 5.0)
     heard = night.now
-    while not night.nodes[4].tier.dealer.holdings.replies(0.0) > 1:
+    while not night.nodes[4].tier.allocator.held_leases.next_reply_number(0.0) > 1:
         night.run(night.now + 5.0)
-    assert night.now - heard < 0.5 * keeper.tier.beat_ms, night.now - heard
+    assert night.now - heard < 0.5 * keeper.tier.heartbeat_ms, night.now - heard
 
 
 def test_a_cut_in_halves_leaves_one_keeper_and_ends_in_one() -> None:
     script = Script(7, 40.0, skewed=False, troubles=[Trouble(8_000.0, "cut", (0, 1, 2), 15_000.0)])
     night = Night(script, 2).run(21_000.0)
-    keepers = [node.tier.slot for node in night.nodes if node.tier.keeps(node.now)]
+    keepers = [node.tier.slot for node in night.nodes if node.tier.is_leader(node.now)]
     assert len(keepers) == 1 and keepers[0] >= 3
     assert [node.holds(0) for node in night.nodes[:3]] == [0, 0, 0]
-    assert min(node.holds(0) for node in night.nodes[3:]) > 0.9 * WHOLE / 4
+    assert min(node.holds(0) for node in night.nodes[3:]) > 0.9 * TOTAL_SHARES / 4
     night.run()
-    assert len([node for node in night.nodes if node.tier.keeps(node.now)]) == 1
-    assert min(node.holds(0) for node in night.nodes) > 0.9 * WHOLE / 7
+    assert len([node for node in night.nodes if node.tier.is_leader(node.now)]) == 1
+    assert min(node.holds(0) for node in night.nodes) > 0.9 * TOTAL_SHARES / 7
     assert night.failures == []
--- a/tests/tier/test_processes.py
+++ b/tests/tier/test_processes.py
@@ -14,7 +14,7 @@
 
 import pytest
 
-from forkweir.tier.lending import WHOLE
+from forkweir.tier.leases import TOTAL_SHARES
 from testbed.nights.rules import Rules
 from testbed.nights.script import BadScript, Script, parse_script
 from testbed.tier.books import ColdBox, Span, at_time, most_held, spans_of
@@ -73,7 +73,7 @@
     report = run(script(MIXED), 1)
     assert report["failures"] == []
     assert report["leases"] > 50 and len(report["cold"]) == 3
-    assert 0.9 * WHOLE < max(report["most_held"].values()) <= WHOLE
+    assert 0.9 * TOTAL_SHARES < max(report["most_held"].values()) <= TOTAL_SHARES
     assert report["requests"]["served"] > 800
     assert {
         name for name, view in report["datagrams"].items() if view["malformed"] and view["stranger"]
@@ -89,7 +89,7 @@
 ):
     report = run_virtual(script(MIXED), 1)
     assert report["failures"] == [] and report["leases"] > 50
-    assert 0.9 * WHOLE < max(report["most_held"].values()) <= WHOLE
+    assert 0.9 * TOTAL_SHARES < max(report["most_held"].values()) <= TOTAL_SHARES
     assert sorted(report["members"]) == [f"n{n}" for n in range(5)] and len(report["keepers"]) == 1
     with planted("never-given-back"):
         assert any(
@@ -340,8 +340,8 @@
             now = min(timers.values())
             due = [i for i in timers if timers[i] <= now]
             said = [(i, a) for i in due for a in adapter.event(now, ["TICK_DUE", i, 4])[1]]
-    assert [tier.members.there() for tier in adapter.tiers.values()] == [[0, 1, 2]] * 3
-    assert sum(tier.keeps(now) for tier in adapter.tiers.values()) == 1
+    assert [tier.members.participants() for tier in adapter.tiers.values()] == [[0, 1, 2]] * 3
+    assert sum(tier.is_leader(now) for tier in adapter.tiers.values()) == 1
     adapter.event(now, ["EXIT", 1])
     assert adapter.event(now, ["PEER", 0, 1, "00"]) == (0, []) and sorted(adapter.tiers) == [0, 2]
 
--- a/tests/tier/test_lines.py
+++ b/tests/tier/test_shared_line.py
@@ -10,21 +10,21 @@
 from forkweir.choice import Balancer
 from forkweir.line import Line, equal_cuts, position_of
 from forkweir.settings import ClassSpec, Server, Settings
-from forkweir.tier.lines import (
+from forkweir.tier.balancer_adapter import BalancerAdapter
+from forkweir.tier.options import Options
+from forkweir.tier.shared_line import (
     BUCKETS,
-    MOST_SHARES,
-    PAGES,
+    MAX_HEAVY_BUCKETS,
+    MAX_PAGES,
     STALE_MS,
-    WINDOW,
-    Lines,
-    Sketch,
-    cuts_of,
-    merged,
-    packed,
-    unpacked,
+    WINDOW_ARRIVALS,
+    HeavyHitterSketch,
+    SharedLineState,
+    compute_cuts,
+    merge,
+    pack,
+    unpack,
 )
-from forkweir.tier.options import Options
-from forkweir.tier.seat import Seat
 from forkweir.tier.tier import Tier
 
 RANGES = 2_048
@@ -37,30 +37,30 @@
 
 
 def test_what_is_asked_for_often_is_found_with_its_part_of_the_window() -> None:
-    sketch = Sketch()
+    sketch = HeavyHitterSketch()
     for key in arrivals(1, 8_000):
-        sketch.arrive(position_of(key))
-    heavy = dict(sketch.heavy())
+        sketch.add(position_of(key))
+    heavy = dict(sketch.heavy_buckets())
     total = sum(WEIGHTS)
     for n in range(20):
         assert heavy[int(position_of(KEYS[n]) * BUCKETS)] == pytest.approx(
-            8_000 * WEIGHTS[n] / total / WINDOW, rel=0.35
+            8_000 * WEIGHTS[n] / total / WINDOW_ARRIVALS, rel=0.35
         )
-    assert sum(heavy.values()) <= 8_000 / WINDOW and len(heavy) <= MOST_SHARES
-    for _ in range(2 * WINDOW):
-        sketch.arrive(0.5)
+    assert sum(heavy.values()) <= 8_000 / WINDOW_ARRIVALS and len(heavy) <= MAX_HEAVY_BUCKETS
+    for _ in range(2 * WINDOW_ARRIVALS):
+        sketch.add(0.5)
     assert (
-        sketch.weight < WINDOW and sketch.heavy()[0][1] > 0.4
+        sketch.weight < WINDOW_ARRIVALS and sketch.heavy_buckets()[0][1] > 0.4
     )  # it forgets by halves, and is never more than its window
-    assert Sketch().heavy() == []
+    assert HeavyHitterSketch().heavy_buckets() == []
 
 
 def test_shares_travel_within_a_few_in_a_hundred_and_spoilt_ones_do_no_harm() -> None:
     shares = [(0, 1.0), (65_535, 0.031), (7, 2.0**-15)]
-    back = unpacked(packed(shares))
+    back = unpack(pack(shares))
     assert [bucket for bucket, _ in back] == [0, 65_535, 7]
     assert [share for _, share in back] == pytest.approx([share for _, share in shares], rel=0.023)
-    assert unpacked(b"\x01\x02") == [] and len(unpacked(bytes(10))) == 3
+    assert unpack(b"\x01\x02") == [] and len(unpack(bytes(10))) == 3
 
 
 def test_a_merge_lays_windows_together_and_one_that_tells_too_much_moves_its_own_part_alone() -> (
@@ -72,21 +72,21 @@
         2: (0.0, {}),
         3: (1e9, {77: 300.0, 5: 100.0}),
     }
-    filled, shares = merged(told)
+    filled, shares = merge(told)
     assert filled == pytest.approx((0.3 + 0.1 + 0.0 + 1.0) / 4)
     assert dict(shares) == {
         5: pytest.approx((0.2 + 0.05 + 0.25) / 4),
         9: pytest.approx(0.02 / 4),
         77: pytest.approx(0.75 / 4),
     }
-    assert merged({}) == (0.0, [])
+    assert merge({}) == (0.0, [])
 
 
 def test_cuts_of_a_table_are_those_of_an_even_window_but_where_something_is_heavy() -> None:
     even = Line(RANGES).cuts
-    assert cuts_of([], RANGES) == even
+    assert compute_cuts([], RANGES) == even
     shares = [(20_000, 0.05), (20_001, 0.01), (65_535, 0.02), (0, 0.02)]
-    cuts = cuts_of(shares, RANGES)
+    cuts = compute_cuts(shares, RANGES)
     assert len(cuts) == RANGES - 1 and cuts == sorted(cuts)
     position = 20_000.5 / BUCKETS
     assert sum(abs(cut - position) < 1e-9 for cut in cuts) == pytest.approx(
@@ -118,7 +118,7 @@
     tiers = [Tier(n, count, 100 + n, 1, 0.0, Options(line=True)) for n in range(count)]
     for balancer, tier in zip(balancers, tiers, strict=True):
         balancer.on_list(0.0, "full", [Server(f"s{n}") for n in range(20)])
-        Seat(balancer, tier)
+        BalancerAdapter(balancer, tier)
     return balancers, tiers
 
 
@@ -158,20 +158,20 @@
 
 
 def test_a_table_needs_all_its_pages_and_ends_when_nothing_more_is_told() -> None:
-    lines = Lines()
+    lines = SharedLineState()
     assert lines.table(RANGES, 0.0) is None
-    assert not lines.page(5, 2, 0, 2, 0.2, packed([(9, 0.1)]), 10.0)
-    assert not lines.page(5, 2, 0, 2, 0.2, packed([(9, 0.1)]), 11.0)  # a double
-    assert not lines.page(5, 1, 1, 2, 0.2, packed([(8, 0.1)]), 12.0)  # of an older one
-    assert not lines.page(5, 2, 1, PAGES + 1, 0.2, b"", 12.0)
-    assert lines.page(5, 2, 1, 2, 0.2, packed([(8, 0.05)]), 13.0)
+    assert not lines.on_page(5, 2, 0, 2, 0.2, pack([(9, 0.1)]), 10.0)
+    assert not lines.on_page(5, 2, 0, 2, 0.2, pack([(9, 0.1)]), 11.0)  # a double
+    assert not lines.on_page(5, 1, 1, 2, 0.2, pack([(8, 0.1)]), 12.0)  # of an older one
+    assert not lines.on_page(5, 2, 1, MAX_PAGES + 1, 0.2, b"", 12.0)
+    assert lines.on_page(5, 2, 1, 2, 0.2, pack([(8, 0.05)]), 13.0)
     table = lines.table(RANGES, 20.0)
     assert table is not None and table is lines.table(RANGES, 30.0)
     assert table.share(9.5 / BUCKETS) == pytest.approx(
         0.1 / 0.2, rel=0.03
     )  # of what is asked for, a half
     assert (
-        not lines.page(5, 4, 0, 2, 0.2, b"", 31.0) and lines.table(RANGES, 32.0) is table
+        not lines.on_page(5, 4, 0, 2, 0.2, b"", 31.0) and lines.table(RANGES, 32.0) is table
     )  # half of a newer one
     other = lines.table(4_096, 33.0)
     assert other is not None and len(other.cuts) == 4_095
--- a/tests/tier/test_tier_members.py
+++ b/tests/tier/test_tier_members.py
@@ -14,32 +14,34 @@
 
 def test_states_move_by_newer_incarnations_and_within_one_only_forward() -> None:
     m = members()
-    assert m.state(1) == "unknown" and m.there() == [0]
-    m.told(((1, 50, ALIVE), (9, 1, ALIVE)), 10.0)  # the second is no node of this tier
+    assert m.state(1) == "unknown" and m.participants() == [0]
+    m.apply_updates(((1, 50, ALIVE), (9, 1, ALIVE)), 10.0)  # the second is no node of this tier
     assert m.state(1) == "alive"
-    m.told(((1, 50, SUSPECT),), 20.0)
-    m.told(((1, 50, ALIVE),), 30.0)  # old news of the same incarnation
-    assert m.state(1) == "suspect" and m.there() == [0, 1]
-    m.told(((1, 51, ALIVE),), 40.0)  # it refuted
+    m.apply_updates(((1, 50, SUSPECT),), 20.0)
+    m.apply_updates(((1, 50, ALIVE),), 30.0)  # old news of the same incarnation
+    assert m.state(1) == "suspect" and m.participants() == [0, 1]
+    m.apply_updates(((1, 51, ALIVE),), 40.0)  # it refuted
     assert m.state(1) == "alive"
-    m.told(((1, 50, DEAD),), 50.0)
+    m.apply_updates(((1, 50, DEAD),), 50.0)
     assert m.state(1) == "alive"
-    m.told(((1, 51, DEAD),), 60.0)
-    assert m.state(1) == "dead" and m.there() == [0]
-    assert not m.heard(1, 50, 7, 70.0)  # a datagram of the process before, long on its way
-    assert m.heard(1, 51, 7, 80.0) and m.state(1) == "alive"
-    m.left(1, 51, 90.0)
+    m.apply_updates(((1, 51, DEAD),), 60.0)
+    assert m.state(1) == "dead" and m.participants() == [0]
+    assert not m.on_datagram(1, 50, 7, 70.0)  # a datagram of the process before, long on its way
+    assert m.on_datagram(1, 51, 7, 80.0) and m.state(1) == "alive"
+    m.on_leave(1, 51, 90.0)
     assert m.state(1) == "left"
-    assert m.heard(1, 52, 8, 95.0) and m.state(1) == "alive"  # started again
+    assert m.on_datagram(1, 52, 8, 95.0) and m.state(1) == "alive"  # started again
 
 
 def test_a_node_refutes_and_is_newer_than_whatever_is_said_of_it() -> None:
     m = members()
-    m.told(((0, 1_000, SUSPECT),), 10.0)
-    assert m.incarnation == 1_001 and m.news(3)[0] == (0, 1_001, ALIVE)
-    m.told(((0, 900, DEAD),), 20.0)
+    m.apply_updates(((0, 1_000, SUSPECT),), 10.0)
+    assert m.incarnation == 1_001 and m.updates_for(3)[0] == (0, 1_001, ALIVE)
+    m.apply_updates(((0, 900, DEAD),), 20.0)
     assert m.incarnation == 1_001
-    m.told(((0, 5_000, ALIVE),), 30.0)  # of a process before this one, whose clock was ahead
+    m.apply_updates(
+        ((0, 5_000, ALIVE),), 30.0
+    )  # of a process before this one, whose clock was ahead
     assert m.incarnation == 5_001
 
 
@@ -47,15 +49,15 @@
     None
 ):
     m = members(3)
-    m.told(((1, 5, ALIVE), (2, 5, ALIVE)), 0.0)
+    m.apply_updates(((1, 5, ALIVE), (2, 5, ALIVE)), 0.0)
     asked, relayed, now = set[int](), set[int](), 0.0
     while m.state(1) != "dead":
         for question in m.tick(now):
             (relayed if question.relay >= 0 else asked).add(question.to)
             if question.to == 2 and question.relay < 0:
-                m.answered(question.number)  # the second one does, the first never
+                m.on_ack(question.number)  # the second one does, the first never
         if m.state(1) == "suspect":
-            assert (1, 5, SUSPECT) in m.news(1)
+            assert (1, 5, SUSPECT) in m.updates_for(1)
         now += 125.0
         assert now < 12_000.0
     assert asked == {1, 2} and relayed == {1} and m.state(2) == "alive"
@@ -66,7 +68,7 @@
 
 def test_a_node_that_stood_still_holds_its_own_pause_against_nobody() -> None:
     m = members(3)
-    m.told(((1, 5, ALIVE), (2, 5, ALIVE)), 0.0)
+    m.apply_updates(((1, 5, ALIVE), (2, 5, ALIVE)), 0.0)
     for n in range(4):
         m.tick(125.0 * n)
     m.tick(10_000.0)  # whatever was out is taken back
--- a/tests/tier/test_wire.py
+++ b/tests/tier/test_wire.py
@@ -7,34 +7,34 @@
 import pytest
 
 from forkweir.tier import wire
-from forkweir.tier.claims import FETCHES, Claims, id_of
-from forkweir.tier.lending import WHOLE, Holdings
+from forkweir.tier.demand import FETCHES_LIMIT_ID, Demand, limit_id
+from forkweir.tier.leases import TOTAL_SHARES, HeldLeases
 from forkweir.tier.options import Options
 from forkweir.tier.tier import Tier
 
 TOP = 0xFFFFFFFF
-HEAD = (wire.FORMAT, TOP, wire.MOST_NODES - 1, TOP, TOP)
-NEWS = tuple((wire.MOST_NODES - 1, TOP, 3) for _ in range(wire.NEWS))
-WANTS = tuple((TOP, wire.LARGEST) for _ in range(wire.ENTRIES))
-GRANTS = tuple((TOP, 0xFFFF) for _ in range(wire.ENTRIES))
-SCALE = (wire.LARGEST, wire.LARGEST)
+HEAD = (wire.FORMAT_VERSION, TOP, wire.MAX_NODES - 1, TOP, TOP)
+NEWS = tuple((wire.MAX_NODES - 1, TOP, 3) for _ in range(wire.MAX_UPDATES))
+WANTS = tuple((TOP, wire.MAX_SCALED) for _ in range(wire.MAX_ENTRIES))
+GRANTS = tuple((TOP, 0xFFFF) for _ in range(wire.MAX_ENTRIES))
+SCALE = (wire.MAX_SCALED, wire.MAX_SCALED)
 LARGEST: list[wire.Message] = [
     wire.Ping(*HEAD, TOP, True, NEWS),
     wire.Ack(*HEAD, TOP, NEWS),
-    wire.Relay(*HEAD, TOP, wire.MOST_NODES - 1, NEWS),
+    wire.Relay(*HEAD, TOP, wire.MAX_NODES - 1, NEWS),
     wire.Call(*HEAD, TOP, TOP, True, TOP, 0xFFFF, SCALE, True, GRANTS),
     wire.Reply(*HEAD, TOP, TOP, TOP, True, True, SCALE, WANTS),
     wire.Leave(*HEAD),
     wire.Back(*HEAD, TOP),
-    wire.Heavy(*HEAD, TOP, 15, wire.LARGEST, bytes(198)),
-    wire.Line(*HEAD, TOP, 15, 15, wire.LARGEST, bytes(198)),
+    wire.Heavy(*HEAD, TOP, 15, wire.MAX_SCALED, bytes(198)),
+    wire.Line(*HEAD, TOP, 15, 15, wire.MAX_SCALED, bytes(198)),
 ]
 
 
 @pytest.mark.parametrize("message", LARGEST, ids=lambda message: type(message).__name__)
 def test_the_largest_fits_and_comes_back_as_it_was(message: wire.Message) -> None:
     data = wire.encode(message)
-    assert len(data) <= wire.MOST and wire.decode(data) == message
+    assert len(data) <= wire.MAX_DATAGRAM_BYTES and wire.decode(data) == message
     for size in range(len(data)):
         with pytest.raises(wire.Malformed):
             wire.decode(data[:size])
@@ -67,11 +67,13 @@
 
 def test_amounts_travel_within_four_in_a_thousand_and_nothing_is_endless() -> None:
     for amount in (1e-5, 0.003, 0.7, 12.0, 5e4, 3e6):
-        assert wire.unscaled(wire.scaled(amount)) == pytest.approx(
+        assert wire.decode_amount(wire.encode_amount(amount)) == pytest.approx(
             amount, rel=0.05 if amount < 1e-4 else 0.004
         )
-    assert wire.scaled(float("inf")) == wire.scaled(1e300) == wire.LARGEST
-    assert wire.scaled(float("nan")) == wire.scaled(-1.0) == wire.scaled(0.0) == 0
+    assert wire.encode_amount(float("inf")) == wire.encode_amount(1e300) == wire.MAX_SCALED
+    assert (
+        wire.encode_amount(float("nan")) == wire.encode_amount(-1.0) == wire.encode_amount(0.0) == 0
+    )
 
 
 def test_a_tier_that_counts_otherwise_is_told_apart_and_stops_the_dealing() -> None:
@@ -84,18 +86,18 @@
         tier.receive(1, other.tick(0.0)[0][1], 10.0)
     assert (
         tier.counts["foreign"] == 3
-        and tier.disagrees(20.0)
-        and not tier.disagrees(20.0 + tier.vote_ms)
+        and tier.has_config_conflict(20.0)
+        and not tier.has_config_conflict(20.0 + tier.vote_ms)
     )
     tier.receive(
         2, Tier(1, 4, 2, 1, 0.0).tick(0.0)[0][1], 9_000.0
     )  # from an address that is another's by our list
-    assert tier.counts["impostor"] == 1 and tier.disagrees(9_001.0)
+    assert tier.counts["impostor"] == 1 and tier.has_config_conflict(9_001.0)
 
 
-def claims(floor: float = 0.5) -> tuple[Claims, Holdings]:
-    holdings = Holdings()
-    return Claims(floor, holdings), holdings
+def claims(floor: float = 0.5) -> tuple[Demand, HeldLeases]:
+    holdings = HeldLeases()
+    return Demand(floor, holdings), holdings
 
 
 def test_a_node_that_hears_nobody_has_its_floor_and_with_a_lease_its_part_of_the_whole_tier() -> (
@@ -106,9 +108,13 @@
     assert c.work("box-1", 0.8, 0.0) == pytest.approx(0.4) and c.fetches(
         20.0, 0.0
     ) == pytest.approx(10.0)
-    number = holdings.replies(0.0)
-    holdings.take((3, 1), 1, number, 2_000.0, 4.0, id_of("box-1"), WHOLE // 4, 10.0)
-    holdings.take((3, 1), 2, number, 2_000.0, 80.0, FETCHES, WHOLE // 2, 10.0)
+    number = holdings.next_reply_number(0.0)
+    holdings.accept_grant(
+        (3, 1), 1, number, 2_000.0, 4.0, limit_id("box-1"), TOTAL_SHARES // 4, 10.0
+    )
+    holdings.accept_grant(
+        (3, 1), 2, number, 2_000.0, 80.0, FETCHES_LIMIT_ID, TOTAL_SHARES // 2, 10.0
+    )
     assert c.work("box-1", 0.8, 20.0) == pytest.approx(0.4 + 0.5 * 0.25 * 4.0)
     assert c.fetches(20.0, 20.0) == pytest.approx(10.0 + 0.5 * 0.5 * 80.0)
     assert c.work("box-2", 0.8, 20.0) == pytest.approx(0.4)
@@ -121,18 +127,20 @@
     for n in range(100):
         c.wants_work("box-1", 20.0, 30.0 * n)  # 0.667 a ms
         c.wants_fetches(0.5, 200.0, 30.0 * n)  # 3.3 in flight
-    told = dict(c.wanted(3_000.0))
-    assert told[id_of("box-1")] == pytest.approx(0.667 - 0.005, rel=0.15)
-    assert told[FETCHES] == pytest.approx(3.3, rel=0.15)
-    assert c.names()[str(id_of("box-1"))] == "box-1"
-    assert c.wanted(60_000.0) == [] and c.names() == {}
+    told = dict(c.above_floor(3_000.0))
+    assert told[limit_id("box-1")] == pytest.approx(0.667 - 0.005, rel=0.15)
+    assert told[FETCHES_LIMIT_ID] == pytest.approx(3.3, rel=0.15)
+    assert c.server_names()[str(limit_id("box-1"))] == "box-1"
+    assert c.above_floor(60_000.0) == [] and c.server_names() == {}
 
 
 def test_two_servers_of_one_id_are_dealt_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("forkweir.tier.claims.id_of", lambda server: 5)
+    monkeypatch.setattr("forkweir.tier.demand.limit_id", lambda server: 5)
     c, holdings = claims()
     c.wants_work("a", 20.0, 0.0)
     c.wants_work("b", 20.0, 0.0)
-    holdings.take((3, 1), 1, holdings.replies(0.0), 2_000.0, 4.0, 5, WHOLE, 10.0)
-    assert c.wanted(100.0) == []
+    holdings.accept_grant(
+        (3, 1), 1, holdings.next_reply_number(0.0), 2_000.0, 4.0, 5, TOTAL_SHARES, 10.0
+    )
+    assert c.above_floor(100.0) == []
     assert c.work("a", 1.0, 100.0) == c.work("b", 1.0, 100.0) == pytest.approx(0.5)
