--- a/forkweir/tier/leases.py
+++ b/forkweir/tier/leases.py
@@ -1,36 +1,48 @@
-"""Bounds of the whole tier, dealt in leases that never sum to more than the whole. Pure, no I/O, no clock of its own.
-
-Invariant: for each bound, the parts that all processes of the tier believe they may spend sum to WHOLE at most, at every moment, whatever
-is lost, doubled, delayed, reordered or cut, and whoever is killed, paused or started again; as long as no clock runs faster or slower than
-time by more than DRIFT, and all nodes count the same number of nodes (others are told apart by the digest, see `Tier`).
-
-Who may deal is decided by votes that end (as in Gray and Cheriton 1989, and Lampson's leases for a master). There is no log and no disk:
-
-- A node promises its vote to one process at a time, for vote_ms from the moment at which it says so. A process that has begun promises
-  nothing for vote_ms, since the one before it may have (`Voter`). A promise is a node's whole duty; it may break no lease by dying.
-- Whoever stands calls all others, and counts a vote for HELD x vote_ms from the moment at which it sent the call that the vote answers
-  (`Candidacy`). It is keeper as long as votes of more than half stand. Of an even number the lowest node's vote counts twice, so that one
-  of two halves can go on. One that stands back for another says so, and whoever promised it the vote is free of that.
-- The keeper grants parts for hold_ms, and never beyond the time up to which its majority stands (`Ledger`). What it has granted counts as
-  out until hold_ms have passed on its clock: a part is given to another only then. A new keeper need not know what the one before it had
-  out: the votes that that one had have ended, and so have its grants.
-- A node counts a grant for HELD x hold_ms from the moment at which it sent the reply that the grant answers (`Holdings`), whenever it
-  comes. What was long on the way, or waits in a socket while the process is paused, has ended when it is read.
-
-| state of a part | who may spend it | becomes | when |
+"""Tier-wide limits, granted as leases of shares that never exceed the total. Pure, no I/O.
+
+Invariant: for each limit, the shares that all processes of the tier believe they may spend sum to
+TOTAL_SHARES at most, at every moment, whatever is lost, duplicated, delayed, reordered or cut, and
+whichever process is killed, paused or restarted; provided that no clock runs faster or slower than
+real time by more than MAX_CLOCK_DRIFT, and that all nodes agree on the number of nodes (others are
+recognized by their digest, see `Tier`).
+
+The leader, which alone may grant, is decided by votes that expire (as in the leases of Gray and
+Cheriton 1989, and Lampson's leases for a master). There is no log and nothing is stored on disk:
+
+- A node gives its vote to one process at a time, for vote_ms from the moment at which it says so. A
+  process that has just started gives no vote for vote_ms, since its predecessor may have given one
+  (`Voter`). The vote is a node's only obligation; it can break no lease by dying.
+- A candidate calls all others, and counts a vote for CLOCK_SAFETY_FACTOR x vote_ms from the moment
+  at which it sent the call that the vote answers (`Candidacy`). It is the leader as long as the
+  votes of more than half are valid. With an even number of nodes, the vote of the lowest counts
+  twice, so that one of two halves can go on. A candidate that steps down for another announces it,
+  which releases those that gave it their vote.
+- The leader grants shares for lease_ms, and never beyond the time at which its majority ends
+  (`Ledger`). A grant counts as outstanding until lease_ms have passed on the leader's clock, and
+  its shares are granted to another only then. A new leader need not know the grants of its
+  predecessor: the votes of the predecessor have expired, and its grants with them.
+- A node counts a grant for CLOCK_SAFETY_FACTOR x lease_ms from the moment at which it sent the
+  reply that the grant answers (`HeldLeases`), whenever the grant arrives. A grant that was
+  delayed on the network, or waited in a socket while the process was paused, has expired when it
+  is read.
+
+| state of a share | who may spend it | becomes | when |
 |---|---|---|---|
-| free | nobody | out | the keeper grants it |
-| out | its holder, until its lease ends | out | granted again, as much or less |
-| | | free | hold_ms after the last grant that held it, on the keeper's clock |
-| lost | nobody | free | the same: a grant that never came is not told from one that did |
+| free | nobody | granted | the leader grants it |
+| granted | its holder, until its lease ends | granted | granted again, as much or less |
+| | | free | lease_ms after the last grant that included it, on the leader's clock |
+| lost | nobody | free | the same: a lost grant can't be told from one that arrived |
 
-`HELD = (1 - DRIFT) / (1 + DRIFT)`: a span of HELD x t on a slow clock is no longer than t on a quick one. It begins earlier (a reply is
-sent before the grant that answers it) and ends earlier.
+`CLOCK_SAFETY_FACTOR = (1 - MAX_CLOCK_DRIFT) / (1 + MAX_CLOCK_DRIFT)`: a span of this times t on a
+slow clock is no longer than t on a fast one. It starts earlier (a reply is sent before the grant
+that answers it) and ends earlier.
 
-Who gets what: the larger of max-min fairness by what each wants (progressive filling, Bertsekas and Gallager 1992, section 6.5.2), and
-what is left spread evenly over those that want any. A node that wants without end gets what is over when the others have theirs.
+Allocation: max-min fairness by demand (progressive filling, Bertsekas and Gallager 1992, section
+6.5.2), plus an even part of what is left for each node with any demand. A node with unlimited
+demand gets what the others leave.
 
-Bounds: MOST_BOUNDS bounds; of each, and each holder, at most as many grants as fall into hold_ms; the last ECHOES replies.
+Bounds: MAX_LIMITS limits; for each limit and holder, at most as many grants as fall into lease_ms;
+the last MAX_PENDING_REPLIES replies. Times are in ms of the caller's monotonic clock.
 """
 
 from __future__ import annotations
@@ -39,28 +51,31 @@
 from dataclasses import dataclass
 from typing import Optional
 
-TOTAL_SHARES = 60_000  # parts of each bound
-MAX_CLOCK_DRIFT = 0.05  # of a clock, either way
+TOTAL_SHARES = 60_000  # of each limit
+MAX_CLOCK_DRIFT = 0.05  # relative error of a clock, in either direction
 CLOCK_SAFETY_FACTOR = (1.0 - MAX_CLOCK_DRIFT) / (1.0 + MAX_CLOCK_DRIFT)
 MAX_LIMITS = 512
 MAX_PENDING_REPLIES = 16
 
 ProcessId = tuple[int, int]
-"""A process: its node's number, and its token."""
+"""A process: the slot of its node, and its token."""
 
 
 def majority(count: int) -> int:
-    """How many votes are more than half (see `weight`)."""
+    """The number of votes that is more than half (see `vote_weight`)."""
     return (count + (count % 2 == 0)) // 2 + 1
 
 
 def vote_weight(slot: int, count: int) -> int:
-    """How many votes a node has: of an even number of nodes the first has two, so that there is always more than half."""
+    """The number of votes of a node.
+
+    Of an even number of nodes the first has two, so that the total is odd and can't be halved.
+    """
     return 2 if slot == 0 and count % 2 == 0 else 1
 
 
 class Voter:
-    """One node's promise."""
+    """The vote of one node, given to one process at a time."""
 
     __slots__ = ("vote_ms", "voted_for", "until_ms", "call_number")
 
@@ -68,10 +83,10 @@
         self.vote_ms = vote_ms
         self.voted_for: Optional[ProcessId] = None
         self.until_ms = now + vote_ms
-        self.call_number = 0  # the highest of the calls for which it is promised
+        self.call_number = 0  # the highest call for which the vote was given
 
     def request_vote(self, process: ProcessId, number: int, now: float) -> bool:
-        """A process asks for the vote by a call of this number; whether it is promised to it from now on."""
+        """A process requests the vote by a call of this number; return whether it is granted."""
         if now < self.until_ms and process != self.voted_for:
             return False
         self.call_number = max(self.call_number, number) if process == self.voted_for else number
@@ -79,33 +94,33 @@
         return True
 
     def release(self, process: ProcessId, number: int, now: float) -> None:
-        """A process has stood back, and counts no vote for its calls up to this number.
+        """A process has stepped down, and counts no vote for its calls up to this number.
 
-        Guards against a split vote that binds everybody for a whole span. A word of this that is late harms nothing: a promise for a
-        later call stands.
+        Prevents a split vote from blocking all nodes for a whole vote_ms. A late announcement does
+        no harm: a vote given for a later call stays valid.
         """
         if self.voted_for == process and self.call_number <= number:
             self.voted_for, self.until_ms = None, now
 
     def withhold(self, now: float) -> None:
-        """Promise nobody anything anew for a while; what is promised stands."""
+        """Give no vote for vote_ms, unless one is given now, which stays valid."""
         if now >= self.until_ms:
             self.voted_for, self.until_ms = None, now + self.vote_ms
 
 
 class Candidacy:
-    """The votes that one process has."""
+    """The votes that one process has received."""
 
     __slots__ = ("count", "vote_ms", "_votes", "_calls_sent_ms")
 
     def __init__(self, count: int, vote_ms: float) -> None:
         self.count = count
         self.vote_ms = vote_ms
-        self._votes: dict[int, float] = {}  # by node: until when it counts
-        self._calls_sent_ms: dict[int, float] = {}  # by number: when it was sent, oldest first
+        self._votes: dict[int, float] = {}  # by slot: when the vote expires
+        self._calls_sent_ms: dict[int, float] = {}  # by number: when sent, oldest first
 
     def call_sent(self, number: int, now: float) -> None:
-        """A call goes out (to one node or more)."""
+        """Record that a call is sent, to one node or more."""
         self._calls_sent_ms[number] = now
         while self._calls_sent_ms:
             first = next(iter(self._calls_sent_ms))
@@ -114,12 +129,15 @@
             del self._calls_sent_ms[first]
 
     def withdraw(self) -> None:
-        """Stand no more: no vote for any call so far counts, and the promise of the node to itself is void (`Voter.release`)."""
+        """End the candidacy: no vote for any call so far counts.
+
+        The node's vote for itself is void then (`Voter.release`).
+        """
         self._votes.clear()
         self._calls_sent_ms.clear()
 
     def vote_received(self, slot: int, echo: int) -> bool:
-        """A node's vote came, in answer to a call; whether that call is known."""
+        """Record a node's vote in reply to a call; return whether that call is known."""
         sent = self._calls_sent_ms.get(echo)
         if sent is None:
             return False
@@ -129,7 +147,7 @@
         return True
 
     def majority_until(self) -> float:
-        """Up to when votes of more than half stand; a time that has passed where they do not."""
+        """When the majority of votes expires; a time in the past where there is no majority."""
         needed, votes = majority(self.count), 0
         for slot, until in sorted(self._votes.items(), key=lambda vote: -vote[1]):
             votes += vote_weight(slot, self.count)
@@ -139,7 +157,10 @@
 
 
 def allocate_fairly(total: int, demand: Mapping[int, float]) -> dict[int, int]:
-    """Deal so many parts by what each wants (in parts): max-min fair, and what is left evenly over all that want any."""
+    """Divide `total` shares by demand (in shares), max-min fair.
+
+    What is left is divided evenly among all with any demand.
+    """
     requesting = sorted(((amount, slot) for slot, amount in demand.items() if amount > 0.0))
     allocated: dict[int, int] = {}
     remaining = total
@@ -155,17 +176,16 @@
 
 
 class Ledger:
-    """What a keeper has granted, and what of it may still be spent."""
+    """What a leader has granted, and what of it may still be spent."""
 
     __slots__ = ("_grants",)
 
     def __init__(self) -> None:
-        self._grants: dict[
-            int, dict[ProcessId, list[tuple[float, int]]]
-        ] = {}  # by bound and holder: until when, how much; both falling or rising
+        # By limit and holder: expiry and shares of each grant, with shares descending.
+        self._grants: dict[int, dict[ProcessId, list[tuple[float, int]]]] = {}
 
     def outstanding(self, limit: int, now: float) -> dict[ProcessId, int]:
-        """The most that each may spend of a bound by what it was granted."""
+        """The most that each holder may still spend of a limit by its unexpired grants."""
         by_process = self._grants.get(limit, {})
         for process in list(by_process):
             by_process[process] = [
@@ -180,9 +200,9 @@
     def grant(
         self, limit: int, demand: Mapping[ProcessId, float], lease_ms: float, now: float
     ) -> dict[ProcessId, int]:
-        """Grant anew: by holder, how many parts until hold_ms from now. wants: in parts.
+        """Grant shares for lease_ms from now; return them by holder. demand: in shares.
 
-        Whoever no longer wants any is granted none, and keeps what it was granted until that ends.
+        A holder without demand is granted nothing, and keeps its earlier grants until they expire.
         """
         if limit not in self._grants and len(self._grants) >= MAX_LIMITS:
             return {}
@@ -199,7 +219,8 @@
             own = held.get(process, 0)
             shares = max(0, min(shares, TOTAL_SHARES - total_held + own))
             granted[process] = shares
-            # Earlier grants that are smaller say nothing any more: the holder has this one at most, or a larger one that ends sooner.
+            # Smaller earlier grants are dropped: the holder has at most this one, or a larger
+            # earlier one until that expires.
             by_process[process] = [
                 grant for grant in by_process.get(process, []) if grant[1] > shares
             ] + [(now + lease_ms, shares)]
@@ -207,14 +228,14 @@
         return granted
 
     def remove_expired(self, now: float) -> None:
-        """Let go of bounds of which nothing is out."""
+        """Remove limits without an outstanding grant."""
         for limit in [old for old in self._grants if not self.outstanding(old, now)]:
             del self._grants[limit]
 
 
 @dataclass(slots=True)
 class Lease:
-    """Parts of one bound. size: of the whole bound as it was granted, in the unit of the bound."""
+    """Shares of one limit. size: the whole limit at the time of the grant, in its own unit."""
 
     shares: int
     until_ms: float
@@ -224,18 +245,18 @@
 
 
 class HeldLeases:
-    """What one process may spend."""
+    """The leases that one process holds."""
 
     __slots__ = ("leases", "on_lease", "_replies_sent_ms", "_reply_number")
 
     def __init__(self) -> None:
         self.leases: dict[int, Lease] = {}
         self.on_lease: Callable[[int, Lease, float], None] = lambda limit, lease, now: None
-        self._replies_sent_ms: dict[int, float] = {}  # by number of a reply: when it was sent
+        self._replies_sent_ms: dict[int, float] = {}  # by reply number
         self._reply_number = 0
 
     def next_reply_number(self, now: float) -> int:
-        """A reply goes out: its number."""
+        """Record that a reply is sent now; return its number."""
         self._reply_number += 1
         self._replies_sent_ms[self._reply_number] = now
         self._replies_sent_ms.pop(self._reply_number - MAX_PENDING_REPLIES, None)
@@ -252,7 +273,10 @@
         shares: int,
         now: float,
     ) -> bool:
-        """A grant came; whether it counts. Of two from one keeper the one with the higher number does."""
+        """Process a grant; return whether it is accepted.
+
+        Of two grants from one leader, the one with the higher number counts.
+        """
         sent = self._replies_sent_ms.get(echo)
         if sent is None:
             return False
@@ -269,21 +293,21 @@
         return True
 
     def lease(self, limit: int, now: float) -> Optional[Lease]:
-        """What is held of a bound now, if anything is."""
+        """The unexpired lease of a limit, if there is one."""
         lease = self.leases.get(limit)
         return lease if lease is not None and now < lease.until_ms else None
 
     def remove_expired(self, now: float) -> None:
-        """Let go of leases that have ended."""
+        """Remove expired leases."""
         for limit in [old for old, lease in self.leases.items() if lease.until_ms <= now]:
             del self.leases[limit]
 
 
 class Allocator:
-    """One process's part in all of this: its promise, its candidacy, what it has granted and what it holds.
+    """The lease protocol of one process: its vote, candidacy, ledger and held leases.
 
-    What is said to whom is the business of `Tier`, which carries these calls and replies in datagrams, and of the checker of small scopes
-    (`testbed/check`), which carries them in every order.
+    Messages are exchanged by `Tier`, which sends calls and replies in datagrams, and by the
+    exhaustive checker (`testbed/check`), which delivers them in every order.
     """
 
     __slots__ = ("process", "voter", "candidacy", "ledger", "held_leases", "call_number")
@@ -297,11 +321,14 @@
         self.call_number = 0
 
     def is_leader(self, now: float) -> bool:
-        """Whether this process is keeper."""
+        """Whether this process is the leader."""
         return now < self.candidacy.majority_until()
 
     def start_call(self, now: float) -> bool:
-        """Call the others (by `number`), which takes this node's own vote; whether it has that."""
+        """Begin a call numbered `call_number`, which needs this node's own vote.
+
+        Returns whether it has that vote.
+        """
         if not self.voter.request_vote(self.process, self.call_number + 1, now):
             return False
         self.call_number += 1
@@ -310,11 +337,15 @@
         return True
 
     def lease_ms(self, max_ms: float, now: float) -> int:
-        """For how long a keeper may grant now, in whole ms; 0 where it is none."""
+        """How long a lease may last now, in whole ms; 0 if this process is not the leader."""
         return max(0, int(min(max_ms, self.candidacy.majority_until() - now)))
 
     def on_call(self, leader: ProcessId, number: int, now: float) -> tuple[bool, int]:
-        """Another calls; whether it gets this node's vote, and what `stand_back` gives where this one does so for a lower node, else 0."""
+        """Another process calls; return whether it gets this node's vote, and a void number.
+
+        The void number is that of `step_down` where this process steps down for a lower node,
+        else 0.
+        """
         void_number = 0
         if (
             leader[0] < self.process[0]
@@ -325,7 +356,7 @@
         return self.voter.request_vote(leader, number, now), void_number
 
     def on_vote(self, slot: int, to: int, echo: int) -> None:
-        """A node's vote came, for a call with this number of the process with token `to`."""
+        """Process a node's vote for the call `echo` of the process with token `to`."""
         if to == self.process[1]:
             self.candidacy.vote_received(slot, echo)
 
@@ -341,15 +372,18 @@
         shares: int,
         now: float,
     ) -> bool:
-        """A grant came for the process with token `to`; whether it counts."""
+        """Process a grant for the process with token `to`; return whether it is accepted."""
         return to == self.process[1] and self.held_leases.accept_grant(
             leader, number, echo, lease_ms, size, limit, shares, now
         )
 
     def step_down(self, now: float) -> int:
-        """Stand no more; the number up to which no vote for its calls counts, for the others to know (`Voter.release`).
+        """End the candidacy; return the number of the last call whose votes are void.
+
+        The number is announced to the others (`Voter.release`).
 
-        Of one that is keeper nothing may be granted anew before its grants have ended (see `Tier._stands`).
+        A leader that steps down grants nothing before its grants have expired (see
+        `Tier._should_call`).
         """
         self.candidacy.withdraw()
         self.voter.release(self.process, self.call_number, now)
--- a/forkweir/tier/members.py
+++ b/forkweir/tier/members.py
@@ -1,29 +1,40 @@
-"""Who takes part: SWIM (Das, Gupta, Motivala 2002), with Lifeguard's patience of nodes that are slow themselves (Dadgar et al. 2018).
+"""Membership of the tier by SWIM (Das, Gupta, Motivala 2002) with Lifeguard (Dadgar et al. 2018).
 
-Invariant: a node's entry moves only towards newer incarnations, and within one only as the table says; nobody but the node itself makes it
-a newer one. What is decided by membership costs placement and time, never a rule: leases hold without it (`lending`).
+Lifeguard allows for nodes that are slow themselves.
+
+Invariant: a node's entry moves only towards newer incarnations, and within one only as the table
+says; only the node itself raises its incarnation. Membership affects placement and timing but never
+correctness: leases hold without it (`leases`).
 
 | state | who is in it | becomes | when |
 |---|---|---|---|
-| unknown | never heard of | alive | heard, or told of |
-| alive | heard of, and nothing is against it | suspect | one period without an answer, neither to us nor by RELAYS others; or told |
-| suspect | did not answer somebody | alive | it is heard itself, or is told of with a newer incarnation (it refutes) |
-| | | dead | SUSPICION periods have passed, longer the larger the tier and the slower we are; or told |
-| dead | did not refute | alive | heard itself, or told of with a newer incarnation |
-| left | said so, ending in order | alive | heard itself, or told of with a newer incarnation |
-
-Each period a node asks one other, each in turn in an order drawn anew for each round, so that within 2n - 1 periods everybody asks
-everybody (section 4.3), and the first question to one that died comes after 1.6 periods in the mean. News of a change goes out with
-SPREAD x log2(n + 1) datagrams that are sent anyway, the newest first. A joining node asks JOIN a period, and answers to it are filled
-with what is known of others. One of those that are not there is asked each GONE_EVERY periods, so that halves of a cut find one another.
-
-Slow is not dead: a node that did not come to its own tick in time (it stood still, or had no CPU) takes back the question that is
-out, and judges by (1 + slowness) times the time, up to SLOWEST; an answer in time makes it quicker again.
-
-Incarnations: the start in Unix seconds, or one more than whatever is heard of oneself that is not older (a clock set back, a quick restart,
-a suspicion that is refuted). A token that changes within an incarnation tells of another process as well.
-
-Bounds: an entry of six numbers a node; a datagram or two a period out and as many in, whatever the size, at most MOST bytes each.
+| unknown | no information yet | alive | a datagram or an update about it comes |
+| alive | it answers | suspect | a period without an ack, direct or relayed; or an update |
+| suspect | did not answer some node | alive | a datagram from it, or a newer incarnation |
+| | | dead | suspicion_ms have passed; or an update |
+| dead | did not refute | alive | a datagram from it, or a newer incarnation |
+| left | announced its shutdown | alive | a datagram from it, or a newer incarnation |
+
+An ack may come directly or through RELAY_COUNT other nodes. A node refutes a suspicion by a newer
+incarnation. suspicion_ms is longer the larger the tier and the slower this node is.
+
+In each period a node probes one other, in an order drawn anew for each round, so that within 2n - 1
+periods every node probes every other (section 4.3), and the first probe to a node that died is sent
+after 1.6 periods in the mean. An update is piggybacked on GOSSIP_FACTOR x log2(n + 1) datagrams
+that are sent anyway, the newest first. A joining node sends JOIN_PROBES probes a period, and the
+acks to them are filled with what is known of others. One of the nodes that do not take part is
+probed every ABSENT_PROBE_PERIODS, so that two halves of a network partition find one another again.
+
+A slow node is not a dead one: a node whose own tick was late (it was stalled, or had no CPU) drops
+its pending probes, and multiplies its timeouts by (1 + slowness / 2), with slowness up to
+MAX_SLOWNESS; an ack in time lowers slowness again.
+
+Incarnations: the start in Unix seconds, or one more than any incarnation that others report of this
+node and that is not older (a clock set back, a quick restart, a suspicion that is refuted). A token
+that changes within an incarnation also indicates another process.
+
+Bounds: an entry of six numbers a node; a datagram or two a period out and as many in, whatever the
+size of the tier, at most MAX_DATAGRAM_BYTES each.
 """
 
 from __future__ import annotations
@@ -38,16 +49,22 @@
 
 MemberState = Literal["alive", "suspect", "dead", "left", "unknown"]
 STATES: tuple[MemberState, ...] = ("alive", "suspect", "dead", "left")
-"""On the wire by their places; of one incarnation the later goes before the earlier."""
+"""On the wire by their index; within an incarnation a later state overrides an earlier one."""
 RELAY_COUNT = 3
-RELAY_AFTER_PERIODS = 0.4  # of a period without an answer: others are asked to ask
-SUSPICION_PERIODS = 3.0  # periods, times log10(n), at least this many
+# Periods without an ack after which other nodes are asked to ping the target.
+RELAY_AFTER_PERIODS = 0.4
+# Minimum; multiplied by log10(n) in larger tiers.
+SUSPICION_PERIODS = 3.0
+# An update is sent with this many datagrams times log2(n + 1).
 GOSSIP_FACTOR = 3.0
-JOIN_PROBES = 3  # questions a period of a node that joins,
-JOIN_PERIODS = 8  # for so many of them
+# Probes in each period while a node joins, and for how many periods at least.
+JOIN_PROBES = 3
+JOIN_PERIODS = 8
+# Periods between two probes of nodes that do not take part.
 ABSENT_PROBE_PERIODS = 4
 MAX_SLOWNESS = 4
-STALL_PERIODS = 1.5  # periods between two ticks: this node stood still
+# With a longer time between two ticks, this process was stalled.
+STALL_PERIODS = 1.5
 
 
 @dataclass(slots=True)
@@ -57,14 +74,14 @@
     state: MemberState = "unknown"
     incarnation: int = 0
     token: int = 0
-    since_ms: float = 0.0  # of its state
-    heard_ms: float = -1e12  # from itself
-    sends_left: int = 0  # datagrams that are still to carry this
+    since_ms: float = 0.0  # when the state began
+    heard_ms: float = -1e12  # last datagram from the node itself
+    sends_left: int = 0  # datagrams that are still to carry this entry
 
 
 @dataclass(frozen=True, slots=True)
 class Probe:
-    """What is to be asked. relay: by whom, -1 where we ask ourselves."""
+    """A ping to send. relay: the node that is asked to send it, -1 to send it directly."""
 
     to: int
     number: int
@@ -80,7 +97,7 @@
 
 
 class Members:
-    """One node's picture of the tier. Times in ms of one monotonic clock."""
+    """One node's view of the tier's membership. Times in ms of one monotonic clock."""
 
     def __init__(
         self, slot: int, count: int, incarnation: int, seed: int, period_ms: float, now: float
@@ -102,7 +119,7 @@
         self._last_tick_ms = now
         self._periods = 0
         self._cursor = slot
-        self._suspected_ms: dict[int, float] = {}  # since when
+        self._suspected_ms: dict[int, float] = {}  # by slot
 
     @property
     def _sends_per_update(self) -> int:
@@ -110,7 +127,7 @@
 
     @property
     def suspicion_ms(self) -> float:
-        """How long a suspect has to refute."""
+        """How long a suspect has to refute, in ms."""
         return (
             self.period_ms
             * SUSPICION_PERIODS
@@ -120,7 +137,7 @@
 
     @property
     def joining(self) -> bool:
-        """Whether this node still gets to know the others: at its start, and as long as it knows nobody."""
+        """Whether this node is still joining: at its start, and as long as it knows no other."""
         return self._periods <= JOIN_PERIODS or not any(
             entry.state in ("alive", "suspect")
             for slot, entry in enumerate(self.entries)
@@ -128,19 +145,19 @@
         )
 
     def state(self, slot: int) -> MemberState:
-        """What a node is to this one."""
+        """The state of a node as this one sees it."""
         return self.entries[slot].state
 
     def participants(self) -> list[int]:
-        """Those that take part, this one among them, in the order of their numbers. A suspect does until it is dead."""
+        """The slots that take part, including this one, ascending. A suspect counts until dead."""
         return [
             slot for slot, entry in enumerate(self.entries) if entry.state in ("alive", "suspect")
         ]
 
-    # -- what comes ----------------------------------------------------------------------
+    # -- input ---------------------------------------------------------------------------
 
     def on_datagram(self, slot: int, incarnation: int, token: int, now: float) -> bool:
-        """A datagram came from a node itself; whether it is of a process that is not older than what is known."""
+        """A datagram came from a node itself; return whether its process is not an older one."""
         entry = self.entries[slot]
         if slot == self.slot or incarnation < entry.incarnation:
             return False
@@ -150,12 +167,12 @@
         return True
 
     def apply_updates(self, updates: tuple[MemberUpdate, ...], now: float) -> None:
-        """Another node's news."""
+        """Apply membership updates from another node."""
         for slot, incarnation, code in updates:
             if slot >= self.count:
                 continue
             if slot == self.slot:
-                # Of oneself, and not from oneself: of an earlier process, or a suspicion.
+                # About this node: from an earlier process of it, or a suspicion to refute.
                 if incarnation > self.incarnation or (incarnation == self.incarnation and code):
                     self.incarnation = min(incarnation + 1, 0xFFFFFFFF)
                     entry = self.entries[slot]
@@ -171,12 +188,12 @@
             self._move(slot, state, incarnation, now)
 
     def on_ack(self, number: int) -> None:
-        """An answer to one of our questions came."""
+        """An ack to one of our probes came."""
         if self._pending.pop(number, None) is not None:
             self.slowness = max(0, self.slowness - 1)
 
     def on_leave(self, slot: int, incarnation: int, now: float) -> None:
-        """A node says that it ends in order."""
+        """A node announces its orderly shutdown."""
         if incarnation >= self.entries[slot].incarnation and slot != self.slot:
             self._move(slot, "left", incarnation, now)
 
@@ -192,15 +209,15 @@
         if changed:
             self.on_change(slot, state, now)
 
-    # -- what goes -----------------------------------------------------------------------
+    # -- output --------------------------------------------------------------------------
 
     def tick(self, now: float) -> list[Probe]:
-        """Time has passed; what to ask now."""
+        """Advance to `now`; return the probes to send."""
         stalled = now - self._last_tick_ms > STALL_PERIODS * self.period_ms
         self._last_tick_ms = now
         if stalled:
             self.slowness = min(MAX_SLOWNESS, self.slowness + 2)
-            self._pending.clear()  # the answers may wait in our own socket
+            self._pending.clear()  # the acks may be waiting in our own socket
             for slot in self._suspected_ms:
                 self._suspected_ms[slot] = now
         probes = []
@@ -239,7 +256,10 @@
         return Probe(slot, self._probe_number)
 
     def _next_of_round(self) -> int:
-        """The next one to ask: each that takes part once a round, in a drawn order; while joining also those never heard of."""
+        """The next slot to probe, -1 for none.
+
+        Each participant once a round in random order; while joining, unknown nodes too.
+        """
         joining = self.joining
         for _ in range(2):
             while self._round:
@@ -262,7 +282,11 @@
         return -1
 
     def updates_for(self, to: int, full: bool = False) -> tuple[MemberUpdate, ...]:
-        """What goes with a datagram to a node: that it is suspected or thought dead, what is new; in full the rest too, in turn."""
+        """The updates to send with a datagram to a node.
+
+        First that the node itself is suspect or dead, then the newest updates; with `full` also
+        the other entries in turn.
+        """
         entry = self.entries[to]
         chosen: dict[int, MemberUpdate] = {}
         if entry.state in ("suspect", "dead"):
--- a/forkweir/tier/tier.py
+++ b/forkweir/tier/tier.py
@@ -1,17 +1,22 @@
-"""One node's part in the tier: datagrams and time in, datagrams out. Pure, no I/O, no clock.
-
-Puts `members` and `lending` together. One node at a time is keeper; it calls all others each beat, they answer with what they want, and
-its next call brings what they get. Who stands for keeper: the lowest of those that take part, where nobody has called for a while; the
-next ones after it, later by their rank, so that a lowest one that reaches nobody holds nothing up. A candidate steps back for a lower one
-that calls; one that gets no majority in two spans of a vote rests for a drawn time.
-
-Whoever has another digest, or is not the one that `peers` has at its address, plays no part. While a datagram of another digest came from
-an address of `peers` within a span of a vote, this node neither stands nor promises its vote, and says so to whoever calls it, which then
-does the same: two groups that count the tier otherwise could each have their majority. What they had been promised ends by itself, and all
-have their floors until the change is through.
-
-Bounds: at most `CALLS` pages of ENTRIES grants to a node a beat; what a node said it wants is forgotten after TOLD beats; a node's own
-bound counts as at most LIAR times the median in the sum of the tier.
+"""One node's state machine in the tier: datagrams and time in, datagrams out. Pure, no clock.
+
+Combines `members` and `leases`. One node at a time is the leader. It calls all others in each
+heartbeat, they reply with their demand, and its next call brings their grants. The lowest slot
+among the participants becomes a candidate where no leader has called for a while; the others
+follow later by rank, so that a lowest node that reaches nobody blocks nothing. A candidate steps
+down for a lower one that calls; one that gets no majority in two vote periods backs off for a
+random time.
+
+A node with another digest, or one that is not the node that `peers` has at its address, is
+ignored. While a datagram with another digest came from an address in `peers` within a vote period,
+this node neither becomes a candidate nor grants its vote, and says so to each caller, which then
+does the same: two groups that count the tier differently could each have their own majority.
+Leases granted before expire by themselves, and all nodes have only their floors until the change
+of configuration is complete.
+
+Bounds: at most MAX_CALL_PAGES pages of MAX_ENTRIES grants to a node in a heartbeat; reported demand
+is dropped after REPORT_TTL_HEARTBEATS; a node's own limit counts as at most OUTLIER_FACTOR times
+the median in the tier's total.
 """
 
 from __future__ import annotations
@@ -33,41 +38,51 @@
 
 VOTE_HEARTBEATS = 8.0
 LEASE_HEARTBEATS = 5.0
-ELECTION_TIMEOUT_HEARTBEATS = (
-    2.5  # without a call of the one that has the vote: somebody else may stand
-)
-ELECTION_STAGGER_HEARTBEATS = 0.5  # and each one later by so much times its rank
-STARTUP_HEARTBEATS = 1.5  # after the start, before anybody stands
-REPORT_TTL_HEARTBEATS = 2.5  # beats
+# Without a call from the leader for this long, another node may become a candidate.
+ELECTION_TIMEOUT_HEARTBEATS = 2.5
+# Added to the election timeout for each rank among the participants.
+ELECTION_STAGGER_HEARTBEATS = 0.5
+# Delay after the start before this node may become a candidate.
+STARTUP_HEARTBEATS = 1.5
+# Demand that a node reported is dropped after this time.
+REPORT_TTL_HEARTBEATS = 2.5
+# A node's own limit counts as at most this multiple of the median in the tier's total.
 OUTLIER_FACTOR = 4.0
-SIGNAL_PERIODS = 1.5  # between two words on boxes, if there is anything to tell
-LINE_HEARTBEATS = 4  # between two words on the line
+# Periods between two reports on boxes, if there is anything to report.
+SIGNAL_PERIODS = 1.5
+# Heartbeats between two distributions of the shared line.
+LINE_HEARTBEATS = 4
+# Datagrams of MAX_ENTRIES grants to one node in a heartbeat, and of demand in its reply.
 MAX_CALL_PAGES = 13
 
 DEFAULT_OPTIONS = Options()
 
 Send = tuple[int, bytes]
-"""To which node, and what."""
+"""The slot of the receiving node and the encoded datagram."""
 
 
 @dataclass(slots=True)
 class NodeReport:
-    """What a keeper knows of one process. wants: by bound, how much and when it was said."""
+    """What the leader knows of one process.
+
+    reply_number: of its last reply; own_limits: work and fetches, as the node would limit them by
+    itself; demands: by limit, the amount and when it was reported; filled: the fraction of its
+    window that consists of arrivals; heavy_buckets: fraction of the window by bucket;
+    heavy_call_number: the call to which heavy_buckets belong.
+    """
 
     token: int
-    reply_number: int = 0  # of its last reply
+    reply_number: int = 0
     received_ms: float = 0.0
     own_limits: tuple[float, float] = (0.0, 0.0)
     demands: dict[int, tuple[float, float]] = field(default_factory=dict)
-    filled: float = 0.0  # what part of its window is arrivals,
-    heavy_buckets: dict[int, float] = field(
-        default_factory=dict
-    )  # and what is asked for often there: by bucket, its part of the window
-    heavy_call_number: int = 0  # the call after which it said so
+    filled: float = 0.0
+    heavy_buckets: dict[int, float] = field(default_factory=dict)
+    heavy_call_number: int = 0
 
 
 class Tier:
-    """A process of one node. Ask it again by `tick` at least TICKS times a period."""
+    """One node's process in the tier. Call `tick` at least TICKS_PER_PERIOD times a period."""
 
     def __init__(
         self,
@@ -79,7 +94,11 @@
         options: Options = DEFAULT_OPTIONS,
         tier: int = 0,
     ) -> None:
-        """slot: this node's number, of count nodes; incarnation: Unix seconds; tier: number of the tier; seed: new with each start."""
+        """Start as node `slot` of `count`.
+
+        seed: differs at each start; incarnation: Unix seconds of the start; tier: number of the
+        tier. ValueError if slot or count is out of range.
+        """
         if not 0 <= slot < count <= wire.MAX_NODES:
             raise ValueError(
                 f"node {slot} of {count}: a tier has at most {wire.MAX_NODES} nodes, counted from 0"
@@ -97,56 +116,60 @@
         self.demand = Demand(
             options.floor, self.allocator.held_leases, options.shares, options.fetches, options.line
         )
-        self.signals = (
-            Signals() if options.signals else None
-        )  # none: this node neither tells nor heeds what was seen of boxes
-        self.update_signals: Callable[[float], None] = lambda now: (
-            None
-        )  # brings `signals` and what follows from them up to date
-        self.limit_totals = (0.0, 0.0)  # of the tier, as the keeper had them
-        self.followed_leader = -1  # whose calls this node answers with its vote
-        self.update_demand: Callable[[float], None] = lambda now: (
-            None
-        )  # brings `claims` up to date before it is read
+        # None: this node neither sends nor applies evidence about boxes.
+        self.signals = Signals() if options.signals else None
+        # Callback that updates `signals` and applies the peers' evidence.
+        self.update_signals: Callable[[float], None] = lambda now: None
+        # Work and fetches of the whole tier, as the leader last computed them.
+        self.limit_totals = (0.0, 0.0)
+        # Slot of the node to whose calls this one last answered with its vote, -1 for none.
+        self.followed_leader = -1
+        # Callback that updates `demand` before it is read.
+        self.update_demand: Callable[[float], None] = lambda now: None
         self.counts = dict.fromkeys(
             ("in", "out", "malformed", "foreign", "impostor", "stranger", "old"), 0
         )
         self.bytes_out = 0
         self._reports: dict[int, NodeReport] = {}
-        self._pending_relays: dict[
-            int, tuple[int, int]
-        ] = {}  # by number of our question: for whom, and by what number of theirs
+        # By the number of our ping: the requesting slot and the number of its own ping.
+        self._pending_relays: dict[int, tuple[int, int]] = {}
         self._relay_count = 0
-        self._last_leader_call_ms = now  # when a call last came that got the vote
+        # When a call last arrived that got this node's vote.
+        self._last_leader_call_ms = now
         self._next_heartbeat_ms = now + STARTUP_HEARTBEATS * self.heartbeat_ms * (
             1.0 + 0.2 * self._random.random()
         )
-        self._candidate_since_ms = -1.0  # since when it stands without a majority
+        # Start of the candidacy without a majority, -1 for none.
+        self._candidate_since_ms = -1.0
         self._backoff_until_ms = 0.0
-        self._conflict_seen_ms = -1e12  # when it last heard itself of another digest,
-        self._conflict_reported_ms = -1e12  # and when another said that it had
-        self._called_slots: set[int] = set()  # who was called in the last beat,
-        self._heartbeat_number = 0  # and the number of that call
+        # When this node last received another digest, and when a peer last reported one.
+        self._conflict_seen_ms = -1e12
+        self._conflict_reported_ms = -1e12
+        # Slots called since the last heartbeat began, and the number of that call.
+        self._called_slots: set[int] = set()
+        self._heartbeat_number = 0
         self._heartbeats = 0
         self._next_signals_ms = now
-        self._signals_number = 0  # on boxes, that were told
-        self._nothing_reported = True  # nothing was told last
-        self._void_number = 0  # of a candidacy that has ended, and of which the others are still to be told: its last call
+        self._signals_number = 0
+        # Whether the last report on boxes was empty.
+        self._nothing_reported = True
+        # Last call of an ended candidacy that is still to be announced, 0 for none.
+        self._void_number = 0
 
-    # -- what others ask -----------------------------------------------------------------
+    # -- state ---------------------------------------------------------------------------
 
     def is_leader(self, now: float) -> bool:
-        """Whether this process is keeper."""
+        """Whether this process is the leader."""
         return self.allocator.is_leader(now)
 
     def has_config_conflict(self, now: float) -> bool:
-        """Whether another count or other constants of the tier were heard of lately."""
+        """Whether a node with another digest was seen or reported within the last vote_ms."""
         return now - max(self._conflict_seen_ms, self._conflict_reported_ms) < self.vote_ms
 
     # -- time ----------------------------------------------------------------------------
 
     def tick(self, now: float) -> list[Send]:
-        """Time has passed."""
+        """Advance to `now`; return the datagrams to send."""
         sends = [send for probe in self.members.tick(now) for send in self._send_probe(probe)]
         self.update_signals(now)
         if self.signals is not None and now >= self._next_signals_ms:
@@ -164,7 +187,7 @@
         return self._count_sends(sends)
 
     def leave(self, now: float) -> list[Send]:
-        """The process ends in order: some are told, and tell the others."""
+        """Announce an orderly shutdown to a few members, which spread it to the others."""
         others = [slot for slot in self.members.participants() if slot != self.slot]
         recipients = self._random.sample(others, min(len(others), 4))
         return self._count_sends(
@@ -172,9 +195,9 @@
         )
 
     def _should_call(self, now: float) -> bool:
-        """Whether this process calls others: it is keeper, or nobody else seems to be."""
+        """Whether this process calls the others: it is the leader, or no leader seems to exist."""
         if self.has_config_conflict(now):
-            # For a whole span of a vote from now on: by then what it may have granted as keeper has ended too.
+            # Withheld for a whole vote_ms, by when any lease it granted as leader has expired too.
             self.allocator.voter.withhold(now)
             self.allocator.candidacy.withdraw()
             return False
@@ -201,10 +224,10 @@
             self._candidate_since_ms = now
         return True
 
-    # -- the keeper's side ---------------------------------------------------------------
+    # -- the leader ----------------------------------------------------------------------
 
     def _call_all(self, now: float) -> Iterator[Send]:
-        """One beat: ask for votes, and tell each what it gets of what it said it wants."""
+        """Send a heartbeat: request votes, and grant leases for the demand that was reported."""
         allocator = self.allocator
         number = allocator.call_number
         self._heartbeats += 1
@@ -261,7 +284,7 @@
             yield from self._send_line(number, now)
 
     def _call_newcomers(self) -> Iterator[Send]:
-        """Between two beats, call those that have come since the last one, so that they have their parts a beat sooner."""
+        """Call nodes that joined since the last heartbeat, so that they get shares one sooner."""
         for slot in self.members.participants():
             if slot != self.slot and slot not in self._called_slots:
                 self._called_slots.add(slot)
@@ -285,7 +308,7 @@
                 )
 
     def _send_line(self, number: int, now: float) -> Iterator[Send]:
-        """Merge what all nodes are asked for often, and tell them."""
+        """Merge the heavy buckets of all nodes into one line and send it to them."""
         lines, oldest = (
             self.demand.shared_line,
             now - 2.0 * LINE_HEARTBEATS * REPORT_TTL_HEARTBEATS * self.heartbeat_ms,
@@ -325,7 +348,7 @@
                     )
 
     def _send_heavy(self, leader: int, number: int) -> Iterator[Send]:
-        """Tell the keeper what is asked for often here."""
+        """Send this node's heavy buckets to the leader."""
         if self.demand.shared_line is None:
             return
         sketch = self.demand.shared_line.sketch
@@ -334,7 +357,7 @@
             yield self._send(leader, wire.Heavy(*self._header(), number, page, filled, page_data))
 
     def _announce_step_down(self) -> Iterator[Send]:
-        """Tell all that this process stands no more, once, if it has stood back."""
+        """Announce once to all that this process has ended its candidacy, if it has."""
         void_number, self._void_number = self._void_number, 0
         if void_number:
             for slot in self.members.participants():
@@ -342,7 +365,7 @@
                     yield self._send(slot, wire.Back(*self._header(), void_number))
 
     def _record_own_report(self, now: float) -> None:
-        """The keeper is a node like any other: it tells itself what it wants."""
+        """Record the leader's own demand like that of any other node."""
         self.update_demand(now)
         report = self._reports.get(self.slot)
         if report is None:
@@ -355,7 +378,7 @@
         report.demands = {limit: (amount, now) for limit, amount in self.demand.above_floor(now)}
 
     def _allocate(self, lease_ms: int, now: float) -> dict[int, dict[int, int]]:
-        """Grant anew what was asked for lately: by node and bound."""
+        """Renew grants for recently reported demand; return the shares by slot and limit."""
         oldest = now - REPORT_TTL_HEARTBEATS * self.heartbeat_ms
         recent = {
             slot: report for slot, report in self._reports.items() if report.received_ms >= oldest
@@ -390,7 +413,10 @@
     # -- datagrams -----------------------------------------------------------------------
 
     def receive(self, sender: int, data: bytes, now: float) -> list[Send]:
-        """A datagram came from the address that `peers` has for a node (-1: for none of them)."""
+        """Process a datagram; return the datagrams to send.
+
+        sender: the slot that `peers` has at the source address, -1 if the address is not there.
+        """
         self.counts["in"] += 1
         if sender < 0 or sender >= self.count:
             self.counts["stranger"] += 1
@@ -406,7 +432,7 @@
             return []
         if message.slot != sender or sender == self.slot:
             self.counts["impostor"] += 1
-            self._conflict_seen_ms = now  # two lists of peers that differ in their order
+            self._conflict_seen_ms = now  # the peers lists differ in their order
             return []
         if not self.members.on_datagram(sender, message.incarnation, message.token, now):
             self.counts["old"] += 1
@@ -434,7 +460,7 @@
             self.members.apply_updates(message.updates, now)
             if message.target < self.count and message.target not in (self.slot, sender):
                 self._relay_count = (self._relay_count + 1) % 1_000
-                number = 0xFFFF0000 + self._relay_count  # apart from the questions of our own
+                number = 0xFFFF0000 + self._relay_count  # disjoint from our own pings
                 self._pending_relays[number] = sender, message.number
                 while len(self._pending_relays) > 64:
                     del self._pending_relays[next(iter(self._pending_relays))]
@@ -552,7 +578,10 @@
                 report.demands[limit] = wire.decode_amount(step), now
 
     def _send_signals(self) -> Iterator[Send]:
-        """Tell some members which boxes this node holds to be bad; once more, with nothing in it, when there are none any more."""
+        """Report to some members which boxes this node considers bad.
+
+        Once there are none any more, a single empty report withdraws the last one.
+        """
         assert self.signals is not None
         reports = self.signals.to_report()
         if not reports and self._nothing_reported:
@@ -609,7 +638,7 @@
 
 
 def _digest(options: Options, count: int, tier: int) -> int:
-    """Of what nodes must agree on to deal with one another."""
+    """A hash of the constants on which all nodes of a tier must agree."""
     text = (
         f"{FORMAT_VERSION}/{tier}/{count}/{options.floor:.6f}/{options.period_ms:.3f}"
         f"/{TOTAL_SHARES}/{VOTE_HEARTBEATS}/{LEASE_HEARTBEATS}"
@@ -618,13 +647,16 @@
 
 
 def _pages(data: bytes) -> list[bytes]:
-    """Shares as they are told, in pages; one at least."""
+    """Packed entries split into pages of ENTRIES_PER_PAGE; at least one page."""
     total = 3 * ENTRIES_PER_PAGE
     return [data[at : at + total] for at in range(0, max(1, len(data)), total)]
 
 
 def _limit_total(own_limits: list[float]) -> float:
-    """The sum of what nodes would take by themselves, none counted for more than LIAR times the median of those that would take any."""
+    """The sum of the nodes' own limits.
+
+    Each counts as at most OUTLIER_FACTOR times the median of those above 0.
+    """
     positive = [own_limit for own_limit in own_limits if own_limit > 0.0]
     if not positive:
         return 0.0
--- a/forkweir/tier/wire.py
+++ b/forkweir/tier/wire.py
@@ -1,23 +1,25 @@
-"""Datagrams between nodes: MessagePack arrays of at most 256 bytes. Pure: bytes in, messages out, and back.
+"""Datagrams between nodes: MessagePack arrays of at most 256 bytes. Pure: bytes in, messages out.
 
-| kind | from, to | says |
+| kind | from, to | content |
 |---|---|---|
-| ping, ack | any, any | I am there; news of others (SWIM, Das et al. 2002, section 4.1) |
-| relay | any, any | ask that one for me, I had no answer of it (the same, section 3.1) |
-| call | who stands for keeper, or is it, to all | vote for me; your parts of the bounds until so long after what you last said |
-| reply | any, who called | my vote, or not; what I want of which bound |
-| heavy | any, the keeper | what is asked for often here |
-| line | the keeper, to all | what is asked for often everywhere |
-| seen | any, some | boxes that I hold to be bad, and those that I no longer do |
-| back | who stood for keeper, to all | I stand no more: no vote counts for my calls up to this one |
-| leave | who drains, to some | I end in order |
-
-Every datagram opens with its kind, FORMAT and the tier's digest (how many nodes it has and the constants that all must share), the
-sender's number in the tier, its incarnation and its token (of this one process). Whoever has another digest plays no part (`Tier`).
-Amounts travel on a scale of logarithms of 12 bits (`scaled`, within 0.4 percent), parts as whole numbers.
-
-Bounds: 256 bytes (PROTOCOL, "Between nodes"); NEWS entries of news, ENTRIES of wants or grants. A datagram that breaks any of them, has
-fields out of range or bytes behind its end is `Malformed`.
+| ping, ack | any, any | failure detection, membership updates (Das et al. 2002, section 4.1) |
+| relay | any, any | request to ping a third node that did not answer (the same, section 3.1) |
+| call | candidate or leader, to all | request for the vote; grants of shares |
+| reply | any, the caller | the vote or its refusal; demand by limit |
+| heavy | any, the leader | the most requested buckets of the line at this node |
+| line | the leader, to all | the most requested buckets of the line at all nodes |
+| seen | any, some | boxes that the sender considers bad, and those that it no longer does |
+| back | a former candidate, to all | the candidacy ended: votes up to this call are void |
+| leave | a node that drains, to some | orderly shutdown |
+
+Every datagram begins with its kind, FORMAT_VERSION and the tier's digest (the number of nodes and
+the constants on which all must agree), the sender's slot, its incarnation and its token (of this
+process alone). A node with another digest is ignored (`Tier`). Amounts are encoded on a logarithmic
+scale of 12 bits (`encode_amount`, within 0.4 percent), shares as integers.
+
+Bounds: 256 bytes (PROTOCOL, "Between nodes"); MAX_UPDATES membership updates, MAX_ENTRIES entries
+of demand or grants. A datagram that violates any of them, has fields out of range or trailing bytes
+is `Malformed`.
 """
 
 from __future__ import annotations
@@ -28,12 +30,15 @@
 import msgspec
 
 FORMAT_VERSION = 1
-MAX_DATAGRAM_BYTES = 256  # bytes
-MAX_UPDATES = 14  # 9 bytes each, 11 in tiers of more than 256
-MAX_ENTRIES = 18  # 9 to 11 bytes each
+MAX_DATAGRAM_BYTES = 256
+# 9 bytes each, 11 in tiers of more than 256 nodes.
+MAX_UPDATES = 14
+# Of demand or grants, 9 to 11 bytes each.
+MAX_ENTRIES = 18
 MAX_NODES = 4_096
-STEPS_PER_DOUBLING = 96.0  # steps for a factor of two
-MAX_SCALED = 4_095  # of a scaled amount: 2 ** (4095 / SCALE) - 1, some 7e12 millionths
+STEPS_PER_DOUBLING = 96.0
+# 12 bits: 2 ** (4095 / STEPS_PER_DOUBLING) - 1, some 7e12 millionths.
+MAX_SCALED = 4_095
 
 Number = Annotated[int, msgspec.Meta(ge=0, le=0xFFFFFFFF)]
 Slot = Annotated[int, msgspec.Meta(ge=0, lt=MAX_NODES)]
@@ -41,19 +46,19 @@
 Scaled = Annotated[int, msgspec.Meta(ge=0, le=MAX_SCALED)]
 ShareCount = Annotated[int, msgspec.Meta(ge=0, le=0xFFFF)]
 Page = Annotated[int, msgspec.Meta(ge=0, le=15)]
-PackedEntries = Annotated[bytes, msgspec.Meta(max_length=198)]  # three bytes each
+PackedEntries = Annotated[bytes, msgspec.Meta(max_length=198)]  # three or five bytes an entry
 Millis = Annotated[int, msgspec.Meta(ge=0, le=0xFFFF)]
 
 MemberUpdate = tuple[Slot, Number, State]
-"""Of a node: its number, incarnation, and state (`members.STATES`)."""
+"""A node's slot, incarnation and state (index into `members.STATES`)."""
 DemandEntry = tuple[Number, Scaled]
-"""Of a bound: its id, and how much is wanted (`scaled`)."""
+"""The id of a limit, and the demand for it (`encode_amount`)."""
 Grant = tuple[Number, ShareCount]
-"""Of a bound: its id, and so many parts of `lending.WHOLE`."""
+"""The id of a limit, and shares of it, out of `leases.TOTAL_SHARES`."""
 
 
 class Malformed(ValueError):
-    """A datagram breaks the form."""
+    """A datagram violates the format."""
 
 
 class _Header(msgspec.Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
@@ -65,7 +70,7 @@
 
 
 class Ping(_Header, frozen=True, tag=1):
-    """Are you there? number: of this question. joining: tell me who else is."""
+    """A SWIM ping. number: of this ping; joining: asks for the whole membership in the acks."""
 
     number: Number
     joining: bool
@@ -73,14 +78,14 @@
 
 
 class Ack(_Header, frozen=True, tag=2):
-    """I am. number: of the question."""
+    """The answer to a ping. number: of the ping."""
 
     number: Number
     updates: Annotated[tuple[MemberUpdate, ...], msgspec.Meta(max_length=MAX_UPDATES)]
 
 
 class Relay(_Header, frozen=True, tag=3):
-    """Ask `target` for me. number: of my question to it."""
+    """Requests a ping of `target` on behalf of the sender. number: of the sender's own ping."""
 
     number: Number
     target: Slot
@@ -88,11 +93,12 @@
 
 
 class Call(_Header, frozen=True, tag=4):
-    """A keeper's, or a candidate's, word to one process.
+    """A heartbeat of the leader, or of a candidate, to one process.
 
-    to: its token, 0 where that is not known (and nothing is granted). number: rises with each call of a caller. answer: whether a reply
-    is wanted (further pages of one word want none). echo: the number of the reply from whose sending on `hold_ms` count, 0 where there was
-    none. sizes: of the whole tier (`scaled`), of work and of fetches. heavy: whether `Heavy` is wanted too.
+    to: token of that process, 0 where unknown (nothing is granted then). number: rises with each
+    call of a caller. reply_wanted: false for further pages of a call. echo: the number of the reply
+    at whose sending `lease_ms` start, 0 for none. limit_totals: work and fetches of the whole tier
+    (`encode_amount`). heavy_wanted: whether the caller also wants `Heavy`.
     """
 
     to: Number
@@ -106,8 +112,12 @@
 
 
 class Reply(_Header, frozen=True, tag=5):
-    """To a call. to: the caller's token; number: of this reply, 0 of a further page; echo: of the call. own: of work and of fetches, what
-    the node would take by itself (`scaled`). other: whether it heard itself, lately, of another count or other constants of the tier."""
+    """The answer to a call.
+
+    to: the caller's token; number: of this reply, 0 for a further page; echo: number of the call;
+    own_limits: the node's own limits of work and fetches (`encode_amount`); config_conflict:
+    whether the sender itself has lately received another digest.
+    """
 
     to: Number
     number: Number
@@ -119,18 +129,21 @@
 
 
 class Leave(_Header, frozen=True, tag=6):
-    """I end in order."""
+    """Announces an orderly shutdown."""
 
 
 class Back(_Header, frozen=True, tag=7):
-    """I stand no more. number: of the last of my calls."""
+    """Ends a candidacy. number: of the sender's last call, up to which votes are void."""
 
     number: Number
 
 
 class Heavy(_Header, frozen=True, tag=8):
-    """What is asked for often here. number: of the call that it follows; filled: what part of the node's window is arrivals (`scaled`);
-    data: `lines.packed`."""
+    """The heavy buckets of one node.
+
+    number: of the call that it answers; filled: the fraction of the node's window that consists of
+    arrivals (`encode_amount`); data: `shared_line.pack`.
+    """
 
     number: Number
     page: Page
@@ -139,7 +152,11 @@
 
 
 class Line(_Header, frozen=True, tag=9):
-    """What is asked for often at all nodes together. number: of the table, rising; filled: what part of the common window is arrivals."""
+    """The merged heavy buckets of all nodes, from the leader.
+
+    number: of the table, rising; filled: the fraction of the shared window that consists of
+    arrivals (`encode_amount`); data: `shared_line.pack`.
+    """
 
     number: Number
     page: Page
@@ -149,7 +166,10 @@
 
 
 class Seen(_Header, frozen=True, tag=10):
-    """Boxes that I hold to be bad, or did until lately. number: of this word, rising; data: `signals.packed`."""
+    """Boxes that the sender considers bad, or did until lately.
+
+    number: of this report, rising; data: `signals.pack`.
+    """
 
     number: Number
     data: PackedEntries
@@ -162,32 +182,35 @@
 
 
 def encode(message: Message) -> bytes:
-    """A datagram's bytes, at most MOST of them."""
+    """The bytes of a datagram, at most MAX_DATAGRAM_BYTES."""
     data = _encoder.encode(message)
     assert len(data) <= MAX_DATAGRAM_BYTES, f"{type(message).__name__} of {len(data)} bytes"
     return data
 
 
 def decode(data: bytes) -> Message:
-    """The message of a datagram; Malformed where it is none."""
+    """Decode a datagram. Malformed if it is not a valid message."""
     if len(data) > MAX_DATAGRAM_BYTES:
-        raise Malformed("too long")
+        raise Malformed("datagram longer than 256 bytes")
     try:
         message = _decoder.decode(data)
     except (msgspec.DecodeError, RecursionError) as error:
         raise Malformed(str(error)) from None
     if message.format_version != FORMAT_VERSION:
-        raise Malformed(f"format {message.format_version}")
+        raise Malformed(f"format version {message.format_version} is not supported")
     return message
 
 
 def encode_amount(amount: float) -> int:
-    """An amount (0 or more) on a scale of logarithms, from a millionth on; what is beyond it, infinity among it, is its largest step."""
+    """An amount (0 or more) as a step of a logarithmic scale that starts at one millionth.
+
+    Amounts beyond the scale, including infinity, become MAX_SCALED; NaN and less than 0 become 0.
+    """
     if not amount > 0.0:
         return 0
     return min(MAX_SCALED, round(STEPS_PER_DOUBLING * log2(1.0 + 1e6 * min(amount, 1e9))))
 
 
 def decode_amount(step: int) -> float:
-    """The amount that a step of the scale stands for."""
+    """The amount of a step of `encode_amount`."""
     return float(2.0 ** (step / STEPS_PER_DOUBLING) - 1.0) / 1e6
