--- a/corkshift/tier/__init__.py
+++ b/corkshift/tier/__init__.py
@@ -1,1 +1,1 @@
-"""Datagrams between nodes, where the settings allow them: carries `forkweir/tier` on the node's loop (docs/tier.md)."""
+"""Datagrams between nodes where the settings allow them: runs `forkweir/tier` on the event loop."""
--- a/corkshift/tier/options.py
+++ b/corkshift/tier/options.py
@@ -11,27 +11,27 @@
 
 
 class TierTable(Table, frozen=True, kw_only=True):
-    """`[tier]`: what a node shares with the others, where the settings let nodes talk to one another.
+    """`[tier]`: how a node cooperates with others, where the settings let nodes communicate.
 
     floor and period_ms must be the same at all nodes of a tier.
     """
 
     on: bool = True
-    floor: Annotated[float, msgspec.Meta(ge=0.0, le=1.0)] = (
-        DEFAULT_FLOOR  # of its own part of each bound: what a node has that hears nobody
-    )
-    period_ms: Annotated[float, msgspec.Meta(ge=50.0, le=10_000.0)] = (
-        DEFAULT_PERIOD_MS  # between two questions, and two beats of a keeper
-    )
-    shares: bool = True  # whether this node has its part of what cold boxes get,
-    fetches: bool = False  # and of the fetches in flight while the order book presses,
-    line: bool = False  # cuts from the common line,
-    signals: bool = (
-        False  # and tells and heeds which boxes are bad; of the three that are off see docs/tier.md
-    )
+    # Fraction of its own limits that a node has without a lease.
+    floor: Annotated[float, msgspec.Meta(ge=0.0, le=1.0)] = DEFAULT_FLOOR
+    # Between two probes of other nodes, and two heartbeats of a leader.
+    period_ms: Annotated[float, msgspec.Meta(ge=50.0, le=10_000.0)] = DEFAULT_PERIOD_MS
+    # Whether this node takes part in the tier-wide limits on work to cold boxes.
+    shares: bool = True
+    # The same for fetches in flight. For why these three are off, see docs/tier.md.
+    fetches: bool = False
+    # Whether it cuts its ranges from the shared line.
+    line: bool = False
+    # Whether it sends and applies evidence about bad boxes.
+    signals: bool = False
 
     def options(self) -> Options:
-        """In the terms of the tier."""
+        """Convert to the options of `forkweir.tier`."""
         return Options(
             self.floor, self.period_ms, self.shares, self.fetches, self.line, self.signals
         )
--- a/corkshift/tier/transport.py
+++ b/corkshift/tier/transport.py
@@ -1,7 +1,8 @@
-"""The tier on the node's loop: one UDP socket, one timer; what comes goes to `forkweir/tier`, and what that says goes out.
+"""The tier on the node's event loop: one UDP socket and one timer for the core in `forkweir/tier`.
 
-Bounds: one datagram in and out at a time, READS of them a turn of the loop; a receive buffer of BUFFER bytes, so that a process that stood
-still finds no more than that; datagrams that don't go out are counted and not kept. No datagram, whatever it holds, ends anything.
+Bounds: one datagram in and out at a time, MAX_READS_PER_TURN of them in a turn of the loop; a
+receive buffer of RECEIVE_BUFFER_BYTES, so that a process that was stalled finds no more than that;
+datagrams that can't be sent are counted and not kept. No content of a datagram stops the node.
 """
 
 from __future__ import annotations
@@ -30,19 +31,20 @@
 
 MAX_READS_PER_TURN = 64
 RECEIVE_BUFFER_BYTES = 65_536
-MAX_RECENT_LEASES = 512  # that were taken last, for `tier show` and the rig
-LOG_INTERVAL_MS = 1_000.0  # between two lines of the log on who takes part
+# Leases last accepted, for `tier show` and the test systems.
+MAX_RECENT_LEASES = 512
+# Between two log lines on changes of membership.
+LOG_INTERVAL_MS = 1_000.0
 
 
 class UdpTransport:
-    """Takes part in the tier for one node."""
+    """Runs one node's part in the tier over UDP."""
 
     def __init__(self, node: Node, neighbours: Neighbours, options: TierTable) -> None:
-        """OSError where the address can't be had."""
+        """Bind the socket and join `node` to the tier. OSError where the address can't be bound."""
         now = now_ms()
-        seed = int.from_bytes(
-            seam.entropy(8), "big"
-        )  # of this process alone: a configuration may be read by two
+        # Random for each process, as two processes may read one configuration.
+        seed = int.from_bytes(seam.entropy(8), "big")
         self.tier = Tier(
             neighbours.slot,
             len(neighbours.peers),
@@ -52,12 +54,11 @@
             options.options(),
             neighbours.tier,
         )
-        self.send_failures = 0  # datagrams that did not go out
+        self.send_failures = 0  # datagrams that could not be sent
         self._slots = {address: slot for slot, address in enumerate(neighbours.peers)}
         self._peers = neighbours.peers
-        self._recent_leases: deque[tuple[int, int, float, float]] = deque(
-            maxlen=MAX_RECENT_LEASES
-        )  # bound, parts, from when, until when
+        # Limit, shares, time of acceptance, expiry.
+        self._recent_leases: deque[tuple[int, int, float, float]] = deque(maxlen=MAX_RECENT_LEASES)
         self._timer: Optional[asyncio.TimerHandle] = None
         self._changes: list[str] = []
         self._changes_logged_ms = 0.0
@@ -77,17 +78,17 @@
 
     @property
     def address(self) -> Address:
-        """Where datagrams arrive."""
+        """The local address of the socket."""
         host, port = self._sock.getsockname()
         return host, port
 
     def start(self) -> None:
-        """Begin."""
+        """Start to receive datagrams and to run the timer."""
         asyncio.get_running_loop().add_reader(self._sock, self._read)
         self._tick()
 
     def close(self) -> None:
-        """End, and tell some of the others."""
+        """Close the socket; announce the shutdown to some other nodes."""
         if self._timer is not None:
             self._timer.cancel()
             self._send(self.tier.leave(now_ms()))
@@ -109,10 +110,11 @@
             self._in_conflict = not self._in_conflict
             if self._in_conflict:
                 log.warning(
-                    "tier: others count the tier otherwise, or have other constants of it: every node keeps to its floor"
+                    "tier: received datagrams of another configuration of the tier (number of "
+                    "nodes or constants): every node is limited to its floor until it is resolved"
                 )
             else:
-                log.info("tier: nobody disagrees any more")
+                log.info("tier: no node with another configuration is known any more")
 
     def _read(self) -> None:
         for _ in range(MAX_READS_PER_TURN):
@@ -121,12 +123,12 @@
             except BlockingIOError:
                 return
             except OSError as error:
-                log.debug("tier: a datagram that went out came to nothing: %s", error)
+                log.debug("tier: receive failed, probably for a datagram sent earlier: %s", error)
                 continue
             try:
                 self._send(self.tier.receive(self._slots.get(sender, -1), data, now_ms()))
             except Exception:
-                log.exception("a datagram could not be dealt with")
+                log.exception("tier: failed to process a datagram, which is dropped")
 
     def _send(self, sends: list[tuple[int, bytes]]) -> None:
         for slot, data in sends:
@@ -135,7 +137,7 @@
             except OSError:
                 self.send_failures += 1
 
-    # -- what is told --------------------------------------------------------------------
+    # -- state for operators -------------------------------------------------------------
 
     def _on_lease(self, limit: int, lease: Lease, now: float) -> None:
         self._recent_leases.append((limit, lease.shares, now, lease.until_ms))
@@ -145,7 +147,7 @@
             self._changes.append(f"n{slot} is {state}")
 
     def view(self) -> bytes:
-        """What this node knows and holds, as JSON, for `tier show`."""
+        """What this node knows and which leases it holds, as JSON for `tier show`."""
         now, tier = now_ms(), self.tier
         members = [
             {
@@ -192,7 +194,7 @@
 
 
 def _line_view(tier: Tier, now: float) -> Optional[dict[str, Any]]:
-    """The common line as this node has it; none where there is none. digest: the same at nodes that have the same."""
+    """The shared line of this node, or None. digest: equal at nodes with equal lines."""
     table = (
         tier.demand.shared_line.current_entries(now)
         if tier.demand.shared_line is not None
--- a/forkweir/tier/__init__.py
+++ b/forkweir/tier/__init__.py
@@ -1,5 +1,6 @@
-"""What many nodes do as one: who takes part (`members`), and bounds of the whole tier that are dealt in leases (`lending`).
+"""Cooperation of many nodes: membership (`members`) and tier-wide limits with leases (`leases`).
 
-Pure: no I/O, no clock, no randomness but the seed. `tier` puts the parts together; `wire` has the datagrams; `claims` is what the
-decision module sees. Design and bounds: docs/tier.md. Nothing here is imported where nodes may not talk to one another.
+Pure: no I/O, no clock, no randomness but the seed. `tier` combines the parts; `wire` has the
+datagrams; `demand` is what the decision module sees. Design and bounds: docs/tier.md. Nothing here
+is imported where nodes may not talk to one another.
 """
--- a/forkweir/tier/balancer_adapter.py
+++ b/forkweir/tier/balancer_adapter.py
@@ -1,4 +1,7 @@
-"""Where a node's decisions and its tier meet. Pure; the carrier (`corkshift/tier`) and the simulator's wire (`adapter`) both use it."""
+"""Connects a node's balancer to its tier. Pure.
+
+Used by the transport (`corkshift/tier`) and by the simulator's wire (`adapter`).
+"""
 
 from __future__ import annotations
 
@@ -8,7 +11,11 @@
 
 
 class BalancerAdapter:
-    """Gives a balancer its parts of the tier's bounds, and the tier what the balancer would take by itself, and what it saw of boxes."""
+    """Connects a balancer and a tier.
+
+    The balancer gets its shares of tier-wide limits; the tier gets the balancer's own limits and
+    its evidence about boxes.
+    """
 
     def __init__(self, balancer: Balancer, tier: Tier) -> None:
         self.balancer = balancer
@@ -18,7 +25,7 @@
         tier.update_signals = self.update_signals
 
     def update_signals(self, now: float) -> None:
-        """Tell the tier what this node holds against boxes, and heed what it hears of them."""
+        """Pass this node's evidence about boxes to the tier, and apply that of its peers."""
         signals, fleet = self.tier.signals, self.balancer.fleet
         if signals is None:
             return
@@ -44,5 +51,6 @@
                 else 0.0
             )
         if demand.allocates_fetches:
-            # Also while the order book does not press: a part that is asked for only then comes a second or two late (docs/tier.md).
+            # Also without pressure on the origin: shares requested only under pressure would come a
+            # second or two late (docs/tier.md).
             demand.own_fetches = balancer.fetches.would_be
--- a/forkweir/tier/demand.py
+++ b/forkweir/tier/demand.py
@@ -1,17 +1,20 @@
-"""What the decision module sees of the tier: its own bounds turned into this node's part of all nodes' together. Pure.
+"""The tier as the decision module sees it: own limits turned into shares of tier-wide ones. Pure.
 
-Two bounds are dealt so far: the work that each cold server may get (`limits/allowance`), and the fetches in flight while the order book
-presses (`limits/fetches`). Of each a node has
+There are two kinds of limits: the work that each cold server may get (`limits/allowance`), and the
+fetches in flight while the origin is under pressure (`limits/fetches`). Of each a node has
 
-    floor x own + (1 - floor) x (parts that it holds / WHOLE) x size
+    floor x own + (1 - floor) x (shares that it holds / TOTAL_SHARES) x size
 
-where `own` is what it would take by itself today, and `size` the sum of that over all nodes, as the keeper had it. So all nodes together
-have at most what they take today, those that want more have what others do not want, and one that hears nobody has `floor` of today's.
+where `own` is the limit that it would apply by itself, and `size` the sum of that over all nodes,
+as computed by the leader. So all nodes together have at most the sum of their own limits, those
+with more demand get what others do not need, and a node without contact to a leader has `floor` of
+its own limit.
 
-What a node wants is counted where the module asks whether there is room, whether there was any or not, and forgotten in WANTED_MS. Of a
-cold server it is told as the work that it would be at full capacity, the unit of `own`, so that it can be held against `size`.
+Demand is counted where the decision module asks whether there is capacity, whatever the answer, and
+fades with a time constant of DEMAND_DECAY_MS. For a cold server it is reported as the work that it
+would be at full capacity, the unit of `own`, so that it can be compared with `size`.
 
-Bounds: one sum a cold server, and its name, until next to nothing is wanted of it any more.
+Bounds: one sum and one name for each cold server, until its demand is next to nothing.
 """
 
 from __future__ import annotations
@@ -24,21 +27,21 @@
 from forkweir.tier.shared_line import LineTable, SharedLineState
 
 FETCHES_LIMIT_ID = 0
-"""The id of the bound on fetches; those of cold servers are 1 and more (`id_of`)."""
+"""The id of the limit on fetches; those of cold servers are 1 and more (`limit_id`)."""
 DEMAND_DECAY_MS = 1_500.0
 DEMAND_EVIDENCE_MS = 500.0
-MAX_SERVERS = 256  # cold servers
+MAX_SERVERS = 256  # cold servers with a limit
 
 
 def limit_id(server: str) -> int:
-    """The id of the bound on a cold server's work: the same at all nodes, 1 to 2 ** 32 - 1."""
+    """The id of the limit on a cold server's work: the same at all nodes, 1 to 2 ** 32 - 1."""
     return (
         int.from_bytes(blake2b(server.encode(), digest_size=4, person=b"tier").digest(), "big") or 1
     )
 
 
 class Demand:
-    """One node's wants, and what it has of them."""
+    """One node's demand for tier-wide limits, and its current limits."""
 
     __slots__ = (
         "floor",
@@ -63,19 +66,26 @@
     ) -> None:
         self.floor = floor
         self.held_leases = holdings
-        self.allocates_work = shares  # whether work to cold servers is dealt here,
-        self.allocates_fetches = fetches  # and fetches
-        self.shared_line = SharedLineState() if line else None  # none: this node has its own line
-        self.own_work = 0.0  # work a ms that a warm server of weight 1 gets from this node
-        self.own_fetches = 0.0  # in flight, as it would bound them by itself
+        self.allocates_work = shares  # whether work to cold servers has tier-wide limits
+        self.allocates_fetches = fetches  # whether fetches have one
+        # None: this node uses its own line.
+        self.shared_line = SharedLineState() if line else None
+        # Work per ms that a warm server of weight 1 gets from this node.
+        self.own_work = 0.0
+        # Fetches in flight that this node would allow by itself.
+        self.own_fetches = 0.0
         self._requested: dict[int, Faded] = {}
-        self._server_names: dict[int, str] = {}  # "" where two have one id: neither is dealt
-        self._fetch_ms = 0.0  # how long a fetch is in flight
+        # By limit; "" where two servers have one id: neither gets shares.
+        self._server_names: dict[int, str] = {}
+        self._fetch_ms = 0.0  # duration of a fetch
 
-    # -- what the module says ------------------------------------------------------------
+    # -- demand, from the decision module ------------------------------------------------
 
     def wants_work(self, server: str, work: float, now: float) -> None:
-        """The module asks for room at a cold server, for work (ms) that counts by what part of it the server can do now."""
+        """Record demand for capacity of a cold server.
+
+        work: in ms, divided by the fraction of its full capacity that the server has now.
+        """
         if not self.allocates_work:
             return
         limit = limit_id(server)
@@ -90,7 +100,7 @@
         self._record(limit, work, now)
 
     def wants_fetches(self, fetches: float, flight_ms: float, now: float) -> None:
-        """The module asks for room for so many expected fetches, each of which takes so long."""
+        """Record demand for so many expected fetches, of flight_ms each."""
         if not self.allocates_fetches:
             return
         self._fetch_ms = flight_ms
@@ -103,20 +113,23 @@
         requested.add(now, amount)
 
     def server_names(self) -> dict[str, str]:
-        """The servers that bounds are about, by id."""
+        """The names of the servers with a limit, by the limit's id."""
         return {str(limit): server_name for limit, server_name in self._server_names.items()}
 
     def line(self, position: float, ranges: int, now: float) -> Optional[LineTable]:
-        """See `Parts`."""
+        """Record a request at `position`; return the shared line, if there is one."""
         if self.shared_line is None:
             return None
         self.shared_line.sketch.add(position)
         return self.shared_line.table(ranges, now)
 
-    # -- what the module gets ------------------------------------------------------------
+    # -- limits, for the decision module -------------------------------------------------
 
     def work(self, server: str, own: float, now: float) -> float:
-        """Work a ms for each unit of weight that a cold server may get from this node. own: by itself."""
+        """Work per ms and unit of weight that a cold server may get from this node.
+
+        own: what this node would allow by itself.
+        """
         if not self.allocates_work:
             return own
         self.own_work = own
@@ -128,7 +141,10 @@
         )
 
     def fetches(self, own: float, now: float) -> float:
-        """Fetches in flight that this node may have while the order book presses. own: by itself."""
+        """Fetches in flight that this node may have while the origin is under pressure.
+
+        own: what this node would allow by itself.
+        """
         if not self.allocates_fetches:
             return own
         self.own_fetches = own
@@ -139,10 +155,10 @@
         held = lease.shares / TOTAL_SHARES * lease.size if lease is not None else 0.0
         return self.floor * own + (1.0 - self.floor) * held
 
-    # -- what the keeper is told ---------------------------------------------------------
+    # -- demand, for the leader ----------------------------------------------------------
 
     def above_floor(self, now: float) -> list[tuple[int, float]]:
-        """Of each bound what is wanted of it beyond the floor, the most first, in the unit of its `own`."""
+        """The demand above the floor by limit, the largest first, in the unit of its `own`."""
         demand = []
         for limit, faded in list(self._requested.items()):
             faded.add(now, 0.0)
--- a/forkweir/tier/options.py
+++ b/forkweir/tier/options.py
@@ -4,29 +4,35 @@
 
 from dataclasses import dataclass
 
-DEFAULT_PERIOD_MS = 500.0  # between two questions of `members`, and two beats of a keeper
-DEFAULT_FLOOR = 0.5  # of what a node takes by itself: what it has when it hears nobody
-MAX_NODES_AT_FULL_RATE = (
-    200  # nodes; a keeper of more has longer beats, so that it handles no more datagrams a second
-)
-TICKS_PER_PERIOD = 4  # of a caller's clock in a period, at least
+# Between two probes of `members`, and two heartbeats of a leader.
+DEFAULT_PERIOD_MS = 500.0
+# Fraction of its own limit that a node has without a lease.
+DEFAULT_FLOOR = 0.5
+# In a larger tier heartbeats are less frequent, to limit the leader's datagrams per second.
+MAX_NODES_AT_FULL_RATE = 200
+# Minimum number of calls of `Tier.tick` in a period.
+TICKS_PER_PERIOD = 4
 
 
 @dataclass(frozen=True, slots=True)
 class Options:
-    """floor: 0 to 1; period_ms: 20 and more. shares, fetches, line, signals: whether this node has its part of what cold boxes get, and of
-    the fetches in flight, cuts from the common line, and tells and heeds what is seen of boxes.
+    """Options of a tier.
 
-    The first two must be the same at all nodes of a tier, the others need not be.
+    floor: 0 to 1; period_ms: 20 and more. Both must be the same at all nodes of a tier.
+
+    The others may differ between nodes: shares and fetches: whether this node takes part in the
+    limits on work to cold boxes and on fetches in flight; line: whether it cuts its ranges from the
+    shared line; signals: whether it sends and applies evidence about boxes.
     """
 
     floor: float = DEFAULT_FLOOR
     period_ms: float = DEFAULT_PERIOD_MS
     shares: bool = True
-    fetches: bool = False  # these three did not pay at full size (docs/tier.md)
+    # These three are off as they brought no gain at full size (docs/tier.md).
+    fetches: bool = False
     line: bool = False
     signals: bool = False
 
     def heartbeat_ms(self, count: int) -> float:
-        """Between two calls of the keeper of so many nodes."""
+        """Ms between two heartbeats of the leader of a tier of `count` nodes."""
         return self.period_ms * max(1.0, count / MAX_NODES_AT_FULL_RATE)
--- a/forkweir/tier/shared_line.py
+++ b/forkweir/tier/shared_line.py
@@ -1,25 +1,30 @@
-"""One line for all nodes: what is asked for often, told to the keeper, merged by traffic, and told back to all. Pure.
+"""One line for all nodes: heavy buckets are reported to the leader, merged and sent to all. Pure.
 
-Invariant: a table of the keeper's is the same at every node that has it whole, and from equal tables come equal cuts. A node that has none,
-or an old one, cuts from its own window as ever; the moving average of the cuts (`line`) makes the way there and back smooth.
+Invariant: a table of the leader is the same at every node that has all its pages, and equal tables
+give equal cuts. A node without a current table cuts from its own window as without a tier; the
+moving average of the cuts (`line`) smooths the transition in both directions.
 
-The line's positions are hashes, so what is asked for seldom lies evenly on it, and only what is asked for often tells one window from
-another. The common window is that of all nodes' windows laid together: each begins evenly spaced, as `line.Line` has it, and what a node
-was asked for has taken the place of the points next to it. So a node tells the counts of its heavy buckets (of BUCKETS on the line) as
-parts of its window's size, found by a Misra-Gries summary (1982; Agarwal et al. 2012), and the keeper tells the means. What one node tells
-of its window is at most the whole of that, so one that lies moves one part in n of the common window.
+Positions on the line are hashes, so rarely requested keys lie evenly on it, and only the often
+requested ones distinguish one window from another. The shared window is the merger of all nodes'
+windows: each starts evenly spaced, as `line.Line` has it, and requested positions replace the
+points next to them. So a node reports the counts of its heavy buckets (of BUCKETS on the line) as
+fractions of its window's size, found by a Misra-Gries summary (1982; Agarwal et al. 2012), and the
+leader sends the means. The report of one node counts as at most its whole window, so a node that
+lies moves one n-th of the shared window.
 
-(The first form had shares of what was asked for in the last seconds, with no even window beside them. Its noise moved the cuts: on two full
-days of the simulator a key stayed at its server in 0.60 of the cases at one node, where 0.85 were without any of it.)
+(An earlier form had fractions of the requests of the last seconds, without an even window. Its
+noise moved the cuts: in two full days of the simulator a key stayed at its server in 0.60 of the
+cases at one node, against 0.85 without any shared line.)
 
-| what a node has | it cuts from | it moves on | when |
+| state of a node | it cuts from | becomes | when |
 |---|---|---|---|
-| no table | its own window, every UI arrivals | a table | all pages of one came |
+| no table | its own window, every UPDATE_INTERVAL arrivals | a table | all pages of one came |
 | a table | the table, once for each | the next table | all pages of a newer one came |
 | | | no table | STALE_MS without one |
 
-Bounds: COUNTERS counters, so a count is at most weight / COUNTERS too small; MOST_SHARES shares in PAGES datagrams; three bytes each on the
-wire, a share within 2.2 percent.
+Bounds: MAX_COUNTERS counters, so a count is at most weight / MAX_COUNTERS too small;
+MAX_HEAVY_BUCKETS fractions in MAX_PAGES datagrams; three bytes each on the wire, a fraction within
+2.2 percent.
 """
 
 from __future__ import annotations
@@ -34,29 +39,31 @@
 
 BUCKETS = 65_536
 MAX_COUNTERS = 1_024
-WINDOW_ARRIVALS = (
-    SMALLEST_RANGES * WINDOW_PER_RANGE
-)  # of arrivals; a summary that has more is halved
-MIN_HEAVY_COUNT = 3.0  # what is counted less often is no heavy bucket
+# A sketch that reaches this many arrivals is halved.
+WINDOW_ARRIVALS = SMALLEST_RANGES * WINDOW_PER_RANGE
+# A bucket with a lower count is not heavy.
+MIN_HEAVY_COUNT = 3.0
 ENTRIES_PER_PAGE = 66
 MAX_PAGES = 4
 MAX_HEAVY_BUCKETS = ENTRIES_PER_PAGE * MAX_PAGES
-STEPS_PER_HALVING = 16.0  # of a share on the wire, for a factor of two: from 1 down to 2 ** -15.9
+# Of a fraction on the wire, which goes from 1 down to 2 ** -15.9.
+STEPS_PER_HALVING = 16.0
 STALE_MS = 8_000.0
-MIN_FILLED = 0.005  # of the common window: with fewer arrivals in it no key passes for hot
+# With a smaller fraction of arrivals in the shared window no key counts as hot.
+MIN_FILLED = 0.005
 
 
 class HeavyHitterSketch:
-    """What is asked for often at one node: a Misra-Gries summary over buckets of the line."""
+    """The most requested buckets of the line at one node: a Misra-Gries summary."""
 
     __slots__ = ("weight", "_counts")
 
     def __init__(self) -> None:
-        self.weight = 0.0  # arrivals in it
+        self.weight = 0.0  # arrivals in the window
         self._counts: dict[int, float] = {}
 
     def add(self, position: float) -> None:
-        """A request for a position on the line."""
+        """Count a request for a position on the line."""
         self.weight += 1.0
         bucket = int(position * BUCKETS)
         counts = self._counts
@@ -69,7 +76,7 @@
             self._counts = {b: 0.5 * count for b, count in self._counts.items()}
 
     def heavy_buckets(self) -> list[tuple[int, float]]:
-        """Buckets and their parts of a node's window, the largest first, as many as are told."""
+        """At most MAX_HEAVY_BUCKETS buckets and their fractions of the window, largest first."""
         candidates = [
             (count, bucket) for bucket, count in self._counts.items() if count >= MIN_HEAVY_COUNT
         ]
@@ -80,7 +87,7 @@
 
 
 def pack(entries: Iterable[tuple[int, float]]) -> bytes:
-    """Buckets and shares (over 0, up to 1) as they travel: two bytes and one."""
+    """Encode buckets and fractions (over 0, up to 1) in two bytes and one."""
     return b"".join(
         bucket.to_bytes(2, "big")
         + bytes([min(255, max(0, round(-STEPS_PER_HALVING * log2(min(1.0, max(fraction, 1e-9))))))])
@@ -89,7 +96,7 @@
 
 
 def unpack(data: bytes) -> list[tuple[int, float]]:
-    """The same again; bytes that make no whole entry are left out."""
+    """Decode the result of `pack`; an incomplete entry at the end is ignored."""
     return [
         (data[n] * 256 + data[n + 1], float(2.0 ** (-data[n + 2] / STEPS_PER_HALVING)))
         for n in range(0, len(data) - 2, 3)
@@ -99,9 +106,11 @@
 def merge(
     by_node: Mapping[int, tuple[float, Mapping[int, float]]],
 ) -> tuple[float, list[tuple[int, float]]]:
-    """The windows of all nodes laid together: what part of it is arrivals, and the parts of its heavy buckets, the largest first.
+    """Merge the windows of all nodes.
 
-    told: by node, what part of its window is arrivals, and the parts of its heavy buckets, which count for no more than that.
+    by_node: the fraction of the node's window that consists of arrivals, and the fractions of its
+    heavy buckets, whose sum counts as at most that. Returns the same for the merged window, the
+    largest bucket first.
     """
     if not by_node:
         return 0.0, []
@@ -117,7 +126,7 @@
 
 
 class LineTable(NamedTuple):
-    """A line as the keeper told it. name: of the table, by keeper's token and number."""
+    """The shared line as the leader sent it. name: the leader's token and the table's number."""
 
     name: tuple[int, int]
     filled: float
@@ -125,7 +134,7 @@
     cuts: list[float]
 
     def share(self, position: float) -> float:
-        """The part of all requests that goes to a position's bucket."""
+        """The fraction of all requests that goes to the bucket of a position."""
         return (
             self.fractions.get(int(position * BUCKETS), 0.0) / self.filled
             if self.filled > MIN_FILLED
@@ -134,9 +143,9 @@
 
 
 def compute_cuts(entries: Iterable[tuple[int, float]], ranges: int) -> list[float]:
-    """Cuts at equal counts of an evenly spaced window in which each share has taken the place of the points next to it."""
+    """Cuts at equal counts of an even window in which heavy buckets replaced adjacent points."""
     size = ranges * WINDOW_PER_RANGE
-    free = list(range(size))  # points of the even window that are still there
+    free = list(range(size))  # points of the even window not yet replaced
     points: list[float] = []
     for bucket, fraction in entries:
         position = (bucket + 0.5) / BUCKETS
@@ -151,7 +160,7 @@
 
 
 class SharedLineState:
-    """One node's side: what it tells, and what it was told."""
+    """One node's state of the shared line: its own sketch and the last table received."""
 
     __slots__ = (
         "sketch",
@@ -168,8 +177,8 @@
     def __init__(self) -> None:
         self.sketch = HeavyHitterSketch()
         self._pages: dict[int, bytes] = {}
-        self._incoming_name = (0, 0)  # of the table whose pages are coming in
-        self._complete_name = (0, 0)  # of the last one that was whole, and its shares
+        self._incoming_name = (0, 0)  # of the table whose pages are arriving
+        self._complete_name = (0, 0)  # of the last complete table
         self._entries: Optional[list[tuple[int, float]]] = None
         self._filled = 0.0
         self._received_ms = -1e12
@@ -186,7 +195,10 @@
         data: bytes,
         now: float,
     ) -> bool:
-        """A page of a table came; whether the table is whole now. Of two tables of one keeper the later one counts."""
+        """Process a page of a table; return whether the table is now complete.
+
+        Of two tables from one leader the later one counts.
+        """
         name = leader, number
         if name[0] == self._incoming_name[0] and number < self._incoming_name[1]:
             return False
@@ -206,7 +218,7 @@
     def current_entries(
         self, now: float
     ) -> Optional[tuple[tuple[int, int], list[tuple[int, float]]]]:
-        """The table that holds now: its name and its shares."""
+        """The name and entries of the current table; None if there is none or it is stale."""
         return (
             None
             if self._entries is None or now - self._received_ms > STALE_MS
@@ -214,7 +226,10 @@
         )
 
     def table(self, ranges: int, now: float) -> Optional[LineTable]:
-        """The line as it was last told, cut into so many ranges; none where that is too long ago. The same object until it changes."""
+        """The current table cut into so many ranges; None if there is none or it is stale.
+
+        The same object until it changes.
+        """
         by_node = self.current_entries(now)
         if by_node is None:
             return None
--- a/forkweir/tier/signals.py
+++ b/forkweir/tier/signals.py
@@ -1,23 +1,30 @@
-"""What nodes saw of each box, told to one another: more evidence for the judgement that each makes by itself. Pure.
+"""Evidence about boxes exchanged between nodes, in addition to each node's own evaluation. Pure.
 
-Invariant: one member, whatever it tells, can put no box out and bring none back; what a node saw itself weighs more than what it hears; and
-a drain or a death is never among what is heard (a node sends only to boxes that its own list names).
+Invariant: one member alone, whatever it reports, can neither exclude a box nor bring one back; what
+a node observed itself weighs more than what it receives; and a drain or a removal is never among
+what is received (a node sends only to boxes that its own list names).
 
-What is told of a box is where a node's own test stands (`known/doubt`: the logarithm of the odds that it is bad), not what changed, so that
-a datagram that comes twice, late or never does no harm: of each member the latest word counts, by its number, and it is forgotten AGED_MS
-after it came. Only boxes that a node holds to be bad are told, and for a while those that it held to be bad and that have answered well.
+A report holds the state of a node's own test of a box (`known/doubt`: the log odds that it is bad),
+not a change of it, so that a datagram that comes twice, late or never does no harm: of each member
+the latest report counts, by its number, and it expires REPORT_TTL_MS after it came. Only boxes that
+a node considers bad are reported, and for RECOVERY_REPORT_MS those that it considered bad and that
+have answered well.
 
-A node adds up what others say against a box, as the logarithms of independent tests add up, but for the highest word (one member may lie or
-be ill) and each no more than MOST_OF_ONE over the prior, and counts WEIGHT of it, at most MOST_OF_ALL.
+A node adds up what others report against a box, as log odds of independent tests add up, except the
+highest report (one member may lie or be faulty), each as at most MAX_ODDS_PER_PEER over the prior,
+and counts PEER_EVIDENCE_WEIGHT of the sum, at most MAX_PEER_ODDS.
 
-| what a node hears of a box | what it does |
+| what a node receives about a box | what it does |
 |---|---|
-| one member holds it to be bad | nothing |
-| some do, and with what it saw itself it is more likely bad than good | keeps it out and tries it, as if it had seen that itself |
-| BACK members that held it to be bad had good answers since, and nobody holds it to be bad | tries it at once, if it is out |
+| one member considers it bad | nothing |
+| some do, and its own evidence included it is more likely bad than good | excludes and probes it |
+| MIN_RECOVERY_REPORTS report recovery, and nobody considers it bad | probes it if excluded |
 
-Bounds: ON_A_PAGE boxes told a round, to RECEIVERS members of those that take part, drawn anew each round; MOST_MEMBERS members' words of
-each box.
+An exclusion by evidence of peers is handled like one by the node's own evidence. After reported
+recovery an excluded box is probed at once.
+
+Bounds: MAX_REPORTED_BOXES boxes a report, to REPORT_RECIPIENTS participants, drawn anew for each
+report; reports of MAX_REPORTERS members about each box.
 """
 
 from __future__ import annotations
@@ -30,18 +37,20 @@
 MAX_REPORTED_BOXES = 36
 REPORT_RECIPIENTS = 16
 REPORT_TTL_MS = 4_000.0
-RECOVERY_REPORT_MS = 3_000.0  # how long a good answer of one that was bad is told
+# How long a recovered box is reported.
+RECOVERY_REPORT_MS = 3_000.0
 PEER_EVIDENCE_WEIGHT = 0.5
 MAX_ODDS_PER_PEER = 4.0
-MAX_PEER_ODDS = 4.0  # one good answer of one's own outweighs it for some 15 s
+# A good answer to this node itself outweighs it for some 15 s.
+MAX_PEER_ODDS = 4.0
 MIN_RECOVERY_REPORTS = 2
 MAX_REPORTERS = 256
-ODDS_STEP = 0.05  # of the logarithm, on the wire
+ODDS_STEP = 0.05  # of the log odds, on the wire
 
 
 @dataclass(slots=True)
 class PeerReport:
-    """What a member said of a box, and when that came."""
+    """What a member reported of a box, as log odds, and when that came."""
 
     odds: float
     received_ms: float
@@ -49,14 +58,18 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerEvidence:
-    """What is heard of a box. odds: to be added to those of one's own test; back: whether others had good answers of it again."""
+    """The peers' evidence about a box.
+
+    odds: to be added to the log odds of this node's own test; recovered: whether peers have had
+    good answers from it again.
+    """
 
     odds: float
     recovered: bool
 
 
 def pack(reports: Iterable[tuple[int, float]]) -> bytes:
-    """Ids of boxes and odds, as they travel: four bytes and one."""
+    """Encode ids of boxes and log odds in four bytes and one."""
     return b"".join(
         box.to_bytes(4, "big") + bytes([min(255, max(0, round(odds / ODDS_STEP) + 128))])
         for box, odds in reports
@@ -64,7 +77,7 @@
 
 
 def unpack(data: bytes) -> list[tuple[int, float]]:
-    """The same again; bytes that make no whole entry are left out."""
+    """Decode the result of `pack`; an incomplete entry at the end is ignored."""
     return [
         (int.from_bytes(data[n : n + 4], "big"), (data[n + 4] - 128) * ODDS_STEP)
         for n in range(0, len(data) - 4, 5)
@@ -72,7 +85,7 @@
 
 
 class Signals:
-    """One node's side: what it has to tell, and what it heard."""
+    """One node's state: what it has to report, and the reports received."""
 
     __slots__ = ("_bad", "_recovered", "_reports", "_last_reports")
 
@@ -87,7 +100,10 @@
         ] = {}  # of each member: its token, and the number of its last word
 
     def update_own(self, bad: Mapping[int, float], odds: Mapping[int, float], now: float) -> None:
-        """Where the node's own tests stand now. bad: the odds of the boxes that it holds to be bad; odds: of all that it knows."""
+        """Update the state of the node's own tests.
+
+        bad: log odds of the boxes that it considers bad; odds: those of all boxes that it knows.
+        """
         for box in self._bad:
             if box not in bad and box in odds:
                 self._recovered[box] = now, odds[box]
@@ -100,7 +116,7 @@
             del self._recovered[box]
 
     def to_report(self) -> list[tuple[int, float]]:
-        """What there is to tell, the surest first."""
+        """The entries of the next report, the most certain first."""
         bad = sorted(self._bad.items(), key=lambda row: (-row[1], row[0]))
         good = [(box, min(0.0, odds)) for box, (_, odds) in sorted(self._recovered.items())]
         return (bad + good)[:MAX_REPORTED_BOXES]
@@ -108,7 +124,10 @@
     def on_report(
         self, member: int, token: int, number: int, reports: Iterable[tuple[int, float]], now: float
     ) -> bool:
-        """A member's word; whether it is newer than its last one. What it said before and does not repeat is forgotten."""
+        """Process a member's report; return whether it is newer than its last one.
+
+        It replaces all that the member reported before.
+        """
         last = self._last_reports.get(member)
         if last is not None and last[0] == token and number <= last[1]:
             return False
@@ -122,7 +141,7 @@
         return True
 
     def evidence(self, now: float) -> dict[int, PeerEvidence]:
-        """What is heard of each box now."""
+        """The current evidence of the peers by box."""
         result = {}
         for box, by_member in list(self._reports.items()):
             for member in [
--- a/forkweir/tier/wire.py
+++ b/forkweir/tier/wire.py
@@ -197,7 +197,7 @@
     except (msgspec.DecodeError, RecursionError) as error:
         raise Malformed(str(error)) from None
     if message.format_version != FORMAT_VERSION:
-        raise Malformed(f"format version {message.format_version} is not supported")
+        raise Malformed(f"unsupported format version {message.format_version}")
     return message
 
 
