--- a/forkweir/tier/demand.py
+++ b/forkweir/tier/demand.py
@@ -59,13 +59,13 @@
     def __init__(
         self,
         floor: float,
-        holdings: HeldLeases,
+        held_leases: HeldLeases,
         shares: bool = True,
         fetches: bool = True,
         line: bool = True,
     ) -> None:
         self.floor = floor
-        self.held_leases = holdings
+        self.held_leases = held_leases
         self.allocates_work = shares  # whether work to cold servers has tier-wide limits
         self.allocates_fetches = fetches  # whether fetches have one
         # None: this node uses its own line.
--- a/tests/tier/test_leases.py
+++ b/tests/tier/test_leases.py
@@ -21,34 +21,34 @@
 from testbed.check.lending import Scope, walk
 from testbed.tier.defects import planted
 
-wants = st.dictionaries(
+demands = st.dictionaries(
     st.integers(0, 40), st.one_of(st.floats(0.0, 1e5), st.just(float("inf"))), max_size=12
 )
 
 
-@given(wants)
+@given(demands)
 @settings(max_examples=300, deadline=None)
-def test_dealing_is_max_min_fair(want: dict[int, float]) -> None:
-    dealt = allocate_fairly(TOTAL_SHARES, want)
-    assert sum(dealt.values()) <= TOTAL_SHARES
-    assert dealt.keys() == {slot for slot, amount in want.items() if amount > 0.0}
-    for slot, parts in dealt.items():
+def test_allocation_is_max_min_fair(demand: dict[int, float]) -> None:
+    allocated = allocate_fairly(TOTAL_SHARES, demand)
+    assert sum(allocated.values()) <= TOTAL_SHARES
+    assert allocated.keys() == {slot for slot, amount in demand.items() if amount > 0.0}
+    for slot, shares in allocated.items():
         if (
-            parts < want[slot] - 1.0
-        ):  # whoever has less than it wants has no less than anybody else who wants as much
+            shares < demand[slot] - 1.0
+        ):  # whoever has less than its demand has no less than others of that demand
             assert all(
-                parts >= other - 1
-                for other_slot, other in dealt.items()
-                if want[other_slot] >= want[slot]
-            ), dealt
+                shares >= other - 1
+                for other_slot, other in allocated.items()
+                if demand[other_slot] >= demand[slot]
+            ), allocated
             assert all(
-                parts + 1 >= other
-                for other_slot, other in dealt.items()
-                if other <= want[other_slot]
-            ), dealt
-    if dealt:
-        assert sum(dealt.values()) > TOTAL_SHARES - 2 * len(
-            dealt
+                shares + 1 >= other
+                for other_slot, other in allocated.items()
+                if other <= demand[other_slot]
+            ), allocated
+    if allocated:
+        assert sum(allocated.values()) > TOTAL_SHARES - 2 * len(
+            allocated
         )  # nothing is left over but by rounding
 
 
@@ -62,28 +62,28 @@
     )
 )
 @settings(max_examples=200, deadline=None)
-def test_what_is_out_never_sums_to_more_than_the_whole(
+def test_outstanding_grants_never_exceed_the_total(
     rounds: list[tuple[dict[int, float], float]],
 ) -> None:
     """Each holder has, at the worst, the largest of its grants that have not ended: whichever of them came."""
     ledger, now, grants = Ledger(), 0.0, list[tuple[tuple[int, int], int, float]]()
-    for want, passed in rounds:
+    for demand, passed in rounds:
         now += passed
-        for who, parts in ledger.grant(
-            7, {(slot, 1): amount for slot, amount in want.items()}, 1_000.0, now
+        for process, shares in ledger.grant(
+            7, {(slot, 1): amount for slot, amount in demand.items()}, 1_000.0, now
         ).items():
-            grants.append((who, parts, now + 1_000.0))
+            grants.append((process, shares, now + 1_000.0))
         worst: dict[tuple[int, int], int] = {}
-        for who, parts, until in grants:
+        for process, shares, until in grants:
             if until > now:
-                worst[who] = max(worst.get(who, 0), parts)
+                worst[process] = max(worst.get(process, 0), shares)
         assert sum(worst.values()) <= TOTAL_SHARES
-        assert {who: parts for who, parts in ledger.outstanding(7, now).items() if parts} == {
-            who: p for who, p in worst.items() if p
-        }
+        assert {
+            process: shares for process, shares in ledger.outstanding(7, now).items() if shares
+        } == {process: largest for process, largest in worst.items() if largest}
 
 
-def test_a_vote_is_promised_to_one_and_by_a_new_process_to_nobody() -> None:
+def test_a_vote_goes_to_one_process_and_a_new_process_gives_none() -> None:
     voter = Voter(4_000.0, 100.0)
     assert not voter.request_vote((1, 5), 1, 4_000.0)  # the process before it may have promised
     assert voter.request_vote((1, 5), 1, 4_100.0) and voter.request_vote((1, 5), 3, 5_000.0)
@@ -102,7 +102,7 @@
     assert voter.request_vote((1, 5), 12, 9_007.0)
 
 
-def test_votes_count_from_the_call_and_of_an_even_number_the_first_counts_twice() -> None:
+def test_votes_count_from_the_call_and_the_first_of_an_even_number_counts_twice() -> None:
     assert [majority(n) for n in (1, 2, 3, 4, 5, 37, 200)] == [1, 2, 2, 3, 3, 19, 101]
     assert [vote_weight(0, 4), vote_weight(1, 4), vote_weight(0, 5)] == [2, 1, 1]
     candidacy = Candidacy(4, 4_000.0)
@@ -118,35 +118,35 @@
     assert not candidacy.vote_received(0, 2) and candidacy.majority_until() < 0.0
 
 
-def test_a_grant_counts_from_the_reply_it_answers_and_for_its_process_alone() -> None:
-    holdings = HeldLeases()
-    first = holdings.next_reply_number(1_000.0)
-    assert holdings.accept_grant((0, 9), 5, first, 2_000.0, 3.0, 7, 600, 1_500.0)
-    lease = holdings.lease(7, 2_000.0)
+def test_a_grant_counts_from_its_reply_and_for_its_process_only() -> None:
+    held_leases = HeldLeases()
+    first = held_leases.next_reply_number(1_000.0)
+    assert held_leases.accept_grant((0, 9), 5, first, 2_000.0, 3.0, 7, 600, 1_500.0)
+    lease = held_leases.lease(7, 2_000.0)
     assert (
         lease is not None
         and lease.until_ms == pytest.approx(1_000.0 + CLOCK_SAFETY_FACTOR * 2_000.0)
         and lease.size == 3.0
     )
-    assert not holdings.accept_grant(
+    assert not held_leases.accept_grant(
         (0, 9), 4, first, 2_000.0, 3.0, 7, 900, 1_600.0
     )  # an older word of the same keeper
-    assert not holdings.accept_grant(
+    assert not held_leases.accept_grant(
         (0, 9), 6, 99, 2_000.0, 3.0, 7, 900, 1_600.0
     )  # an answer to nothing that was said
-    assert not holdings.accept_grant(
+    assert not held_leases.accept_grant(
         (0, 9), 6, first, 2_000.0, 3.0, 7, 900, 3_000.0
     )  # it came too late
-    assert holdings.lease(7, 1_000.0 + CLOCK_SAFETY_FACTOR * 2_000.0) is None
-    dealer = Allocator((1, 44), 3, 4_000.0, 0.0)
-    number = dealer.held_leases.next_reply_number(1_000.0)
-    assert not dealer.on_grant(
+    assert held_leases.lease(7, 1_000.0 + CLOCK_SAFETY_FACTOR * 2_000.0) is None
+    allocator = Allocator((1, 44), 3, 4_000.0, 0.0)
+    number = allocator.held_leases.next_reply_number(1_000.0)
+    assert not allocator.on_grant(
         (0, 9), 43, 5, number, 2_000.0, 1.0, 7, 600, 1_100.0
     )  # meant for the process before it
-    assert dealer.on_grant((0, 9), 44, 5, number, 2_000.0, 1.0, 7, 600, 1_100.0)
+    assert allocator.on_grant((0, 9), 44, 5, number, 2_000.0, 1.0, 7, 600, 1_100.0)
 
 
-def test_every_interleaving_of_a_small_scope_keeps_the_whole() -> None:
+def test_every_interleaving_of_a_small_scope_keeps_to_the_total() -> None:
     outcome = walk(Scope(span=2, calls=2, callers=(0, 1)))
     assert outcome.whole and not outcome.trail
     assert outcome.granted > 500 and outcome.states > 10_000, outcome
--- a/tests/tier/test_shared_line.py
+++ b/tests/tier/test_shared_line.py
@@ -36,7 +36,7 @@
     return random.Random(seed).choices(KEYS, WEIGHTS, k=count)
 
 
-def test_what_is_asked_for_often_is_found_with_its_part_of_the_window() -> None:
+def test_often_requested_buckets_are_found_with_their_fractions() -> None:
     sketch = HeavyHitterSketch()
     for key in arrivals(1, 8_000):
         sketch.add(position_of(key))
@@ -55,7 +55,7 @@
     assert HeavyHitterSketch().heavy_buckets() == []
 
 
-def test_shares_travel_within_a_few_in_a_hundred_and_spoilt_ones_do_no_harm() -> None:
+def test_packed_fractions_are_close_and_malformed_ones_harmless() -> None:
     shares = [(0, 1.0), (65_535, 0.031), (7, 2.0**-15)]
     back = unpack(pack(shares))
     assert [bucket for bucket, _ in back] == [0, 65_535, 7]
@@ -63,16 +63,14 @@
     assert unpack(b"\x01\x02") == [] and len(unpack(bytes(10))) == 3
 
 
-def test_a_merge_lays_windows_together_and_one_that_tells_too_much_moves_its_own_part_alone() -> (
-    None
-):
-    told = {
+def test_merged_windows_and_a_node_that_reports_too_much() -> None:
+    by_node = {
         0: (0.3, {5: 0.2}),
         1: (0.1, {5: 0.05, 9: 0.02}),
         2: (0.0, {}),
         3: (1e9, {77: 300.0, 5: 100.0}),
     }
-    filled, shares = merge(told)
+    filled, shares = merge(by_node)
     assert filled == pytest.approx((0.3 + 0.1 + 0.0 + 1.0) / 4)
     assert dict(shares) == {
         5: pytest.approx((0.2 + 0.05 + 0.25) / 4),
@@ -82,7 +80,7 @@
     assert merge({}) == (0.0, [])
 
 
-def test_cuts_of_a_table_are_those_of_an_even_window_but_where_something_is_heavy() -> None:
+def test_cuts_of_a_table_differ_from_even_ones_only_near_heavy_buckets() -> None:
     even = Line(RANGES).cuts
     assert compute_cuts([], RANGES) == even
     shares = [(20_000, 0.05), (20_001, 0.01), (65_535, 0.02), (0, 0.02)]
@@ -122,8 +120,8 @@
     return balancers, tiers
 
 
-def played(balancers: list[Balancer], tiers: list[Tier], until_ms: float, deaf: int = -1) -> None:
-    """Each node gets 40 requests a second of its own draw; datagrams come at once, but to a deaf one."""
+def play(balancers: list[Balancer], tiers: list[Tier], until_ms: float, isolated: int = -1) -> None:
+    """Each node gets 40 requests a second of its own draw; datagrams come at once, but to an isolated one."""
     draws = [iter(arrivals(7 + n, 100_000)) for n in range(len(balancers))]
     now, number = 0.0, 0
     while now < until_ms:
@@ -137,27 +135,25 @@
             sends = [(n, to, data) for n, tier in enumerate(tiers) for to, data in tier.tick(now)]
             while sends:
                 sends = [
-                    (to, back, more) for n, to, data in sends if deaf not in (n, to) for back, more in tiers[to].receive(n, data, now)
+                    (to, back, more) for n, to, data in sends if isolated not in (n, to) for back, more in tiers[to].receive(n, data, now)
                 ]  # fmt: skip
 
 
-def test_nodes_that_hear_one_another_cut_alike_and_one_that_hears_nobody_by_its_own_window() -> (
-    None
-):
+def test_connected_nodes_cut_alike_and_an_isolated_one_by_its_own_window() -> None:
     balancers, tiers = nodes(5)
-    played(balancers, tiers, 30_000.0, deaf=4)
+    play(balancers, tiers, 30_000.0, isolated=4)
     cuts = [balancer.line.cuts for balancer in balancers]
     homes = [[balancer.line.range_of(position_of(key)) for key in KEYS] for balancer in balancers]
-    apart = [
+    difference = [
         sum(a != b for a, b in zip(homes[0], other, strict=True)) / len(KEYS) for other in homes[1:]
     ]
-    assert max(apart[:3]) == 0.0, apart  # those that hear one another
-    assert apart[3] > 0.005, apart  # the deaf one, as all were before
+    assert max(difference[:3]) == 0.0, difference  # those that hear one another
+    assert difference[3] > 0.005, difference  # the isolated one, as all were before
     assert balancers[4].line.shared is None and balancers[0].line.shared is not None
     assert cuts[0] != Line(RANGES).cuts
 
 
-def test_a_table_needs_all_its_pages_and_ends_when_nothing_more_is_told() -> None:
+def test_a_table_needs_all_its_pages_and_expires() -> None:
     lines = SharedLineState()
     assert lines.table(RANGES, 0.0) is None
     assert not lines.on_page(5, 2, 0, 2, 0.2, pack([(9, 0.1)]), 10.0)
--- a/tests/tier/test_signals.py
+++ b/tests/tier/test_signals.py
@@ -35,16 +35,16 @@
     ).tier
 
 
-def test_words_travel_and_spoilt_ones_do_no_harm() -> None:
-    words = [(0xFFFFFFFF, 2.5), (7, -5.0), (9, 0.05)]
-    back = unpack(pack(words))
-    assert [box for box, _ in back] == [box for box, _ in words]
-    assert [odds for _, odds in back] == pytest.approx([odds for _, odds in words])
+def test_reports_round_trip_and_malformed_ones_are_harmless() -> None:
+    reports = [(0xFFFFFFFF, 2.5), (7, -5.0), (9, 0.05)]
+    back = unpack(pack(reports))
+    assert [box for box, _ in back] == [box for box, _ in reports]
+    assert [odds for _, odds in back] == pytest.approx([odds for _, odds in reports])
     assert unpack(b"\x00" * 9)[0][0] == 0 and len(unpack(b"\x00" * 9)) == 1
     assert len(pack([(n, 1.0) for n in range(MAX_REPORTED_BOXES)])) <= 198
 
 
-def test_one_member_alone_says_nothing_and_three_put_out_what_this_node_has_not_met() -> None:
+def test_one_member_alone_changes_nothing_and_three_exclude_an_unknown_box() -> None:
     signals = Signals()
     signals.on_report(1, 11, 1, [(5, 2.5)], 0.0)
     assert signals.evidence(1.0) == {5: PeerEvidence(0.0, False)}
@@ -60,7 +60,7 @@
     assert signals.evidence(REPORT_TTL_MS + 1.0) == {}
 
 
-def test_of_each_member_the_latest_word_counts_once() -> None:
+def test_the_latest_report_of_each_member_counts_once() -> None:
     signals = Signals()
     for member in (1, 2, 3):
         assert signals.on_report(member, 10, 2, [(5, 2.5), (6, 2.5)], 0.0)
@@ -75,7 +75,7 @@
     assert signals.on_report(1, 44, 1, [], 4.0)  # another process of that node
 
 
-def test_boxes_that_answer_again_are_told_for_a_while() -> None:
+def test_recovered_boxes_are_reported_for_a_while() -> None:
     signals = Signals()
     signals.update_own({5: 2.0}, {5: 2.0, 6: -4.0}, 0.0)
     assert signals.to_report() == [(5, 2.0)]
@@ -88,7 +88,7 @@
     assert len(signals.to_report()) == MAX_REPORTED_BOXES
 
 
-def test_a_node_keeps_out_what_others_found_bad_but_not_against_its_own_good_answer_or_on_one_word() -> (
+def test_peers_evidence_excludes_a_box_but_not_against_an_own_good_answer_or_by_one_report() -> (
     None
 ):
     balancer, tier = node(0)
@@ -116,14 +116,12 @@
     assert not balancer.fleet.usable(member, 1_310.0)  # a drain is the list's
 
 
-def test_no_word_brings_back_a_silent_box_and_words_against_all_of_them_put_out_a_third_at_most() -> (
-    None
-):
+def test_reports_bring_back_no_unresponsive_box_and_exclude_a_third_at_most() -> None:
     balancer, tier = node(0)
     assert tier.signals is not None
-    silent = balancer.fleet.members["s0"]
-    silent.strike(500.0)
-    out = silent.out_until
+    unresponsive = balancer.fleet.members["s0"]
+    unresponsive.strike(500.0)
+    out = unresponsive.out_until
     everything = [(limit_id(f"s{n}/0"), 2.5) for n in range(10)]
     for slot in (1, 2, 3, 4):
         tier.signals.on_report(slot, slot, 1, everything, 600.0)
@@ -137,10 +135,10 @@
     for slot in (1, 2, 3, 4):
         tier.signals.on_report(slot, slot, 2, [(limit_id("s0/0"), -5.0)], 620.0)
     tier.update_signals(630.0)
-    assert silent.out_until == out
+    assert unresponsive.out_until == out
 
 
-def test_nodes_tell_one_another_and_a_box_found_bad_by_three_is_kept_out_by_all() -> None:
+def test_a_box_found_bad_by_three_nodes_is_excluded_by_all() -> None:
     nodes = [node(slot, 6) for slot in range(6)]
     for balancer, _ in nodes[:3]:
         balancer.fleet.members["s3"].record.odds = 2.5
--- a/tests/tier/test_tier_members.py
+++ b/tests/tier/test_tier_members.py
@@ -33,7 +33,7 @@
     assert m.on_datagram(1, 52, 8, 95.0) and m.state(1) == "alive"  # started again
 
 
-def test_a_node_refutes_and_is_newer_than_whatever_is_said_of_it() -> None:
+def test_a_node_refutes_with_an_incarnation_newer_than_any_reported() -> None:
     m = members()
     m.apply_updates(((0, 1_000, SUSPECT),), 10.0)
     assert m.incarnation == 1_001 and m.updates_for(3)[0] == (0, 1_001, ALIVE)
@@ -45,28 +45,26 @@
     assert m.incarnation == 5_001
 
 
-def test_one_that_does_not_answer_is_asked_for_by_others_then_suspect_then_dead_and_told_of_it() -> (
-    None
-):
+def test_an_unresponsive_node_is_probed_by_relays_then_suspect_then_dead() -> None:
     m = members(3)
     m.apply_updates(((1, 5, ALIVE), (2, 5, ALIVE)), 0.0)
-    asked, relayed, now = set[int](), set[int](), 0.0
+    probed, relayed, now = set[int](), set[int](), 0.0
     while m.state(1) != "dead":
-        for question in m.tick(now):
-            (relayed if question.relay >= 0 else asked).add(question.to)
-            if question.to == 2 and question.relay < 0:
-                m.on_ack(question.number)  # the second one does, the first never
+        for probe in m.tick(now):
+            (relayed if probe.relay >= 0 else probed).add(probe.to)
+            if probe.to == 2 and probe.relay < 0:
+                m.on_ack(probe.number)  # the second one does, the first never
         if m.state(1) == "suspect":
             assert (1, 5, SUSPECT) in m.updates_for(1)
         now += 125.0
         assert now < 12_000.0
-    assert asked == {1, 2} and relayed == {1} and m.state(2) == "alive"
+    assert probed == {1, 2} and relayed == {1} and m.state(2) == "alive"
     assert any(
-        question.to == 1 for n in range(40) for question in m.tick(now + 125.0 * n)
-    )  # it is asked now and then all the same
+        probe.to == 1 for n in range(40) for probe in m.tick(now + 125.0 * n)
+    )  # it is probed now and then all the same
 
 
-def test_a_node_that_stood_still_holds_its_own_pause_against_nobody() -> None:
+def test_a_stalled_node_suspects_nobody_for_its_own_pause() -> None:
     m = members(3)
     m.apply_updates(((1, 5, ALIVE), (2, 5, ALIVE)), 0.0)
     for n in range(4):
@@ -77,19 +75,21 @@
     assert m.suspicion_ms == 2.0 * usual
 
 
-def test_a_death_is_known_everywhere_soon_and_a_pause_of_a_second_and_a_half_is_none() -> None:
-    """Of 37 nodes: the bounds of docs/tier.md, on one night."""
+def test_a_death_spreads_soon_and_a_short_pause_is_not_one() -> None:
+    """Of 37 nodes: the bounds of docs/tier.md, on one scenario."""
     script = Script(
         37,
         30.0,
         troubles=[Trouble(10_000.0, "kill", (5,), 0.0), Trouble(20_000.0, "pause", (9,), 1_500.0)],
     )
-    night = Night(script, 1)
+    scenario = Night(script, 1)
     known: dict[tuple[int, str], list[float]] = {}
-    night.on_change = lambda by, slot, state: known.setdefault((slot, state), []).append(night.now)
-    night.run()
+    scenario.on_change = lambda by, slot, state: known.setdefault((slot, state), []).append(
+        scenario.now
+    )
+    scenario.run()
     died = known[5, "dead"]
     assert len(died) == 36 and max(died) < 17_000.0, died
     assert not [key for key in known if key[1] == "dead" and key[0] != 5]
     assert set(STATES) >= {state for _, state in known}
-    assert not night.failures
+    assert not scenario.failures
--- a/tests/tier/test_wire.py
+++ b/tests/tier/test_wire.py
@@ -15,7 +15,7 @@
 TOP = 0xFFFFFFFF
 HEAD = (wire.FORMAT_VERSION, TOP, wire.MAX_NODES - 1, TOP, TOP)
 NEWS = tuple((wire.MAX_NODES - 1, TOP, 3) for _ in range(wire.MAX_UPDATES))
-WANTS = tuple((TOP, wire.MAX_SCALED) for _ in range(wire.MAX_ENTRIES))
+DEMAND = tuple((TOP, wire.MAX_SCALED) for _ in range(wire.MAX_ENTRIES))
 GRANTS = tuple((TOP, 0xFFFF) for _ in range(wire.MAX_ENTRIES))
 SCALE = (wire.MAX_SCALED, wire.MAX_SCALED)
 LARGEST: list[wire.Message] = [
@@ -23,7 +23,7 @@
     wire.Ack(*HEAD, TOP, NEWS),
     wire.Relay(*HEAD, TOP, wire.MAX_NODES - 1, NEWS),
     wire.Call(*HEAD, TOP, TOP, True, TOP, 0xFFFF, SCALE, True, GRANTS),
-    wire.Reply(*HEAD, TOP, TOP, TOP, True, True, SCALE, WANTS),
+    wire.Reply(*HEAD, TOP, TOP, TOP, True, True, SCALE, DEMAND),
     wire.Leave(*HEAD),
     wire.Back(*HEAD, TOP),
     wire.Heavy(*HEAD, TOP, 15, wire.MAX_SCALED, bytes(198)),
@@ -32,7 +32,7 @@
 
 
 @pytest.mark.parametrize("message", LARGEST, ids=lambda message: type(message).__name__)
-def test_the_largest_fits_and_comes_back_as_it_was(message: wire.Message) -> None:
+def test_the_largest_message_fits_and_round_trips(message: wire.Message) -> None:
     data = wire.encode(message)
     assert len(data) <= wire.MAX_DATAGRAM_BYTES and wire.decode(data) == message
     for size in range(len(data)):
@@ -42,7 +42,7 @@
         wire.decode(data + b"\x00")
 
 
-def test_twenty_thousand_mutations_bring_the_one_error_or_a_message() -> None:
+def test_mutated_datagrams_raise_malformed_or_decode() -> None:
     rng = random.Random(5)
     tier = Tier(0, 4, 1, 1, 0.0)
     seeds = [wire.encode(message) for message in LARGEST] + [
@@ -65,7 +65,7 @@
     assert min(tier.counts[why] for why in ("malformed", "foreign", "stranger")) > 500
 
 
-def test_amounts_travel_within_four_in_a_thousand_and_nothing_is_endless() -> None:
+def test_encoded_amounts_are_close_and_bounded() -> None:
     for amount in (1e-5, 0.003, 0.7, 12.0, 5e4, 3e6):
         assert wire.decode_amount(wire.encode_amount(amount)) == pytest.approx(
             amount, rel=0.05 if amount < 1e-4 else 0.004
@@ -76,7 +76,7 @@
     )
 
 
-def test_a_tier_that_counts_otherwise_is_told_apart_and_stops_the_dealing() -> None:
+def test_another_configuration_is_recognized_and_stops_grants() -> None:
     tier = Tier(0, 4, 1, 1, 0.0)
     for other in (
         Tier(1, 5, 2, 1, 0.0),
@@ -95,52 +95,50 @@
     assert tier.counts["impostor"] == 1 and tier.has_config_conflict(9_001.0)
 
 
-def claims(floor: float = 0.5) -> tuple[Demand, HeldLeases]:
-    holdings = HeldLeases()
-    return Demand(floor, holdings), holdings
+def demand_and_leases(floor: float = 0.5) -> tuple[Demand, HeldLeases]:
+    held_leases = HeldLeases()
+    return Demand(floor, held_leases), held_leases
 
 
-def test_a_node_that_hears_nobody_has_its_floor_and_with_a_lease_its_part_of_the_whole_tier() -> (
-    None
-):
-    c, holdings = claims()
-    c.wants_work("box-1", 40.0, 0.0)
-    assert c.work("box-1", 0.8, 0.0) == pytest.approx(0.4) and c.fetches(
+def test_a_node_without_leases_has_its_floor_and_with_one_its_share_of_the_total() -> None:
+    demand, held_leases = demand_and_leases()
+    demand.wants_work("box-1", 40.0, 0.0)
+    assert demand.work("box-1", 0.8, 0.0) == pytest.approx(0.4) and demand.fetches(
         20.0, 0.0
     ) == pytest.approx(10.0)
-    number = holdings.next_reply_number(0.0)
-    holdings.accept_grant(
+    number = held_leases.next_reply_number(0.0)
+    held_leases.accept_grant(
         (3, 1), 1, number, 2_000.0, 4.0, limit_id("box-1"), TOTAL_SHARES // 4, 10.0
     )
-    holdings.accept_grant(
+    held_leases.accept_grant(
         (3, 1), 2, number, 2_000.0, 80.0, FETCHES_LIMIT_ID, TOTAL_SHARES // 2, 10.0
     )
-    assert c.work("box-1", 0.8, 20.0) == pytest.approx(0.4 + 0.5 * 0.25 * 4.0)
-    assert c.fetches(20.0, 20.0) == pytest.approx(10.0 + 0.5 * 0.5 * 80.0)
-    assert c.work("box-2", 0.8, 20.0) == pytest.approx(0.4)
-    assert c.work("box-1", 0.8, 2_000.0) == pytest.approx(0.4)
+    assert demand.work("box-1", 0.8, 20.0) == pytest.approx(0.4 + 0.5 * 0.25 * 4.0)
+    assert demand.fetches(20.0, 20.0) == pytest.approx(10.0 + 0.5 * 0.5 * 80.0)
+    assert demand.work("box-2", 0.8, 20.0) == pytest.approx(0.4)
+    assert demand.work("box-1", 0.8, 2_000.0) == pytest.approx(0.4)
 
 
-def test_wants_are_told_beyond_the_floor_in_the_unit_of_ones_own_and_forgotten() -> None:
-    c, _ = claims()
-    c.own_work = 0.01
+def test_demand_above_the_floor_is_reported_in_the_unit_of_the_own_limit_and_fades() -> None:
+    demand, _ = demand_and_leases()
+    demand.own_work = 0.01
     for n in range(100):
-        c.wants_work("box-1", 20.0, 30.0 * n)  # 0.667 a ms
-        c.wants_fetches(0.5, 200.0, 30.0 * n)  # 3.3 in flight
-    told = dict(c.above_floor(3_000.0))
-    assert told[limit_id("box-1")] == pytest.approx(0.667 - 0.005, rel=0.15)
-    assert told[FETCHES_LIMIT_ID] == pytest.approx(3.3, rel=0.15)
-    assert c.server_names()[str(limit_id("box-1"))] == "box-1"
-    assert c.above_floor(60_000.0) == [] and c.server_names() == {}
+        demand.wants_work("box-1", 20.0, 30.0 * n)  # 0.667 a ms
+        demand.wants_fetches(0.5, 200.0, 30.0 * n)  # 3.3 in flight
+    reported = dict(demand.above_floor(3_000.0))
+    assert reported[limit_id("box-1")] == pytest.approx(0.667 - 0.005, rel=0.15)
+    assert reported[FETCHES_LIMIT_ID] == pytest.approx(3.3, rel=0.15)
+    assert demand.server_names()[str(limit_id("box-1"))] == "box-1"
+    assert demand.above_floor(60_000.0) == [] and demand.server_names() == {}
 
 
-def test_two_servers_of_one_id_are_dealt_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_two_servers_with_one_id_get_no_shares(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("forkweir.tier.demand.limit_id", lambda server: 5)
-    c, holdings = claims()
-    c.wants_work("a", 20.0, 0.0)
-    c.wants_work("b", 20.0, 0.0)
-    holdings.accept_grant(
-        (3, 1), 1, holdings.next_reply_number(0.0), 2_000.0, 4.0, 5, TOTAL_SHARES, 10.0
+    demand, held_leases = demand_and_leases()
+    demand.wants_work("a", 20.0, 0.0)
+    demand.wants_work("b", 20.0, 0.0)
+    held_leases.accept_grant(
+        (3, 1), 1, held_leases.next_reply_number(0.0), 2_000.0, 4.0, 5, TOTAL_SHARES, 10.0
     )
-    assert c.above_floor(100.0) == []
-    assert c.work("a", 1.0, 100.0) == c.work("b", 1.0, 100.0) == pytest.approx(0.5)
+    assert demand.above_floor(100.0) == []
+    assert demand.work("a", 1.0, 100.0) == demand.work("b", 1.0, 100.0) == pytest.approx(0.5)
