--- a/corkshift/node.py
+++ b/corkshift/node.py
@@ -92,9 +92,9 @@
 
     def join(self, tier: Tier) -> None:
         """Apply this node's shares of the tier-wide limits from now on."""
-        from forkweir.tier.seat import Seat
+        from forkweir.tier.balancer_adapter import BalancerAdapter
 
-        Seat(self._balancer, tier)
+        BalancerAdapter(self._balancer, tier)
 
     def ejected_count(self) -> int:
         """Return how many listed cache servers outlier detection currently keeps out of use."""
--- a/corkshift/service.py
+++ b/corkshift/service.py
@@ -26,8 +26,8 @@
     from corkshift.admin import Admin
     from corkshift.sources.hub import Sources
     from corkshift.sources.options import SourcesTable
-    from corkshift.tier.carrier import Carrier
     from corkshift.tier.options import TierTable
+    from corkshift.tier.transport import UdpTransport
 
 log = logging.getLogger("corkshift")
 
@@ -84,14 +84,14 @@
         )
         self.node.follow = self.discovery.follow
         self.node.list_unread = self.discovery.has_unread_input
-        self.tier: Optional[Carrier] = None
+        self.tier: Optional[UdpTransport] = None
         if config.tier_peers is not None and (tier is None or tier.on):
             # Imported only where the settings let nodes exchange datagrams, so that a disabled
             # feature costs nothing.
-            from corkshift.tier.carrier import Carrier
             from corkshift.tier.options import TierTable
+            from corkshift.tier.transport import UdpTransport
 
-            self.tier = Carrier(self.node, config.tier_peers, tier or TierTable())
+            self.tier = UdpTransport(self.node, config.tier_peers, tier or TierTable())
         self.admin: Optional[Admin] = None
         if config.admin is not None:
             # Imported only where an operators' address is set, so that a disabled feature costs
--- a/forkweir/adapter.py
+++ b/forkweir/adapter.py
@@ -193,7 +193,7 @@
         if not (options.get("allowed") or {}).get("peers"):
             return []
         # Imported here, so that sites without a tier don't load it.
-        from forkweir.tier.seat import Seat
+        from forkweir.tier.balancer_adapter import BalancerAdapter
         from forkweir.tier.tier import Tier
 
         tier = Tier(
@@ -204,16 +204,16 @@
             now,
             tier=options.get("tier") or 0,
         )
-        self.tiers[instance] = Seat(self.instances[instance], tier).tier
+        self.tiers[instance] = BalancerAdapter(self.instances[instance], tier).tier
         return self._tick(now, instance)
 
     def _tick(self, now: float, instance: int) -> list[Action]:
-        from forkweir.tier.options import TICKS
+        from forkweir.tier.options import TICKS_PER_PERIOD
 
         tier = self.tiers[instance]
         return [
             *publish_actions(tier.tick(now)),
-            ("timer", TIER_TIMER, now + tier.options.period_ms / TICKS),
+            ("timer", TIER_TIMER, now + tier.options.period_ms / TICKS_PER_PERIOD),
         ]
 
     def run(self, source: BinaryIO, sink: BinaryIO) -> None:
--- a/tests/tier/test_wire.py
+++ b/tests/tier/test_wire.py
@@ -1,4 +1,4 @@
-"""Datagrams: both ways, never over 256 bytes, and whatever else comes is told apart without harm."""
+"""Datagrams: round trips, the limit of 256 bytes, and rejection of anything malformed."""
 
 from __future__ import annotations
 
@@ -7,34 +7,34 @@
 import pytest
 
 from forkweir.tier import wire
-from forkweir.tier.claims import FETCHES, Claims, id_of
-from forkweir.tier.lending import WHOLE, Holdings
+from forkweir.tier.demand import FETCHES_LIMIT_ID, Demand, limit_id
+from forkweir.tier.leases import TOTAL_SHARES, HeldLeases
 from forkweir.tier.options import Options
 from forkweir.tier.tier import Tier
 
 TOP = 0xFFFFFFFF
-HEAD = (wire.FORMAT, TOP, wire.MOST_NODES - 1, TOP, TOP)
-NEWS = tuple((wire.MOST_NODES - 1, TOP, 3) for _ in range(wire.NEWS))
-WANTS = tuple((TOP, wire.LARGEST) for _ in range(wire.ENTRIES))
-GRANTS = tuple((TOP, 0xFFFF) for _ in range(wire.ENTRIES))
-SCALE = (wire.LARGEST, wire.LARGEST)
+HEAD = (wire.FORMAT_VERSION, TOP, wire.MAX_NODES - 1, TOP, TOP)
+NEWS = tuple((wire.MAX_NODES - 1, TOP, 3) for _ in range(wire.MAX_UPDATES))
+DEMAND = tuple((TOP, wire.MAX_SCALED) for _ in range(wire.MAX_ENTRIES))
+GRANTS = tuple((TOP, 0xFFFF) for _ in range(wire.MAX_ENTRIES))
+SCALE = (wire.MAX_SCALED, wire.MAX_SCALED)
 LARGEST: list[wire.Message] = [
     wire.Ping(*HEAD, TOP, True, NEWS),
     wire.Ack(*HEAD, TOP, NEWS),
-    wire.Relay(*HEAD, TOP, wire.MOST_NODES - 1, NEWS),
+    wire.Relay(*HEAD, TOP, wire.MAX_NODES - 1, NEWS),
     wire.Call(*HEAD, TOP, TOP, True, TOP, 0xFFFF, SCALE, True, GRANTS),
-    wire.Reply(*HEAD, TOP, TOP, TOP, True, True, SCALE, WANTS),
+    wire.Reply(*HEAD, TOP, TOP, TOP, True, True, SCALE, DEMAND),
     wire.Leave(*HEAD),
     wire.Back(*HEAD, TOP),
-    wire.Heavy(*HEAD, TOP, 15, wire.LARGEST, bytes(198)),
-    wire.Line(*HEAD, TOP, 15, 15, wire.LARGEST, bytes(198)),
+    wire.Heavy(*HEAD, TOP, 15, wire.MAX_SCALED, bytes(198)),
+    wire.Line(*HEAD, TOP, 15, 15, wire.MAX_SCALED, bytes(198)),
 ]
 
 
 @pytest.mark.parametrize("message", LARGEST, ids=lambda message: type(message).__name__)
-def test_the_largest_fits_and_comes_back_as_it_was(message: wire.Message) -> None:
+def test_the_largest_message_fits_and_round_trips(message: wire.Message) -> None:
     data = wire.encode(message)
-    assert len(data) <= wire.MOST and wire.decode(data) == message
+    assert len(data) <= wire.MAX_DATAGRAM_BYTES and wire.decode(data) == message
     for size in range(len(data)):
         with pytest.raises(wire.Malformed):
             wire.decode(data[:size])
@@ -42,7 +42,7 @@
         wire.decode(data + b"\x00")
 
 
-def test_twenty_thousand_mutations_bring_the_one_error_or_a_message() -> None:
+def test_mutated_datagrams_raise_malformed_or_decode() -> None:
     rng = random.Random(5)
     tier = Tier(0, 4, 1, 1, 0.0)
     seeds = [wire.encode(message) for message in LARGEST] + [
@@ -59,22 +59,24 @@
             good += 1
         except wire.Malformed:
             pass
-        tier.receive(rng.randrange(-1, 5), bytes(data), 10.0)  # a node bears it too
+        tier.receive(rng.randrange(-1, 5), bytes(data), 10.0)  # must not raise
     assert 1_000 < good < 19_000
     assert tier.counts["in"] == 20_000
     assert min(tier.counts[why] for why in ("malformed", "foreign", "stranger")) > 500
 
 
-def test_amounts_travel_within_four_in_a_thousand_and_nothing_is_endless() -> None:
+def test_encoded_amounts_are_close_and_bounded() -> None:
     for amount in (1e-5, 0.003, 0.7, 12.0, 5e4, 3e6):
-        assert wire.unscaled(wire.scaled(amount)) == pytest.approx(
+        assert wire.decode_amount(wire.encode_amount(amount)) == pytest.approx(
             amount, rel=0.05 if amount < 1e-4 else 0.004
         )
-    assert wire.scaled(float("inf")) == wire.scaled(1e300) == wire.LARGEST
-    assert wire.scaled(float("nan")) == wire.scaled(-1.0) == wire.scaled(0.0) == 0
+    assert wire.encode_amount(float("inf")) == wire.encode_amount(1e300) == wire.MAX_SCALED
+    assert (
+        wire.encode_amount(float("nan")) == wire.encode_amount(-1.0) == wire.encode_amount(0.0) == 0
+    )
 
 
-def test_a_tier_that_counts_otherwise_is_told_apart_and_stops_the_dealing() -> None:
+def test_another_configuration_is_recognized_and_stops_grants() -> None:
     tier = Tier(0, 4, 1, 1, 0.0)
     for other in (
         Tier(1, 5, 2, 1, 0.0),
@@ -84,55 +86,58 @@
         tier.receive(1, other.tick(0.0)[0][1], 10.0)
     assert (
         tier.counts["foreign"] == 3
-        and tier.disagrees(20.0)
-        and not tier.disagrees(20.0 + tier.vote_ms)
+        and tier.has_config_conflict(20.0)
+        and not tier.has_config_conflict(20.0 + tier.vote_ms)
     )
-    tier.receive(
-        2, Tier(1, 4, 2, 1, 0.0).tick(0.0)[0][1], 9_000.0
-    )  # from an address that is another's by our list
-    assert tier.counts["impostor"] == 1 and tier.disagrees(9_001.0)
+    # From an address that belongs to another node by our list.
+    tier.receive(2, Tier(1, 4, 2, 1, 0.0).tick(0.0)[0][1], 9_000.0)
+    assert tier.counts["impostor"] == 1 and tier.has_config_conflict(9_001.0)
 
 
-def claims(floor: float = 0.5) -> tuple[Claims, Holdings]:
-    holdings = Holdings()
-    return Claims(floor, holdings), holdings
+def demand_and_leases(floor: float = 0.5) -> tuple[Demand, HeldLeases]:
+    held_leases = HeldLeases()
+    return Demand(floor, held_leases), held_leases
 
 
-def test_a_node_that_hears_nobody_has_its_floor_and_with_a_lease_its_part_of_the_whole_tier() -> (
-    None
-):
-    c, holdings = claims()
-    c.wants_work("box-1", 40.0, 0.0)
-    assert c.work("box-1", 0.8, 0.0) == pytest.approx(0.4) and c.fetches(
+def test_a_node_without_leases_has_its_floor_and_with_one_its_share_of_the_total() -> None:
+    demand, held_leases = demand_and_leases()
+    demand.wants_work("box-1", 40.0, 0.0)
+    assert demand.work("box-1", 0.8, 0.0) == pytest.approx(0.4) and demand.fetches(
         20.0, 0.0
     ) == pytest.approx(10.0)
-    number = holdings.replies(0.0)
-    holdings.take((3, 1), 1, number, 2_000.0, 4.0, id_of("box-1"), WHOLE // 4, 10.0)
-    holdings.take((3, 1), 2, number, 2_000.0, 80.0, FETCHES, WHOLE // 2, 10.0)
-    assert c.work("box-1", 0.8, 20.0) == pytest.approx(0.4 + 0.5 * 0.25 * 4.0)
-    assert c.fetches(20.0, 20.0) == pytest.approx(10.0 + 0.5 * 0.5 * 80.0)
-    assert c.work("box-2", 0.8, 20.0) == pytest.approx(0.4)
-    assert c.work("box-1", 0.8, 2_000.0) == pytest.approx(0.4)
-
-
-def test_wants_are_told_beyond_the_floor_in_the_unit_of_ones_own_and_forgotten() -> None:
-    c, _ = claims()
-    c.own_work = 0.01
+    number = held_leases.next_reply_number(0.0)
+    held_leases.accept_grant(
+        (3, 1), 1, number, 2_000.0, 4.0, limit_id("box-1"), TOTAL_SHARES // 4, 10.0
+    )
+    held_leases.accept_grant(
+        (3, 1), 2, number, 2_000.0, 80.0, FETCHES_LIMIT_ID, TOTAL_SHARES // 2, 10.0
+    )
+    assert demand.work("box-1", 0.8, 20.0) == pytest.approx(0.4 + 0.5 * 0.25 * 4.0)
+    assert demand.fetches(20.0, 20.0) == pytest.approx(10.0 + 0.5 * 0.5 * 80.0)
+    assert demand.work("box-2", 0.8, 20.0) == pytest.approx(0.4)
+    assert demand.work("box-1", 0.8, 2_000.0) == pytest.approx(0.4)
+
+
+def test_demand_above_the_floor_is_reported_in_the_unit_of_the_own_limit_and_fades() -> None:
+    demand, _ = demand_and_leases()
+    demand.own_work = 0.01
     for n in range(100):
-        c.wants_work("box-1", 20.0, 30.0 * n)  # 0.667 a ms
-        c.wants_fetches(0.5, 200.0, 30.0 * n)  # 3.3 in flight
-    told = dict(c.wanted(3_000.0))
-    assert told[id_of("box-1")] == pytest.approx(0.667 - 0.005, rel=0.15)
-    assert told[FETCHES] == pytest.approx(3.3, rel=0.15)
-    assert c.names()[str(id_of("box-1"))] == "box-1"
-    assert c.wanted(60_000.0) == [] and c.names() == {}
-
-
-def test_two_servers_of_one_id_are_dealt_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("forkweir.tier.claims.id_of", lambda server: 5)
-    c, holdings = claims()
-    c.wants_work("a", 20.0, 0.0)
-    c.wants_work("b", 20.0, 0.0)
-    holdings.take((3, 1), 1, holdings.replies(0.0), 2_000.0, 4.0, 5, WHOLE, 10.0)
-    assert c.wanted(100.0) == []
-    assert c.work("a", 1.0, 100.0) == c.work("b", 1.0, 100.0) == pytest.approx(0.5)
+        demand.wants_work("box-1", 20.0, 30.0 * n)  # 0.667 a ms
+        demand.wants_fetches(0.5, 200.0, 30.0 * n)  # 3.3 in flight
+    reported = dict(demand.above_floor(3_000.0))
+    assert reported[limit_id("box-1")] == pytest.approx(0.667 - 0.005, rel=0.15)
+    assert reported[FETCHES_LIMIT_ID] == pytest.approx(3.3, rel=0.15)
+    assert demand.server_names()[str(limit_id("box-1"))] == "box-1"
+    assert demand.above_floor(60_000.0) == [] and demand.server_names() == {}
+
+
+def test_two_servers_with_one_id_get_no_shares(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr("forkweir.tier.demand.limit_id", lambda server: 5)
+    demand, held_leases = demand_and_leases()
+    demand.wants_work("a", 20.0, 0.0)
+    demand.wants_work("b", 20.0, 0.0)
+    held_leases.accept_grant(
+        (3, 1), 1, held_leases.next_reply_number(0.0), 2_000.0, 4.0, 5, TOTAL_SHARES, 10.0
+    )
+    assert demand.above_floor(100.0) == []
+    assert demand.work("a", 1.0, 100.0) == demand.work("b", 1.0, 100.0) == pytest.approx(0.5)
