--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -149,7 +149,7 @@
 
     def close(self) -> None:
         for process in (*self.processes, *self.others):
-            process.bury()
+            process.discard_tasks()
         for task in asyncio.all_tasks(self.loop):
             task._log_destroy_pending = False  # type: ignore[attr-defined]
             with suppress(Exception):
--- a/benchmarks/path_counts.py
+++ b/benchmarks/path_counts.py
@@ -164,7 +164,7 @@
     loop.counts = Counter()
     asyncio.set_event_loop(loop)
     net = Network(loop, 1)
-    net.default.jitter_us = 0
+    net.default_link.jitter_us = 0
     node = Process("node", net, NODE[0])
     before = {call: getattr(VirtualSocket, call) for call in CALLS}
 
@@ -210,7 +210,7 @@
         "limits": {"memory_mb": 128, "sockets": 512}, "settings": SETTINGS,
     }  # fmt: skip
     node.files["c.json"] = json.dumps(config).encode()
-    node.variables["PROXY_CONFIG"] = "c.json"
+    node.environment["PROXY_CONFIG"] = "c.json"
 
     async def program() -> None:
         await Service(load(seam.environ())).run()
@@ -237,7 +237,7 @@
     asker.start(clients)
     await done.wait()
     if not counts:
-        raise RuntimeError(f"{case.what}: {asker.exit!r}")
+        raise RuntimeError(f"{case.what}: {asker.exit_error!r}")
     return counts
 
 
--- a/testbed/machine/faults.py
+++ b/testbed/machine/faults.py
@@ -21,10 +21,10 @@
     RECV = "recv"
 
 
-_SHORTAGES = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
+_RESOURCE_ERRORS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
 ERRORS: dict[Call, tuple[int, ...]] = {
-    Call.ACCEPT: (errno.ECONNABORTED, *_SHORTAGES),
-    Call.SOCKET: _SHORTAGES,
+    Call.ACCEPT: (errno.ECONNABORTED, *_RESOURCE_ERRORS),
+    Call.SOCKET: _RESOURCE_ERRORS,
     Call.CONNECT: (
         errno.EADDRNOTAVAIL,
         errno.ENETUNREACH,
@@ -35,7 +35,7 @@
     Call.SEND: (errno.ENOBUFS, errno.ENOMEM),
     Call.RECV: (errno.ENOBUFS, errno.ENOMEM),
 }
-TABLE: tuple[tuple[Call, int], ...] = tuple(
+CALL_ERRORS: tuple[tuple[Call, int], ...] = tuple(
     (call, error) for call, errors in ERRORS.items() for error in errors
 )
 """Every call with every error, by number: the value of a `node_calls` fault."""
@@ -45,7 +45,7 @@
 class _Failure:
     error: int
     until_us: int
-    left: int  # how often at most; below 0: without a bound
+    remaining: int  # how often at most; below 0: without a bound
 
 
 class CallFaults:
@@ -53,7 +53,7 @@
 
     def __init__(self) -> None:
         self._failures: dict[Call, _Failure] = {}
-        self.hits = 0
+        self.injected = 0
 
     def fail(self, call: Call, error: int, until_us: int, times: int = -1) -> None:
         """From now on a call fails, until then or so often."""
@@ -64,9 +64,9 @@
         failure = self._failures.get(call)
         if failure is None:
             return
-        if now_us >= failure.until_us or not failure.left:
+        if now_us >= failure.until_us or not failure.remaining:
             del self._failures[call]
             return
-        failure.left -= 1
-        self.hits += 1
+        failure.remaining -= 1
+        self.injected += 1
         raise OSError(failure.error, os.strerror(failure.error))
--- a/testbed/machine/loop.py
+++ b/testbed/machine/loop.py
@@ -18,10 +18,10 @@
 from typing import Any, Optional, TypeVarTuple
 
 from corkshift import seam
-from testbed.machine.parts import Endpoint, Owner
+from testbed.machine.protocols import ProcessProtocol, SocketProtocol
 
-LIVELOCK = 20_000  # turns in one instant: something spins without making progress
-CANCELLED_MOST = 512  # cancelled timers that may wait in the heap before they are swept out
+MAX_ITERATIONS_PER_INSTANT = 20_000  # turns in one instant: something spins without making progress
+MAX_CANCELLED_TIMERS = 512  # cancelled timers that may wait in the heap before they are swept out
 
 _Ts = TypeVarTuple("_Ts")
 
@@ -40,18 +40,18 @@
     def __init__(self, seed: int) -> None:
         super().__init__()
         self.now_us = 0
-        self.steps = 0  # callbacks run
-        self.after_step: Optional[Callable[[Owner], None]] = (
+        self.callbacks_run = 0  # callbacks run
+        self.after_callback: Optional[Callable[[ProcessProtocol], None]] = (
             None  # called after each callback of a process
         )
-        self._order = random.Random(f"order/{seed}")
-        self._due: list[tuple[int, float, int, asyncio.TimerHandle]] = []
-        self._number = 0
-        self._cancelled = 0
-        self._readers: dict[Endpoint, asyncio.Handle] = {}
-        self._writers: dict[Endpoint, asyncio.Handle] = {}
-        self._hot: dict[Endpoint, None] = {}  # sockets that may be ready
-        self._turns = 0  # in this instant
+        self._order_random = random.Random(f"order/{seed}")
+        self._timer_heap: list[tuple[int, float, int, asyncio.TimerHandle]] = []
+        self._timer_number = 0
+        self._cancelled_timers = 0
+        self._readers: dict[SocketProtocol, asyncio.Handle] = {}
+        self._writers: dict[SocketProtocol, asyncio.Handle] = {}
+        self._maybe_ready: dict[SocketProtocol, None] = {}  # sockets that may be ready
+        self._iterations = 0  # in this instant
         self.set_task_factory(_make_task)
 
     # -- time ----------------------------------------------------------------------------
@@ -67,76 +67,83 @@
         *args: *_Ts,
         context: Optional[Context] = None,
     ) -> asyncio.TimerHandle:
-        return self._at(ceil(when * 1e6 - 1e-3), callback, args, context)
+        return self._schedule(ceil(when * 1e6 - 1e-3), callback, args, context)
 
     def after_us(
         self, delay_us: int, callback: Callable[..., object], *args: Any
     ) -> asyncio.TimerHandle:
         """Call back after so many microseconds, on behalf of the world and of no process."""
-        return self._at(self.now_us + delay_us, callback, args, _WORLD)
+        return self._schedule(self.now_us + delay_us, callback, args, _SIMULATOR_CONTEXT)
 
-    def _at(
+    def _schedule(
         self, due_us: int, callback: Callable[..., object], args: Any, context: Optional[Context]
     ) -> asyncio.TimerHandle:
         handle = asyncio.TimerHandle(due_us / 1e6, callback, args, self, context)
-        self._number += 1
-        heappush(self._due, (max(self.now_us, due_us), self._order.random(), self._number, handle))
+        self._timer_number += 1
+        heappush(
+            self._timer_heap,
+            (max(self.now_us, due_us), self._order_random.random(), self._timer_number, handle),
+        )
         handle._scheduled = True  # type: ignore[attr-defined]
         return handle
 
     def _timer_handle_cancelled(self, handle: asyncio.TimerHandle) -> None:
-        self._cancelled += 1
-        if self._cancelled > CANCELLED_MOST and self._cancelled * 2 > len(self._due):
-            self._due = [entry for entry in self._due if not entry[3].cancelled()]
-            heapify(self._due)
-            self._cancelled = 0
-
-    def timers(self) -> list[asyncio.TimerHandle]:
+        self._cancelled_timers += 1
+        if self._cancelled_timers > MAX_CANCELLED_TIMERS and self._cancelled_timers * 2 > len(
+            self._timer_heap
+        ):
+            self._timer_heap = [entry for entry in self._timer_heap if not entry[3].cancelled()]
+            heapify(self._timer_heap)
+            self._cancelled_timers = 0
+
+    def pending_timers(self) -> list[asyncio.TimerHandle]:
         """Every timer that is still to come, in the order in which it will."""
         return [
             entry[3]
-            for entry in sorted(self._due, key=lambda entry: entry[:3])
+            for entry in sorted(self._timer_heap, key=lambda entry: entry[:3])
             if not entry[3].cancelled()
         ]
 
     # -- readiness -----------------------------------------------------------------------
 
     def add_reader(self, fd: Any, callback: Callable[[*_Ts], object], *args: *_Ts) -> None:
-        self._watch(self._readers, fd, callback, args)
+        self._register(self._readers, fd, callback, args)
 
     def remove_reader(self, fd: Any) -> bool:
-        return self._unwatch(self._readers, fd)
+        return self._unregister_one(self._readers, fd)
 
     def add_writer(self, fd: Any, callback: Callable[[*_Ts], object], *args: *_Ts) -> None:
-        self._watch(self._writers, fd, callback, args)
+        self._register(self._writers, fd, callback, args)
 
     def remove_writer(self, fd: Any) -> bool:
-        return self._unwatch(self._writers, fd)
+        return self._unregister_one(self._writers, fd)
 
-    def poke(self, sock: Endpoint) -> None:
+    def mark_ready(self, sock: SocketProtocol) -> None:
         """A socket's state has changed: it may be ready now."""
-        self._hot[sock] = None
+        self._maybe_ready[sock] = None
 
-    def forget(self, sock: Endpoint) -> None:
+    def unregister(self, sock: SocketProtocol) -> None:
         """A socket is closed: the kernel reports it no more."""
-        self._unwatch(self._readers, sock)
-        self._unwatch(self._writers, sock)
-        self._hot.pop(sock, None)
+        self._unregister_one(self._readers, sock)
+        self._unregister_one(self._writers, sock)
+        self._maybe_ready.pop(sock, None)
 
-    def _watch(
+    def _register(
         self,
-        which: dict[Endpoint, asyncio.Handle],
-        sock: Endpoint,
+        which: dict[SocketProtocol, asyncio.Handle],
+        sock: SocketProtocol,
         callback: Callable[..., object],
         args: Any,
     ) -> None:
         if sock.closed:
             raise ValueError("the socket is closed")
-        self._unwatch(which, sock)
+        self._unregister_one(which, sock)
         which[sock] = asyncio.Handle(callback, args, self)
-        self.poke(sock)
+        self.mark_ready(sock)
 
-    def _unwatch(self, which: dict[Endpoint, asyncio.Handle], sock: Endpoint) -> bool:
+    def _unregister_one(
+        self, which: dict[SocketProtocol, asyncio.Handle], sock: SocketProtocol
+    ) -> bool:
         handle = which.pop(sock, None)
         if handle is None:
             return False
@@ -151,70 +158,70 @@
 
     def add_signal_handler(self, sig: int, callback: Callable[[*_Ts], object], *args: *_Ts) -> None:
         """A handler of the process whose code calls this."""
-        owner = owner_of(copy_context())
+        owner = process_of(copy_context())
         if owner is None:
             raise RuntimeError("only a virtual process has signals")
-        owner.handlers[sig] = asyncio.Handle(callback, args, self)
+        owner.signal_handlers[sig] = asyncio.Handle(callback, args, self)
 
     def remove_signal_handler(self, sig: int) -> bool:
-        owner = owner_of(copy_context())
-        return owner is not None and owner.handlers.pop(sig, None) is not None
+        owner = process_of(copy_context())
+        return owner is not None and owner.signal_handlers.pop(sig, None) is not None
 
     # -- turns ---------------------------------------------------------------------------
 
     def _run_once(self) -> None:
         ready: Any = self._ready  # type: ignore[attr-defined]
-        self._gather(ready)
+        self._collect_ready(ready)
         if not ready:
-            while self._due and self._due[0][3].cancelled():
-                heappop(self._due)
-                self._cancelled -= 1
-            if not self._due:
+            while self._timer_heap and self._timer_heap[0][3].cancelled():
+                heappop(self._timer_heap)
+                self._cancelled_timers -= 1
+            if not self._timer_heap:
                 raise Deadlock("nothing is left to happen")
-            self.now_us = self._due[0][0]
-            self._turns = 0
-            self._gather(ready)
-        self._turns += 1
-        if self._turns > LIVELOCK:
+            self.now_us = self._timer_heap[0][0]
+            self._iterations = 0
+            self._collect_ready(ready)
+        self._iterations += 1
+        if self._iterations > MAX_ITERATIONS_PER_INSTANT:
             raise Livelock(
-                f"{LIVELOCK} turns at {self.now_us} us; the last is {ready[0]!r}"
+                f"{MAX_ITERATIONS_PER_INSTANT} turns at {self.now_us} us; the last is {ready[0]!r}"
                 if ready
                 else "spinning"
             )
         for _ in range(len(ready)):
-            self._run(ready.popleft())
+            self._run_handle(ready.popleft())
 
-    def _run(self, handle: asyncio.Handle) -> None:
+    def _run_handle(self, handle: asyncio.Handle) -> None:
         if handle.cancelled():
             return
-        owner = owner_of(handle._context)  # type: ignore[attr-defined]
+        owner = process_of(handle._context)  # type: ignore[attr-defined]
         if owner is None:
             handle._run()
             return
         if not owner.running:
-            owner.hold(handle)
+            owner.defer(handle)
             return
-        self.steps += 1
+        self.callbacks_run += 1
         handle._run()
-        if self.after_step is not None:
-            self.after_step(owner)
+        if self.after_callback is not None:
+            self.after_callback(owner)
 
-    def _gather(self, ready: Any) -> None:
+    def _collect_ready(self, ready: Any) -> None:
         """Queue what is due now and what is ready, in a drawn order."""
-        due = self._due
+        due = self._timer_heap
         fresh: list[asyncio.Handle] = []
         while due and due[0][0] <= self.now_us:
             handle = heappop(due)[3]
             if handle.cancelled():
-                self._cancelled -= 1
+                self._cancelled_timers -= 1
                 continue
             handle._scheduled = False  # type: ignore[attr-defined]
-            if handle._context is _WORLD:  # type: ignore[attr-defined]
+            if handle._context is _SIMULATOR_CONTEXT:  # type: ignore[attr-defined]
                 handle._run()  # the network and the faults act below the programs: what they bring is ready in this turn
             else:
                 fresh.append(handle)
         hot: list[asyncio.Handle] = []
-        for sock in list(self._hot):
+        for sock in list(self._maybe_ready):
             if sock.process is not None and not sock.process.running:
                 continue  # nobody polls; it is asked again when the process goes on
             reader, writer = self._readers.get(sock), self._writers.get(sock)
@@ -227,10 +234,10 @@
             if writes and writer is not None:
                 hot.append(writer)
             if not (reads or writes):
-                del self._hot[sock]
+                del self._maybe_ready[sock]
         if hot and len(fresh) + len(hot) > 1:
             fresh += hot
-            self._order.shuffle(fresh)
+            self._order_random.shuffle(fresh)
         else:
             fresh += hot
         ready.extend(fresh)
@@ -247,16 +254,16 @@
 def _make_task(loop: asyncio.AbstractEventLoop, coro: Any, **options: Any) -> asyncio.Task[Any]:
     """A task that its process keeps: what a killed one leaves behind must not be collected, and so run its last lines."""
     task: asyncio.Task[Any] = asyncio.Task(coro, loop=loop, **options)
-    owner = owner_of(options.get("context") or copy_context())
+    owner = process_of(options.get("context") or copy_context())
     if owner is not None:
-        owner.keep(task)
+        owner.register_task(task)
     return task
 
 
-def owner_of(context: Context) -> Optional[Owner]:
+def process_of(context: Context) -> Optional[ProcessProtocol]:
     """The virtual process in whose context something runs; None for the world itself."""
     side = context.get(seam.CURRENT_SYSTEM)
     return side if side is not None and getattr(side, "virtual", False) else None  # type: ignore[return-value]
 
 
-_WORLD = Context()
+_SIMULATOR_CONTEXT = Context()
--- a/testbed/machine/net.py
+++ b/testbed/machine/net.py
@@ -25,20 +25,20 @@
 from corkshift.seam import Address
 from testbed.machine.faults import Call
 from testbed.machine.loop import VirtualLoop
-from testbed.machine.parts import Owner
-
-BUFFER = 131_072  # bytes of a socket's buffer in each direction where nothing is asked (a kernel doubles what is asked)
-SEGMENT = 16_384  # bytes carried at once
-RTO_US = 200_000  # the first retransmission; doubles up to the longest
-RTO_MAX_US = 3_200_000
-SYN_US = 1_000_000  # the first repeat of a SYN; doubles
-DATAGRAMS = 212_992  # bytes that wait to be read from a UDP socket
-DATAGRAM_MOST = 65_507
-EPHEMERAL = 32_768
+from testbed.machine.protocols import ProcessProtocol
+
+DEFAULT_BUFFER_BYTES = 131_072  # bytes of a socket's buffer in each direction where nothing is asked (a kernel doubles what is asked)
+SEGMENT_BYTES = 16_384  # bytes carried at once
+INITIAL_RTO_US = 200_000  # the first retransmission; doubles up to the longest
+MAX_RTO_US = 3_200_000
+INITIAL_SYN_RTO_US = 1_000_000  # the first repeat of a SYN; doubles
+UDP_BUFFER_BYTES = 212_992  # bytes that wait to be read from a UDP socket
+MAX_DATAGRAM_BYTES = 65_507
+FIRST_EPHEMERAL_PORT = 32_768
 LINGER_OFF = struct.pack("ii", 0, 0)
 
 
-def failure(number: int) -> OSError:
+def os_error(number: int) -> OSError:
     """The OSError that the kernel's errno makes (with its proper subclass)."""
     return OSError(number, os.strerror(number))
 
@@ -55,19 +55,19 @@
     late: float = 0.0  # of datagrams, which others overtake
     late_us: int = 5_000
     cut: bool = False
-    free_us: int = 0  # when the line has carried what was put on it
-    datagram_us: int = (
+    busy_until_us: int = 0  # when the line has carried what was put on it
+    last_datagram_us: int = (
         0  # when the last datagram arrives: none overtakes another but where it is drawn so
     )
 
 
 @dataclass(slots=True)
-class Trip:
+class ByteTrigger:
     """A fault that waits for a byte: after so many bytes one way on a connection, something happens in mid-write."""
 
     source: str  # host that writes
     target: str  # host that is written to
-    after: int  # bytes
+    after_bytes: int  # bytes
     action: Callable[[VirtualSocket], None]
     connections: int = 1  # how many connections it catches
 
@@ -75,53 +75,55 @@
 class Pipe:
     """What is on the way from one end to the other: segments in order, the head's arrival scheduled."""
 
-    __slots__ = ("net", "source", "queue", "last_us", "rto_us", "moving")
+    __slots__ = ("net", "source", "queue", "last_due_us", "rto_us", "arrival_scheduled")
 
     def __init__(self, net: Network, source: VirtualSocket) -> None:
         self.net = net
         self.source = source
         self.queue: deque[tuple[int, bytes | str]] = deque()  # when due, bytes or "fin" or "rst"
-        self.last_us = 0
-        self.rto_us = RTO_US
-        self.moving = False
+        self.last_due_us = 0
+        self.rto_us = INITIAL_RTO_US
+        self.arrival_scheduled = False
 
-    def put(self, what: bytes | str) -> None:
+    def send(self, what: bytes | str) -> None:
         """Send a segment on its way."""
         net, source = self.net, self.source
         assert source.peer is not None
         link = net.link(source.host, source.peer.host)
-        due = max(net.flight(link, len(what) if isinstance(what, bytes) else 40), self.last_us)
+        due = max(
+            net.arrival_us(link, len(what) if isinstance(what, bytes) else 40), self.last_due_us
+        )
         if link.loss and net.rng.random() < link.loss:
-            due += RTO_US
-        self.last_us = due
+            due += INITIAL_RTO_US
+        self.last_due_us = due
         self.queue.append((due, what))
-        if not self.moving:
-            self._move(due)
+        if not self.arrival_scheduled:
+            self._schedule_arrival(due)
 
-    def _move(self, due: int) -> None:
-        self.moving = True
-        self.net.loop.after_us(max(0, due - self.net.loop.now_us), self._arrive)
+    def _schedule_arrival(self, due: int) -> None:
+        self.arrival_scheduled = True
+        self.net.loop.after_us(max(0, due - self.net.loop.now_us), self._deliver)
 
-    def _arrive(self) -> None:
-        self.moving = False
+    def _deliver(self) -> None:
+        self.arrival_scheduled = False
         if not self.queue:
             return
         net, source = self.net, self.source
         target = source.peer
         assert target is not None
         _, what = self.queue[0]
-        if not net.reaches(source.host, target.host):
-            if source.dead:
+        if not net.is_reachable(source.host, target.host):
+            if source.send_stopped:
                 self.queue.clear()  # nobody is left to send it again
                 return
-            self._move(net.loop.now_us + self.rto_us)
-            self.rto_us = min(RTO_MAX_US, self.rto_us * 2)
+            self._schedule_arrival(net.loop.now_us + self.rto_us)
+            self.rto_us = min(MAX_RTO_US, self.rto_us * 2)
             return
-        self.rto_us = RTO_US
+        self.rto_us = INITIAL_RTO_US
         self.queue.popleft()
         if self.queue:
-            self._move(max(net.loop.now_us, self.queue[0][0]))
-        target.arrive(what)
+            self._schedule_arrival(max(net.loop.now_us, self.queue[0][0]))
+        target.receive_segment(what)
 
 
 class VirtualSocket:
@@ -137,33 +139,35 @@
         "local",
         "remote",
         "peer",
-        "dialed",
+        "is_initiator",
         "closed",
-        "dead",
+        "send_stopped",
         "rx",
-        "rx_size",
-        "rx_end",
-        "error",
+        "rx_bytes",
+        "fin_received",
+        "pending_error",
         "reset",
         "tx",
-        "flying",
-        "shut",
+        "in_flight_bytes",
+        "write_closed",
         "fin_sent",
         "pipe",
         "receive_buffer",
         "send_buffer",
         "linger",
         "backlog",
-        "waiting",
-        "connected",
-        "sent",
-        "trip",
+        "accept_queue",
+        "connect_future",
+        "sent_bytes",
+        "trigger",
         "datagrams",
-        "datagram_size",
-        "received_us",
+        "queued_datagram_bytes",
+        "last_received_us",
     )
 
-    def __init__(self, net: Network, process: Optional[Owner], host: str, kind: str) -> None:
+    def __init__(
+        self, net: Network, process: Optional[ProcessProtocol], host: str, kind: str
+    ) -> None:
         self.net = net
         self.process = process
         self.host = host
@@ -173,30 +177,30 @@
         self.local: Address = ("", 0)
         self.remote: Address = ("", 0)
         self.peer: Optional[VirtualSocket] = None
-        self.dialed = False
+        self.is_initiator = False
         self.closed = False  # by its program
-        self.dead = False  # nothing more is sent, not even again
+        self.send_stopped = False  # nothing more is sent, not even again
         self.rx: deque[bytes] = deque()
-        self.received_us = net.loop.now_us  # when the last bytes came in
-        self.rx_size = 0
-        self.rx_end = False  # the peer's FIN has come
-        self.error = 0  # told once
+        self.last_received_us = net.loop.now_us  # when the last bytes came in
+        self.rx_bytes = 0
+        self.fin_received = False  # the peer's FIN has come
+        self.pending_error = 0  # told once
         self.reset = False
         self.tx = bytearray()
-        self.flying = 0
-        self.shut = False
+        self.in_flight_bytes = 0
+        self.write_closed = False
         self.fin_sent = False
         self.pipe = Pipe(net, self)
-        self.receive_buffer = BUFFER
-        self.send_buffer = BUFFER
+        self.receive_buffer = DEFAULT_BUFFER_BYTES
+        self.send_buffer = DEFAULT_BUFFER_BYTES
         self.linger = False
         self.backlog = 0
-        self.waiting: deque[VirtualSocket] = deque()
-        self.connected: Optional[asyncio.Future[None]] = None
-        self.sent = 0  # bytes taken from the program
-        self.trip: Optional[Trip] = None
+        self.accept_queue: deque[VirtualSocket] = deque()
+        self.connect_future: Optional[asyncio.Future[None]] = None
+        self.sent_bytes = 0  # bytes taken from the program
+        self.trigger: Optional[ByteTrigger] = None
         self.datagrams: deque[tuple[bytes, Address]] = deque()
-        self.datagram_size = 0
+        self.queued_datagram_bytes = 0
 
     # -- the program's side --------------------------------------------------------------
 
@@ -226,21 +230,21 @@
         if not self.local[1]:
             self.net.bind(self, (self.host, 0))
         self.state, self.backlog = "listening", backlog
-        self.net.note("listen", self)
+        self.net.notify_observers("listen", self)
 
     def accept(self) -> tuple[VirtualSocket, Address]:
         """The oldest connection that waits. BlockingIOError where none does, EMFILE where there is no descriptor for it."""
         self._check_open()
         if self.state != "listening":
-            raise failure(errno.EINVAL)
-        if not self.waiting:
+            raise os_error(errno.EINVAL)
+        if not self.accept_queue:
             raise BlockingIOError(errno.EAGAIN, os.strerror(errno.EAGAIN))
         assert self.process is not None
         self.process.check_call(Call.ACCEPT)
         self.process.check_descriptors()
-        sock = self.waiting.popleft()
-        self.process.adopt(sock)
-        self.net.note("accept", sock)
+        sock = self.accept_queue.popleft()
+        self.process.add_socket(sock)
+        self.net.notify_observers("accept", sock)
         return sock, sock.remote
 
     def getsockname(self) -> Address:
@@ -254,48 +258,48 @@
             self.process.check_call(Call.CONNECT)
         if not self.local[1]:
             self.net.bind(self, (self.host, 0))
-        self.state, self.remote, self.connected, self.dialed = (
+        self.state, self.remote, self.connect_future, self.is_initiator = (
             "dialing",
             (address[0], address[1]),
             done,
             True,
         )
-        self.net.note("dial", self)
-        self.net.send_syn(self, SYN_US)
+        self.net.notify_observers("dial", self)
+        self.net.send_syn(self, INITIAL_SYN_RTO_US)
 
     def send(self, data: Any) -> int:
         self._check_open()
         if self.process is not None:
             self.process.check_call(Call.SEND)
-        if self.error:
-            number, self.error = self.error, 0
-            raise failure(number)
-        if self.shut or self.reset:
-            raise failure(errno.EPIPE)
+        if self.pending_error:
+            number, self.pending_error = self.pending_error, 0
+            raise os_error(number)
+        if self.write_closed or self.reset:
+            raise os_error(errno.EPIPE)
         if self.state != "open":
-            raise failure(errno.EPIPE if self.state == "new" else errno.EAGAIN)
+            raise os_error(errno.EPIPE if self.state == "new" else errno.EAGAIN)
         size = len(data)
         if not size:
             return 0
-        room = self.send_buffer - len(self.tx) - self.flying
+        room = self.send_buffer - len(self.tx) - self.in_flight_bytes
         if room <= 0:
             raise BlockingIOError(errno.EAGAIN, os.strerror(errno.EAGAIN))
         taken = min(size, room)
         tripped = None
-        if self.trip is not None and self.sent + taken >= self.trip.after:
-            taken = max(0, self.trip.after - self.sent)
-            tripped, self.trip = self.trip, None
+        if self.trigger is not None and self.sent_bytes + taken >= self.trigger.after_bytes:
+            taken = max(0, self.trigger.after_bytes - self.sent_bytes)
+            tripped, self.trigger = self.trigger, None
         piece = bytes(memoryview(data)[:taken])
-        self.sent += taken
+        self.sent_bytes += taken
         self.net.on_send(self, piece, size)
         self.tx += piece
-        self.pump()
+        self.transmit()
         if tripped is not None:
             tripped.action(self)
             if not taken:
-                if self.error:
-                    number, self.error = self.error, 0
-                    raise failure(number)
+                if self.pending_error:
+                    number, self.pending_error = self.pending_error, 0
+                    raise os_error(number)
                 raise BlockingIOError(errno.EAGAIN, os.strerror(errno.EAGAIN))
         return taken
 
@@ -315,25 +319,27 @@
                     self.rx.popleft()
                 else:
                     self.rx[0] = piece[taken:]
-            self.rx_size -= size
+            self.rx_bytes -= size
             if self.peer is not None and self.peer.tx:
-                self.net.loop.after_us(self.net.delay(self.host, self.peer.host), self.peer.pump)
+                self.net.loop.after_us(
+                    self.net.delay(self.host, self.peer.host), self.peer.transmit
+                )
             return size
-        if self.rx_end:
+        if self.fin_received:
             return 0
-        if self.error:
-            number, self.error = self.error, 0
-            raise failure(number)
+        if self.pending_error:
+            number, self.pending_error = self.pending_error, 0
+            raise os_error(number)
         if self.reset:
             return 0
         if self.state != "open":
-            raise failure(errno.ENOTCONN)
+            raise os_error(errno.ENOTCONN)
         raise BlockingIOError(errno.EAGAIN, os.strerror(errno.EAGAIN))
 
     def sendto(self, data: Any, address: Any) -> int:
         self._check_open()
-        if len(data) > DATAGRAM_MOST:
-            raise failure(errno.EMSGSIZE)
+        if len(data) > MAX_DATAGRAM_BYTES:
+            raise os_error(errno.EMSGSIZE)
         if not self.local[1]:
             self.net.bind(self, (self.host, 0))
         self.net.send_datagram(self, bytes(data), (address[0], address[1]))
@@ -344,17 +350,17 @@
         if not self.datagrams:
             raise BlockingIOError(errno.EAGAIN, os.strerror(errno.EAGAIN))
         data, sender = self.datagrams.popleft()
-        self.datagram_size -= len(data)
+        self.queued_datagram_bytes -= len(data)
         return data[:size], sender
 
     def shutdown(self, how: int) -> None:
         self._check_open()
         if self.state != "open" or self.reset:
-            raise failure(errno.ENOTCONN)
-        if how in (socket.SHUT_WR, socket.SHUT_RDWR) and not self.shut:
-            self.shut = True
-            self.net.note("shutdown", self)
-            self.pump()
+            raise os_error(errno.ENOTCONN)
+        if how in (socket.SHUT_WR, socket.SHUT_RDWR) and not self.write_closed:
+            self.write_closed = True
+            self.net.notify_observers("shutdown", self)
+            self.transmit()
 
     def close(self) -> None:
         """End the socket as the kernel does: an RST where it lingers for no time or holds unread input, else a FIN."""
@@ -362,24 +368,24 @@
             return
         hard = self.linger or bool(self.rx)
         self.closed = True
-        self.net.loop.forget(self)
+        self.net.loop.unregister(self)
         if self.process is not None:
-            self.process.release(self)
+            self.process.remove_socket(self)
         self.net.unbind(self)
-        self.net.note("abort" if hard else "close", self)
+        self.net.notify_observers("abort" if hard else "close", self)
         if self.state == "listening":
-            for sock in self.waiting:
+            for sock in self.accept_queue:
                 sock.linger = True
                 sock.close()
-            self.waiting.clear()
+            self.accept_queue.clear()
         elif self.state == "open" and not self.reset:
             if hard:
                 self.send_reset()
             else:
-                self.shut = True
-                self.pump()
+                self.write_closed = True
+                self.transmit()
         elif self.state == "dialing":
-            self.dead = True
+            self.send_stopped = True
         self.rx.clear()
 
     # -- the kernel's side ---------------------------------------------------------------
@@ -388,98 +394,110 @@
     def readable(self) -> bool:
         """Whether a read or an accept would not block."""
         return bool(
-            self.rx or self.rx_end or self.error or self.reset or self.waiting or self.datagrams
+            self.rx
+            or self.fin_received
+            or self.pending_error
+            or self.reset
+            or self.accept_queue
+            or self.datagrams
         )
 
     @property
     def writable(self) -> bool:
         """Whether a third of the send buffer is free, as the kernel has it, or a write would fail."""
-        if self.kind == "datagram" or self.error or self.reset or self.shut:
+        if self.kind == "datagram" or self.pending_error or self.reset or self.write_closed:
             return True
-        return self.state == "open" and 3 * (len(self.tx) + self.flying) <= 2 * self.send_buffer
+        return (
+            self.state == "open"
+            and 3 * (len(self.tx) + self.in_flight_bytes) <= 2 * self.send_buffer
+        )
 
-    def pump(self) -> None:
+    def transmit(self) -> None:
         """Send what the peer has room for, and the end after the last byte."""
         peer = self.peer
-        if peer is None or self.dead or self.state != "open":
+        if peer is None or self.send_stopped or self.state != "open":
             return
         while self.tx:
-            size = min(SEGMENT, len(self.tx), peer.receive_buffer - peer.rx_size - self.flying)
+            size = min(
+                SEGMENT_BYTES,
+                len(self.tx),
+                peer.receive_buffer - peer.rx_bytes - self.in_flight_bytes,
+            )
             if size <= 0:
                 return
             piece = bytes(self.tx[:size])
             del self.tx[:size]
-            self.flying += size
-            self.pipe.put(piece)
-        if self.shut and not self.fin_sent:
+            self.in_flight_bytes += size
+            self.pipe.send(piece)
+        if self.write_closed and not self.fin_sent:
             self.fin_sent = True
-            self.pipe.put("fin")
+            self.pipe.send("fin")
 
     def send_reset(self) -> None:
         """End the connection at once: what has not been sent is dropped."""
         self.tx.clear()
-        self.dead = True
+        self.send_stopped = True
         if self.peer is not None:
-            self.pipe.put("rst")
+            self.pipe.send("rst")
 
-    def arrive(self, what: bytes | str) -> None:
+    def receive_segment(self, what: bytes | str) -> None:
         """A segment has come."""
         peer = self.peer
         assert peer is not None
         if what == "rst":
-            if not self.reset and not self.dead:
-                self.net.note("reset", self)
-                self.reset = self.dead = True
-                self.error = errno.EPIPE if self.rx_end else errno.ECONNRESET
+            if not self.reset and not self.send_stopped:
+                self.net.notify_observers("reset", self)
+                self.reset = self.send_stopped = True
+                self.pending_error = errno.EPIPE if self.fin_received else errno.ECONNRESET
                 self.tx.clear()
-                self.net.loop.poke(self)
+                self.net.loop.mark_ready(self)
             return
         if isinstance(what, bytes):
             self.net.loop.after_us(
-                self.net.delay(self.host, peer.host), peer.acknowledged, len(what)
+                self.net.delay(self.host, peer.host), peer.on_acknowledged, len(what)
             )
-        if self.closed or self.dead:
+        if self.closed or self.send_stopped:
             if what != "fin":
                 self.send_reset()  # there is nobody to read it, and an earlier word of that may have been lost
             return
         if self.reset:
             return
         if what == "fin":
-            self.rx_end = True
+            self.fin_received = True
         elif isinstance(what, bytes):
             self.rx.append(what)
-            self.received_us = self.net.loop.now_us
-            self.rx_size += len(what)
-        self.net.loop.poke(self)
+            self.last_received_us = self.net.loop.now_us
+            self.rx_bytes += len(what)
+        self.net.loop.mark_ready(self)
 
-    def acknowledged(self, size: int) -> None:
+    def on_acknowledged(self, size: int) -> None:
         """The peer's kernel has these bytes. Over a cut link the word does not come, until it is healed."""
         peer = self.peer
         assert peer is not None
-        if not self.net.reaches(peer.host, self.host):
-            if not self.dead:
-                self.net.loop.after_us(RTO_US, self.acknowledged, size)
+        if not self.net.is_reachable(peer.host, self.host):
+            if not self.send_stopped:
+                self.net.loop.after_us(INITIAL_RTO_US, self.on_acknowledged, size)
             return
-        self.flying -= size
-        self.pump()
+        self.in_flight_bytes -= size
+        self.transmit()
         if not self.closed:
-            self.net.loop.poke(self)
+            self.net.loop.mark_ready(self)
 
-    def hurt(self) -> None:
+    def reset_both_ends(self) -> None:
         """Reset both ends, as a middle box does."""
         for sock in (self, self.peer):
-            if sock is not None and not (sock.reset or sock.dead):
-                sock.reset = sock.dead = True
-                sock.error = errno.ECONNRESET
+            if sock is not None and not (sock.reset or sock.send_stopped):
+                sock.reset = sock.send_stopped = True
+                sock.pending_error = errno.ECONNRESET
                 sock.tx.clear()
                 sock.pipe.queue.clear()
                 if not sock.closed:
-                    self.net.loop.poke(sock)
-        self.net.note("hurt", self)
+                    self.net.loop.mark_ready(sock)
+        self.net.notify_observers("hurt", self)
 
     def _check_open(self) -> None:
         if self.closed:
-            raise failure(errno.EBADF)
+            raise os_error(errno.EBADF)
 
 
 @dataclass(slots=True)
@@ -488,7 +506,7 @@
 
     name: str
     up: bool = True
-    next_port: int = EPHEMERAL
+    next_port: int = FIRST_EPHEMERAL_PORT
     bound: dict[tuple[str, int], VirtualSocket] = field(default_factory=dict)  # by kind and port
 
 
@@ -500,8 +518,8 @@
         self.rng = random.Random(f"net/{seed}")
         self.hosts: dict[str, Host] = {}
         self.links: dict[tuple[str, str], Link] = {}
-        self.default = Link()
-        self.trips: list[Trip] = []
+        self.default_link = Link()
+        self.triggers: list[ByteTrigger] = []
         self.observers: list[Callable[[str, VirtualSocket], None]] = []
         self.on_send: Callable[[VirtualSocket, bytes, int], None] = lambda sock, piece, asked: None
         self._number = 2
@@ -511,7 +529,7 @@
         self._number += 1
         return self._number
 
-    def note(self, what: str, sock: VirtualSocket) -> None:
+    def notify_observers(self, what: str, sock: VirtualSocket) -> None:
         """Tell the observers what happened to a socket."""
         for observer in self.observers:
             observer(what, sock)
@@ -527,13 +545,13 @@
         """The link one way; made like the default when first used."""
         got = self.links.get((source, target))
         if got is None:
-            d = self.default
+            d = self.default_link
             got = self.links[source, target] = Link(
                 d.latency_us, d.jitter_us, d.bandwidth, d.loss, d.double, d.late, d.late_us
             )
         return got
 
-    def reaches(self, source: str, target: str) -> bool:
+    def is_reachable(self, source: str, target: str) -> bool:
         """Whether anything sent now arrives."""
         return self.host(source).up and self.host(target).up and not self.link(source, target).cut
 
@@ -542,11 +560,13 @@
         link = self.link(source, target)
         return link.latency_us + (self.rng.randrange(link.jitter_us + 1) if link.jitter_us else 0)
 
-    def flight(self, link: Link, size: int) -> int:
+    def arrival_us(self, link: Link, size: int) -> int:
         """When something put on a link now arrives."""
         now = self.loop.now_us
         if link.bandwidth:
-            now = link.free_us = max(now, link.free_us) + size * 1_000_000 // link.bandwidth
+            now = link.busy_until_us = (
+                max(now, link.busy_until_us) + size * 1_000_000 // link.bandwidth
+            )
         return (
             now
             + link.latency_us
@@ -558,15 +578,17 @@
     def bind(self, sock: VirtualSocket, address: Address) -> None:
         """Give a socket an address; EADDRINUSE where one has it, EADDRNOTAVAIL where it is another host's."""
         if address[0] != sock.host:
-            raise failure(errno.EADDRNOTAVAIL)
+            raise os_error(errno.EADDRNOTAVAIL)
         host, port = self.host(sock.host), address[1]
         while not port:
             port = host.next_port
-            host.next_port = EPHEMERAL + (host.next_port + 1 - EPHEMERAL) % (65_536 - EPHEMERAL)
+            host.next_port = FIRST_EPHEMERAL_PORT + (host.next_port + 1 - FIRST_EPHEMERAL_PORT) % (
+                65_536 - FIRST_EPHEMERAL_PORT
+            )
             if (sock.kind, port) in host.bound:
                 port = 0
         if (sock.kind, port) in host.bound:
-            raise failure(errno.EADDRINUSE)
+            raise os_error(errno.EADDRINUSE)
         host.bound[sock.kind, port] = sock
         sock.local = (sock.host, port)
 
@@ -583,10 +605,12 @@
         if sock.closed or sock.state != "dialing":
             return
         link = self.link(sock.host, sock.remote[0])
-        if self.reaches(sock.host, sock.remote[0]) and not (
+        if self.is_reachable(sock.host, sock.remote[0]) and not (
             link.loss and self.rng.random() < link.loss
         ):
-            self.loop.after_us(self.flight(link, 40) - self.loop.now_us, self._syn_arrives, sock)
+            self.loop.after_us(
+                self.arrival_us(link, 40) - self.loop.now_us, self._syn_arrives, sock
+            )
         self.loop.after_us(repeat_us, self.send_syn, sock, 2 * repeat_us)
 
     def _syn_arrives(self, sock: VirtualSocket) -> None:
@@ -594,14 +618,14 @@
             sock.closed
             or sock.state != "dialing"
             or sock.peer is not None
-            or not self.reaches(sock.host, sock.remote[0])
+            or not self.is_reachable(sock.host, sock.remote[0])
         ):
             return
         listener = self.host(sock.remote[0]).bound.get(("stream", sock.remote[1]))
         if listener is None or listener.state != "listening":
             self.loop.after_us(self.delay(sock.remote[0], sock.host), self._refused, sock)
             return
-        if len(listener.waiting) > listener.backlog:
+        if len(listener.accept_queue) > listener.backlog:
             return  # dropped; the SYN comes again
         other = VirtualSocket(self, None, listener.host, "stream")
         other.state, other.local, other.remote, other.peer = (
@@ -612,24 +636,24 @@
         )
         other.receive_buffer, other.send_buffer = listener.receive_buffer, listener.send_buffer
         sock.peer = other
-        listener.waiting.append(other)
-        self.loop.poke(listener)
-        self._answer_syn(sock, RTO_US)
+        listener.accept_queue.append(other)
+        self.loop.mark_ready(listener)
+        self._answer_syn(sock, INITIAL_RTO_US)
 
     def _answer_syn(self, sock: VirtualSocket, repeat_us: int) -> None:
         if sock.state != "dialing" or sock.peer is None:
             return
-        if self.reaches(sock.remote[0], sock.host):
+        if self.is_reachable(sock.remote[0], sock.host):
             self.loop.after_us(self.delay(sock.remote[0], sock.host), self._connected, sock)
         else:
             self.loop.after_us(repeat_us, self._answer_syn, sock, 2 * repeat_us)
 
     def _refused(self, sock: VirtualSocket) -> None:
-        if sock.state != "dialing" or not self.reaches(sock.remote[0], sock.host):
+        if sock.state != "dialing" or not self.is_reachable(sock.remote[0], sock.host):
             return
         sock.state = "new"
-        if sock.connected is not None and not sock.connected.done():
-            sock.connected.set_exception(failure(errno.ECONNREFUSED))
+        if sock.connect_future is not None and not sock.connect_future.done():
+            sock.connect_future.set_exception(os_error(errno.ECONNREFUSED))
 
     def _connected(self, sock: VirtualSocket) -> None:
         if sock.state != "dialing" or sock.peer is None:
@@ -640,21 +664,21 @@
             return
         if sock.peer.closed or sock.peer.reset:  # reset before it was up
             sock.state = "new"
-            if sock.connected is not None and not sock.connected.done():
-                sock.connected.set_exception(failure(errno.ECONNRESET))
+            if sock.connect_future is not None and not sock.connect_future.done():
+                sock.connect_future.set_exception(os_error(errno.ECONNRESET))
             return
-        self._arm(sock)
-        self._arm(sock.peer)
-        self.note("open", sock)
-        if sock.connected is not None and not sock.connected.done():
-            sock.connected.set_result(None)
-        self.loop.poke(sock)
-
-    def _arm(self, sock: VirtualSocket) -> None:
-        for trip in self.trips:
+        self._attach_trigger(sock)
+        self._attach_trigger(sock.peer)
+        self.notify_observers("open", sock)
+        if sock.connect_future is not None and not sock.connect_future.done():
+            sock.connect_future.set_result(None)
+        self.loop.mark_ready(sock)
+
+    def _attach_trigger(self, sock: VirtualSocket) -> None:
+        for trip in self.triggers:
             if trip.connections > 0 and (trip.source, trip.target) == (sock.host, sock.remote[0]):
                 trip.connections -= 1
-                sock.trip = trip
+                sock.trigger = trip
                 return
 
     # -- datagrams -----------------------------------------------------------------------
@@ -664,25 +688,29 @@
         link, rng = self.link(sock.host, address[0]), self.rng
         copies = 1 + (link.double > 0.0 and rng.random() < link.double)
         for _ in range(copies):
-            due = link.datagram_us = max(self.flight(link, len(data)), link.datagram_us + 1)
+            due = link.last_datagram_us = max(
+                self.arrival_us(link, len(data)), link.last_datagram_us + 1
+            )
             if link.loss and rng.random() < link.loss:
                 continue
             if link.late and rng.random() < link.late:
                 due += rng.randrange(link.late_us + 1)
-            self.loop.after_us(due - self.loop.now_us, self._datagram, data, sock.local, address)
+            self.loop.after_us(
+                due - self.loop.now_us, self._deliver_datagram, data, sock.local, address
+            )
 
-    def throw(self, sender: Address, address: Address, data: bytes) -> None:
+    def inject_datagram(self, sender: Address, address: Address, data: bytes) -> None:
         """A datagram of whoever forges its sender arrives now."""
-        self._datagram(data, sender, address)
+        self._deliver_datagram(data, sender, address)
 
-    def _datagram(self, data: bytes, sender: Address, address: Address) -> None:
+    def _deliver_datagram(self, data: bytes, sender: Address, address: Address) -> None:
         target = self.host(address[0]).bound.get(("datagram", address[1]))
         if (
             target is None
-            or not self.reaches(sender[0], address[0])
-            or target.datagram_size + len(data) > DATAGRAMS
+            or not self.is_reachable(sender[0], address[0])
+            or target.queued_datagram_bytes + len(data) > UDP_BUFFER_BYTES
         ):
             return
         target.datagrams.append((data, sender))
-        target.datagram_size += len(data)
-        self.loop.poke(target)
+        target.queued_datagram_bytes += len(data)
+        self.loop.mark_ready(target)
--- a/testbed/machine/parts.py
+++ b/testbed/machine/protocols.py
@@ -12,14 +12,14 @@
 from testbed.machine.faults import Call
 
 
-class Owner(Protocol):
+class ProcessProtocol(Protocol):
     """A process, as the loop that runs its code and the network that carries its bytes know it."""
 
     name: str
     host: str
-    wall_offset_ms: float
+    wall_clock_offset_ms: float
     state: str
-    handlers: dict[int, asyncio.Handle]
+    signal_handlers: dict[int, asyncio.Handle]
 
     @property
     def running(self) -> bool:
@@ -35,15 +35,15 @@
         """Its own clock."""
         ...
 
-    def hold(self, handle: asyncio.Handle) -> None:
+    def defer(self, handle: asyncio.Handle) -> None:
         """What would have run while it stands still waits."""
         ...
 
-    def keep(self, task: asyncio.Task[Any]) -> None:
+    def register_task(self, task: asyncio.Task[Any]) -> None:
         """A task of this process was made."""
         ...
 
-    def pending(self) -> list[asyncio.Task[Any]]:
+    def pending_tasks(self) -> list[asyncio.Task[Any]]:
         """The tasks that have not ended, oldest first."""
         ...
 
@@ -55,28 +55,28 @@
         """OSError (EMFILE) where it can open no other."""
         ...
 
-    def adopt(self, sock: Any) -> None:
+    def add_socket(self, sock: Any) -> None:
         """An accepted connection is this process's now."""
         ...
 
-    def release(self, sock: Any) -> None:
+    def remove_socket(self, sock: Any) -> None:
         """A socket was closed."""
         ...
 
-    def stood_still(self, since_us: int, until_us: int, longer_us: int = -1) -> bool:
+    def was_paused(self, since_us: int, until_us: int, longer_than_us: int = -1) -> bool:
         """Whether it was paused at any time in a span."""
         ...
 
-    def hindered(self, since_us: int, until_us: int) -> bool:
+    def was_paused_or_starved(self, since_us: int, until_us: int) -> bool:
         """Whether it was paused, or could accept nothing for want of descriptors, at any time in a span."""
         ...
 
 
-class Endpoint(Protocol):
+class SocketProtocol(Protocol):
     """A socket, as the loop that watches it knows it."""
 
     closed: bool
-    process: Optional[Owner]
+    process: Optional[ProcessProtocol]
 
     @property
     def readable(self) -> bool:
--- a/testbed/nights/rules.py
+++ b/testbed/nights/rules.py
@@ -35,7 +35,7 @@
 from corkshift.tier.carrier import Carrier
 from forkweir.tier.lending import WHOLE, Lease
 from testbed.machine.net import VirtualSocket
-from testbed.machine.parts import Owner
+from testbed.machine.protocols import ProcessProtocol
 from testbed.systems.clients import Ask, Observer
 from testbed.systems.serving import Message
 from testbed.systems.standins import CacheBox, Witness, usual_part
@@ -93,7 +93,7 @@
     left_us: int = -1
     sends: list[Sent] = field(default_factory=list)  # first byte left a node
     begun: list[Sent] = field(default_factory=list)  # last byte reached a box
-    sender: Optional[Owner] = None  # of the latest of sends
+    sender: Optional[ProcessProtocol] = None  # of the latest of sends
     bodies: list[bytes] = field(default_factory=list)
 
 
@@ -105,8 +105,8 @@
     ) -> None:
         self.failures: list[Failure] = []
         self.lives: dict[str, Life] = {}
-        self.nodes: dict[str, Owner] = {}  # by host: the process that runs there now
-        self.services: dict[Owner, Service] = {}
+        self.nodes: dict[str, ProcessProtocol] = {}  # by host: the process that runs there now
+        self.services: dict[ProcessProtocol, Service] = {}
         self.boxes: dict[str, str] = {}  # host of a box to its name, for the trace
         self.excused: Callable[[Ask], bool] = lambda ask: False  # the network or a kill is to blame
         self.steps: Callable[[], int] = lambda: 0
@@ -114,28 +114,28 @@
         self._note = note
         self._later = later  # calls back after so many us
         self._left_out: dict[
-            tuple[Owner, str], int
+            tuple[ProcessProtocol, str], int
         ] = {}  # (node, address): since when it may get nothing new
         self._listed: dict[
-            Owner, set[str]
+            ProcessProtocol, set[str]
         ] = {}  # of a node: the addresses that it was told are in service
-        self._started: set[tuple[Owner, str]] = (
+        self._started: set[tuple[ProcessProtocol, str]] = (
             set()
         )  # (node, host of a server): the node was told that it started lately
         self._ever: dict[
-            Owner, set[str]
+            ProcessProtocol, set[str]
         ] = {}  # of a node: the addresses that its list ever named in service
         self._named: set[str] = set()  # and those that DNS did,
         self._heard: dict[
-            Owner, dict[str, int]
+            ProcessProtocol, dict[str, int]
         ] = {}  # and those that it gave to a node, first when
         self._empty: dict[
-            Owner, int
+            ProcessProtocol, int
         ] = {}  # nodes with no server in service, since when one could be (a line may be on its way)
         self._heads: dict[VirtualSocket, bytearray] = {}
         self._work: dict[str, deque[tuple[int, float, bool]]] = {}
-        self._dialed: dict[Owner, int] = {}
-        self._accepted: dict[Owner, int] = {}
+        self._dialed: dict[ProcessProtocol, int] = {}
+        self._accepted: dict[ProcessProtocol, int] = {}
         self._seen: set[tuple[str, str]] = set()
         self.reads: dict[str, Counter[str]] = defaultdict(Counter)  # by key and box
         self.leases = 0  # that were taken,
@@ -194,7 +194,7 @@
             if (
                 process.name != ask.node
                 or not process.running
-                or process.hindered(ended_us, self._now())
+                or process.was_paused_or_starved(ended_us, self._now())
             ):
                 continue
             txn = ask.txn.encode()
@@ -230,7 +230,10 @@
         self._note(f"rude client {name} {status} of {node}")
         since = self._now() - int(waited_ms * 1000)
         here = [process for process in self.services if process.name == node]
-        if any(process.hindered(since, self._now()) or not process.alive for process in here):
+        if any(
+            process.was_paused_or_starved(since, self._now()) or not process.alive
+            for process in here
+        ):
             return
         if status == -1:
             self.broken(
@@ -276,7 +279,9 @@
     def fetched(self, box: str, key: str) -> None:
         self._note(f"{box} fetches {key}")
 
-    def _cold(self, box: CacheBox, work_ms: float, now: int, sender: Optional[Owner]) -> None:
+    def _cold(
+        self, box: CacheBox, work_ms: float, now: int, sender: Optional[ProcessProtocol]
+    ) -> None:
         """Hold what a cold box gets against its budget, where those that knew of its start sent the most of it.
 
         A node that was not told (discovery was silent, or lies) can't know, nor can one whose wall clock is further ahead than a
@@ -286,7 +291,7 @@
         if capacity >= 1.0:
             return
         sent = self._work.setdefault(box.name, deque())
-        ahead = sender is not None and sender.wall_offset_ms >= box.spec.cold_ms
+        ahead = sender is not None and sender.wall_clock_offset_ms >= box.spec.cold_ms
         told = sender is not None and (sender, box.address[0]) in self._started and not ahead
         sent.append((now, work_ms, told))
         while sent[0][0] < now - FALL_US:
@@ -299,7 +304,7 @@
 
     # -- discovery -----------------------------------------------------------------------
 
-    def starts(self, process: Owner, known: list[dict[str, object]]) -> None:
+    def starts(self, process: ProcessProtocol, known: list[dict[str, object]]) -> None:
         """A node starts with the list as it last was."""
         self.nodes[process.host] = process
         self._listed[process] = {
@@ -376,7 +381,7 @@
             since = self._empty.setdefault(process, self._now())
             if not left:
                 self._empty[process] = self._now()
-            elif self._now() - since > GRACE_US and not process.stood_still(since, self._now()):
+            elif self._now() - since > GRACE_US and not process.was_paused(since, self._now()):
                 self.broken(
                     "never empty",
                     f"{process.name} has no server in service though {min(left)} was never taken away",
@@ -384,7 +389,7 @@
 
     # -- the tier ------------------------------------------------------------------------
 
-    def joins(self, process: Owner, carrier: Carrier) -> None:
+    def joins(self, process: ProcessProtocol, carrier: Carrier) -> None:
         """A node takes part in the tier: rule 9 is looked at whenever it takes a lease, as a sum can rise at no other moment."""
         holdings, told = carrier.tier.dealer.holdings, carrier.tier.dealer.holdings.on_take
 
@@ -447,7 +452,9 @@
             (life.answered_us, "its final answer"),
             (life.left_us, "its client had left"),
         ):
-            if 0 <= ended_us < now - CROSSED_US and not process.hindered(ended_us, now):
+            if 0 <= ended_us < now - CROSSED_US and not process.was_paused_or_starved(
+                ended_us, now
+            ):
                 self.broken(
                     "nothing after the end", f"{process.name} sends {txn} to {box} after {what}"
                 )
@@ -459,7 +466,7 @@
             )
         if life.ask is not None and life.ask.budget_ms and life.asked_us >= 0:
             left_us = life.asked_us + int(1000 * life.ask.budget_ms) - now
-            if told_us > max(1_000, left_us) + TOLD_SLACK_US and not process.stood_still(
+            if told_us > max(1_000, left_us) + TOLD_SLACK_US and not process.was_paused(
                 life.asked_us, now
             ):
                 self.broken(
@@ -471,7 +478,7 @@
         if (
             since is not None
             and now - since > GRACE_US + MORE_US
-            and not process.stood_still(since, now, STALL_US)
+            and not process.was_paused(since, now, STALL_US)
         ):
             self.broken(
                 "drains kept",
@@ -491,14 +498,14 @@
                 self.broken("only who is named", f"{process.name} dials {address}")
         if what == "dial" and sock.remote[0] in self.boxes:
             self._dialed[process] = self._dialed.get(process, 0) + 1
-        elif what in ("close", "abort") and sock.dialed and sock.remote[0] in self.boxes:
+        elif what in ("close", "abort") and sock.is_initiator and sock.remote[0] in self.boxes:
             self._dialed[process] -= 1
         elif what == "accept":
             self._accepted[process] = self._accepted.get(process, 0) + 1
-        elif what in ("close", "abort") and not sock.dialed and sock.peer is not None:
+        elif what in ("close", "abort") and not sock.is_initiator and sock.peer is not None:
             self._accepted[process] -= 1
 
-    def after_step(self, process: Owner) -> None:
+    def after_step(self, process: ProcessProtocol) -> None:
         """Hold a node's books against its sockets."""
         service = self.services.get(process)
         if service is None or not process.alive:
@@ -514,7 +521,7 @@
                 "books", f"{process.name} has {accepted} client connections and counts fewer"
             )
 
-    def timers_at_rest(self, timers: dict[Owner, int]) -> None:
+    def timers_at_rest(self, timers: dict[ProcessProtocol, int]) -> None:
         """Shortly after the last answer no timer of a request is left. timers: how many each process has."""
         for process in self.services:
             discovery = self.services[process].discovery
@@ -527,7 +534,7 @@
             if process.state == "running" and timers.get(process, 0) > most:
                 self.broken("books", f"{process.name} at rest holds {timers[process]} timers")
 
-    def at_rest(self, timers: dict[Owner, int]) -> None:
+    def at_rest(self, timers: dict[ProcessProtocol, int]) -> None:
         """Nobody asks and nothing is owed: all books are empty."""
         self.timers_at_rest(timers)
         for process, service in self.services.items():
@@ -545,7 +552,7 @@
                 # A watch that lost something is read on until another has told a line: its next call may be due after the end (10101004).
                 "tasks over the usual": max(
                     0,
-                    len(process.pending())
+                    len(process.pending_tasks())
                     - 2
                     - min(FADING_MOST, len(service.discovery._fading))
                     - more,
--- a/testbed/nights/script.py
+++ b/testbed/nights/script.py
@@ -11,7 +11,7 @@
 
 from corkshift.cli.schema import Fault as Wrong
 from corkshift.cli.schema import Table, validate
-from testbed.machine.faults import TABLE as CALL_TABLE
+from testbed.machine.faults import CALL_ERRORS as CALL_TABLE
 from testbed.machine.faults import Call
 
 Few = Annotated[int, msgspec.Meta(ge=1, le=64)]
--- a/testbed/nights/simulation.py
+++ b/testbed/nights/simulation.py
@@ -18,12 +18,12 @@
 from corkshift.service import Service
 from corkshift.sources.options import DnsTable, SourcesTable
 from corkshift.tier.options import TierTable
-from testbed.machine.faults import TABLE as CALL_TABLE
+from testbed.machine.faults import CALL_ERRORS as CALL_TABLE
 from testbed.machine.faults import Call
-from testbed.machine.loop import Deadlock, Livelock, VirtualLoop, owner_of
-from testbed.machine.net import Link, Network, Trip, VirtualSocket
-from testbed.machine.parts import Owner
+from testbed.machine.loop import Deadlock, Livelock, VirtualLoop, process_of
+from testbed.machine.net import ByteTrigger, Link, Network, VirtualSocket
 from testbed.machine.process import EPOCH_MS, Process
+from testbed.machine.protocols import ProcessProtocol
 from testbed.nights.oracle import Demand, Supply
 from testbed.nights.rules import Failure, Rules
 from testbed.nights.script import Fault, Script, draw, each
@@ -166,15 +166,18 @@
         self.loop = loop
         self.rng = random.Random(f"world/{seed}")
         self.net = Network(loop, seed)
-        self.net.default.latency_us, self.net.default.jitter_us = w.latency_us, w.jitter_us
-        self.net.default.bandwidth = w.bandwidth
+        self.net.default_link.latency_us, self.net.default_link.jitter_us = (
+            w.latency_us,
+            w.jitter_us,
+        )
+        self.net.default_link.bandwidth = w.bandwidth
         self.trace = Trace(loop, keep)
         self.rules = Rules(lambda: loop.now_us, self.trace.note, loop.after_us)
         self.rules.excused = self._excused
-        self.rules.steps = lambda: loop.steps
+        self.rules.steps = lambda: loop.callbacks_run
         self.net.on_send = self.rules.wire
         self.net.observers += [self.rules.socket, self._trace_socket]
-        loop.after_step = self._after_step
+        loop.after_callback = self._after_step
         self.processes: list[Process] = []
         self.nodes: dict[str, Process] = {}
         self.boxes: dict[int, CacheBox] = {}
@@ -228,7 +231,7 @@
         )
         return len(self.demands) - 1
 
-    def _after_step(self, process: Owner) -> None:
+    def _after_step(self, process: ProcessProtocol) -> None:
         self.rules.after_step(process)
         if self.loop.now_us >= self._sample_us:
             self._sample_us = self.loop.now_us + SAMPLE_US
@@ -266,7 +269,7 @@
         w, name = self.script.world, f"n{n}"
         process = self._process(name, self._node_host(n))
         process.descriptors = w.descriptors
-        process.wall_offset_ms = wall_offset_ms
+        process.wall_clock_offset_ms = wall_offset_ms
         entries = [] if blank else list(self.entries.values())
         known = {"generation": 1, "reset": True, "instances": entries}
         config: dict[str, Any] = {
@@ -285,7 +288,7 @@
                 [f"{self._node_host(m)}:{PEER_PORT}" for m in range(w.nodes + others)],
             )
         process.files["config.json"] = json.dumps(config).encode()
-        process.variables["PROXY_CONFIG"] = "config.json"
+        process.environment["PROXY_CONFIG"] = "config.json"
 
         sources: Optional[SourcesTable] = None
         if w.sources == "dns":
@@ -308,10 +311,10 @@
         self.trace.note(f"{name} starts")
 
     def _node_ended(self, process: Process) -> None:
-        self.trace.note(f"{process.name} ends {type(process.exit).__name__}")
+        self.trace.note(f"{process.name} ends {type(process.exit_error).__name__}")
         self._gone_us[process.name] = self.loop.now_us
-        if process.exit is not None:
-            self.rules.exceptional(process.name, f"the process ended: {process.exit!r}")
+        if process.exit_error is not None:
+            self.rules.exceptional(process.name, f"the process ended: {process.exit_error!r}")
 
     def start_box(self, n: int, name: str, cold: bool) -> None:
         """Start a cache box at its place."""
@@ -349,9 +352,9 @@
         if died >= since:
             return True
         process = self.nodes.get(ask.node)
-        if process is None or process.stood_still(since, now):
+        if process is None or process.was_paused(since, now):
             return True
-        if process.hindered(since, life.sends[0].at_us if life.sends else now):
+        if process.was_paused_or_starved(since, life.sends[0].at_us if life.sends else now):
             return True  # it stood in the backlog, where its time ran and nobody could know
         return any(at >= since for at in self._hurt_us.get(ask.node, ()))
 
@@ -428,10 +431,10 @@
         await asyncio.sleep(0.5)
         self._read_books(self.rules.at_rest)
 
-    def _read_books(self, read: Callable[[dict[Owner, int]], None]) -> None:
-        timers: dict[Owner, int] = {}
-        for handle in self.loop.timers():
-            owner = owner_of(handle._context)  # type: ignore[attr-defined]
+    def _read_books(self, read: Callable[[dict[ProcessProtocol, int]], None]) -> None:
+        timers: dict[ProcessProtocol, int] = {}
+        for handle in self.loop.pending_timers():
+            owner = process_of(handle._context)  # type: ignore[attr-defined]
             if owner is not None:
                 timers[owner] = timers.get(owner, 0) + 1
         read(timers)
@@ -668,7 +671,7 @@
         process.descriptors = len(process.sockets)
         for_ms = fault.for_ms or 1_000.0
         # What waits in the backlog is taken a moment later.
-        process.starved_us.append(
+        process.starved_spans_us.append(
             (self.loop.now_us, self.loop.now_us + int(for_ms * 1000) + 200_000)
         )
         self.loop.after_us(
@@ -680,11 +683,11 @@
         process = self.nodes[f"n{fault.target}"]
         call, error = CALL_TABLE[int(fault.value) % len(CALL_TABLE)]
         for_us = int(fault.for_ms * 1000)
-        process.calls.fail(
+        process.call_faults.fail(
             call, error, self.loop.now_us + (for_us or 1_000_000), -1 if for_us else 1
         )
         if call is Call.ACCEPT:
-            process.starved_us.append((self.loop.now_us, self.loop.now_us + for_us + 200_000))
+            process.starved_spans_us.append((self.loop.now_us, self.loop.now_us + for_us + 200_000))
 
     def _links(self, target: int) -> list[tuple[str, str]]:
         """Between all nodes and one box; with target 1 the other way too."""
@@ -724,20 +727,22 @@
         for sock in self.rng.sample(chosen, min(len(chosen), int(fault.value) or 1)):
             if sock.remote[0] == "127.5.0.1" and sock.process is not None:
                 self._hurt_us.setdefault(sock.process.name, []).append(self.loop.now_us)
-            sock.hurt()
+            sock.reset_both_ends()
 
     def _trip(
         self, source: str, target: str, fault: Fault, action: Callable[[VirtualSocket], None]
     ) -> None:
         """Arm a fault for the next new connection and for one that is open."""
-        trip = Trip(source, target, max(1, int(fault.value)), action)
-        self.net.trips.append(trip)
+        trip = ByteTrigger(source, target, max(1, int(fault.value)), action)
+        self.net.triggers.append(trip)
         for process in self.processes:
             if process.host == source and process.alive:
                 for sock in process.sockets:
-                    if sock.state == "open" and sock.remote[0] == target and sock.trip is None:
+                    if sock.state == "open" and sock.remote[0] == target and sock.trigger is None:
                         trip.connections = 0
-                        sock.trip = Trip(source, target, sock.sent + trip.after, action, 0)
+                        sock.trigger = ByteTrigger(
+                            source, target, sock.sent_bytes + trip.after_bytes, action, 0
+                        )
                         return
 
     def _breaking(self, fault: Fault) -> Callable[[VirtualSocket], None]:
@@ -747,7 +752,7 @@
             if int(fault.for_ms) % 2:
                 self._kill_box(fault.target)
             else:
-                sock.hurt()
+                sock.reset_both_ends()
 
         return act
 
@@ -764,7 +769,7 @@
 
         def act(sock: VirtualSocket) -> None:
             self._hurt_us.setdefault(f"n{fault.target}", []).append(self.loop.now_us)
-            sock.hurt()
+            sock.reset_both_ends()
 
         self._trip(self._node_host(fault.target), "127.5.0.1", fault, act)
 
@@ -897,7 +902,7 @@
                 self._node_host((fault.target + 1) % self.script.world.nodes),
                 "127.9.9.9",
             ):
-                self.net.throw((host, PEER_PORT), to, data)
+                self.net.inject_datagram((host, PEER_PORT), to, data)
 
     def _do_clock_jump(self, fault: Fault) -> None:
         """The wall clock of a node's machine is wrong from its next start on."""
@@ -949,11 +954,11 @@
         root.setLevel(level)
         root.propagate = True
         digest, events = world.trace.digest, world.trace.events
-        loop.after_step = None
+        loop.after_callback = None
         world.net.observers.clear()
         loop.set_exception_handler(lambda loop, context: None)
         for process in world.processes:
-            process.bury()
+            process.discard_tasks()
         main._log_destroy_pending = False  # type: ignore[attr-defined]
         loop.close()
         asyncio.set_event_loop(None)
@@ -966,7 +971,7 @@
         loop.now_us / 1e6,
         time.perf_counter() - began,
         world.clients.figures,
-        loop.steps,
+        loop.callbacks_run,
         world.demands,
         world.supply,
         world.good,
--- a/tests/sources/virtual.py
+++ b/tests/sources/virtual.py
@@ -69,7 +69,7 @@
         for process, server in zip(fixture.server_processes, fixture.servers, strict=True):
             process.context.run(server.close)
             process.kill()
-            for task in process.pending():
+            for task in process.pending_tasks():
                 task.cancel()
         await asyncio.sleep(0.01)
 
--- a/tests/testbed/test_call_faults.py
+++ b/tests/testbed/test_call_faults.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from testbed.machine.faults import TABLE, Call, CallFaults
+from testbed.machine.faults import CALL_ERRORS, Call, CallFaults
 from testbed.nights import simulation
 from testbed.nights.script import CALLS_FROM, draw
 
@@ -27,7 +27,7 @@
     faults.check(Call.ACCEPT, 1)
     faults.check(Call.SEND, 1_000)
     faults.check(Call.RECV, 0)
-    assert faults.hits == 3
+    assert faults.injected == 3
 
 
 def test_nights_reach_every_call_and_error() -> None:
@@ -37,7 +37,7 @@
         for fault in draw(CALLS_FROM + n).fault
         if fault.kind == "node_calls"
     }
-    assert drawn == set(range(len(TABLE)))
+    assert drawn == set(range(len(CALL_ERRORS)))
 
 
 @pytest.mark.parametrize("n", ONCE_FAILED)
--- a/tests/testbed/test_hard_cases.py
+++ b/tests/testbed/test_hard_cases.py
@@ -152,7 +152,7 @@
     try:
         on(loop, main)
     finally:
-        box.bury()
+        box.discard_tasks()
 
 
 def exchange(seed: int, within_ms: float, after_us: int) -> tuple[Outcome, int, int]:
--- a/tests/testbed/test_net.py
+++ b/tests/testbed/test_net.py
@@ -173,9 +173,9 @@
     loop = VirtualLoop(1)
     net = Network(loop, 1)
     process = Process("p", net, A, descriptors=1)
-    process.wall_offset_ms = 5_000.0
+    process.wall_clock_offset_ms = 5_000.0
     process.files["f"] = b"text"
-    process.variables["V"] = "1"
+    process.environment["V"] = "1"
     seen: list[object] = []
 
     async def program() -> None:
