--- a/benchmarks/growth.py
+++ b/benchmarks/growth.py
@@ -22,9 +22,9 @@
 from benchmarks.list_freshness import Nobody
 from corkshift.seam import now_ms
 from testbed.soak.discovery import ListOfServers, Place, started_entry
-from testbed.systems.clients import CLASSES, Clients, Observer, settings
+from testbed.systems.clients import CLASSES, ClientObserver, Clients, settings
+from testbed.systems.http import Connection
 from testbed.systems.scripted import ScriptedBox
-from testbed.systems.serving import Connection
 from testbed.tier.processes import HOST, Ports, die_with_parent
 
 ROOT = Path(__file__).parents[1]
@@ -104,13 +104,13 @@
         stdin=asyncio.subprocess.DEVNULL, stderr=asyncio.subprocess.DEVNULL, preexec_fn=die_with_parent,
     )  # fmt: skip
     changing = asyncio.create_task(_change(servers))
-    clients = Clients({"n0": (HOST, listen)}, Observer(), 1, KEYS, RATE)
+    clients = Clients({"n0": (HOST, listen)}, ClientObserver(), 1, KEYS, RATE)
     try:
         while not place.written:
             await asyncio.sleep(0.05)
         await clients.run(WARM_S)
         cpu, made = _cpu_s(process.pid), sum(box.accepted for box in boxes)
-        asked, served = clients.figures.asked, clients.figures.served
+        asked, served = clients.counts.asked, clients.counts.served
         await clients.run(seconds)
         return Needs(
             servers=count,
@@ -120,7 +120,7 @@
             connections=sum(box.accepted for box in boxes) - made,
             list_kb=round(place.written / 1024.0, 1),
             served=round(
-                (clients.figures.served - served) / max(1, clients.figures.asked - asked), 4
+                (clients.counts.served - served) / max(1, clients.counts.asked - asked), 4
             ),
         )
     finally:
--- a/benchmarks/list_events.py
+++ b/benchmarks/list_events.py
@@ -26,7 +26,7 @@
 from corkshift.seam import now_ms
 from testbed.soak.discovery import Entry, ListOfServers, Place, started_entry
 from testbed.systems.clients import CLASSES, settings
-from testbed.systems.serving import dial, fetch
+from testbed.systems.http import fetch_body, open_connection
 from testbed.tier.processes import HOST, Ports, die_with_parent
 
 PROBE_S = 0.04
@@ -64,15 +64,15 @@
             self._number += 1
             began = now_ms()
             with suppress(OSError):
-                connection = await dial((HOST, self._port), 5.0)
+                connection = await open_connection((HOST, self._port), 5.0)
                 with suppress(Exception):
                     headers = {
                         "X-Txn": f"p{self._number}",
                         "X-Lane": "menu-read",
                         "X-Remaining-Ms": "2000",
                     }
-                    await connection.ask("GET", f"/api/k{self._number}", headers)
-                    await connection.read()
+                    await connection.send_request("GET", f"/api/k{self._number}", headers)
+                    await connection.read_message()
                 connection.stream.abort()
             self.longest_ms = max(self.longest_ms, now_ms() - began)
 
@@ -126,7 +126,7 @@
     probing: Optional[asyncio.Task[None]] = None
     found: Found = {}
     try:
-        while await fetch((HOST, listen), "/up") is None:
+        while await fetch_body((HOST, listen), "/up") is None:
             await asyncio.sleep(0.05)
         probing = asyncio.create_task(probe.run())
         await asyncio.sleep(1.0)
--- a/benchmarks/list_freshness.py
+++ b/benchmarks/list_freshness.py
@@ -24,8 +24,8 @@
 from corkshift.seam import now_ms
 from testbed.soak.discovery import Entry, ListOfServers, Place, started_entry
 from testbed.systems.clients import CLASSES, settings
+from testbed.systems.http import Ended, open_connection
 from testbed.systems.scripted import ScriptedBox
-from testbed.systems.serving import Ended, dial
 from testbed.tier.processes import HOST, Ports, die_with_parent
 
 ROOT = Path(__file__).parents[1]
@@ -143,14 +143,14 @@
     _asked += 1
     await asyncio.sleep(0.02)
     try:
-        connection = await dial((HOST, port), 0.5)
+        connection = await open_connection((HOST, port), 0.5)
     except OSError:
         return
     try:
         async with asyncio.timeout(1.0):
             headers = {"X-Txn": f"x{_asked}", "X-Lane": "menu-read", "X-Remaining-Ms": "1000"}
-            await connection.ask("GET", f"/api/k{_asked}", headers)
-            await connection.read()
+            await connection.send_request("GET", f"/api/k{_asked}", headers)
+            await connection.read_message()
     except (OSError, Ended):
         pass
     finally:
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -47,7 +47,7 @@
 from testbed.machine.net import Network
 from testbed.machine.process import Process
 from testbed.systems.dns import SERVICE, ZONE, NameServer, Zone
-from testbed.systems.standins import Registry, Witness
+from testbed.systems.emulators import DiscoveryServer, ServerObserver
 
 DEATH_S, START_S, DNS_S = 0.9, 0.5, 1.2  # until the box list, and DNS, have heard
 TRIALS = 200
@@ -106,11 +106,11 @@
         self.ttl, self.with_list, self.with_dns, self.floor_s = ttl, with_list, with_dns, floor_s
         self.boxes = {f"s{n}": (f"127.2.{n >> 8}.{n & 255}", 8001) for n in range(1, boxes + 1)}
         self.zone = Zone()
-        self.zone.serve(self.boxes, ttl)
+        self.zone.set_boxes(self.boxes, ttl)
         self.servers = [NameServer((f"127.6.0.{n}", 53), self.zone) for n in (1, 2)]
-        self.registry = Registry(("127.4.0.1", 8500), Witness())
+        self.registry = DiscoveryServer(("127.4.0.1", 8500), ServerObserver())
         self.registry.entries = {
-            name: Registry.entry(name, address) for name, address in self.boxes.items()
+            name: DiscoveryServer.entry(name, address) for name, address in self.boxes.items()
         }
         self.nodes = [_Node(self.loop) for _ in range(nodes)]
         self.sources: list[Sources] = []
@@ -169,10 +169,10 @@
         dead = world.boxes.pop("s1")
         world.boxes["s99"] = born
         at = world.loop.now_us / 1e6
-        world.loop.call_later(DNS_S, world.zone.serve, world.boxes, ttl)
-        world.loop.call_later(START_S, world.registry.change, Registry.entry("s99", born))
+        world.loop.call_later(DNS_S, world.zone.set_boxes, world.boxes, ttl)
+        world.loop.call_later(START_S, world.registry.update, DiscoveryServer.entry("s99", born))
         world.loop.call_later(
-            DEATH_S, world.registry.change, world.registry.entries["s1"], "terminated"
+            DEATH_S, world.registry.update, world.registry.entries["s1"], "terminated"
         )
         for _ in range(2_000):
             if dead in node.left and born in node.serving:
@@ -215,7 +215,7 @@
     """CPU of one round of a node in ms: the query, reading its answer, the claims and the merge with the box list."""
     boxes = {f"s{n}": (f"127.2.{n >> 8}.{n & 255}", 8001) for n in range(1, BOXES + 1)}
     zone = Zone()
-    zone.serve(boxes, 5)
+    zone.set_boxes(boxes, 5)
     wire = NameServer(("127.0.0.1", 53), zone).answers(make_query(SERVICE, "SRV", 1, 0).wire, True)[
         0
     ]
@@ -243,7 +243,7 @@
 def mutations(count: int, seed: int) -> int:
     """Mutated messages: the named errors alone, and memory that stays. The exit code."""
     rng, zone = random.Random(seed), Zone()
-    zone.serve({f"s{n}": (f"10.0.0.{n}", 8001) for n in range(3)}, 30)
+    zone.set_boxes({f"s{n}": (f"10.0.0.{n}", 8001) for n in range(3)}, 30)
     cases = []
     for how, name, kind in (
         ("good", SERVICE, "SRV"),
--- a/benchmarks/ordinary_path.py
+++ b/benchmarks/ordinary_path.py
@@ -19,8 +19,8 @@
 from typing import Any
 
 from benchmarks.revision import ROOT, packages_of
-from testbed.systems.scripted import ScriptedBox, whole
-from testbed.systems.standins import Registry, Witness
+from testbed.systems.emulators import DiscoveryServer, ServerObserver
+from testbed.systems.scripted import ScriptedBox, ok_response
 
 HOST = "127.0.0.1"
 BOXES = 12
@@ -29,7 +29,7 @@
 WARM_S, TIMED_S = 1.5, 6.0
 READY_S = 20.0
 PUT_EVERY = 12
-ANSWER = whole(bytes(600), b"Content-Type: application/json\r\n")
+ANSWER = ok_response(bytes(600), b"Content-Type: application/json\r\n")
 SETTINGS: dict[str, Any] = {
     "services": [
         {
@@ -59,7 +59,7 @@
 class Node:
     """One node's process."""
 
-    def __init__(self, tree: Path, folder: Path, registry: Registry) -> None:
+    def __init__(self, tree: Path, folder: Path, registry: DiscoveryServer) -> None:
         self.tree = tree
         self.path = folder / "config.json"
         self.registry = registry
@@ -193,10 +193,10 @@
 async def measure(tree: Path, fresh: bool) -> float:
     """Microseconds of CPU a request of the node in a tree. Failed where a request failed or it does not come up."""
     boxes = {f"s{n}": ScriptedBox(lambda head: ANSWER) for n in range(BOXES)}
-    registry = Registry((HOST, 0), Witness())
+    registry = DiscoveryServer((HOST, 0), ServerObserver())
     for name, box in boxes.items():
         box.listen()
-        registry.entries[name] = Registry.entry(name, box.address)
+        registry.entries[name] = DiscoveryServer.entry(name, box.address)
     registry.listen()
     with tempfile.TemporaryDirectory() as folder:
         node = Node(tree, Path(folder), registry)
--- a/benchmarks/path_counts.py
+++ b/benchmarks/path_counts.py
@@ -28,8 +28,8 @@
 from testbed.machine.loop import VirtualLoop
 from testbed.machine.net import Network, VirtualSocket
 from testbed.machine.process import Process
-from testbed.systems.scripted import ScriptedBox, whole
-from testbed.systems.standins import Registry, Witness
+from testbed.systems.emulators import DiscoveryServer, ServerObserver
+from testbed.systems.scripted import ScriptedBox, ok_response
 
 FILE = Path(__file__).parent / "path_counts.json"
 BATCH = 100
@@ -72,7 +72,7 @@
         box: Optional[Script] = None,
     ) -> None:
         self.what, self.method, self.fresh, self.clients = what, method, fresh, clients
-        answer = whole(bytes(size), b"Content-Type: application/json\r\n")
+        answer = ok_response(bytes(size), b"Content-Type: application/json\r\n")
         self.box: Script = box or (lambda head: answer)
 
 
@@ -83,7 +83,7 @@
     def script(head: bytes) -> bytes:
         txn = head.partition(b"X-Txn: ")[2].partition(b"\r\n")[0]
         if txn in seen:
-            return whole(bytes(600))
+            return ok_response(bytes(600))
         seen.add(txn)
         return b"HTTP/1.1 503 -\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n"
 
@@ -198,10 +198,10 @@
 
 async def _play(case: Case, loop: CountingLoop, net: Network, node: Process) -> dict[str, float]:
     boxes = [ScriptedBox(case.box, (f"127.2.0.{n + 1}", 8001)) for n in range(4)]
-    registry = Registry(
+    registry = DiscoveryServer(
         REGISTRY,
-        Witness(),
-        {f"s{n}": Registry.entry(f"s{n}", box.address) for n, box in enumerate(boxes)},
+        ServerObserver(),
+        {f"s{n}": DiscoveryServer.entry(f"s{n}", box.address) for n, box in enumerate(boxes)},
     )
     for server in (*boxes, registry):
         Process(f"at {server.address[0]}", net, server.address[0]).start(server.run)
--- a/corkshift/cli/demo.py
+++ b/corkshift/cli/demo.py
@@ -14,8 +14,8 @@
 from corkshift.config import config_of
 from corkshift.seam import process
 from corkshift.service import Service
-from testbed.systems.clients import Clients, Observer, settings
-from testbed.systems.standins import BoxSpec, CacheBox, OrderBook, Registry, Witness
+from testbed.systems.clients import ClientObserver, Clients, settings
+from testbed.systems.emulators import BoxSpec, CacheBox, DiscoveryServer, OrderBook, ServerObserver
 
 HOST = "127.0.0.1"
 
@@ -25,9 +25,9 @@
 
     def __init__(self, size: DemoTable) -> None:
         self.size = size
-        witness = Witness()
+        witness = ServerObserver()
         self.book = OrderBook((HOST, 0), size.book_places, 15.0)
-        self.registry = Registry((HOST, 0), witness)
+        self.registry = DiscoveryServer((HOST, 0), witness)
         self.boxes: list[CacheBox] = []
         self.service: Optional[Service] = None
         self.clients: Optional[Clients] = None
@@ -42,9 +42,11 @@
             cold = n < size.cold_boxes
             box = CacheBox(f"box-{n}", (HOST, 0), self.book.address, BoxSpec(), self._witness, cold)
             box.listen()
-            self.book.voids.append(box.void)
+            self.book.invalidations.append(box.invalidate)
             self.boxes.append(box)
-            self.registry.entries[box.name] = Registry.entry(box.name, box.address, box.started_ms)
+            self.registry.entries[box.name] = DiscoveryServer.entry(
+                box.name, box.address, box.started_ms
+            )
         place = f"{HOST}:{self.registry.address[1]}"
         config = {
             "name": "demo",
@@ -57,9 +59,14 @@
         self.service = Service(replace(config_of(config, {}), listen=(HOST, 0)))
         rate, keys = size.requests_per_s, size.keys
         self.clients = Clients(
-            {"demo": self.service.frontend.address}, Observer(), 1, keys, rate, size.write_share
+            {"demo": self.service.frontend.address},
+            ClientObserver(),
+            1,
+            keys,
+            rate,
+            size.write_share,
         )
-        self.clients.most = size.clients
+        self.clients.max_active = size.clients
 
     def addresses(self) -> str:
         """The addresses of all parts, one per line."""
@@ -83,7 +90,7 @@
     def counts(self) -> dict[str, int]:
         """Totals since the start."""
         assert self.clients is not None
-        figures = self.clients.figures
+        figures = self.clients.counts
         return {
             "requests": figures.asked,
             "in time": figures.in_time,
--- a/testbed/nights/rules.py
+++ b/testbed/nights/rules.py
@@ -36,9 +36,9 @@
 from forkweir.tier.lending import WHOLE, Lease
 from testbed.machine.net import VirtualSocket
 from testbed.machine.protocols import ProcessProtocol
-from testbed.systems.clients import Ask, Observer
-from testbed.systems.serving import Message
-from testbed.systems.standins import CacheBox, Witness, usual_part
+from testbed.systems.clients import ClientObserver, ClientRequest
+from testbed.systems.emulators import CacheBox, ServerObserver, majority_box_share
+from testbed.systems.http import Message
 
 GRACE_US = 250_000
 HEARD_US = 1_500_000  # by then an answer of DNS was lost and asked for again
@@ -86,7 +86,7 @@
 class Life:
     """All that is known of one request."""
 
-    ask: Optional[Ask] = None
+    ask: Optional[ClientRequest] = None
     asked_us: int = -1
     answer: Optional[Message] = None
     answered_us: int = -1
@@ -97,7 +97,7 @@
     bodies: list[bytes] = field(default_factory=list)
 
 
-class Rules(Witness, Observer):
+class Rules(ServerObserver, ClientObserver):
     """Collects what happened, and what of it breaks a rule."""
 
     def __init__(
@@ -108,7 +108,9 @@
         self.nodes: dict[str, ProcessProtocol] = {}  # by host: the process that runs there now
         self.services: dict[ProcessProtocol, Service] = {}
         self.boxes: dict[str, str] = {}  # host of a box to its name, for the trace
-        self.excused: Callable[[Ask], bool] = lambda ask: False  # the network or a kill is to blame
+        self.excused: Callable[[ClientRequest], bool] = lambda ask: (
+            False
+        )  # the network or a kill is to blame
         self.steps: Callable[[], int] = lambda: 0
         self._now = now_us
         self._note = note
@@ -159,12 +161,12 @@
 
     # -- clients -------------------------------------------------------------------------
 
-    def asked(self, ask: Ask) -> None:
+    def request_sent(self, ask: ClientRequest) -> None:
         life = self.life(ask.txn)
         life.ask, life.asked_us = ask, self._now()
-        self._note(f"client asks {ask.txn} {ask.kind.name} {ask.key} of {ask.node}")
+        self._note(f"client asks {ask.txn} {ask.request_class.name} {ask.key} of {ask.node}")
 
-    def answered(self, ask: Ask, answer: Message) -> None:
+    def answer_received(self, ask: ClientRequest, answer: Message) -> None:
         life = self.life(ask.txn)
         self._note(f"client gets {ask.txn} {answer.status} {len(answer.body)}")
         if life.answer is not None:
@@ -177,18 +179,22 @@
                 f"{ask.txn} is served with what was not made for it: {answer.body[:40]!r}",
             )
         may_have_run = [begun for begun in life.begun if not begun.turned_away]
-        if answer.status in (429, 503) and ask.kind.repeat == "unsafe" and may_have_run:
+        if (
+            answer.status in (429, 503)
+            and ask.request_class.idempotency == "unsafe"
+            and may_have_run
+        ):
             self.broken(
                 "no effect twice",
                 f"{ask.txn} is refused though it may have run at {may_have_run[0].box}",
             )
 
-    def left(self, ask: Ask) -> None:
+    def client_left(self, ask: ClientRequest) -> None:
         self.life(ask.txn).left_us = self._now()
         self._later(STILL_US, self._no_work_left, ask, self._now())
         self._note(f"client leaves {ask.txn}")
 
-    def _no_work_left(self, ask: Ask, ended_us: int) -> None:
+    def _no_work_left(self, ask: ClientRequest, ended_us: int) -> None:
         """A while after a request's end nothing of it is left in its node."""
         for process, service in self.services.items():
             if (
@@ -206,7 +212,7 @@
                     f"an attempt of {process.name} for {ask.txn} is still out",
                 )
 
-    def ended(self, ask: Ask, how: str) -> bool:
+    def no_answer(self, ask: ClientRequest, how: str) -> bool:
         life = self.life(ask.txn)
         self._note(f"client has no answer {ask.txn} {how}")
         if self.excused(ask):
@@ -217,16 +223,16 @@
             self.broken(
                 "one final answer", f"{ask.txn} was sent on, and its connection ended: {how}"
             )
-        elif not ask.first:
+        elif not ask.first_on_connection:
             return (
                 True  # a close that crossed the request: it is sent once more on a new connection
             )
         return False
 
-    def unasked(self, node: str) -> None:
+    def unsolicited_input(self, node: str) -> None:
         self.broken("one final answer", f"{node} writes on a connection on which nothing is asked")
 
-    def rude(self, node: str, name: str, status: int, waited_ms: float) -> None:
+    def bad_client_result(self, node: str, name: str, status: int, waited_ms: float) -> None:
         self._note(f"rude client {name} {status} of {node}")
         since = self._now() - int(waited_ms * 1000)
         here = [process for process in self.services if process.name == node]
@@ -244,18 +250,18 @@
 
     # -- boxes ---------------------------------------------------------------------------
 
-    def received(self, box: CacheBox, txn: str, method: str, work_ms: float) -> None:
+    def request_received(self, box: CacheBox, txn: str, method: str, work_ms: float) -> None:
         life, now = self.life(txn), self._now()
         self._note(f"{box.name} receives {txn}")
         earlier = [begun for begun in life.begun if not begun.turned_away]
         life.begun.append(Sent(now, box.name))
-        kind = life.ask.kind if life.ask is not None else None
-        if earlier and kind is not None and kind.repeat == "unsafe":
+        kind = life.ask.request_class if life.ask is not None else None
+        if earlier and kind is not None and kind.idempotency == "unsafe":
             self.broken(
                 "no effect twice",
                 f"{txn} may have run at {earlier[0].box} and is sent to {box.name}",
             )
-        if earlier and kind is not None and kind.repeat == "keyed":
+        if earlier and kind is not None and kind.idempotency == "keyed":
             if now - earlier[0].at_us > 1000 * kind.window_ms + MORE_US:
                 self.broken("no effect twice", f"{txn} is sent to {box.name} after the window")
         if method == "PUT" and life.ask is None and txn == "hidden":
@@ -266,17 +272,17 @@
 
     def usual(self) -> float:
         """The part of the reads that went to the box to which most of their key's went."""
-        return usual_part(self.reads)
+        return majority_box_share(self.reads)
 
-    def turned_away(self, box: CacheBox, txn: str) -> None:
+    def request_turned_away(self, box: CacheBox, txn: str) -> None:
         self.life(txn).begun[-1].turned_away = True
         self._note(f"{box.name} turns away {txn}")
 
-    def made(self, box: CacheBox, txn: str, body: bytes) -> None:
+    def answer_made(self, box: CacheBox, txn: str, body: bytes) -> None:
         self.life(txn).bodies.append(body)
         self._note(f"{box.name} answers {txn}")
 
-    def fetched(self, box: str, key: str) -> None:
+    def origin_fetched(self, box: str, key: str) -> None:
         self._note(f"{box} fetches {key}")
 
     def _cold(
@@ -287,7 +293,7 @@
         A node that was not told (discovery was silent, or lies) can't know, nor can one whose wall clock is further ahead than a
         start takes: there is no other clock to hold it against.
         """
-        capacity = box.capacity()
+        capacity = box.speed_share()
         if capacity >= 1.0:
             return
         sent = self._work.setdefault(box.name, deque())
@@ -312,7 +318,7 @@
         }
         self._ever[process] = set(self._listed[process])
 
-    def told(
+    def list_sent(
         self, node: str, entries: list[dict[str, object]], full: bool, sound: bool = True
     ) -> None:
         now = self._now()
@@ -464,8 +470,8 @@
                 "left while it waited",
                 f"{process.name} sends {txn} to {box} {late_ms:.0f} ms after its client left",
             )
-        if life.ask is not None and life.ask.budget_ms and life.asked_us >= 0:
-            left_us = life.asked_us + int(1000 * life.ask.budget_ms) - now
+        if life.ask is not None and life.ask.client_wait_ms and life.asked_us >= 0:
+            left_us = life.asked_us + int(1000 * life.ask.client_wait_ms) - now
             if told_us > max(1_000, left_us) + TOLD_SLACK_US and not process.was_paused(
                 life.asked_us, now
             ):
--- a/testbed/nights/simulation.py
+++ b/testbed/nights/simulation.py
@@ -29,29 +29,29 @@
 from testbed.nights.script import Fault, Script, draw, each
 from testbed.nights.script import World as WorldTable
 from testbed.systems.clients import (
+    BAD_REQUESTS,
     CLASSES,
-    RUDE,
     SITE_CLASSES,
-    Ask,
-    Class,
+    ClientCounts,
+    ClientRequest,
     Clients,
-    Figures,
-    neighbours,
+    RequestClass,
+    peer_config,
     settings,
 )
-from testbed.systems.dns import HOWS, SERVICE, NameServer, Zone
-from testbed.systems.serving import Connection, Server
-from testbed.systems.standins import (
-    SPOIL_HOWS,
-    SPOILS,
-    SPOILT_BY,
+from testbed.systems.dns import BEHAVIOURS, SERVICE, NameServer, Zone
+from testbed.systems.emulators import (
+    CORRUPT_ANSWERS,
+    CORRUPTION_KINDS,
+    NOISE_SAMPLES,
     BoxSpec,
     CacheBox,
+    DiscoveryServer,
+    LineCorruption,
     OrderBook,
-    Registry,
-    Spoil,
-    work_of,
+    request_work_ms,
 )
+from testbed.systems.http import Connection, Server
 
 SOON_S = 0.3  # after the last answer, before timers are counted (those of deadlines have not come due by then),
 QUIET_S = 2.7  # and before all books are read
@@ -83,7 +83,7 @@
     events: int
     virtual_s: float
     real_s: float
-    figures: Figures
+    figures: ClientCounts
     steps: int
     demands: list[Demand]  # with `supply` what the oracle (testbed/nights/oracle.py) wants
     supply: Supply
@@ -182,7 +182,7 @@
         self.nodes: dict[str, Process] = {}
         self.boxes: dict[int, CacheBox] = {}
         self.box_processes: dict[int, Process] = {}
-        self.registries: list[Registry] = []
+        self.registries: list[DiscoveryServer] = []
         self.entries: dict[str, dict[str, object]] = {}
         self._ids = w.boxes
         self._names = {n: f"s{n}" for n in range(w.boxes)}
@@ -204,10 +204,10 @@
             w.leave_oddly,
             w.leave_together_ms,
         )
-        self.clients.down = self._noticed_down
-        self.clients.wanted = self._wanted
+        self.clients.is_down = self._noticed_down
+        self.clients.on_first_attempt = self._wanted
         self.good: set[int] = set()
-        self.clients.got = self.good.add
+        self.clients.on_served = self.good.add
         self.demands: list[Demand] = []
         self.supply = Supply()
         self.tier_at_end: tuple[dict[str, list[int]], list[str]] = (
@@ -224,10 +224,10 @@
 
     # -- what the oracle is told ---------------------------------------------------------
 
-    def _wanted(self, kind: Class, key: str) -> int:
-        work, at_ms = work_of(key, kind.method), self.loop.now_us / 1000.0
+    def _wanted(self, kind: RequestClass, key: str) -> int:
+        work, at_ms = request_work_ms(key, kind.method), self.loop.now_us / 1000.0
         self.demands.append(
-            Demand(at_ms, kind.name, work, kind.aim_ms, kind.worth, kind.method == "PUT")
+            Demand(at_ms, kind.name, work, kind.target_ms, kind.worth, kind.method == "PUT")
         )
         return len(self.demands) - 1
 
@@ -243,7 +243,7 @@
         for n, box in self.boxes.items():
             there = self.box_processes[n].running and self.net.host(box.address[0]).up
             if there and not (box.draining or box.full or box.hang is not None):
-                work += box.capacity_at(now_ms) * box.full_speed / box.slow
+                work += box.speed_share_at(now_ms) * box.full_speed / box.slow
         fetches = 0.0 if self.book.down else self.book.places / self.book.service_ms
         self.supply.note(self.loop.now_us / 1000.0, work, fetches)
 
@@ -282,7 +282,7 @@
             "settings": settings(self.classes, w.ask_within_ms),
         }
         if w.tier != "off":
-            config |= neighbours(
+            config |= peer_config(
                 config["settings"],
                 n,
                 [f"{self._node_host(m)}:{PEER_PORT}" for m in range(w.nodes + others)],
@@ -329,12 +329,12 @@
             False,
         )
         if cold:
-            box._since_ms = EPOCH_MS + self.loop.now_us / 1000.0
+            box._cold_since_ms = EPOCH_MS + self.loop.now_us / 1000.0
         else:
             box.warm(self.clients.keys())
         self.boxes[n], self.box_processes[n], self._names[n] = box, process, name
         self.rules.boxes[address[0]] = name
-        self.book.voids.append(box.void)
+        self.book.invalidations.append(box.invalidate)
         process.start(box.run)
         self._dns_later()
         self.trace.note(f"{name} starts at {address[0]}{' cold' if cold else ''}")
@@ -344,7 +344,7 @@
         process.start(server.run)
         return process
 
-    def _excused(self, ask: Ask) -> bool:
+    def _excused(self, ask: ClientRequest) -> bool:
         """Whether a request may go without answer: its node was killed or stood still, or the network broke its connection."""
         life = self.rules.life(ask.txn)
         since, now = life.asked_us - 2_000, self.loop.now_us
@@ -389,7 +389,7 @@
         self._serve("book", self.book)
         for n in range(w.boxes):
             self.start_box(n, f"s{n}", False)
-            self.entries[f"s{n}"] = Registry.entry(f"s{n}", (self._box_host(n), BOX_PORT))
+            self.entries[f"s{n}"] = DiscoveryServer.entry(f"s{n}", (self._box_host(n), BOX_PORT))
         for n in range(2):
             registry = _Registry((f"127.4.0.{n + 1}", 8500), self.rules, self.entries)
             self.registries.append(registry)
@@ -397,7 +397,7 @@
         if w.sources == "dns":
             self._name_boxes()
             for server in self.resolvers:
-                server.told = self._given
+                server.on_service_answer = self._given
                 process = self._process(f"dns-{server.address[0]}", server.address[0])
                 process.start(server.run)
         late = {
@@ -460,7 +460,7 @@
         }
         if odd is not None:
             alive["odd"] = (odd, BOX_PORT)
-        self.zone.serve(alive, ttl=1)
+        self.zone.set_boxes(alive, ttl=1)
         self.rules.named(f"{host}:{port}" for host, port in alive.values())
         self.trace.note(f"DNS names {' '.join(alive)}")
 
@@ -475,7 +475,7 @@
     def _do_dns_how(self, fault: Fault) -> None:
         """One name server, or both, are wrong in one of the ways of `HOWS`."""
         for server in self.resolvers if fault.target == 2 else [self.resolvers[fault.target % 2]]:
-            server.how = HOWS[int(fault.value) % len(HOWS)]
+            server.how = BEHAVIOURS[int(fault.value) % len(BEHAVIOURS)]
             self._later(fault, setattr, server, "how", "good")
 
     def _given(self, host: str, targets: list[str]) -> None:
@@ -544,7 +544,7 @@
 
     def _change(self, entry: dict[str, object], lifecycle: str) -> None:
         for registry in self.registries:  # they share the entries; each tells its own watches
-            registry.change(entry, lifecycle)
+            registry.update(entry, lifecycle)
 
     def _restart_box(self, n: int, name: str, told: bool = True) -> None:
         """Start a box cold; told: whether discovery says so, or that it has run for long."""
@@ -556,7 +556,9 @@
 
     def _tell_start(self, n: int, name: str, started: float) -> None:
         if self._names[n] == name and self.box_processes[n].alive:
-            self._change(Registry.entry(name, (self._box_host(n), BOX_PORT), started), "in_service")
+            self._change(
+                DiscoveryServer.entry(name, (self._box_host(n), BOX_PORT), started), "in_service"
+            )
 
     def _do_box_kill(self, fault: Fault) -> None:
         self._kill_box(fault.target)
@@ -584,7 +586,7 @@
             for key in self.rng.sample(
                 sorted(box._values), int(len(box._values) * (fault.value or 1.0))
             ):
-                box.void(key)
+                box.invalidate(key)
 
     def _do_load_step(self, fault: Fault) -> None:
         """Clients ask so many times as often."""
@@ -592,12 +594,12 @@
         self._later(fault, setattr, self.clients, "rate", self.script.world.requests_per_s)
 
     def _do_box_spoil(self, fault: Fault) -> None:
-        self.boxes[fault.target].spoil += [
-            self.rng.choice(SPOILS) for _ in range(int(fault.value) or 1)
+        self.boxes[fault.target].corruptions += [
+            self.rng.choice(CORRUPT_ANSWERS) for _ in range(int(fault.value) or 1)
         ]
 
     def _do_box_errors(self, fault: Fault) -> None:
-        self.boxes[fault.target].errors += int(fault.value) or 1
+        self.boxes[fault.target].errors_left += int(fault.value) or 1
 
     def _do_box_turn_away(self, fault: Fault) -> None:
         box = self.boxes[fault.target]
@@ -664,7 +666,7 @@
         config["discovery"] = f"127.4.0.{2 - old}:8500"
         process.files["config.json"] = json.dumps(config).encode()
         process.signal(signal.SIGHUP)
-        self.loop.after_us(1_500_000, self.registries[old].drop)
+        self.loop.after_us(1_500_000, self.registries[old].drop_watches)
 
     def _do_node_descriptors(self, fault: Fault) -> None:
         process = self.nodes[f"n{fault.target}"]
@@ -799,16 +801,16 @@
             b'{"generation":9',
         )
         for registry in self.registries:
-            registry.tell_raw(bad[int(fault.value) % len(bad)])
+            registry.publish_raw(bad[int(fault.value) % len(bad)])
 
     def _do_discovery_spoil(self, fault: Fault) -> None:
         """The next line that each place tells is spoilt: how, by what noise, and at which byte."""
         how, noise = (
-            SPOIL_HOWS[fault.target % len(SPOIL_HOWS)],
-            SPOILT_BY[fault.target // len(SPOIL_HOWS) % len(SPOILT_BY)],
+            CORRUPTION_KINDS[fault.target % len(CORRUPTION_KINDS)],
+            NOISE_SAMPLES[fault.target // len(CORRUPTION_KINDS) % len(NOISE_SAMPLES)],
         )
         for registry in self.registries:
-            registry.spoils.append(Spoil(how, int(fault.value), noise))
+            registry.corruptions.append(LineCorruption(how, int(fault.value), noise))
 
     def _do_discovery_refuse(self, fault: Fault) -> None:
         self._discovery_is(fault, "refusing")
@@ -818,12 +820,12 @@
 
     def _do_discovery_drop(self, fault: Fault) -> None:
         for registry in self.registries:
-            registry.drop()
+            registry.drop_watches()
 
     def _do_discovery_down(self, fault: Fault) -> None:
         for registry in self.registries:
             registry.down = True
-            registry.drop()
+            registry.drop_watches()
             self._later(fault, setattr, registry, "down", False)
 
     def _do_book_slow(self, fault: Fault) -> None:
@@ -913,16 +915,18 @@
             self.loop.after_us(50_000, self._restart_node, fault.target, fault.value)
 
     def _do_rude(self, fault: Fault) -> None:
-        names = list(RUDE)
+        names = list(BAD_REQUESTS)
         name = names[int(fault.value) % len(names)]
         for _ in range(3):
-            self.front.context.run(self.clients.be_rude, f"n{fault.target}", name, RUDE[name])
+            self.front.context.run(
+                self.clients.send_bad_request, f"n{fault.target}", name, BAD_REQUESTS[name]
+            )
 
 
-class _Registry(Registry):
+class _Registry(DiscoveryServer):
     """Discovery that knows its watchers by their hosts."""
 
-    def node_of(self, connection: Connection) -> str:
+    def node_name(self, connection: Connection) -> str:
         sock = connection.stream._sock
         assert isinstance(sock, VirtualSocket)
         return sock.remote[0]
@@ -970,7 +974,7 @@
         events,
         loop.now_us / 1e6,
         time.perf_counter() - began,
-        world.clients.figures,
+        world.clients.counts,
         loop.callbacks_run,
         world.demands,
         world.supply,
--- a/testbed/soak/discovery.py
+++ b/testbed/soak/discovery.py
@@ -9,8 +9,8 @@
 from typing import Protocol
 
 from corkshift.seam import Address, now_ms
-from testbed.systems.serving import Connection, Ended, Message, Server
-from testbed.systems.standins import HEARTBEAT_S
+from testbed.systems.emulators import HEARTBEAT_S
+from testbed.systems.http import Connection, Ended, Message, Server
 
 Entry = dict[str, object]
 
@@ -94,7 +94,7 @@
             await asyncio.sleep(self.delay_s)
         if self.down or self.refusals:
             self.refusals = max(0, self.refusals - 1)
-            await connection.answer(503)
+            await connection.send_response(503)
             return
         await connection.stream.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
         self._watches[connection] = None
--- a/testbed/soak/faults.py
+++ b/testbed/soak/faults.py
@@ -151,7 +151,7 @@
         server.slow = 1.0
 
     async def _errors(self, event: Event) -> None:
-        self._server(event).errors += int(event.value)
+        self._server(event).errors_left += int(event.value)
 
     async def _resets(self, event: Event) -> None:
         server = self._server(event)
@@ -173,7 +173,7 @@
         for n in range(int(event.value)):
             data = STOPPED[n % len(STOPPED)]
             if not node.down:
-                self._world.clients.be_rude(
+                self._world.clients.send_bad_request(
                     node.name, f"client that stops after {len(data)} bytes", data
                 )
 
--- a/testbed/soak/large_fleet.py
+++ b/testbed/soak/large_fleet.py
@@ -33,9 +33,9 @@
 from testbed.soak.discovery import Entry, ListOfServers, Place, started_entry
 from testbed.soak.oracle import Oracle, Rule, Spans
 from testbed.soak.shim import Shim, build
-from testbed.systems.clients import CLASSES, Ask, Clients, settings
-from testbed.systems.serving import Connection, Message, Server, fetch
-from testbed.systems.standins import BoxSpec
+from testbed.systems.clients import CLASSES, ClientRequest, Clients, settings
+from testbed.systems.emulators import BoxSpec
+from testbed.systems.http import Connection, Message, Server, fetch_body
 from testbed.tier.books import ColdBox
 from testbed.tier.processes import HOST, Ports, die_with_parent
 
@@ -59,7 +59,7 @@
 SEEN_S = 0.25  # between two looks at the node's memory
 MOST_KNOWN = 1_500  # servers for which the oracle keeps a budget of cold work
 CLASSES_OF_THE_RUN = tuple(
-    replace(kind, aim_ms=AIM_MS, deadline_ms=DEADLINE_MS) for kind in CLASSES
+    replace(kind, target_ms=AIM_MS, deadline_ms=DEADLINE_MS) for kind in CLASSES
 )
 
 
@@ -178,13 +178,13 @@
         if cold and len(self.oracle.cold) < MOST_KNOWN:
             spec = BoxSpec()
             self.oracle.cold[name] = ColdBox(
-                name, spec.cold_from, spec.cold_ms, float("inf"), now_ms()
+                name, spec.cold_share, spec.cold_ms, float("inf"), now_ms()
             )
         return started_entry(name, address, cold)
 
-    def expect(self, ask: Ask) -> None:
+    def expect(self, ask: ClientRequest) -> None:
         """A client has sent this request."""
-        self._deadlines_ms[ask.txn] = ask.sent_ms + ask.budget_ms
+        self._deadlines_ms[ask.txn] = ask.sent_ms + ask.client_wait_ms
 
     async def serve(self, connection: Connection, request: Message) -> None:
         name, txn = self._names[request.header(b"host")], request.header(b"x-txn")
@@ -199,7 +199,7 @@
         await asyncio.sleep(SERVICE_S)
         body = f"for {txn} by {name}".encode()
         self.oracle.body_made(txn, body)
-        await connection.answer(200, body, {"X-Found": "hit"})
+        await connection.send_response(200, body, {"X-Found": "hit"})
 
 
 class FirstCall(Place):
@@ -222,8 +222,8 @@
 
     servers: ServerRange
 
-    def asked(self, ask: Ask) -> None:
-        super().asked(ask)
+    def request_sent(self, ask: ClientRequest) -> None:
+        super().request_sent(ask)
         self.servers.expect(ask)
 
 
@@ -246,7 +246,7 @@
             scenario.requests_per_s,
             classes=CLASSES_OF_THE_RUN,
         )
-        self._clients.slack_ms = ANSWER_SLACK_MS
+        self._clients.answer_grace_ms = ANSWER_SLACK_MS
         self._shim = Shim(build(folder), folder / "node.shim")
         self._listen: Address = (HOST, self._ports.take())
         self._memory: list[float] = []
@@ -328,7 +328,7 @@
                 preexec_fn=die_with_parent,
             )  # fmt: skip
         async with asyncio.timeout(READY_S):
-            while await fetch(self._listen, "/up") is None:
+            while await fetch_body(self._listen, "/up") is None:
                 await asyncio.sleep(0.02)
         self._shim.share_core(self.scenario.core_share)
         return process
@@ -386,7 +386,7 @@
             status = Path(f"/proc/{pid}/status").read_text()
             self._memory.append(int(status.partition("VmRSS:")[2].split()[0]) / 1024.0)
             self._served.append(
-                ((now_ms() - self._listed_ms) / 1000.0, self._clients.figures.served)
+                ((now_ms() - self._listed_ms) / 1000.0, self._clients.counts.served)
             )
             await asyncio.sleep(SEEN_S)
 
@@ -402,7 +402,7 @@
 
     def _result(self, ended_s: Optional[float]) -> Result:
         self._oracle.finish()
-        figures, log = self._clients.figures, self._log.read_text()
+        figures, log = self._clients.counts, self._log.read_text()
         if "Traceback" in log:
             at = log.index("Traceback")
             self._oracle.broken(Rule.CRASH, log[max(0, at - 200) : at + 600])
--- a/testbed/soak/nodes.py
+++ b/testbed/soak/nodes.py
@@ -19,7 +19,7 @@
 from testbed.soak.oracle import Oracle, Rule
 from testbed.soak.plan import RELOADS_APART_S
 from testbed.soak.shim import ACCEPT_ERRORS, SHORTAGES, Shim, SystemCall
-from testbed.systems.serving import fetch
+from testbed.systems.http import fetch_body
 from testbed.tier.processes import die_with_parent
 
 ROOT = Path(__file__).parents[2]
@@ -105,7 +105,7 @@
     async def ready(self) -> None:
         """Until it answers; RuntimeError where it has ended, TimeoutError after READY_S."""
         async with asyncio.timeout(READY_S):
-            while await fetch(self.listen, "/up") is None:
+            while await fetch_body(self.listen, "/up") is None:
                 if self.process is None or self.process.returncode is not None:
                     raise RuntimeError(f"{self.name} does not start: {self.log[-800:]}")
                 await asyncio.sleep(0.05)
--- a/testbed/soak/oracle.py
+++ b/testbed/soak/oracle.py
@@ -16,9 +16,9 @@
 
 from corkshift.seam import now_ms
 from testbed.soak.discovery import Entry
-from testbed.systems.clients import Ask, Observer
-from testbed.systems.serving import Message
-from testbed.systems.standins import CacheBox, Witness
+from testbed.systems.clients import ClientObserver, ClientRequest
+from testbed.systems.emulators import CacheBox, ServerObserver
+from testbed.systems.http import Message
 from testbed.tier.books import ColdBox
 
 NOTIFIED_MS = 6_000.0  # after discovery had a change and could be reached it counts as notified
@@ -72,7 +72,7 @@
 class Record:
     """All that is known of one request."""
 
-    ask: Ask
+    ask: ClientRequest
     answered: bool = False
     left_ms: float = inf
     arrivals: list[Arrival] = field(default_factory=list)
@@ -146,7 +146,7 @@
         return max((late for when, late in self._late if when >= at_ms), default=0.0) + 5.0
 
 
-class Oracle(Observer, Witness):
+class Oracle(ClientObserver, ServerObserver):
     """Collects what was seen, and what of it breaks a rule."""
 
     def __init__(self, grace_ms: float) -> None:
@@ -178,11 +178,11 @@
 
     # -- clients -------------------------------------------------------------------------
 
-    def asked(self, ask: Ask) -> None:
+    def request_sent(self, ask: ClientRequest) -> None:
         record = self._records.setdefault(ask.txn, Record(ask))
         record.ask = ask
 
-    def answered(self, ask: Ask, answer: Message) -> None:
+    def answer_received(self, ask: ClientRequest, answer: Message) -> None:
         record = self._records[ask.txn]
         if record.answered:
             self.broken(Rule.LOST, f"{ask.txn} is answered twice")
@@ -195,16 +195,20 @@
                 )
             if ask.txn in self._unframed and ask.txn not in self._asked_again:
                 self._unframed[ask.txn] = True
-        if answer.status in (429, 503) and ask.kind.repeat == "unsafe" and record.may_have_run:
+        if (
+            answer.status in (429, 503)
+            and ask.request_class.idempotency == "unsafe"
+            and record.may_have_run
+        ):
             self.broken(
                 Rule.DUPLICATE,
                 f"{ask.txn} is refused though it may have run at {record.may_have_run[0].server}",
             )
 
-    def left(self, ask: Ask) -> None:
+    def client_left(self, ask: ClientRequest) -> None:
         self._records[ask.txn].left_ms = now_ms()
 
-    def ended(self, ask: Ask, how: str) -> bool:
+    def no_answer(self, ask: ClientRequest, how: str) -> bool:
         record = self._records[ask.txn]
         if self.hurt[ask.node].overlap(ask.sent_ms - SOCKET_SLACK_MS, now_ms()):
             return False
@@ -216,14 +220,14 @@
                 Rule.LOST, f"{ask.txn} of {ask.node} was sent on, and its connection ended: {how}"
             )
             return False
-        if ask.first:
+        if ask.first_on_connection:
             self.broken(
                 Rule.LOST, f"{ask.txn} of {ask.node} was on a new connection, which ended: {how}"
             )
             return False
         return True  # a close that crossed the request: it is sent once more on a new connection
 
-    def rude(self, node: str, name: str, status: int, waited_ms: float) -> None:
+    def bad_client_result(self, node: str, name: str, status: int, waited_ms: float) -> None:
         since = now_ms() - waited_ms
         if self.hurt[node].overlap(since, now_ms()) or self.held_up[node].overlap(since, now_ms()):
             return
@@ -235,7 +239,7 @@
         elif 200 <= status < 400:
             self.broken(Rule.BAD_CLIENT, f"{name} was served by {node} with {status}")
 
-    def unasked(self, node: str) -> None:
+    def unsolicited_input(self, node: str) -> None:
         self.broken(Rule.WRONG_ANSWER, f"{node} writes on a connection on which nothing is asked")
 
     # -- servers -------------------------------------------------------------------------
@@ -263,7 +267,7 @@
                 f"{txn} of {ask.node} came to {server} {now - record.left_ms:.0f} ms after its client left",
             )
         if told_ms is not None and ask.sent_ms:
-            left_ms = ask.sent_ms + ask.budget_ms - now
+            left_ms = ask.sent_ms + ask.client_wait_ms - now
             # A node that is held up several times in a row reads requests late, and can't know how late.
             late = self.deaf[ask.node].overlap(ask.sent_ms, now)
             if (
@@ -279,23 +283,25 @@
     def _excused_late(self, node: str, since: float, until: float) -> bool:
         return self.held_up[node].overlap(since, until) or self.deaf[node].overlap(since, until)
 
-    def _check_repeat(self, ask: Ask, server: str, earlier: list[Arrival], now: float) -> None:
+    def _check_repeat(
+        self, ask: ClientRequest, server: str, earlier: list[Arrival], now: float
+    ) -> None:
         if not earlier:
             return
         self.counts["repeats"] += 1
-        if ask.kind.repeat == "unsafe":
+        if ask.request_class.idempotency == "unsafe":
             self.broken(
                 Rule.DUPLICATE,
                 f"{ask.txn} may have run at {earlier[0].server} and came to {server}",
             )
-        elif ask.kind.repeat == "keyed":
-            late_ms = now - earlier[0].at_ms - ask.kind.window_ms
+        elif ask.request_class.idempotency == "keyed":
+            late_ms = now - earlier[0].at_ms - ask.request_class.window_ms
             if late_ms > SOCKET_SLACK_MS + self.lag.since(earlier[0].at_ms):
                 self.broken(
                     Rule.DUPLICATE, f"{ask.txn} came to {server} {late_ms:.0f} ms after its window"
                 )
 
-    def _check_departure(self, ask: Ask, server: str, now: float) -> None:
+    def _check_departure(self, ask: ClientRequest, server: str, now: float) -> None:
         told = self._told_ms(ask.node, server)
         if told == inf:
             return
@@ -321,7 +327,7 @@
         """See `servers.Arrivals`."""
         self._unframed.setdefault(txn, False)
 
-    def received(self, box: CacheBox, txn: str, method: str, work_ms: float) -> None:
+    def request_received(self, box: CacheBox, txn: str, method: str, work_ms: float) -> None:
         cold, record = self.cold.get(box.name), self._records.get(txn)
         if (
             cold is not None
@@ -330,14 +336,14 @@
         ):
             cold.got.append((now_ms(), work_ms, record.ask.node))
 
-    def turned_away(self, box: CacheBox, txn: str) -> None:
+    def request_turned_away(self, box: CacheBox, txn: str) -> None:
         record = self._records.get(txn)
         if record is not None:
             for arrival in record.arrivals:
                 if arrival.server == box.name:
                     arrival.turned_away = True
 
-    def made(self, box: CacheBox, txn: str, body: bytes) -> None:
+    def answer_made(self, box: CacheBox, txn: str, body: bytes) -> None:
         self.body_made(txn, body)
 
     def body_made(self, txn: str, body: bytes) -> None:
--- a/testbed/soak/servers.py
+++ b/testbed/soak/servers.py
@@ -6,8 +6,8 @@
 from typing import Protocol
 
 from corkshift.seam import Address
-from testbed.systems.serving import Connection, Message
-from testbed.systems.standins import BoxSpec, CacheBox, Witness
+from testbed.systems.emulators import BoxSpec, CacheBox, ServerObserver
+from testbed.systems.http import Connection, Message
 
 UNFRAMED = "unframed"  # no length, ended by the connection's end
 BROKEN = "broken"  # a length, and a reset in the middle
@@ -32,7 +32,7 @@
         name: str,
         origin: Address,
         spec: BoxSpec,
-        witness: Witness,
+        witness: ServerObserver,
         arrivals: Arrivals,
         cold: bool,
         seed: int,
@@ -49,12 +49,12 @@
         self._arrivals.arrived(self.name, txn, float(told) if told.isdigit() else None)
         draw = self._random.random()
         if draw < self.broken_share:
-            self.spoil[:] = [self._random.choice((BROKEN, UNFRAMED_BROKEN))]
+            self.corruptions[:] = [self._random.choice((BROKEN, UNFRAMED_BROKEN))]
         elif draw < self.broken_share + self.unframed_share:
-            self.spoil[:] = [UNFRAMED]
+            self.corruptions[:] = [UNFRAMED]
         await super().serve(connection, request)
 
-    async def _spoilt(self, how: str, connection: Connection, body: bytes) -> None:
+    async def _send_corrupt(self, how: str, connection: Connection, body: bytes) -> None:
         stream = connection.stream
         if how == BROKEN:
             await stream.write(
--- a/testbed/soak/world.py
+++ b/testbed/soak/world.py
@@ -16,7 +16,7 @@
 from testbed.soak.servers import SoakServer
 from testbed.soak.shim import Shim, build
 from testbed.systems.clients import CLASSES, Clients, settings
-from testbed.systems.standins import BoxSpec, OrderBook
+from testbed.systems.emulators import BoxSpec, OrderBook
 from testbed.tier.books import ColdBox
 from testbed.tier.processes import HOST, Ports
 
@@ -56,8 +56,8 @@
         await asyncio.gather(*(node.start() for node in self.nodes))
         await asyncio.gather(*(node.ready() for node in self.nodes))
         self.clients.nodes.update({node.name: node.listen for node in self.nodes})
-        self.clients.down = lambda name: self.nodes[int(name[1:])].down
-        self.clients.slack_ms = ANSWER_SLACK_MS
+        self.clients.is_down = lambda name: self.nodes[int(name[1:])].down
+        self.clients.answer_grace_ms = ANSWER_SLACK_MS
 
     async def settle(self) -> None:
         """Wait for nodes that are being started, so that their exit codes are known."""
@@ -78,7 +78,7 @@
     def start_server(self, cold: bool) -> Entry:
         """A new server, under a new name; its entry."""
         name = f"s{len(self.servers)}"
-        spec = BoxSpec(cores=2, kept=400)
+        spec = BoxSpec(cores=2, cache_capacity=400)
         server = SoakServer(
             name, self._origin.address, spec, self.oracle, self.oracle, cold, self.plan.seed
         )
@@ -86,11 +86,11 @@
         if not cold:
             server.warm(self.clients.keys())
         server.listen()
-        self._origin.voids.append(server.void)
+        self._origin.invalidations.append(server.invalidate)
         self.servers.append(server)
         if cold:
             self.oracle.cold[name] = ColdBox(
-                name, spec.cold_from, spec.cold_ms, server.full_speed, now_ms()
+                name, spec.cold_share, spec.cold_ms, server.full_speed, now_ms()
             )
         return started_entry(name, server.address, cold)
 
--- a/testbed/systems/clients.py
+++ b/testbed/systems/clients.py
@@ -19,27 +19,27 @@
 import h11
 
 from corkshift.seam import Address, now_ms
-from testbed.systems.serving import Connection, Ended, Message, dial
+from testbed.systems.http import Connection, Ended, Message, open_connection
 
-SLACK_MS = 120.0  # see `Clients.slack_ms`
+ANSWER_GRACE_MS = 120.0  # see `Clients.slack_ms`
 # What stands before an end; less than a kernel's buffer, or the end could not come while nobody reads.
-ODD_BYTES = (
+PARTIAL_REQUESTS = (
     b"\r\n",
     b"GET /api/k1 HTT",
     b"GET /api/k1 HTTP/1.1\r\nHost: x\r\nX: " + b"x" * 9_000,
     b"\r\n" * 20_000,
 )
-RUDE_S = 3.2  # a bad client is owed an error or a close within 3 s
+BAD_CLIENT_WAIT_S = 3.2  # a bad client is owed an error or a close within 3 s
 
 
 @dataclass(frozen=True, slots=True)
-class Class:
+class RequestClass:
     """One request class, in the settings' terms."""
 
     name: str
-    aim_ms: float
+    target_ms: float
     deadline_ms: float
-    repeat: str
+    idempotency: str
     window_ms: float
     share: float
     method: str
@@ -47,30 +47,30 @@
 
 
 CLASSES = (
-    Class("menu-read", 750.0, 2500.0, "safe", 0.0, 0.86, "GET"),
-    Class("cart-update", 800.0, 2000.0, "keyed", 4000.0, 0.05, "PUT"),
-    Class("order-place", 1200.0, 2500.0, "keyed", 2500.0, 0.04, "PUT"),
-    Class("stall-note", 900.0, 2000.0, "unsafe", 0.0, 0.05, "PUT"),
+    RequestClass("menu-read", 750.0, 2500.0, "safe", 0.0, 0.86, "GET"),
+    RequestClass("cart-update", 800.0, 2000.0, "keyed", 4000.0, 0.05, "PUT"),
+    RequestClass("order-place", 1200.0, 2500.0, "keyed", 2500.0, 0.04, "PUT"),
+    RequestClass("stall-note", 900.0, 2000.0, "unsafe", 0.0, 0.05, "PUT"),
 )
 
-SITE_WORTHS = {"menu-read": 3.0, "cart-update": 5.0, "order-place": 8.0, "stall-note": 3.0}
+SITE_VALUES = {"menu-read": 3.0, "cart-update": 5.0, "order-place": 8.0, "stall-note": 3.0}
 SITE_CLASSES = tuple(
-    replace(kind, worth=SITE_WORTHS[kind.name]) for kind in CLASSES
+    replace(kind, worth=SITE_VALUES[kind.name]) for kind in CLASSES
 )  # with what the brief's table says they are worth
 
 
 def settings(
-    classes: tuple[Class, ...] = CLASSES, ask_within_ms: float = 2_000.0
+    classes: tuple[RequestClass, ...] = CLASSES, poll_within_ms: float = 2_000.0
 ) -> dict[str, Any]:
     """The settings object that a node gets for these classes."""
     return {
         "services": [
             {
                 "name": c.name,
-                "promiseMs": c.aim_ms,
+                "promiseMs": c.target_ms,
                 "deadlineMs": c.deadline_ms,
-                "idempotency": c.repeat,
-                "group": "all" if c.repeat == "keyed" else "",
+                "idempotency": c.idempotency,
+                "group": "all" if c.idempotency == "keyed" else "",
                 "windowMs": c.window_ms,
                 "worth": c.worth,
             }
@@ -80,7 +80,7 @@
         "granularityMs": 1.0,
         "weights": "rough",
         "contract": {
-            "mustAskInMs": ask_within_ms,
+            "mustAskInMs": poll_within_ms,
             "stopSendingWithinMs": 250.0,
             "coldFrom": 0.12,
             "coldMs": 24_000.0,
@@ -97,7 +97,7 @@
     }
 
 
-def neighbours(
+def peer_config(
     settings: dict[str, Any], slot: int, peers: list[str], listen: str = ""
 ) -> dict[str, object]:
     """What a configuration has where nodes may talk to one another; the settings are changed to say so. listen: if not as peers have it."""
@@ -111,45 +111,45 @@
 
 
 @dataclass(eq=False, slots=True)
-class Ask:
+class ClientRequest:
     """One request as a client sees it."""
 
     txn: str
-    kind: Class
+    request_class: RequestClass
     key: str
-    token: str
+    idempotency_key: str
     node: str
     body: bytes
     sent_ms: float = 0.0
-    first: bool = False  # on its connection
-    budget_ms: float = 0.0  # how long its client waits, from when it was sent
+    first_on_connection: bool = False  # on its connection
+    client_wait_ms: float = 0.0  # how long its client waits, from when it was sent
 
 
-class Observer:
+class ClientObserver:
     """What clients report; the rules are one."""
 
-    def asked(self, ask: Ask) -> None:
+    def request_sent(self, ask: ClientRequest) -> None:
         """A request's last byte is written."""
 
-    def answered(self, ask: Ask, answer: Message) -> None:
+    def answer_received(self, ask: ClientRequest, answer: Message) -> None:
         """A whole answer has come."""
 
-    def left(self, ask: Ask) -> None:
+    def client_left(self, ask: ClientRequest) -> None:
         """The client has gone away before its answer."""
 
-    def ended(self, ask: Ask, how: str) -> bool:
+    def no_answer(self, ask: ClientRequest, how: str) -> bool:
         """The connection ended, or the time did, with no answer. Whether it may be sent once more on a new connection."""
         return False
 
-    def unasked(self, node: str) -> None:
+    def unsolicited_input(self, node: str) -> None:
         """Something came on a connection on which nothing was asked."""
 
-    def rude(self, node: str, name: str, status: int, waited_ms: float) -> None:
+    def bad_client_result(self, node: str, name: str, status: int, waited_ms: float) -> None:
         """How a bad client was met: its answer's status, 0 for a close, -1 for neither."""
 
 
 @dataclass(slots=True)
-class Figures:
+class ClientCounts:
     """What the clients saw, by kind of end."""
 
     asked: int = 0
@@ -170,15 +170,15 @@
     def __init__(
         self,
         nodes: dict[str, Address],
-        observer: Observer,
+        observer: ClientObserver,
         seed: int | str,
         keys: int,
         rate: float,
         write_share: Optional[float] = None,
-        classes: tuple[Class, ...] = CLASSES,
+        classes: tuple[RequestClass, ...] = CLASSES,
     ) -> None:
         self.nodes = nodes
-        self.figures = Figures()
+        self.counts = ClientCounts()
         self.rate = rate
         self.left_share = 0.03  # of the requests: their clients leave before the answer,
         self.leave_ms = 60.0  # after up to so long
@@ -188,17 +188,15 @@
         self.leave_together_ms = (
             0.0  # over this: all that are to leave do so at the next multiple of it
         )
-        self.slack_ms = (
-            SLACK_MS  # past its deadline an answer is awaited for this long before it is missing
-        )
-        self.most = 10_000  # requests out at once; beyond them clients wait to ask
-        self.wanted: Callable[[Class, str], int] = lambda kind, key: (
+        self.answer_grace_ms = ANSWER_GRACE_MS  # past its deadline an answer is awaited for this long before it is missing
+        self.max_active = 10_000  # requests out at once; beyond them clients wait to ask
+        self.on_first_attempt: Callable[[RequestClass, str], int] = lambda kind, key: (
             0
         )  # told of each request that is first asked for,
-        self.got: Callable[[int], None] = lambda number: (
+        self.on_served: Callable[[int], None] = lambda number: (
             None
         )  # and of those served in time at last, by what it returned
-        self.down: Callable[[str], bool] = lambda node: (
+        self.is_down: Callable[[str], bool] = lambda node: (
             False
         )  # whether the front has noticed that a node is dead
         self._observer = observer
@@ -227,8 +225,8 @@
             await asyncio.sleep(self._random.expovariate(self.rate))
             if now_ms() >= end:
                 break
-            if len(self._tasks) < self.most:
-                self._spawn(self._first_try())
+            if len(self._tasks) < self.max_active:
+                self._spawn(self._first_attempt())
         while self._tasks:
             await asyncio.wait(self._tasks)
 
@@ -248,35 +246,37 @@
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    def _draw(self) -> tuple[Class, str]:
+    def _draw_request(self) -> tuple[RequestClass, str]:
         kind = self._random.choices(self._classes, self._shares)[0]
         key = self._random.choices(self._keys, cum_weights=self._cumulative)[0]
         return kind, key
 
-    async def _first_try(self) -> None:
-        kind, key = self._draw()
+    async def _first_attempt(self) -> None:
+        kind, key = self._draw_request()
         rng = self._random
         self._number += 1
-        token = f"t{self._number}" if kind.repeat == "keyed" else ""
+        token = f"t{self._number}" if kind.idempotency == "keyed" else ""
         body = rng.randbytes(rng.choice((0, 40, 400, 5_000))) if kind.method == "PUT" else b""
-        self.figures.first_tries += 1
-        number = self.wanted(kind, key)
+        self.counts.first_tries += 1
+        number = self.on_first_attempt(kind, key)
         begun = now_ms()
         for attempt in range(3):
             budget = kind.deadline_ms - (now_ms() - begun)
             if budget < 50.0 or (
-                attempt and kind.repeat == "keyed" and now_ms() - begun > kind.window_ms
+                attempt and kind.idempotency == "keyed" and now_ms() - begun > kind.window_ms
             ):
                 return
-            status, wait_ms = await self._ask(kind, key, token, body, budget, attempt > 0)
+            status, wait_ms = await self._attempt(kind, key, token, body, budget, attempt > 0)
             if status == 200:
-                good = now_ms() - begun <= kind.aim_ms
-                self.figures.good_tries += good
+                good = now_ms() - begun <= kind.target_ms
+                self.counts.good_tries += good
                 if good:
-                    self.got(number)
+                    self.on_served(number)
                 return
             again = (
-                status in (429, 503) or (status != -2 and kind.repeat != "unsafe") or status == -3
+                status in (429, 503)
+                or (status != -2 and kind.idempotency != "unsafe")
+                or status == -3
             )
             if not again or rng.random() < 0.3:
                 return
@@ -287,27 +287,29 @@
         idle = self._idle.setdefault(node, [])
         while idle:
             connection = idle.pop()
-            if connection.clean:
+            if connection.has_no_unsolicited_input:
                 return connection
             if connection.stream.has_input:
-                self._observer.unasked(node)
+                self._observer.unsolicited_input(node)
             connection.stream.close()
-        return await dial(self.nodes[node], 1.0)
+        return await open_connection(self.nodes[node], 1.0)
 
-    async def _ask(
-        self, kind: Class, key: str, token: str, body: bytes, budget_ms: float, again: bool
+    async def _attempt(
+        self, kind: RequestClass, key: str, token: str, body: bytes, budget_ms: float, again: bool
     ) -> tuple[int, float]:
         """One request. Its status (0: the connection ended, -1: no answer in time, -2: left, -3: not reached), and how long to wait."""
         rng = self._random
-        live = [name for name in self.nodes if not self.down(name)] or list(self.nodes)
+        live = [name for name in self.nodes if not self.is_down(name)] or list(self.nodes)
         node = rng.choice(live)
         leaves = rng.random() < self.left_share
         self._number += 1
-        ask = Ask(f"x{self._number}", kind, key, token, node, body)
+        ask = ClientRequest(f"x{self._number}", kind, key, token, node, body)
         for tries in range(2):
             try:
                 connection = (
-                    await self._connect(node) if not tries else await dial(self.nodes[node], 1.0)
+                    await self._connect(node)
+                    if not tries
+                    else await open_connection(self.nodes[node], 1.0)
                 )
             except OSError:
                 return -3, 0.0
@@ -317,73 +319,80 @@
         return 0, 0.0
 
     async def _exchange(
-        self, connection: Connection, ask: Ask, budget_ms: float, again: bool, leaves: bool
+        self,
+        connection: Connection,
+        ask: ClientRequest,
+        budget_ms: float,
+        again: bool,
+        leaves: bool,
     ) -> tuple[int, float]:
         headers = {
             "X-Txn": ask.txn,
-            "X-Lane": ask.kind.name,
+            "X-Lane": ask.request_class.name,
             "X-Org": "stalls",
             "X-Remaining-Ms": str(int(budget_ms)),
         }
         if again:
             headers["X-Resent"] = "1"
-        if ask.token:
-            headers["Idempotency-Key"] = ask.token
-        ask.first = connection.exchanges == 0
-        ask.budget_ms = budget_ms
-        figures, observer = self.figures, self._observer
+        if ask.idempotency_key:
+            headers["Idempotency-Key"] = ask.idempotency_key
+        ask.first_on_connection = connection.exchanges == 0
+        ask.client_wait_ms = budget_ms
+        figures, observer = self.counts, self._observer
         figures.asked += 1
         try:
             async with asyncio.timeout(budget_ms / 1000.0):
-                await connection.ask(ask.kind.method, f"/api/{ask.key}", headers, ask.body)
+                await connection.send_request(
+                    ask.request_class.method, f"/api/{ask.key}", headers, ask.body
+                )
         except OSError:
             connection.stream.abort()
             figures.failed += 1
             return -3, 0.0
         ask.sent_ms = now_ms()
-        observer.asked(ask)
+        observer.request_sent(ask)
         try:
             async with asyncio.timeout(
-                self._leaves_in() if leaves else (budget_ms + self.slack_ms) / 1000.0
+                self._leave_after_s() if leaves else (budget_ms + self.answer_grace_ms) / 1000.0
             ):
-                answer = await connection.read()
+                answer = await connection.read_message()
         except TimeoutError:
             if leaves and self.leave_oddly:
                 await self._leave_oddly(connection)
             connection.stream.close()
             if leaves:
                 figures.left += 1
-                observer.left(ask)
+                observer.client_left(ask)
                 return -2, 0.0
             figures.unanswered += 1
-            observer.ended(ask, "no answer")
+            observer.no_answer(ask, "no answer")
             return -1, 0.0
         except (OSError, Ended, h11.RemoteProtocolError) as error:
             connection.stream.abort()
-            if observer.ended(ask, type(error).__name__):
+            if observer.no_answer(ask, type(error).__name__):
                 return -4, 0.0
             figures.failed += 1
             return 0, 0.0
-        observer.answered(ask, answer)
+        observer.answer_received(ask, answer)
         figures.by_status[answer.status] += 1
         if answer.status == 200:
             figures.served += 1
-            figures.in_time += now_ms() - ask.sent_ms <= ask.kind.aim_ms
+            figures.in_time += now_ms() - ask.sent_ms <= ask.request_class.target_ms
         elif answer.status in (429, 503):
             figures.refused += 1
         else:
             figures.failed += 1
-        if connection.spent or answer.header(b"connection").lower() == "close":
+        if connection.must_close or answer.header(b"connection").lower() == "close":
             connection.stream.close()
         else:
-            connection.renew()
+            connection.start_next_exchange()
             self._idle.setdefault(ask.node, []).append(connection)
         wait = answer.header(b"retry-after")
         return answer.status, float(wait) * 1000.0 if wait else 0.0
 
     # -- clients that leave --------------------------------------------------------------
 
-    def _leaves_in(self) -> float:
+    def _leave_after_s(self) -> float:
         """After how long a client leaves, in s."""
         after_ms = self._random.uniform(0.0, self.leave_ms)
         if self.leave_together_ms > 0.0:
@@ -403,23 +412,25 @@
         elif how == 1:
             with suppress(OSError, TimeoutError):
                 async with asyncio.timeout(0.01):
-                    await connection.stream.write(ODD_BYTES[self._number // 3 % len(ODD_BYTES)])
+                    await connection.stream.write(
+                        PARTIAL_REQUESTS[self._number // 3 % len(PARTIAL_REQUESTS)]
+                    )
 
     # -- bad clients ---------------------------------------------------------------------
 
-    def be_rude(self, node: str, name: str, data: bytes) -> None:
+    def send_bad_request(self, node: str, name: str, data: bytes) -> None:
         """Send something bad on a new connection; an error or a close is owed."""
-        self._spawn(self._rude(node, name, data))
+        self._spawn(self._bad_client(node, name, data))
 
-    async def _rude(self, node: str, name: str, data: bytes) -> None:
+    async def _bad_client(self, node: str, name: str, data: bytes) -> None:
         begun = now_ms()
         try:
-            connection = await dial(self.nodes[node], 1.0)
+            connection = await open_connection(self.nodes[node], 1.0)
         except OSError:
             return
         status = -1
         try:
-            async with asyncio.timeout(RUDE_S):
+            async with asyncio.timeout(BAD_CLIENT_WAIT_S):
                 if data:
                     await connection.stream.write(data)
                 got = await connection.stream.read()
@@ -429,19 +440,19 @@
         except OSError:
             status = 0
         connection.stream.abort()
-        self._observer.rude(node, name, status, now_ms() - begun)
+        self._observer.bad_client_result(node, name, status, now_ms() - begun)
 
 
-_GOOD = (
+_VALID_HEAD = (
     b"GET /api/k1 HTTP/1.1\r\nHost: x\r\nX-Txn: %s\r\nX-Lane: menu-read\r\nX-Remaining-Ms: 2000\r\n"
 )
-RUDE = {
+BAD_REQUESTS = {
     "noise": bytes(range(128, 256)) * 2 + b"\r\n\r\n",
     "silence": b"",
     "half a head": b"GET /api/k1 HTTP/1.1\r\nX-Txn: half\r\n",
     "both lengths": b"PUT /api/k1 HTTP/1.1\r\nHost: x\r\nX-Txn: both\r\nX-Lane: order-place\r\n"
     b"Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"
-    + _GOOD % b"hidden"
+    + _VALID_HEAD % b"hidden"
     + b"\r\n",
     "no id": b"GET /api/k1 HTTP/1.1\r\nHost: x\r\nX-Lane: menu-read\r\n\r\n",
     "unknown class": b"GET /api/k1 HTTP/1.1\r\nHost: x\r\nX-Txn: lane\r\nX-Lane: gold\r\n\r\n",
--- a/testbed/systems/dns.py
+++ b/testbed/systems/dns.py
@@ -21,16 +21,18 @@
 from corkshift import seam
 from corkshift.seam import Address
 from corkshift.stream import KERNEL_BUFFER_BYTES, Stream
-from testbed.systems.serving import Program
+from testbed.systems.http import Program
 
 SERVICE = "_menu._tcp.cache.example.org."
 ZONE = "cache.example.org."
 SOA = "ns.cache.example.org. admin.cache.example.org. 1 60 60 600 5"
-UDP_MOST = 1_232
-_WIRE = b"".join(bytes([len(label)]) + label.encode() for label in SERVICE.rstrip(".").split("."))
-MANY = 4_000  # records: what one message over TCP holds
+MAX_UDP_BYTES = 1_232
+_SERVICE_WIRE = b"".join(
+    bytes([len(label)]) + label.encode() for label in SERVICE.rstrip(".").split(".")
+)
+MANY_RECORDS = 4_000  # records: what one message over TCP holds
 
-HOWS = (
+BEHAVIOURS = (
     "good", "silent", "servfail", "refused", "garbage", "another question", "another case", "forged id", "forged sender", "truncated",
     "truncated over tcp", "hangs over tcp", "empty", "nxdomain", "loop", "many", "flood", "late",
 )  # fmt: skip
@@ -43,25 +45,25 @@
     records: dict[tuple[str, str], tuple[int, list[str]]] = field(default_factory=dict)
     glue: bool = True  # addresses of targets come along
 
-    def put(self, name: str, kind: str, ttl: int, texts: list[str]) -> None:
+    def set_records(self, name: str, kind: str, ttl: int, texts: list[str]) -> None:
         """Set what a name has of a type; none: nothing."""
         if texts:
             self.records[name.lower(), kind] = ttl, texts
         else:
             self.records.pop((name.lower(), kind), None)
 
-    def serve(self, boxes: dict[str, Address], ttl: int = 2, priority: int = 0) -> None:
+    def set_boxes(self, boxes: dict[str, Address], ttl: int = 2, priority: int = 0) -> None:
         """Name these boxes, by id, and no others."""
         for name, kind in [key for key in self.records if key[1] == "A"]:
             del self.records[name, kind]
-        self.put(
+        self.set_records(
             SERVICE,
             "SRV",
             ttl,
             [f"{priority} 10 {port} {name}.{ZONE}" for name, (_, port) in boxes.items()],
         )
         for name, (host, _) in boxes.items():
-            self.put(f"{name}.{ZONE}", "A", ttl, [host])
+            self.set_records(f"{name}.{ZONE}", "A", ttl, [host])
 
 
 class NameServer(Program):
@@ -71,11 +73,11 @@
         self.address = address
         self.zone = zone
         self.how = how
-        self.late_s = 1.0
-        self.told: Callable[[str, list[str]], None] = lambda host, targets: (
+        self.delay_s = 1.0
+        self.on_service_answer: Callable[[str, list[str]], None] = lambda host, targets: (
             None
         )  # whom it gave the service's records, and their targets
-        self.asked: list[tuple[str, str, str]] = []  # by which way, name as it came, type
+        self.queries: list[tuple[str, str, str]] = []  # by which way, name as it came, type
         self._udp: Any = None
         self._tcp: Any = None
         self._tasks: set[asyncio.Task[None]] = set()
@@ -88,7 +90,7 @@
         self.address = self._tcp.getsockname()[:2]
         self._udp = seam.udp_socket()
         self._udp.bind(self.address)
-        loop.add_reader(self._udp, self._datagrams)
+        loop.add_reader(self._udp, self._read_datagrams)
         loop.add_reader(self._tcp, self._accept)
 
     def close(self) -> None:
@@ -108,14 +110,14 @@
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    def _datagrams(self) -> None:
+    def _read_datagrams(self) -> None:
         while True:
             try:
                 data, sender = self._udp.recvfrom(65_535)
             except OSError:
                 return
-            if self.how == "good" and data[12:].lower().startswith(_WIRE):
-                self.told(
+            if self.how == "good" and data[12:].lower().startswith(_SERVICE_WIRE):
+                self.on_service_answer(
                     sender[0],
                     [
                         text.split()[3]
@@ -124,7 +126,7 @@
                 )
             if self.how == "late":
                 asyncio.get_running_loop().call_later(
-                    self.late_s, self._send, self.answers(data, False), sender
+                    self.delay_s, self._send, self.answers(data, False), sender
                 )
             else:
                 self._send(self.answers(data, False), sender)
@@ -138,7 +140,7 @@
         if self.how == "forged sender":
             other = seam.udp_socket()
             with suppress(OSError):
-                other.sendto(self._whole(self._asked_last, False), sender)
+                other.sendto(self._response(self._last_query, False), sender)
             other.close()
 
     def _accept(self) -> None:
@@ -147,9 +149,9 @@
                 sock, _ = self._tcp.accept()
             except OSError:
                 return
-            self._spawn(self._stream(Stream(sock)))
+            self._spawn(self._serve_tcp(Stream(sock)))
 
-    async def _stream(self, stream: Stream) -> None:
+    async def _serve_tcp(self, stream: Stream) -> None:
         data = b""
         try:
             while len(data) < 2 or len(data) < 2 + int.from_bytes(data[:2], "big"):
@@ -173,14 +175,14 @@
         """The messages that go back for a query."""
         query = dns.message.from_wire(data)
         question = query.question[0]
-        self.asked.append(
+        self.queries.append(
             (
                 "tcp" if stream else "udp",
                 question.name.to_text(),
                 dns.rdatatype.to_text(question.rdtype),
             )
         )
-        self._asked_last = query
+        self._last_query = query
         how = self.how
         if how in ("silent", "forged sender"):
             return []
@@ -190,11 +192,14 @@
             return (
                 [b"\x00\x01" + data[2:] for _ in range(100)]
                 if not stream
-                else [self._whole(query, stream)]
+                else [self._response(query, stream)]
             )
-        good = self._whole(query, stream)
+        good = self._response(query, stream)
         if how == "forged id":
-            return [((query.id + 1) % 65_536).to_bytes(2, "big") + self._false(query)[2:], good]
+            return [
+                ((query.id + 1) % 65_536).to_bytes(2, "big") + self._forged_response(query)[2:],
+                good,
+            ]
         if how == "another question":
             other = dns.message.make_query("elsewhere.example.org.", "A", id=query.id)
             return [dns.message.make_response(other).to_wire()]
@@ -205,7 +210,7 @@
             return [dns.message.make_response(lower).to_wire()]
         return [good]
 
-    def _false(self, query: dns.message.Message) -> bytes:
+    def _forged_response(self, query: dns.message.Message) -> bytes:
         """A message that names a box which is none."""
         answer = dns.message.make_response(query)
         name, kind = query.question[0].name, query.question[0].rdtype
@@ -213,27 +218,27 @@
         answer.answer.append(dns.rrset.from_text(name, 300, "IN", kind, text))
         return bytes(answer.to_wire())
 
-    def _whole(self, query: dns.message.Message, stream: bool) -> bytes:
+    def _response(self, query: dns.message.Message, stream: bool) -> bytes:
         answer = dns.message.make_response(query)
         question, how = query.question[0], self.how
         if how in ("servfail", "refused"):
             answer.set_rcode(dns.rcode.from_text(how.upper()))
         elif how == "nxdomain":
             answer.set_rcode(dns.rcode.NXDOMAIN)
-            self._negative(answer)
+            self._add_soa(answer)
         elif how == "empty":
-            self._negative(answer)
+            self._add_soa(answer)
         elif how == "loop":
             answer.answer.append(dns.rrset.from_text(question.name, 5, "IN", "CNAME", f"a.{ZONE}"))
             answer.answer.append(dns.rrset.from_text(f"a.{ZONE}", 5, "IN", "CNAME", f"b.{ZONE}"))
             answer.answer.append(dns.rrset.from_text(f"b.{ZONE}", 5, "IN", "CNAME", f"a.{ZONE}"))
         elif how == "many" and stream:
-            texts = [f"10.{n >> 16}.{n >> 8 & 255}.{n & 255}" for n in range(MANY)]
+            texts = [f"10.{n >> 16}.{n >> 8 & 255}.{n & 255}" for n in range(MANY_RECORDS)]
             answer.answer.append(dns.rrset.from_text(question.name, 5, "IN", "A", *texts))
         elif how == "many":
             answer.flags |= dns.flags.TC
         else:
-            self._records(answer, question.name, question.rdtype)
+            self._add_records(answer, question.name, question.rdtype)
         if how in ("truncated", "truncated over tcp") and (
             not stream or how == "truncated over tcp"
         ):
@@ -241,14 +246,14 @@
             answer.additional.clear()
             answer.flags |= dns.flags.TC
         wire = bytes(answer.to_wire(max_size=65_535))
-        if not stream and len(wire) > UDP_MOST:
+        if not stream and len(wire) > MAX_UDP_BYTES:
             answer.answer.clear()
             answer.additional.clear()
             answer.flags |= dns.flags.TC
             wire = bytes(answer.to_wire())
         return wire
 
-    def _records(
+    def _add_records(
         self, answer: dns.message.Message, asked: dns.name.Name, kind: dns.rdatatype.RdataType
     ) -> None:
         name: Optional[str] = asked.to_text().lower()
@@ -259,7 +264,7 @@
             if found is not None:
                 answer.answer.append(dns.rrset.from_text(shown, found[0], "IN", kind, *found[1]))
                 if kind == dns.rdatatype.SRV and self.zone.glue:
-                    self._glue(answer, found[1])
+                    self._add_glue(answer, found[1])
                 return
             alias = self.zone.records.get((name, "CNAME"))
             if alias is None:
@@ -269,9 +274,9 @@
         if not answer.answer:
             if not any(known == name for known, _ in self.zone.records):
                 answer.set_rcode(dns.rcode.NXDOMAIN)
-            self._negative(answer)
+            self._add_soa(answer)
 
-    def _glue(self, answer: dns.message.Message, texts: list[str]) -> None:
+    def _add_glue(self, answer: dns.message.Message, texts: list[str]) -> None:
         for text in texts:
             target = text.split()[3].lower()
             for kind in ("A", "AAAA"):
@@ -282,5 +287,5 @@
                     )
 
     @staticmethod
-    def _negative(answer: dns.message.Message) -> None:
+    def _add_soa(answer: dns.message.Message) -> None:
         answer.authority.append(dns.rrset.from_text(ZONE, 60, "IN", "SOA", SOA))
--- a/testbed/systems/standins.py
+++ b/testbed/systems/emulators.py
@@ -15,35 +15,42 @@
 
 from corkshift.seam import Address, now_ms
 from corkshift.stream import Stream
-from testbed.systems.serving import Connection, Ended, Message, Server, dial, while_wanted
-
-TURNED_AWAY = {"X-Turned-Away": "1"}
-SPOILS = ("noise", "head", "short", "long", "twice", "behind", "notices")
+from testbed.systems.http import (
+    Connection,
+    Ended,
+    Message,
+    Server,
+    cancel_on_disconnect,
+    open_connection,
+)
+
+TURNED_AWAY_HEADERS = {"X-Turned-Away": "1"}
+CORRUPT_ANSWERS = ("noise", "head", "short", "long", "twice", "behind", "notices")
 HEARTBEAT_S = 2.0
 
 
-class Witness:
+class ServerObserver:
     """What the stand-ins report; the rules (testbed/nights/rules.py) are one."""
 
-    def received(self, box: CacheBox, txn: str, method: str, work_ms: float) -> None:
+    def request_received(self, box: CacheBox, txn: str, method: str, work_ms: float) -> None:
         """A request's last byte has come to a box, which begins it."""
 
-    def turned_away(self, box: CacheBox, txn: str) -> None:
+    def request_turned_away(self, box: CacheBox, txn: str) -> None:
         """A box says that the request never ran."""
 
-    def made(self, box: CacheBox, txn: str, body: bytes) -> None:
+    def answer_made(self, box: CacheBox, txn: str, body: bytes) -> None:
         """A box made an answer for a request."""
 
-    def fetched(self, box: str, key: str) -> None:
+    def origin_fetched(self, box: str, key: str) -> None:
         """The order book was asked for a key."""
 
-    def told(
+    def list_sent(
         self, node: str, entries: list[dict[str, object]], full: bool, sound: bool = True
     ) -> None:
         """Discovery has written entries to a node; sound: in a line that can be read, on a watch of which all could be."""
 
 
-def usual_part(reads: Mapping[str, Mapping[str, int]]) -> float:
+def majority_box_share(reads: Mapping[str, Mapping[str, int]]) -> float:
     """The part of the reads (by key and box) that went to the box to which most of their key's went; keys read once are left out."""
     counts = [boxes.values() for boxes in reads.values() if sum(boxes.values()) > 1]
     return sum(map(max, counts)) / max(1, sum(map(sum, counts)))
@@ -55,14 +62,14 @@
 
     cores: int = 2
     speed: float = 1.0
-    queue: int = 24
-    kept: int = 400  # keys
-    cold_from: float = 0.12
+    queue_length: int = 24
+    cache_capacity: int = 400  # keys
+    cold_share: float = 0.12
     cold_ms: float = 24_000.0
-    drops_ms: float = 4_000.0  # how long repeats of a key are dropped
+    deduplication_ms: float = 4_000.0  # how long repeats of a key are dropped
 
 
-def work_of(key: str, method: str) -> float:
+def request_work_ms(key: str, method: str) -> float:
     """The work of a request in ms, the same at every box."""
     return (12.0 if method == "GET" else 18.0) * (0.6 + 0.8 * random.Random(key).random())
 
@@ -76,47 +83,47 @@
         address: Address,
         book: Address,
         spec: BoxSpec,
-        witness: Witness,
+        witness: ServerObserver,
         cold: bool,
     ) -> None:
         super().__init__(address)
         self.name = name
         self.spec = spec
-        self.hits = self.misses = self.turned = 0
+        self.hits = self.misses = self.turned_away = 0
         # Faults, each off at first.
         self.slow = 1.0
         self.hang: Optional[asyncio.Event] = None
-        self.spoil: list[str] = []  # of the next answers
-        self.errors = 0  # next answers that are 500
+        self.corruptions: list[str] = []  # of the next answers
+        self.errors_left = 0  # next answers that are 500
         self.full = False
         self.draining = False
         self._book = book
-        self._witness = witness
-        self._since_ms = now_ms() if cold else 0.0
+        self._observer = witness
+        self._cold_since_ms = now_ms() if cold else 0.0
         self._cores = asyncio.Semaphore(spec.cores)
-        self._held = 0
+        self._active = 0
         self._values: OrderedDict[str, bytes] = OrderedDict()
         self._fetches: dict[str, asyncio.Future[bytes]] = {}
-        self._done: dict[
+        self._completed_writes: dict[
             str, tuple[float, bytes]
         ] = {}  # by idempotency key: when, and what was answered
-        self._links: list[Connection] = []
+        self._book_connections: list[Connection] = []
 
     @property
     def started_ms(self) -> float:
         """When it started cold, as discovery tells it; 0 for long ago."""
-        return self._since_ms
+        return self._cold_since_ms
 
-    def capacity(self) -> float:
+    def speed_share(self) -> float:
         """The part of its full speed that it has now."""
-        return self.capacity_at(now_ms())
+        return self.speed_share_at(now_ms())
 
-    def capacity_at(self, at_ms: float) -> float:
+    def speed_share_at(self, at_ms: float) -> float:
         """The part of its full speed that it has at a time: it grows evenly from the cold share."""
-        age = at_ms - self._since_ms
-        if not self._since_ms or age >= self.spec.cold_ms:
+        age = at_ms - self._cold_since_ms
+        if not self._cold_since_ms or age >= self.spec.cold_ms:
             return 1.0
-        return self.spec.cold_from + (1.0 - self.spec.cold_from) * age / self.spec.cold_ms
+        return self.spec.cold_share + (1.0 - self.spec.cold_share) * age / self.spec.cold_ms
 
     @property
     def full_speed(self) -> float:
@@ -125,10 +132,10 @@
 
     def warm(self, keys: list[str]) -> None:
         """Keep these keys from the start."""
-        for key in keys[: self.spec.kept]:
+        for key in keys[: self.spec.cache_capacity]:
             self._values[key] = b"v0"
 
-    def void(self, key: str) -> None:
+    def invalidate(self, key: str) -> None:
         """A write was carried out: a kept copy is worth nothing."""
         self._values.pop(key, None)
 
@@ -136,41 +143,42 @@
         txn = request.header(b"x-txn")
         key = request.target.partition("?")[0].rpartition("/")[2]
         if not txn:
-            await connection.answer(404)
+            await connection.send_response(404)
             return
         if self.hang is not None:
-            await while_wanted(
-                connection.stream, asyncio.get_running_loop().create_task(_set(self.hang))
+            await cancel_on_disconnect(
+                connection.stream,
+                asyncio.get_running_loop().create_task(_wait_for_event(self.hang)),
             )
-        work = work_of(key, request.method)
-        if self.draining or self.full or self._held >= self.spec.cores + self.spec.queue:
-            self.turned += 1
-            self._witness.received(self, txn, request.method, work)
-            self._witness.turned_away(self, txn)
-            await connection.answer(503, b"", TURNED_AWAY)
+        work = request_work_ms(key, request.method)
+        if self.draining or self.full or self._active >= self.spec.cores + self.spec.queue_length:
+            self.turned_away += 1
+            self._observer.request_received(self, txn, request.method, work)
+            self._observer.request_turned_away(self, txn)
+            await connection.send_response(503, b"", TURNED_AWAY_HEADERS)
             return
-        self._witness.received(self, txn, request.method, work)
-        self._held += 1
+        self._observer.request_received(self, txn, request.method, work)
+        self._active += 1
         try:
-            job = asyncio.get_running_loop().create_task(self._work(request, key, work))
-            status, found, body = await while_wanted(connection.stream, job)
+            job = asyncio.get_running_loop().create_task(self._execute(request, key, work))
+            status, found, body = await cancel_on_disconnect(connection.stream, job)
         finally:
-            self._held -= 1
-        if self.errors:
-            self.errors -= 1
-            await connection.answer(500, b"broken")
+            self._active -= 1
+        if self.errors_left:
+            self.errors_left -= 1
+            await connection.send_response(500, b"broken")
             return
         if status == 200:
             body = b"%s %s %s\n" % (self.name.encode(), txn.encode(), body)
-            self._witness.made(self, txn, body)
-        if self.spoil and status == 200:
-            await self._spoilt(self.spoil.pop(0), connection, body)
+            self._observer.answer_made(self, txn, body)
+        if self.corruptions and status == 200:
+            await self._send_corrupt(self.corruptions.pop(0), connection, body)
             return
-        await connection.answer(status, body, {"X-Found": found} if found else {})
+        await connection.send_response(status, body, {"X-Found": found} if found else {})
 
-    async def _work(self, request: Message, key: str, work: float) -> tuple[int, str, bytes]:
+    async def _execute(self, request: Message, key: str, work: float) -> tuple[int, str, bytes]:
         async with self._cores:
-            await asyncio.sleep(work * self.slow / (self.spec.speed * self.capacity()) / 1000.0)
+            await asyncio.sleep(work * self.slow / (self.spec.speed * self.speed_share()) / 1000.0)
         if request.method == "PUT":
             return await self._write(request, key)
         value = self._values.get(key)
@@ -184,7 +192,7 @@
         if fetch is None:
             fetch = asyncio.get_running_loop().create_task(self._fetch("GET", key, b""))
             self._fetches[key] = fetch
-            fetch.add_done_callback(lambda done: self._fetched(key, done))
+            fetch.add_done_callback(lambda done: self._on_fetched(key, done))
         try:
             return 200, found, await asyncio.shield(fetch)
         except (OSError, Ended):
@@ -192,48 +200,48 @@
 
     async def _write(self, request: Message, key: str) -> tuple[int, str, bytes]:
         token = request.header(b"idempotency-key")
-        before = now_ms() - self.spec.drops_ms
-        while self._done and next(iter(self._done.values()))[0] < before:
-            del self._done[next(iter(self._done))]
-        if token and token in self._done:
-            return 200, "", self._done[token][1]
+        before = now_ms() - self.spec.deduplication_ms
+        while self._completed_writes and next(iter(self._completed_writes.values()))[0] < before:
+            del self._completed_writes[next(iter(self._completed_writes))]
+        if token and token in self._completed_writes:
+            return 200, "", self._completed_writes[token][1]
         try:
             value = await self._fetch("PUT", key, request.body)
         except (OSError, Ended):
             return 500, "", b""
         if token:
-            self._done[token] = (now_ms(), value)
+            self._completed_writes[token] = (now_ms(), value)
         return 200, "", value
 
-    def _fetched(self, key: str, done: asyncio.Future[bytes]) -> None:
+    def _on_fetched(self, key: str, done: asyncio.Future[bytes]) -> None:
         self._fetches.pop(key, None)
         if not done.cancelled() and done.exception() is None:
             self._values[key] = done.result()
-            while len(self._values) > self.spec.kept:
+            while len(self._values) > self.spec.cache_capacity:
                 self._values.popitem(last=False)
 
     async def _fetch(self, method: str, key: str, body: bytes) -> bytes:
         """Ask the order book; OSError or Ended where it does not serve."""
-        self._witness.fetched(self.name, key)
-        link = self._links.pop() if self._links else None
-        if link is not None and not link.clean:
+        self._observer.origin_fetched(self.name, key)
+        link = self._book_connections.pop() if self._book_connections else None
+        if link is not None and not link.has_no_unsolicited_input:
             link.stream.abort()
             link = None
-        link = link or await dial(self._book, 0.5)
+        link = link or await open_connection(self._book, 0.5)
         try:
-            await link.ask(method, f"/book/{key}", {}, body)
+            await link.send_request(method, f"/book/{key}", {}, body)
             async with asyncio.timeout(2.0):
-                answer = await link.read()
+                answer = await link.read_message()
         except BaseException:
             link.stream.abort()
             raise
-        link.renew()
-        self._links.append(link)
+        link.start_next_exchange()
+        self._book_connections.append(link)
         if answer.status != 200:
             raise Ended(f"the order book answers {answer.status}")
         return answer.body
 
-    async def _spoilt(self, how: str, connection: Connection, body: bytes) -> None:
+    async def _send_corrupt(self, how: str, connection: Connection, body: bytes) -> None:
         """Write an answer that is wrong, or good with more than belongs to it. The connection stays open."""
         stream: Stream = connection.stream
         good = b"HTTP/1.1 200 OK\r\nX-Found: hit\r\nContent-Length: %d\r\n\r\n%s" % (
@@ -259,7 +267,7 @@
         await asyncio.get_running_loop().create_future()
 
 
-async def _set(event: asyncio.Event) -> None:
+async def _wait_for_event(event: asyncio.Event) -> None:
     await event.wait()
 
 
@@ -272,56 +280,62 @@
         self.service_ms = service_ms
         self.fetches = self.writes = self.refused = 0
         self.down = False
-        self.voids: list[Callable[[str], None]] = []
-        self._held = 0
-        self._free = asyncio.Semaphore(places)
+        self.invalidations: list[Callable[[str], None]] = []
+        self._active = 0
+        self._slots = asyncio.Semaphore(places)
 
     async def serve(self, connection: Connection, request: Message) -> None:
         key = request.target.rpartition("/")[2]
-        if self.down or self._held >= 4 * self.places:
+        if self.down or self._active >= 4 * self.places:
             self.refused += 1
-            await connection.answer(503)
+            await connection.send_response(503)
             return
-        self._held += 1
+        self._active += 1
         try:
-            async with self._free:
+            async with self._slots:
                 await asyncio.sleep(self.service_ms / 1000.0)
         finally:
-            self._held -= 1
+            self._active -= 1
         if request.method == "PUT":
             self.writes += 1
-            for void in self.voids:
+            for void in self.invalidations:
                 void(key)
         else:
             self.fetches += 1
-        await connection.answer(200, b"v%d %s" % (self.writes, key.encode()))
+        await connection.send_response(200, b"v%d %s" % (self.writes, key.encode()))
 
 
-SPOILT_BY = (b"\x00\xff noise", b"{", b'"}]}{', b'{"generation":9,"instances":[', b"\xe2\x28" * 40)
-SPOIL_HOWS = ("cut", "stop", "before", "inside", "after", "framing")
-HISTORY = 64  # changes that a watch is told of in place of the whole list
+NOISE_SAMPLES = (
+    b"\x00\xff noise",
+    b"{",
+    b'"}]}{',
+    b'{"generation":9,"instances":[',
+    b"\xe2\x28" * 40,
+)
+CORRUPTION_KINDS = ("cut", "stop", "before", "inside", "after", "framing")
+HISTORY_LENGTH = 64  # changes that a watch is told of in place of the whole list
 
 
 @dataclass(frozen=True, slots=True)
-class Spoil:
+class LineCorruption:
     """How the next line of a watch is spoilt.
 
     cut: its connection breaks after `at` bytes of it. stop: nothing comes after so many, for good. before, inside, after: noise
     in front of it, after `at` bytes, or before its end. framing: it comes as it is, in no chunk.
     """
 
-    how: str
-    at: int
-    noise: bytes = SPOILT_BY[0]
+    kind: str
+    offset: int
+    noise: bytes = NOISE_SAMPLES[0]
 
 
-class Registry(Server):
+class DiscoveryServer(Server):
     """Discovery: the whole list, and watches on it."""
 
     def __init__(
         self,
         address: Address,
-        witness: Witness,
+        witness: ServerObserver,
         entries: Optional[dict[str, dict[str, object]]] = None,
     ) -> None:
         super().__init__(address)
@@ -329,37 +343,37 @@
             entries if entries is not None else {}
         )  # by instanceId; may be shared by two places
         self.generation = 1
-        self._speaks = asyncio.Event()
-        self._speaks.set()
+        self._writable = asyncio.Event()
+        self._writable.set()
         self.late_s = 0.0
         self.down = False
         self.refusing = False  # calls are answered 503, and watches go on
         self.mute = False  # calls are taken and not answered
-        self.spoils: list[
-            Spoil
+        self.corruptions: list[
+            LineCorruption
         ] = []  # of the next lines, each at every watch that it is written to
         self.watches: dict[Connection, str] = {}
-        self._unsound: set[Connection] = (
+        self._unreadable: set[Connection] = (
             set()
         )  # a line of theirs could not be read: nothing more can be built on them
-        self._begun: dict[Connection, None] = {}  # have had their first line
-        self._mute: set[Connection] = set()  # nothing more is written
+        self._started: dict[Connection, None] = {}  # have had their first line
+        self._muted: set[Connection] = set()  # nothing more is written
         self._history: OrderedDict[int, list[dict[str, object]]] = (
             OrderedDict()
         )  # by generation, oldest first
-        self._witness = witness
+        self._observer = witness
 
     @property
     def silent(self) -> bool:
         """Whether it writes nothing; what it has to say meanwhile comes after, in its order."""
-        return not self._speaks.is_set()
+        return not self._writable.is_set()
 
     @silent.setter
     def silent(self, silent: bool) -> None:
         if silent:
-            self._speaks.clear()
+            self._writable.clear()
         else:
-            self._speaks.set()
+            self._writable.set()
 
     @staticmethod
     def entry(
@@ -376,43 +390,43 @@
         }
         return {"instanceId": name, "hostPort": place, "startedAtMs": started_ms, **more}
 
-    def change(self, entry: dict[str, object], lifecycle: str = "in_service") -> None:
+    def update(self, entry: dict[str, object], lifecycle: str = "in_service") -> None:
         """A server's entry is new, or another: every watch hears of it."""
         entry = {**entry, "lifecycle": lifecycle}
         if lifecycle == "terminated":
             self.entries.pop(str(entry["instanceId"]), None)
         else:
             self.entries[str(entry["instanceId"])] = entry
-        self.tell([entry])
+        self.publish([entry])
 
-    def tell(self, entries: list[dict[str, object]]) -> None:
+    def publish(self, entries: list[dict[str, object]]) -> None:
         """Write changes to every watch."""
         self.generation += 1
         self._history[self.generation] = entries
-        if len(self._history) > HISTORY:
+        if len(self._history) > HISTORY_LENGTH:
             self._history.popitem(last=False)
-        spoil = self.spoils.pop(0) if self.spoils else None
+        spoil = self.corruptions.pop(0) if self.corruptions else None
         for connection in list(self.watches):
             asyncio.get_running_loop().create_task(
-                self._write(connection, self.generation, entries, False, spoil)
+                self._write_line(connection, self.generation, entries, False, spoil)
             )
 
-    def tell_raw(self, data: bytes) -> None:
+    def publish_raw(self, data: bytes) -> None:
         """Write bytes that need not be a list to every watch that has had its first line."""
-        for connection in list(self._begun):
-            self._unsound.add(connection)
-            asyncio.get_running_loop().create_task(self._send(connection, _chunk(data)))
+        for connection in list(self._started):
+            self._unreadable.add(connection)
+            asyncio.get_running_loop().create_task(self._send(connection, _encode_chunk(data)))
 
-    def drop(self) -> None:
+    def drop_watches(self) -> None:
         """End every watch that has had its first line."""
-        for connection in list(self._begun):
+        for connection in list(self._started):
             connection.stream.abort()
 
     async def _send(self, connection: Connection, data: bytes) -> bool:
         if self.late_s:
             await asyncio.sleep(self.late_s)
-        await self._speaks.wait()
-        if connection in self._mute or connection.stream.closed or connection.stream.ended:
+        await self._writable.wait()
+        if connection in self._muted or connection.stream.closed or connection.stream.ended:
             return False
         try:
             await connection.stream.write(data)
@@ -420,34 +434,34 @@
             return False
         return True
 
-    async def _write(
+    async def _write_line(
         self,
         connection: Connection,
         generation: int,
         entries: list[dict[str, object]],
         full: bool,
-        spoil: Optional[Spoil] = None,
+        spoil: Optional[LineCorruption] = None,
     ) -> None:
         """Write a line, and tell the witness of what came whole with it.
 
         generation: of the changes up to here, and not of a later one of the same instant, which a call after it would not be told.
         """
         node = self.watches.get(connection, "")
-        text, spans = _line(generation, entries, full)
-        sound = connection not in self._unsound
+        text, spans = _encode_line(generation, entries, full)
+        sound = connection not in self._unreadable
         whole = entries
-        data = _chunk(text)
+        data = _encode_chunk(text)
         if spoil is not None:
             sound = False
-            at = min(spoil.at, len(text) - 2)  # the line's end is never among what is written
-            if spoil.how in ("cut", "stop"):
-                data = _chunk(text[:at]) if at else b""
+            at = min(spoil.offset, len(text) - 2)  # the line's end is never among what is written
+            if spoil.kind in ("cut", "stop"):
+                data = _encode_chunk(text[:at]) if at else b""
                 whole = [entry for entry, (_, end) in zip(entries, spans, strict=True) if end <= at]
-            elif spoil.how == "framing":
+            elif spoil.kind == "framing":
                 data = text
             else:
-                at = {"before": 0, "inside": at, "after": len(text) - 1}[spoil.how]
-                data = _chunk(text[:at] + spoil.noise + text[at:])
+                at = {"before": 0, "inside": at, "after": len(text) - 1}[spoil.kind]
+                data = _encode_chunk(text[:at] + spoil.noise + text[at:])
                 whole = [
                     entry
                     for entry, (begin, end) in zip(entries, spans, strict=True)
@@ -456,13 +470,13 @@
         if not await self._send(connection, data):
             return
         if spoil is not None:
-            self._unsound.add(connection)
-            if spoil.how == "stop":
-                self._mute.add(connection)
-            elif spoil.how == "cut":
+            self._unreadable.add(connection)
+            if spoil.kind == "stop":
+                self._muted.add(connection)
+            elif spoil.kind == "cut":
                 connection.stream.abort()
         if node:
-            self._witness.told(node, whole, full and sound, sound)
+            self._observer.list_sent(node, whole, full and sound, sound)
 
     async def serve(self, connection: Connection, request: Message) -> None:
         if self.mute:
@@ -470,7 +484,7 @@
                 pass
             raise Ended("nobody answers")
         if self.down or self.refusing:
-            await connection.answer(503)
+            await connection.send_response(503)
             return
         if "watch=1" not in request.target:
             everything = {
@@ -478,14 +492,14 @@
                 "reset": True,
                 "instances": list(self.entries.values()),
             }
-            await connection.answer(200, json.dumps(everything).encode())
+            await connection.send_response(200, json.dumps(everything).encode())
             return
         stream = connection.stream
         await stream.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-        self.watches[connection] = self.node_of(connection)
-        beat = asyncio.get_running_loop().create_task(self._beat(connection))
+        self.watches[connection] = self.node_name(connection)
+        beat = asyncio.get_running_loop().create_task(self._send_heartbeats(connection))
         first = asyncio.get_running_loop().create_task(
-            self._begin(connection, self.generation, *self._since(request.target))
+            self._start_watch(connection, self.generation, *self._changes_since(request.target))
         )
         try:
             while await stream.read():
@@ -494,18 +508,18 @@
             first.cancel()
             beat.cancel()
             del self.watches[connection]
-            self._begun.pop(connection, None)
-            self._unsound.discard(connection)
-            self._mute.discard(connection)
+            self._started.pop(connection, None)
+            self._unreadable.discard(connection)
+            self._muted.discard(connection)
         raise Ended("the watch")
 
-    async def _begin(
+    async def _start_watch(
         self, connection: Connection, generation: int, entries: list[dict[str, object]], full: bool
     ) -> None:
-        await self._write(connection, generation, entries, full)
-        self._begun[connection] = None
+        await self._write_line(connection, generation, entries, full)
+        self._started[connection] = None
 
-    def _since(self, target: str) -> tuple[list[dict[str, object]], bool]:
+    def _changes_since(self, target: str) -> tuple[list[dict[str, object]], bool]:
         """What a watch hears first: what changed after the version that it names, or the whole list; and whether it is whole."""
         after = target.partition("after=")[2]
         if (
@@ -522,21 +536,21 @@
             return list(last.values()), False
         return list(self.entries.values()), True
 
-    def node_of(self, connection: Connection) -> str:
+    def node_name(self, connection: Connection) -> str:
         """Who watches; the virtual world knows it by the address."""
         return "node"
 
-    async def _beat(self, connection: Connection) -> None:
+    async def _send_heartbeats(self, connection: Connection) -> None:
         while True:
             await asyncio.sleep(HEARTBEAT_S)
-            if not self.silent and connection not in self._mute:
+            if not self.silent and connection not in self._muted:
                 try:
-                    await connection.stream.write(_chunk(b"\n"))
+                    await connection.stream.write(_encode_chunk(b"\n"))
                 except OSError:
                     return
 
 
-def _line(
+def _encode_line(
     generation: int, entries: list[dict[str, object]], full: bool
 ) -> tuple[bytes, list[tuple[int, int]]]:
     """A line of a watch, and from where to where in it each entry stands, in bytes."""
@@ -550,5 +564,5 @@
     return text + b"]}\n", spans
 
 
-def _chunk(data: bytes) -> bytes:
+def _encode_chunk(data: bytes) -> bytes:
     return b"%x\r\n%s\r\n" % (len(data), data)
--- a/testbed/systems/serving.py
+++ b/testbed/systems/http.py
@@ -45,23 +45,23 @@
         self.exchanges = 0
         self._role = role
         self._parser = h11.Connection(role)
-        self._ahead = b""
+        self._extra_input = b""
 
     @property
-    def clean(self) -> bool:
+    def has_no_unsolicited_input(self) -> bool:
         """Whether nothing has come that nobody asked for."""
-        return not self._ahead and self.stream.no_input
+        return not self._extra_input and self.stream.no_input
 
-    def renew(self) -> None:
+    def start_next_exchange(self) -> None:
         """Begin the next exchange."""
-        self._ahead = bytes(self._parser.trailing_data[0])
+        self._extra_input = bytes(self._parser.trailing_data[0])
         self._parser = h11.Connection(self._role)
-        if self._ahead:
-            self._parser.receive_data(self._ahead)
-            self._ahead = b""
+        if self._extra_input:
+            self._parser.receive_data(self._extra_input)
+            self._extra_input = b""
         self.exchanges += 1
 
-    async def read(self) -> Message:
+    async def read_message(self) -> Message:
         """The next whole message; Ended, h11.RemoteProtocolError, or OSError where there is none."""
         head: Optional[h11.Request | h11.Response] = None
         body = bytearray()
@@ -89,14 +89,14 @@
                 raise Ended("closed")
 
     @property
-    def spent(self) -> bool:
+    def must_close(self) -> bool:
         """Whether the connection can carry no other exchange."""
         return (
             h11.MUST_CLOSE in (self._parser.our_state, self._parser.their_state)
             or self.stream.closed
         )
 
-    async def answer(
+    async def send_response(
         self, status: int, body: bytes = b"", headers: Mapping[str, str] | None = None
     ) -> None:
         """Write a whole answer."""
@@ -109,7 +109,7 @@
         data += parser.send(h11.EndOfMessage()) or b""
         await self.stream.write(data)
 
-    async def ask(
+    async def send_request(
         self, method: str, target: str, headers: Mapping[str, str], body: bytes = b""
     ) -> None:
         """Write a whole request."""
@@ -124,7 +124,7 @@
         await self.stream.write(data)
 
 
-async def dial(address: Address, within_s: float) -> Connection:
+async def open_connection(address: Address, within_s: float) -> Connection:
     """A connection to a server; OSError (TimeoutError among them) where it does not come up."""
     sock = seam.tcp_socket()
     try:
@@ -137,16 +137,16 @@
         raise
 
 
-async def fetch(address: Address, path: str) -> Optional[bytes]:
+async def fetch_body(address: Address, path: str) -> Optional[bytes]:
     """The body of a 200 answer to one GET on a connection of its own; None where there is none within 1.5 s."""
     try:
-        connection = await dial(address, 0.5)
+        connection = await open_connection(address, 0.5)
     except OSError:
         return None
     try:
         async with asyncio.timeout(1.0):
-            await connection.ask("GET", path, {})
-            answer = await connection.read()
+            await connection.send_request("GET", path, {})
+            answer = await connection.read_message()
         return answer.body if answer.status == 200 else None
     except (OSError, Ended, h11.ProtocolError):
         return None
@@ -226,10 +226,10 @@
     async def _run(self, connection: Connection) -> None:
         try:
             while True:
-                await self.serve(connection, await connection.read())
-                if connection.spent:
+                await self.serve(connection, await connection.read_message())
+                if connection.must_close:
                     return
-                connection.renew()
+                connection.start_next_exchange()
         except (
             OSError,
             Ended,
@@ -244,7 +244,7 @@
             connection.stream.close()
 
 
-async def while_wanted(stream: Stream, work: asyncio.Task[Result]) -> Result:
+async def cancel_on_disconnect(stream: Stream, work: asyncio.Task[Result]) -> Result:
     """Wait for work that nobody wants once the peer has ended its side; Ended where that comes first."""
 
     def noticed() -> None:
--- a/testbed/systems/scripted.py
+++ b/testbed/systems/scripted.py
@@ -10,7 +10,7 @@
 from typing import Optional
 
 from corkshift.seam import Address
-from testbed.systems.serving import Connection, Message, Server, while_wanted
+from testbed.systems.http import Connection, Message, Server, cancel_on_disconnect
 
 Answer = Optional[bytes]
 Script = Callable[[bytes], Answer | Awaitable[Answer]]
@@ -18,12 +18,12 @@
 it closes the connection. Where it gives an awaitable, that is given up when the node ends its sending."""
 
 
-def path_of(head: bytes) -> bytes:
+def request_path(head: bytes) -> bytes:
     """The path of a request's head."""
     return head.split(b" ", 2)[1]
 
 
-def whole(body: bytes, head: bytes = b"") -> bytes:
+def ok_response(body: bytes, head: bytes = b"") -> bytes:
     """A good answer, with further header lines (each with its end) where they are given."""
     return b"HTTP/1.1 200 OK\r\nX-Found: hit\r\n%sContent-Length: %d\r\n\r\n%s" % (
         head,
@@ -32,15 +32,17 @@
     )
 
 
-def good(head: bytes) -> bytes:
+def default_answer(head: bytes) -> bytes:
     """The answer of a cache box that is well: it names the request's path."""
-    return whole(b"for " + path_of(head))
+    return ok_response(b"for " + request_path(head))
 
 
 class ScriptedBox(Server):
     """A cache box that keeps nothing and does what its script says. What came is kept in `heads` and `bodies`."""
 
-    def __init__(self, script: Script = good, address: Address = ("127.0.0.1", 0)) -> None:
+    def __init__(
+        self, script: Script = default_answer, address: Address = ("127.0.0.1", 0)
+    ) -> None:
         super().__init__(address)
         self.script = script
         self.heads: list[bytes] = []  # request line and headers, names in title case
@@ -52,7 +54,7 @@
         return self.address[1]
 
     @property
-    def open(self) -> int:
+    def open_connections(self) -> int:
         """How many connections there are to it."""
         return len(self.connections)
 
@@ -64,10 +66,12 @@
         self.heads.append(head)
         answer = self.script(head)
         if isinstance(answer, Awaitable):
-            answer = await while_wanted(connection.stream, asyncio.ensure_future(_result(answer)))
+            answer = await cancel_on_disconnect(
+                connection.stream, asyncio.ensure_future(_await_result(answer))
+            )
         if answer is not None:
             await connection.stream.write(answer)
 
 
-async def _result(coming: Awaitable[Answer]) -> Answer:
+async def _await_result(coming: Awaitable[Answer]) -> Answer:
     return await coming
--- a/testbed/tier/processes.py
+++ b/testbed/tier/processes.py
@@ -36,14 +36,21 @@
 from testbed.systems.clients import (
     CLASSES,
     SITE_CLASSES,
-    Ask,
+    ClientObserver,
+    ClientRequest,
     Clients,
-    Observer,
-    neighbours,
+    peer_config,
     settings,
 )
-from testbed.systems.serving import Message, fetch
-from testbed.systems.standins import BoxSpec, CacheBox, OrderBook, Registry, Witness, usual_part
+from testbed.systems.emulators import (
+    BoxSpec,
+    CacheBox,
+    DiscoveryServer,
+    OrderBook,
+    ServerObserver,
+    majority_box_share,
+)
+from testbed.systems.http import Message, fetch_body
 from testbed.tier.books import ColdBox, Span, at_time, most_held, spans_of
 from testbed.tier.relay import Link, Relay
 
@@ -78,16 +85,16 @@
     ctypes.CDLL(None, use_errno=True).prctl(PR_SET_PDEATHSIG, signal.SIGKILL)
 
 
-class Watch(Witness, Observer):
+class Watch(ServerObserver, ClientObserver):
     """What clients and boxes saw."""
 
     def __init__(self) -> None:
         self.failures: list[str] = []
         self.cold: dict[str, ColdBox] = {}
-        self.excused: Callable[[Ask], bool] = lambda ask: False
+        self.excused: Callable[[ClientRequest], bool] = lambda ask: False
         self.work: dict[str, Counter[str]] = defaultdict(Counter)  # by box and node, in ms
         self.reads: dict[str, Counter[str]] = defaultdict(Counter)  # by key and box
-        self._asks: dict[str, Ask] = {}
+        self._asks: dict[str, ClientRequest] = {}
         self._begun: dict[str, list[str]] = defaultdict(list)  # by id: boxes where it may have run
         self._bodies: dict[str, set[bytes]] = defaultdict(set)
         self._answered: set[str] = set()
@@ -95,21 +102,25 @@
     def broken(self, what: str) -> None:
         self.failures.append(what)
 
-    def asked(self, ask: Ask) -> None:
+    def request_sent(self, ask: ClientRequest) -> None:
         self._asks[ask.txn] = ask
 
-    def answered(self, ask: Ask, answer: Message) -> None:
+    def answer_received(self, ask: ClientRequest, answer: Message) -> None:
         if ask.txn in self._answered:
             self.broken(f"one final answer: {ask.txn} is answered twice")
         self._answered.add(ask.txn)
         if answer.status == 200 and answer.body not in self._bodies[ask.txn]:
             self.broken(f"one final answer: {ask.txn} is served with what was not made for it")
-        if answer.status in (429, 503) and ask.kind.repeat == "unsafe" and self._begun[ask.txn]:
+        if (
+            answer.status in (429, 503)
+            and ask.request_class.idempotency == "unsafe"
+            and self._begun[ask.txn]
+        ):
             self.broken(
                 f"no effect twice: {ask.txn} is refused though it may have run at {self._begun[ask.txn][0]}"
             )
 
-    def ended(self, ask: Ask, how: str) -> bool:
+    def no_answer(self, ask: ClientRequest, how: str) -> bool:
         if self.excused(ask):
             return False
         if how == "no answer":
@@ -118,15 +129,15 @@
             self.broken(
                 f"one final answer: {ask.txn} of {ask.node} was sent on, and its connection ended: {how}"
             )
-        return not ask.first
+        return not ask.first_on_connection
 
-    def received(self, box: CacheBox, txn: str, method: str, work_ms: float) -> None:
+    def request_received(self, box: CacheBox, txn: str, method: str, work_ms: float) -> None:
         ask = self._asks.get(txn)
         node = ask.node if ask is not None else "?"
         self.work[box.name][node] += work_ms  # type: ignore[assignment]
         if ask is not None and method == "GET":
             self.reads[ask.key][box.name] += 1
-        if ask is not None and ask.kind.repeat == "unsafe" and self._begun[txn]:
+        if ask is not None and ask.request_class.idempotency == "unsafe" and self._begun[txn]:
             self.broken(
                 f"no effect twice: {txn} may have run at {self._begun[txn][0]} and is sent to {box.name}"
             )
@@ -135,10 +146,10 @@
         if cold is not None:
             cold.got.append((now_ms(), work_ms, node))
 
-    def turned_away(self, box: CacheBox, txn: str) -> None:
+    def request_turned_away(self, box: CacheBox, txn: str) -> None:
         self._begun[txn].pop()
 
-    def made(self, box: CacheBox, txn: str, body: bytes) -> None:
+    def answer_made(self, box: CacheBox, txn: str, body: bytes) -> None:
         self._bodies[txn].add(body)
 
 
@@ -221,7 +232,7 @@
         self.classes = SITE_CLASSES if w.worths == "site" else CLASSES
         self.ports = Ports()
         self.book = OrderBook((HOST, 0), 8, 15.0)
-        self.registry = Registry((HOST, 0), self.watch)
+        self.registry = DiscoveryServer((HOST, 0), self.watch)
         self.boxes: list[CacheBox] = []
         self.nodes: list[NodePlace] = []
         self.relay: Relay = Relay(0, [], seed)
@@ -264,17 +275,19 @@
             w.requests_per_s,
             classes=self.classes,
         )
-        self.clients.down = self._down
+        self.clients.is_down = self._down
         self.watch.excused = self._excused
 
     def _add(self, box: CacheBox, n: int) -> None:
         box.listen()
-        self.book.voids.append(box.void)
+        self.book.invalidations.append(box.invalidate)
         if n < len(self.boxes):
             self.boxes[n] = box
         else:
             self.boxes.append(box)
-        self.registry.entries[box.name] = Registry.entry(box.name, box.address, box.started_ms)
+        self.registry.entries[box.name] = DiscoveryServer.entry(
+            box.name, box.address, box.started_ms
+        )
 
     def _configure(self, node: NodePlace, others: int = 0) -> None:
         w = self.script.world
@@ -297,7 +310,7 @@
                 f"127.99.0.{n + 1}:{PEER_PORT}" for n in range(others)
             ]
             host, port = self.relay.places[node.slot]
-            config |= neighbours(config["settings"], node.slot, peers, f"{host}:{port}")
+            config |= peer_config(config["settings"], node.slot, peers, f"{host}:{port}")
         node.config = config
         node.path.write_text(json.dumps(config))
 
@@ -330,7 +343,7 @@
     async def _ready(self, node: NodePlace) -> None:
         """Until a node serves; it is an error where it does not in READY_S."""
         async with asyncio.timeout(READY_S):
-            while await fetch(node.listen, "/up") is None:
+            while await fetch_body(node.listen, "/up") is None:
                 life = node.lives[-1]
                 if life.process.returncode is not None:
                     raise RuntimeError(
@@ -354,7 +367,7 @@
             return True
         return node.life is None and now_ms() - node.lives[-1].ended > FRONT_MS
 
-    def _excused(self, ask: Ask) -> bool:
+    def _excused(self, ask: ClientRequest) -> bool:
         since, now = ask.sent_ms - EXCUSED_MS, now_ms()
         return any(
             begin <= now and end >= since for begin, end in self.nodes[int(ask.node[1:])].hurt
@@ -370,7 +383,7 @@
             await asyncio.sleep(LOOK_S)
 
     async def _look_at(self, node: NodePlace, life: Life) -> None:
-        body = await fetch(node.admin, "/admin/tier")
+        body = await fetch_body(node.admin, "/admin/tier")
         if body is None:
             return
         view = json.loads(body)
@@ -587,7 +600,7 @@
     def _end_box(self, n: int) -> None:
         box = self.boxes[n]
         box.close()
-        self.registry.change(self.registry.entries[box.name], "terminated")
+        self.registry.update(self.registry.entries[box.name], "terminated")
 
     def _begin_box(self, n: int) -> None:
         """A box begins, cold, under its name, and discovery says so at once."""
@@ -595,9 +608,9 @@
         box = CacheBox(old.name, (HOST, 0), self.book.address, old.spec, self.watch, True)
         self._add(box, n)
         self.watch.cold[box.name] = ColdBox(
-            box.name, box.spec.cold_from, box.spec.cold_ms, box.full_speed, now_ms()
+            box.name, box.spec.cold_share, box.spec.cold_ms, box.full_speed, now_ms()
         )
-        self.registry.change(self.registry.entries[box.name])
+        self.registry.update(self.registry.entries[box.name])
 
     def _do_box_slow(self, fault: Fault) -> None:
         box = self.boxes[fault.target]
@@ -605,7 +618,7 @@
         self._later(fault, setattr, box, "slow", 1.0)
 
     def _do_box_errors(self, fault: Fault) -> None:
-        self.boxes[fault.target].errors += int(fault.value) or 1
+        self.boxes[fault.target].errors_left += int(fault.value) or 1
 
     def _do_box_turn_away(self, fault: Fault) -> None:
         box = self.boxes[fault.target]
@@ -630,7 +643,7 @@
             for key in self.rng.sample(
                 sorted(box._values), int(len(box._values) * (fault.value or 1.0))
             ):
-                box.void(key)
+                box.invalidate(key)
 
     def _do_discovery_silent(self, fault: Fault) -> None:
         self.registry.silent = True
@@ -638,14 +651,14 @@
 
     def _do_discovery_down(self, fault: Fault) -> None:
         self.registry.down = True
-        self.registry.drop()
+        self.registry.drop_watches()
         self._later(fault, setattr, self.registry, "down", False)
 
     # -- the report ----------------------------------------------------------------------
 
     def _report(self, real_s: float) -> dict[str, Any]:
         assert self.clients is not None
-        figures, spans = self.clients.figures, self.spans()
+        figures, spans = self.clients.counts, self.spans()
         failures = list(self.watch.failures)
         held = most_held(spans)
         for bound, (parts, at) in held.items():
@@ -686,7 +699,7 @@
             },
             "work_ms": {box: {node: round(work) for node, work in sorted(by.items())} for box, by in sorted(self.watch.work.items())},
             "cold": {name: {"worst": round(cold.worst(), 3), "work_ms": cold.by_node()} for name, cold in sorted(self.watch.cold.items())},
-            "usual": round(usual_part(self.watch.reads), 4),
+            "usual": round(majority_box_share(self.watch.reads), 4),
             "fetches": self.book.fetches,
             "lines": {name: view["line"] and view["line"]["digest"] for name, view in views.items()},
             "leases": len(spans),
--- a/tests/admin/test_admin.py
+++ b/tests/admin/test_admin.py
@@ -7,7 +7,7 @@
 from contextlib import asynccontextmanager
 
 import pytest
-from loopback import CacheBox, Rig, good, request, rig, run_async, send_to, status, until
+from loopback import CacheBox, Rig, default_answer, request, rig, run_async, send_to, status, until
 
 from corkshift.admin import Admin, Status
 from corkshift.admin.server import MAX_CONNECTIONS
@@ -56,7 +56,7 @@
                 return b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"
             if b"/full" in head:
                 return b"HTTP/1.1 503 Full\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n"
-            return good(head)
+            return default_answer(head)
 
         async with admin_fixture({"s1": CacheBox(script)}) as fixture:
             for n in range(3):
@@ -96,7 +96,7 @@
 
         async def slow(head: bytes) -> bytes:
             await release.wait()
-            return good(head)
+            return default_answer(head)
 
         box, dead = CacheBox(slow), CacheBox()
         async with admin_fixture({"s1": box, "s2": dead}) as fixture:
@@ -213,7 +213,7 @@
         async def script(head: bytes) -> bytes:
             if b"/slow" in head:
                 await release.wait()
-            return good(head)
+            return default_answer(head)
 
         async with admin_fixture({"s1": CacheBox(script)}) as fixture:
             loop, node = asyncio.get_running_loop(), fixture.rig
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -18,25 +18,25 @@
 from corkshift.upstream import Pool
 from forkweir.adapter import settings_of
 from forkweir.limits.duty import Leave
-from testbed.systems import standins
+from testbed.systems import emulators
+from testbed.systems.http import Connection, Message
 from testbed.systems.scripted import ScriptedBox as CacheBox
-from testbed.systems.scripted import good, path_of, whole
-from testbed.systems.serving import Connection, Message
+from testbed.systems.scripted import default_answer, ok_response, request_path
 
 __all__ = [
     "CacheBox",
     "Registry",
     "Rig",
     "entry",
-    "good",
-    "path_of",
+    "default_answer",
+    "request_path",
     "run_async",
     "request",
     "rig",
     "send_to",
     "status",
     "until",
-    "whole",
+    "ok_response",
 ]
 
 # Time limit of one test; on an idle machine tests wait for nothing that takes long.
@@ -111,7 +111,7 @@
 
 def entry(name: str, port: int, lifecycle: str = "in_service") -> dict[str, object]:
     """Return one server's entry as discovery sends it."""
-    return {**standins.Registry.entry(name, ("127.0.0.1", port)), "lifecycle": lifecycle}
+    return {**emulators.DiscoveryServer.entry(name, ("127.0.0.1", port)), "lifecycle": lifecycle}
 
 
 async def send_to(address: tuple[str, int], data: bytes) -> bytes:
@@ -126,11 +126,11 @@
         writer.transport.abort()
 
 
-class Registry(standins.Registry):
+class Registry(emulators.DiscoveryServer):
     """Emulated discovery that lists the given boxes; tests change its list."""
 
     def __init__(self, boxes: dict[str, CacheBox]) -> None:
-        super().__init__(("127.0.0.1", 0), standins.Witness())
+        super().__init__(("127.0.0.1", 0), emulators.ServerObserver())
         self.boxes = boxes
         self.asked: list[str] = []  # the targets of requests
 
--- a/tests/sources/test_members.py
+++ b/tests/sources/test_members.py
@@ -32,7 +32,7 @@
         zone = Zone()
         server = NameServer(("127.0.0.1", 0), zone)
         server.listen()
-        zone.serve({"s0": ("127.0.0.1", 1), "spare": ("127.0.0.1", 2)})
+        zone.set_boxes({"s0": ("127.0.0.1", 1), "spare": ("127.0.0.1", 2)})
         operator, view = tmp_path / "op.toml", tmp_path / "members.sock"
         text = (
             f'format = 1\n[sources]\nmembers_socket = "{view}"\n'
@@ -43,7 +43,7 @@
         async with running(
             tmp_path / "config.json", box, {"GRADESHIFT_OPERATOR": str(operator)}
         ) as (process, registry):
-            zone.serve({"s0": ("127.0.0.1", box.address[1]), "spare": ("127.0.0.1", 2)})
+            zone.set_boxes({"s0": ("127.0.0.1", box.address[1]), "spare": ("127.0.0.1", 2)})
             process.process.send_signal(signal.SIGHUP)  # the file is unchanged
             await until(lambda: any("reload: discovery" in line for line in process.log))
             operator.write_text(
--- a/tests/sources/test_message.py
+++ b/tests/sources/test_message.py
@@ -38,7 +38,7 @@
 ) -> bytes:
     if zone is None:
         zone = Zone()
-        zone.serve({"s0": ("10.0.0.1", 8001), "s1": ("10.0.0.2", 8002)}, ttl=30)
+        zone.set_boxes({"s0": ("10.0.0.1", 8001), "s1": ("10.0.0.2", 8002)}, ttl=30)
     return NameServer(("127.0.0.1", 53), zone, how).answers(query_for(name, kind).wire, stream)[0]
 
 
@@ -102,8 +102,8 @@
 
 def test_cnames_are_followed_with_the_smallest_ttl_up_to_a_limit() -> None:
     zone = Zone()
-    zone.put("a.cache.example.org.", "CNAME", 7, ["b.cache.example.org."])
-    zone.put("b.cache.example.org.", "A", 90, ["10.0.0.9"])
+    zone.set_records("a.cache.example.org.", "CNAME", 7, ["b.cache.example.org."])
+    zone.set_records("b.cache.example.org.", "A", 90, ["10.0.0.9"])
     answer = parse_answer(
         wire_answer(name="a.cache.example.org.", kind="A", zone=zone),
         query_for("a.cache.example.org.", "A"),
@@ -114,7 +114,7 @@
     message.answer.append(dns.rrset.from_text(one.name, 7, "IN", "CNAME", "elsewhere.example.net."))
     assert parse_answer(message.to_wire(), one) == Answer(7, alias="elsewhere.example.net.")
     for n in range(10):
-        zone.put(f"c{n}.{ZONE}", "CNAME", 7, [f"c{n + 1}.{ZONE}"])
+        zone.set_records(f"c{n}.{ZONE}", "CNAME", 7, [f"c{n + 1}.{ZONE}"])
     with pytest.raises(UnusableAnswer, match="over 8 CNAMEs"):
         parse_answer(
             wire_answer(name=f"c0.{ZONE}", kind="A", zone=zone), query_for(f"c0.{ZONE}", "A")
@@ -123,7 +123,7 @@
 
 def test_a_ttl_of_2_to_the_31_or_more_is_left_to_the_resolver() -> None:
     zone = Zone()
-    zone.put(f"s0.{ZONE}", "A", 0x7FEEDDCC, ["10.0.0.1"])
+    zone.set_records(f"s0.{ZONE}", "A", 0x7FEEDDCC, ["10.0.0.1"])
     wire = wire_answer(name=f"s0.{ZONE}", kind="A", zone=zone)
     assert wire.count(b"\x7f\xee\xdd\xcc") == 1
     for top in (b"\x80\x00\x00\x00", b"\xff\xff\xff\xff"):  # RFC 2181, section 8
@@ -133,8 +133,8 @@
 
 def test_additional_addresses_of_other_names_and_ipv6_addresses_are_ignored() -> None:
     zone = Zone()
-    zone.serve({"s0": ("10.0.0.1", 8001)})
-    zone.put(f"s0.{ZONE}", "AAAA", 5, ["::1", "::2"])
+    zone.set_boxes({"s0": ("10.0.0.1", 8001)})
+    zone.set_records(f"s0.{ZONE}", "AAAA", 5, ["::1", "::2"])
     one = query_for()
     message = dns.message.from_wire(wire_answer(zone=zone))
     message.additional.append(dns.rrset.from_text("bank.example.net.", 300, "IN", "A", "10.6.6.6"))
--- a/tests/sources/test_resolver.py
+++ b/tests/sources/test_resolver.py
@@ -10,7 +10,7 @@
 from corkshift.seam import now_ms
 from corkshift.sources.options import Limits
 from corkshift.sources.resolver import MAX_BACKOFF_MS, LookupFailed, NameServers, parse_resolv_conf
-from testbed.systems.dns import HOWS, ZONE
+from testbed.systems.dns import BEHAVIOURS, ZONE
 
 UNUSABLE = [
     "silent",
@@ -33,27 +33,27 @@
         fixture.servers[0].how = how
         if how == "hangs over tcp":
             # Too large for a datagram.
-            fixture.servers[0].zone.serve(
+            fixture.servers[0].zone.set_boxes(
                 {f"box-number-{n}": (f"127.2.1.{n}", 8001) for n in range(60)}
             )
         resolver, begin = fixture.resolver(), now_ms()
         cached = await resolver.lookup(SERVICE, "SRV")
         assert len(cached.answer.srv_records) in (len(BOXES), 60)
-        assert now_ms() - begin < 3_000.0 and fixture.servers[1].asked
-        before = len(fixture.servers[0].asked)
+        assert now_ms() - begin < 3_000.0 and fixture.servers[1].queries
+        before = len(fixture.servers[0].queries)
         await resolver.lookup(
             f"s0.{ZONE}" if how != "hangs over tcp" else f"box-number-0.{ZONE}",
             "A",
             refresh_ahead=1.0,
         )
-        assert len(fixture.servers[0].asked) == before  # it is in back-off
+        assert len(fixture.servers[0].queries) == before  # it is in back-off
         assert sum(resolver.counts.failures.values()) == 1
 
     run_virtual(test)
 
 
 @pytest.mark.parametrize(
-    "how", [how for how in HOWS if how in ("good", "truncated", "forged id", "flood")]
+    "how", [how for how in BEHAVIOURS if how in ("good", "truncated", "forged id", "flood")]
 )
 def test_an_answer_is_found_despite_truncation_and_forged_datagrams(how: str) -> None:
     async def test(fixture: DnsFixture) -> None:
@@ -63,8 +63,8 @@
             f"{name}.{ZONE}" for name in BOXES
         }
         assert (
-            len(fixture.servers[0].asked) == (2 if how in ("truncated", "flood") else 1)
-            and not fixture.servers[1].asked
+            len(fixture.servers[0].queries) == (2 if how in ("truncated", "flood") else 1)
+            and not fixture.servers[1].queries
         )
 
     run_virtual(test)
@@ -73,7 +73,7 @@
 def test_a_late_answer_is_not_accepted_for_the_next_query() -> None:
     async def test(fixture: DnsFixture) -> None:
         # Above the first round's time-out, below the second's.
-        fixture.servers[0].how, fixture.servers[0].late_s = "late", 0.5
+        fixture.servers[0].how, fixture.servers[0].delay_s = "late", 0.5
         resolver = fixture.resolver()
         cached = await resolver.lookup(SERVICE, "SRV")
         assert cached.answer.srv_records and resolver.counts.queries == 2
@@ -102,16 +102,16 @@
 @pytest.mark.parametrize(("ttl", "lifetime_s"), [(0, 2.0), (1, 2.0), (7, 7.0), (2**31 - 1, 90.0)])
 def test_lifetimes_have_a_floor_and_a_ceiling(ttl: int, lifetime_s: float) -> None:
     async def test(fixture: DnsFixture) -> None:
-        fixture.zone.serve(BOXES, ttl)
+        fixture.zone.set_boxes(BOXES, ttl)
         resolver = fixture.resolver(Limits(floor_s=2.0, ceiling_s=90.0))
         assert (await resolver.lookup(SERVICE, "SRV")).lifetime_s == lifetime_s
-        query_count = len(fixture.servers[0].asked)
+        query_count = len(fixture.servers[0].queries)
         await asyncio.sleep(lifetime_s * 0.9)
         await resolver.lookup(SERVICE.upper(), "SRV")
-        assert len(fixture.servers[0].asked) == query_count
+        assert len(fixture.servers[0].queries) == query_count
         await asyncio.sleep(lifetime_s * 0.2)
         await resolver.lookup(SERVICE, "SRV")
-        assert len(fixture.servers[0].asked) == query_count + 1
+        assert len(fixture.servers[0].queries) == query_count + 1
 
     run_virtual(test)
 
@@ -122,7 +122,7 @@
         cached = await resolver.lookup(f"nobody.{ZONE}", "A")
         assert not cached.answer.exists and cached.lifetime_s == 5.0
         await resolver.lookup(f"nobody.{ZONE}", "A")
-        assert len(fixture.servers[0].asked) == 1
+        assert len(fixture.servers[0].queries) == 1
 
     run_virtual(test)
 
@@ -130,8 +130,8 @@
 def test_a_cname_chain_across_answers_is_followed() -> None:
     async def test(fixture: DnsFixture) -> None:
         for n in range(3):
-            fixture.zone.put(f"c{n}.{ZONE}", "CNAME", 5, [f"c{n + 1}.{ZONE}"])
-        fixture.zone.put(f"c3.{ZONE}", "A", 9, ["10.0.0.3"])
+            fixture.zone.set_records(f"c{n}.{ZONE}", "CNAME", 5, [f"c{n + 1}.{ZONE}"])
+        fixture.zone.set_records(f"c3.{ZONE}", "A", 9, ["10.0.0.3"])
         assert (await fixture.resolver().lookup(f"c0.{ZONE}", "A")).answer.addresses == (
             "10.0.0.3",
         )
@@ -171,7 +171,7 @@
         for _ in range(12):
             await resolver.lookup(SERVICE, "SRV")
             await asyncio.sleep(0.2)
-        assert len({name for _, name, _ in fixture.servers[0].asked}) == 12
+        assert len({name for _, name, _ in fixture.servers[0].queries}) == 12
 
     run_virtual(test)
 
--- a/tests/sources/test_sources.py
+++ b/tests/sources/test_sources.py
@@ -111,7 +111,7 @@
         assert (
             node.serving == {"s0", "s2", "s3"}
             and "s1" not in node.servers
-            and fixture.servers[0].asked
+            and fixture.servers[0].queries
         )
         sources.close()
 
@@ -120,7 +120,7 @@
 
 def test_boxes_that_only_one_source_names_are_all_used() -> None:
     async def test(fixture: DnsFixture) -> None:
-        fixture.zone.serve({"s0": BOXES["s0"], "x": ("127.2.0.77", 8001)})
+        fixture.zone.set_boxes({"s0": BOXES["s0"], "x": ("127.2.0.77", 8001)})
         node, sources, discovery = start_sources(fixture)
         discovery.tell("full", ("s0", "in"), ("s1", "in"))
         await asyncio.sleep(0.1)
@@ -142,7 +142,7 @@
             assert len(node.serving) == len(BOXES)
         for server in fixture.servers:
             server.how = "good"
-        fixture.zone.serve({"s9": ("127.2.0.9", 8001)})
+        fixture.zone.set_boxes({"s9": ("127.2.0.9", 8001)})
         await asyncio.sleep(60.0)
         assert node.serving == {"127.2.0.9:8001"}
         sources.close()
@@ -173,7 +173,7 @@
         node, sources, discovery = start_sources(fixture)
         discovery.tell("full", ("s0", "in"))
         await asyncio.sleep(0.1)
-        fixture.zone.put(SERVICE, "SRV", 2, ["0 0 0 ."])
+        fixture.zone.set_records(SERVICE, "SRV", 2, ["0 0 0 ."])
         await asyncio.sleep(60.0)
         assert node.serving == {"s0"}
         sources.close()
@@ -202,7 +202,7 @@
 
 def test_a_lower_priority_group_is_used_only_while_the_higher_one_can_not_serve() -> None:
     async def test(fixture: DnsFixture) -> None:
-        fixture.zone.put(
+        fixture.zone.set_records(
             SERVICE, "SRV", 2, [f"{10 * (1 + n // 2)} 10 8001 s{n}.{ZONE}" for n in range(4)]
         )
         node, sources, _ = start_sources(fixture)
@@ -224,7 +224,7 @@
 
 def test_weights_are_relative_to_the_mean_of_their_priority() -> None:
     async def test(fixture: DnsFixture) -> None:
-        fixture.zone.put(
+        fixture.zone.set_records(
             SERVICE,
             "SRV",
             2,
@@ -244,7 +244,7 @@
         node, sources, _ = start_sources(fixture)
         await asyncio.sleep(0.1)
         before = len(node.list_calls)
-        fixture.zone.serve({f"renamed-{name}": address for name, address in BOXES.items()})
+        fixture.zone.set_boxes({f"renamed-{name}": address for name, address in BOXES.items()})
         await asyncio.sleep(10.0)
         assert len(node.serving) == len(BOXES) and len(node.list_calls) == before
         sources.close()
@@ -258,9 +258,9 @@
         node, sources, _ = start_sources(fixture)
         await asyncio.sleep(0.2)
         assert len(node.serving) == len(BOXES)
-        assert {kind for server in fixture.servers for _, _, kind in server.asked} == {"SRV", "A"}
-        fixture.zone.put(f"s2.{ZONE}", "CNAME", 2, [f"s2.{ZONE}"])
-        fixture.zone.put(f"s2.{ZONE}", "A", 2, [])
+        assert {kind for server in fixture.servers for _, _, kind in server.queries} == {"SRV", "A"}
+        fixture.zone.set_records(f"s2.{ZONE}", "CNAME", 2, [f"s2.{ZONE}"])
+        fixture.zone.set_records(f"s2.{ZONE}", "A", 2, [])
         await asyncio.sleep(20.0)
         assert len(node.serving) == len(BOXES)
         sources.close()
@@ -324,7 +324,7 @@
         node, sources, discovery = start_sources(fixture, guard=GuardTable(hold_s=5.0))
         await asyncio.sleep(0.1)
         discovery.tell("full", *((name, "in") for name in BOXES))
-        fixture.zone.serve({})
+        fixture.zone.set_boxes({})
         discovery.tell("full", ("s0", "in"))
         view = orjson.loads(sources.dump())
         assert [source["name"] for source in view["sources"]] == ["list", "dns", "known"]
--- a/tests/sources/virtual.py
+++ b/tests/sources/virtual.py
@@ -25,7 +25,7 @@
         self.loop = loop
         self.net = Network(loop, 1)
         self.zone = Zone()
-        self.zone.serve(BOXES)
+        self.zone.set_boxes(BOXES)
         self.servers = [NameServer((host, 53), self.zone) for host in HOSTS[:servers]]
         self.addresses = [server.address for server in self.servers]
         self.server_processes = [
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -5,7 +5,16 @@
 import asyncio
 
 import pytest
-from loopback import CacheBox, good, path_of, rig, run_async, status, until, whole
+from loopback import (
+    CacheBox,
+    default_answer,
+    ok_response,
+    request_path,
+    rig,
+    run_async,
+    status,
+    until,
+)
 
 from corkshift.seam import now_ms
 from corkshift.upstream import MIN_IDLE_MS
@@ -30,10 +39,12 @@
     "1xx without end": b"HTTP/1.1 103 Early Hints\r\n\r\n" * 100,
 }
 EXTRA_BYTES = {
-    "1xx ahead": b"HTTP/1.1 103 Early Hints\r\n\r\n" + whole(b"fine"),
-    "a second copy behind": whole(b"fine") * 2,
-    "noise behind": whole(b"fine") + bytes(range(256)),
-    "a load report that can't be read": whole(b"fine", b"X-Pressure: TEXT \xff\xfe==,;;q=nan\r\n"),
+    "1xx ahead": b"HTTP/1.1 103 Early Hints\r\n\r\n" + ok_response(b"fine"),
+    "a second copy behind": ok_response(b"fine") * 2,
+    "noise behind": ok_response(b"fine") + bytes(range(256)),
+    "a load report that can't be read": ok_response(
+        b"fine", b"X-Pressure: TEXT \xff\xfe==,;;q=nan\r\n"
+    ),
 }
 
 
@@ -42,7 +53,7 @@
     async def test() -> None:
         # A malformed response must not reach the client, and one of them must not eject its server.
         malformed = iter([MALFORMED[name]])
-        box = CacheBox(lambda head: next(malformed, None) or good(head))
+        box = CacheBox(lambda head: next(malformed, None) or default_answer(head))
         async with rig({"s0": box}) as made:
             assert (await made.ask("a", path="/api/one")).endswith(b"for /api/one")
             assert len(box.heads) == 2
@@ -83,7 +94,11 @@
 def test_extra_bytes_around_a_good_response_affect_neither_it_nor_the_next_one(name: str) -> None:
     async def test() -> None:
         # Surplus bytes must not be taken for the response to the next request on the connection.
-        box = CacheBox(lambda head: good(head) if b"/next" in path_of(head) else EXTRA_BYTES[name])
+        box = CacheBox(
+            lambda head: (
+                default_answer(head) if b"/next" in request_path(head) else EXTRA_BYTES[name]
+            )
+        )
         async with rig({"s0": box}) as made:
             assert (await made.ask("a")).endswith(b"fine")
             assert (await made.ask("b", path="/next")).endswith(b"for /next")
@@ -95,14 +110,14 @@
 def test_no_connection_to_a_server_is_left_after_malformed_responses() -> None:
     async def test() -> None:
         malformed = iter(list(MALFORMED.values()))
-        box = CacheBox(lambda head: next(malformed, None) or good(head))
+        box = CacheBox(lambda head: next(malformed, None) or default_answer(head))
         async with rig({"s0": box}) as made:
             for n in range(2 * len(MALFORMED)):
                 await made.ask(f"a{n}")
             await until(lambda: not made.node._attempts)
             made.pool.close()
             assert made.pool.open == 0
-            await until(lambda: box.open == 0)
+            await until(lambda: box.open_connections == 0)
 
     run_async(test)
 
@@ -148,7 +163,7 @@
             turn += 1
             if turn % 3 == 0:
                 raise ConnectionResetError  # the box closes this connection without a response
-            return good(head)
+            return default_answer(head)
 
         box = CacheBox(script)
         async with rig({"s0": box}) as made:
--- a/tests/test_bulk.py
+++ b/tests/test_bulk.py
@@ -6,11 +6,21 @@
 import random
 
 import pytest
-from loopback import CacheBox, Rig, good, request, rig, run_async, status, until, whole
+from loopback import (
+    CacheBox,
+    Rig,
+    default_answer,
+    ok_response,
+    request,
+    rig,
+    run_async,
+    status,
+    until,
+)
 
 from corkshift.budget import MAX_BODY_BYTES, MAX_BUFFERED_BODY_BYTES
 from corkshift.relay import BodyAborted, Relay
-from testbed.systems.serving import Connection, Message
+from testbed.systems.http import Connection, Message
 
 BODY = random.Random(1).randbytes(1 << 20)
 
@@ -402,8 +412,8 @@
 
 def test_a_small_answer_is_checked_whole_before_any_of_it_goes_out() -> None:
     async def test() -> None:
-        spoil = iter([whole(b"x" * 5_000)[:-10]])
-        box = CacheBox(lambda head: next(spoil, None) or good(head))
+        spoil = iter([ok_response(b"x" * 5_000)[:-10]])
+        box = CacheBox(lambda head: next(spoil, None) or default_answer(head))
         async with rig({"s0": box}) as made:
             asked = asyncio.create_task(made.ask("a"))
             await until(lambda: len(box.heads) == 1)
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -8,7 +8,7 @@
 import asyncio
 
 import pytest
-from loopback import CacheBox, good, request, rig, run_async, status, until
+from loopback import CacheBox, default_answer, request, rig, run_async, status, until
 
 from corkshift.frontend import IDLE_TIMEOUT_MS, MAX_IDLE_SHARE
 
@@ -152,7 +152,7 @@
 def test_sockets_and_state_are_released_after_churn() -> None:
     # Nothing kept for each request, connection or id may leak.
     async def test() -> None:
-        slow = CacheBox(lambda head: None if b"/never" in head else good(head))
+        slow = CacheBox(lambda head: None if b"/never" in head else default_answer(head))
         async with rig({"s0": slow, "s1": CacheBox()}) as made:
             for lap in range(10):
                 jobs = [
@@ -178,7 +178,7 @@
             assert not (frontend._unused or frontend._partial or frontend._idle)
             made.pool.close()
             assert made.pool.open == 0
-            await until(lambda: slow.open == 0)
+            await until(lambda: slow.open_connections == 0)
 
     run_async(test)
 
--- a/tests/test_customers.py
+++ b/tests/test_customers.py
@@ -318,8 +318,8 @@
             assert status(answer) == 200
         assert boxes["s0"].heads == [] and len(boxes["s1"].heads) == 8
         # A later change.
-        registry.change(entry("s0", boxes["s0"].port))
-        registry.change(entry("s1", boxes["s1"].port), "terminating")
+        registry.update(entry("s0", boxes["s0"].port))
+        registry.update(entry("s1", boxes["s1"].port), "terminating")
         await until(lambda: service.node.servers["s1"].leaving_ms is not None)
         assert (
             status(await send_to(service.frontend.address, request("b", "Connection: close\r\n")))
@@ -328,7 +328,7 @@
         assert len(boxes["s0"].heads) == 1
         # A watch that ends is opened again at once: the agent may have changes to send.
         calls = len(registry.asked)
-        registry.drop()
+        registry.drop_watches()
         await until(lambda: len(registry.asked) > calls)
         service.stop()
         await running
--- a/tests/test_departures.py
+++ b/tests/test_departures.py
@@ -14,7 +14,7 @@
 from typing import Any
 
 import pytest
-from loopback import CacheBox, Rig, good, request, rig, run_async, until, whole
+from loopback import CacheBox, Rig, default_answer, ok_response, request, rig, run_async, until
 
 from corkshift import seam
 from corkshift.frontend import ClientConnection
@@ -198,10 +198,12 @@
 
         async def held(head: bytes) -> bytes:
             await hold.wait()
-            return good(head)
+            return default_answer(head)
 
         box = CacheBox(
-            lambda head: held(head) if head.split(b" ")[1] == b"/api/first" else good(head)
+            lambda head: (
+                held(head) if head.split(b" ")[1] == b"/api/first" else default_answer(head)
+            )
         )
         async with rig({"s0": box}, clients=1) as made:
             first = client(made, request("first", "Connection: close\r\n", "/api/first"))
@@ -292,8 +294,10 @@
 @pytest.mark.parametrize("how", HOWS)
 def test_behind_a_client_that_does_not_read(monkeypatch: pytest.MonkeyPatch, how: str) -> None:
     async def test() -> None:
-        large = whole(b"x" * 1_000_000)
-        box = CacheBox(lambda head: large if head.split(b" ")[1] == b"/api/large" else good(head))
+        large = ok_response(b"x" * 1_000_000)
+        box = CacheBox(
+            lambda head: large if head.split(b" ")[1] == b"/api/large" else default_answer(head)
+        )
         async with rig({"s0": box}) as made:
             sock = client(made, request("a", path="/api/large"), 4_096)
             await until(
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -21,11 +21,11 @@
         async with rig({"s0": old}) as made:
             assert status(await made.ask("before")) == 200
             new.listen()
-            made.registry.tell([entry("s0", new.port)])
+            made.registry.publish([entry("s0", new.port)])
             await until(lambda: made.node.servers["s0"].address[1] == new.port)
             assert status(await made.ask("after")) == 200
             assert len(old.heads) == 1 and len(new.heads) == 1
-            await until(lambda: old.open == 0)  # what rested there is closed
+            await until(lambda: old.open_connections == 0)  # what rested there is closed
 
     run_async(test)
 
@@ -35,12 +35,12 @@
     async def test() -> None:
         box = CacheBox()
         async with rig({"s0": box}) as made:
-            made.registry.tell([entry("s1", box.port)])
+            made.registry.publish([entry("s1", box.port)])
             await until(lambda: "s1" in made.node.servers)
             assert list(made.node.servers) == ["s1"]
             members = made.node._balancer.fleet.members
             assert members["s1"].present and not members["s0"].present
-            made.registry.tell([entry("s1", box.port), entry("s2", box.port, "terminating")])
+            made.registry.publish([entry("s1", box.port), entry("s2", box.port, "terminating")])
             await until(lambda: "s2" in made.node.servers)
             assert "s1" in made.node.servers  # one that leaves takes nobody's place
             assert status(await made.ask("a")) == 200
@@ -68,7 +68,7 @@
             text = (
                 json.dumps({"generation": 2, "reset": False, "instances": entries}).encode() + b"\n"
             )
-            made.registry.tell_raw(text)
+            made.registry.publish_raw(text)
             await until(lambda: "s1" in made.node.servers)
             assert sorted(made.node.servers) == ["s0", "s1"]
             assert len(made.registry.asked) == 1
@@ -173,7 +173,7 @@
                     text = text.replace("[{", "[\n  {")
                 rows = [text] if together else text.splitlines(keepends=True)
                 for row in rows:
-                    made.registry.tell_raw(row.encode())
+                    made.registry.publish_raw(row.encode())
                     await asyncio.sleep(0)
                 await until(lambda: f"x{n}" in made.node.servers)  # noqa: B023
             assert len(made.registry.asked) == calls  # nothing was lost, and nobody asked anew
@@ -182,7 +182,7 @@
                 "reset": False,
                 "instances": [entry("x1", 1001, "terminating")],
             }
-            made.registry.tell_raw(json.dumps(last, indent=1).encode() + b"\n")
+            made.registry.publish_raw(json.dumps(last, indent=1).encode() + b"\n")
             await until(lambda: made.node.servers["x1"].leaving_ms is not None)
 
     run_async(test)
--- a/tests/test_list_freshness.py
+++ b/tests/test_list_freshness.py
@@ -16,7 +16,7 @@
 from test_process import Process, running
 
 from corkshift.seam import now_ms
-from testbed.systems.serving import Connection, Message
+from testbed.systems.http import Connection, Message
 
 NOTIFIED_MS = 6_000.0  # after discovery had a change it counts as notified
 GRACE_MS = 300.0  # the settings' 250 ms for ending, and 50 ms on sockets
@@ -35,7 +35,7 @@
     async def serve(self, connection: Connection, request: Message) -> None:
         self.calls_ms.append(now_ms())
         if len(self.calls_ms) <= self.refusals:
-            await connection.answer(503)
+            await connection.send_response(503)
             return
         await asyncio.sleep(self.delay_s)
         await super().serve(connection, request)
@@ -60,7 +60,7 @@
         leaving, staying = CacheBox(), CacheBox()
         staying.listen()
         async with running(tmp_path / "config.json", leaving) as (process, registry):
-            registry.change(entry("s1", staying.port))
+            registry.update(entry("s1", staying.port))
             await process.served("both")
             process.config["settings"] = SLOW_ASKING  # for the next process; this one keeps its own
             process.process.terminate()
@@ -88,7 +88,7 @@
                 await asyncio.sleep(0.005)
             await asyncio.sleep(0.05)
             drained_ms = now_ms()
-            moved.change(entry("s0", leaving.port, "terminating"), "terminating")
+            moved.update(entry("s0", leaving.port, "terminating"), "terminating")
             end_ms = drained_ms + NOTIFIED_MS + GRACE_MS + 700.0
             latest_ms = await keep_asking(process, leaving, lambda: now_ms() > end_ms)
             assert latest_ms <= drained_ms + NOTIFIED_MS + GRACE_MS
@@ -106,9 +106,9 @@
         leaving, staying = CacheBox(), CacheBox()
         async with running(tmp_path / "config.json", leaving) as (process, registry):
             staying.listen()
-            registry.change(entry("s1", staying.port))
+            registry.update(entry("s1", staying.port))
             for connection in list(registry.watches):
-                registry._mute.add(connection)  # nothing more is written to it, and it stays open
+                registry._muted.add(connection)  # nothing more is written to it, and it stays open
             silent_ms = now_ms()
             serve = registry.serve
 
@@ -117,7 +117,7 @@
                 await serve(connection, request)
 
             registry.serve = late  # type: ignore[method-assign]
-            registry.change(entry("s0", leaving.port, "terminating"), "terminating")
+            registry.update(entry("s0", leaving.port, "terminating"), "terminating")
             end_ms = silent_ms + NOTIFIED_MS + GRACE_MS + 700.0
             latest_ms = await keep_asking(process, leaving, lambda: now_ms() > end_ms)
             assert latest_ms <= silent_ms + NOTIFIED_MS + GRACE_MS
@@ -131,12 +131,12 @@
         leaving, staying = CacheBox(), CacheBox()
         async with running(tmp_path / "config.json", leaving) as (process, registry):
             staying.listen()
-            registry.change(entry("s1", staying.port))
+            registry.update(entry("s1", staying.port))
             await process.served("both")
             behind: Any = CountingRegistry({"s0": leaving, "s1": staying})
             behind.start()
             registry.generation = 40
-            registry.change(entry("s0", leaving.port, "terminating"), "terminating")
+            registry.update(entry("s0", leaving.port, "terminating"), "terminating")
             await asyncio.sleep(0.3)
             process.config["discovery"] = f"127.0.0.1:{behind.port}"
             process.write()
--- a/tests/test_listing.py
+++ b/tests/test_listing.py
@@ -11,11 +11,14 @@
 from hypothesis import strategies as st
 
 from corkshift.listing import MAX_LINE, BadList, Claim, Lines, claims_of, parse
-from testbed.systems.standins import SPOILT_BY, Registry
+from testbed.systems.emulators import NOISE_SAMPLES, DiscoveryServer
 
 
 def entry(n: int, lifecycle: str = "terminating") -> dict[str, object]:
-    return {**Registry.entry(f"s{n}", ("127.0.0.1", 8000 + n), 5.0 * n), "lifecycle": lifecycle}
+    return {
+        **DiscoveryServer.entry(f"s{n}", ("127.0.0.1", 8000 + n), 5.0 * n),
+        "lifecycle": lifecycle,
+    }
 
 
 def line(entries: list[dict[str, object]], reset: bool = False) -> bytes:
@@ -45,7 +48,7 @@
         assert suspects <= ({f"s{len(whole)}"} if not reset else set())
 
 
-@pytest.mark.parametrize("noise", SPOILT_BY)
+@pytest.mark.parametrize("noise", NOISE_SAMPLES)
 def test_noise_at_any_byte_costs_at_most_the_entry_that_it_hits(noise: bytes) -> None:
     for at in range(len(TEXT) - 1):
         found = told(claims_of(TEXT[:at] + noise + TEXT[at:]))
--- a/tests/test_lost_lines.py
+++ b/tests/test_lost_lines.py
@@ -12,7 +12,7 @@
 from corkshift.seam import now_ms
 from testbed.nights import simulation
 from testbed.nights.script import Fault, Script, World
-from testbed.systems.standins import SPOIL_HOWS, SPOILT_BY, Spoil
+from testbed.systems.emulators import CORRUPTION_KINDS, NOISE_SAMPLES, LineCorruption
 
 NAMES = ("s0", "s1", "s2", "s3", "s4")
 WAIT_MS = (
@@ -37,7 +37,7 @@
     return {name for name, member in made.node._balancer.fleet.members.items() if member.present}
 
 
-@pytest.mark.parametrize("how", SPOIL_HOWS)
+@pytest.mark.parametrize("how", CORRUPTION_KINDS)
 @pytest.mark.parametrize("answers", [True, False])
 def test_a_drain_in_a_line_that_is_lost_in_part_is_kept(how: str, answers: bool) -> None:
     async def test() -> None:
@@ -52,10 +52,10 @@
                 drains(made, "s1"),
                 entry("s9", fresh.port),
             )  # the line is spoilt behind its first entry
-            made.registry.spoils.append(Spoil(how, 260, SPOILT_BY[4]))
-            made.registry.change(first, "terminating")
-            made.registry.spoils.append(Spoil(how, 260, SPOILT_BY[4]))
-            made.registry.tell([drains(made, "s3"), second])
+            made.registry.corruptions.append(LineCorruption(how, 260, NOISE_SAMPLES[4]))
+            made.registry.update(first, "terminating")
+            made.registry.corruptions.append(LineCorruption(how, 260, NOISE_SAMPLES[4]))
+            made.registry.publish([drains(made, "s3"), second])
             await until(lambda: "s1" not in serving(made))
             if answers:
                 await until(lambda: serving(made) == {*NAMES, "s9"} - {"s1", "s3"})
@@ -80,14 +80,14 @@
             patient(made)
             made.registry.mute = True
             asked, at = len(made.registry.asked), now_ms()
-            made.registry.tell_raw(b"no list\n")
+            made.registry.publish_raw(b"no list\n")
             await until(lambda: len(made.registry.asked) > asked)
             assert now_ms() - at < WAIT_MS
-            made.registry.change(drains(made, "s2"), "terminating")
+            made.registry.update(drains(made, "s2"), "terminating")
             await until(lambda: "s2" not in serving(made))
             assert len(made.registry.watches) == 1 and made.discovery.book._hearsay.held == ("s2",)
             made.registry.mute = False
-            made.registry.change(
+            made.registry.update(
                 entry("s2", made.boxes["s2"].port)
             )  # back in service: only a sound line may say so
             await asyncio.sleep(0.05)
@@ -109,8 +109,8 @@
         async with rig(boxes()) as made:
             patient(made)
             made.registry.refusing = True
-            made.registry.spoils.append(Spoil("cut", 120))
-            made.registry.change(drains(made, "s4"), "terminating")
+            made.registry.corruptions.append(LineCorruption("cut", 120))
+            made.registry.update(drains(made, "s4"), "terminating")
             await until(lambda: serving(made) == {"s0", "s1", "s2", "s3"})
             await until(lambda: serving(made) == set(NAMES))
 
@@ -121,8 +121,8 @@
     async def test() -> None:
         async with rig(boxes()) as made:
             made.registry.refusing = True
-            made.registry.spoils.append(Spoil("before", 0))
-            made.registry.tell([drains(made, name) for name in NAMES])
+            made.registry.corruptions.append(LineCorruption("before", 0))
+            made.registry.publish([drains(made, name) for name in NAMES])
             await until(lambda: len(serving(made)) == 1)
             assert status(await made.ask("a")) == 200
             made.registry.refusing = False
@@ -140,7 +140,7 @@
             new.start()
             made.discovery.move(("127.0.0.1", new.port))
             await until(lambda: len(new.asked) == 1)
-            made.registry.tell([drains(made, "s0"), entry("s9", 9)])
+            made.registry.publish([drains(made, "s0"), entry("s9", 9)])
             await until(lambda: "s0" not in serving(made))
             assert "s9" not in made.node.servers and len(made.registry.watches) == 1
             await new.stop()
@@ -157,7 +157,7 @@
 
             async def spoil() -> None:
                 while True:
-                    made.registry.tell_raw(b"{\n")
+                    made.registry.publish_raw(b"{\n")
                     await asyncio.sleep(0.002)
 
             spoiling = asyncio.create_task(spoil())
@@ -196,7 +196,10 @@
             for before, value in STATES[state]
         ),
         Fault(
-            at_ms=at - 0.3, kind="discovery_spoil", target=SPOIL_HOWS.index("framing"), value=20.0
+            at_ms=at - 0.3,
+            kind="discovery_spoil",
+            target=CORRUPTION_KINDS.index("framing"),
+            value=20.0,
         ),
         Fault(at_ms=at, kind="box_drain", target=1, for_ms=50.0),
     ]
@@ -215,7 +218,7 @@
     async def test() -> None:
         async with rig(boxes()) as made:
             entries = ", ".join(json.dumps(drains(made, name)) for name in NAMES)
-            made.registry.tell_raw(
+            made.registry.publish_raw(
                 b'{"generation": 999999, "reset": false, "instances": ['
                 + entries.encode()
                 + b"] nonsense}\n"
@@ -239,9 +242,9 @@
     async def test() -> None:
         async with rig(boxes()) as made:
             made.registry.generation = 50
-            made.registry.change(drains(made, "s1"), "terminating")
+            made.registry.update(drains(made, "s1"), "terminating")
             gone = made.registry.entries["s2"]
-            made.registry.change(gone, "terminated")
+            made.registry.update(gone, "terminated")
             await until(lambda: serving(made) == set(NAMES) - {"s1", "s2"})
             behind = Registry(made.boxes)
             behind.start()
--- a/tests/test_narrow_moments.py
+++ b/tests/test_narrow_moments.py
@@ -9,7 +9,18 @@
 from typing import Any
 
 import pytest
-from loopback import CacheBox, Rig, good, options_of, request, rig, run_async, status, until, whole
+from loopback import (
+    CacheBox,
+    Rig,
+    default_answer,
+    ok_response,
+    options_of,
+    request,
+    rig,
+    run_async,
+    status,
+    until,
+)
 from test_departures import asked, client, dials_wait, read
 
 from corkshift.frontend import ClientConnection
@@ -127,7 +138,7 @@
 
         async def held(head: bytes) -> bytes:
             await hold.wait()
-            return good(head)
+            return default_answer(head)
 
         async with rig({"s0": CacheBox(held)}, clients=2, leave=leaving()) as made:
             first = [client(made, request(f"a{n}", path=f"/api/{n}")) for n in range(2)]
@@ -154,7 +165,9 @@
     async def test() -> None:
         box = CacheBox(
             lambda head: (
-                whole(b"x" * 1_000_000) if head.split(b" ")[1] == b"/api/large" else good(head)
+                ok_response(b"x" * 1_000_000)
+                if head.split(b" ")[1] == b"/api/large"
+                else default_answer(head)
             )
         )
         async with rig({"s0": box}) as made:
--- a/tests/test_presence.py
+++ b/tests/test_presence.py
@@ -8,7 +8,7 @@
 import time
 
 import pytest
-from loopback import CacheBox, Rig, entry, good, request, rig, run_async, status, until
+from loopback import CacheBox, Rig, default_answer, entry, request, rig, run_async, status, until
 
 from corkshift import presence
 from corkshift.presence import LATE_MS, PERIOD_MS, UNREAD_MS, Presence
@@ -116,7 +116,7 @@
 def test_the_time_that_a_request_stood_unread_is_taken_from_its_budget() -> None:
     # Incident of issue 48: such requests got a whole deadline from when they were read, and were forwarded after their clients had gone.
     async def test() -> None:
-        box = CacheBox(good)
+        box = CacheBox(default_answer)
         async with rig({"s0": box}) as made:
             made.loop_lag.start()
             assert status(await made.ask("first")) == 200
@@ -145,7 +145,7 @@
     # Incident of issue 48: requests went to draining servers whose drain had been written while the node was held up. Its grace counts
     # from when it was written.
     async def test() -> None:
-        boxes = {f"s{n}": CacheBox(good) for n in range(2)}
+        boxes = {f"s{n}": CacheBox(default_answer) for n in range(2)}
         async with rig(boxes) as made:
             made.loop_lag.start()
             for n in range(20):
@@ -168,7 +168,7 @@
 
 def test_an_attempt_lets_what_discovery_wrote_be_read_first_and_is_asked_about_after_that() -> None:
     async def test() -> None:
-        box = CacheBox(good)
+        box = CacheBox(default_answer)
         async with rig({"s0": box}) as made:
             looks = 0
 
@@ -192,7 +192,7 @@
 
 def test_only_after_a_hold_is_discovery_looked_at_once_more() -> None:
     async def test() -> None:
-        async with rig({"s0": CacheBox(good)}) as made:
+        async with rig({"s0": CacheBox(default_answer)}) as made:
             made.loop_lag.start()
             await asyncio.sleep(0.2)
             write_drain(made, "s0")
@@ -209,7 +209,7 @@
 
 def test_a_node_that_turns_too_slowly_refuses_what_it_could_only_fail() -> None:
     async def test() -> None:
-        box = CacheBox(good)
+        box = CacheBox(default_answer)
         async with rig({"s0": box}) as made:
             made.loop_lag.turn_ms = 100.0
             assert status(await made.ask("short", within_ms=400)) == 503
@@ -221,7 +221,7 @@
 
 def test_a_server_is_not_judged_by_the_time_that_the_node_was_held_up() -> None:
     async def test() -> None:
-        box = CacheBox(good)
+        box = CacheBox(default_answer)
         async with rig({"s0": box}) as made:
             made.loop_lag.start()
             await asyncio.sleep(0.1)
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -14,7 +14,7 @@
 from typing import Any
 
 import pytest
-from loopback import OPTIONS, CacheBox, Registry, good, request, run_async, status, until
+from loopback import OPTIONS, CacheBox, Registry, default_answer, request, run_async, status, until
 
 ROOT = Path(__file__).parent.parent
 STOPS = 40
@@ -155,7 +155,7 @@
     async def test() -> None:
         held: list[bytes] = []
         box, fresh = (
-            CacheBox(lambda head: held.append(head) if b"/slow" in head else good(head)),
+            CacheBox(lambda head: held.append(head) if b"/slow" in head else default_answer(head)),
             CacheBox(),
         )
         async with running(tmp_path / "config.json", box) as (process, registry):
@@ -208,7 +208,7 @@
             if b"/slow" in head:
                 heads.append(head)
                 await release.wait()
-            return good(head)
+            return default_answer(head)
 
         box = CacheBox(script)
         async with running(tmp_path / "config.json", box) as (process, _):
--- a/tests/test_silence.py
+++ b/tests/test_silence.py
@@ -8,7 +8,7 @@
 from typing import Optional
 
 import pytest
-from loopback import OPTIONS, CacheBox, Rig, good, rig, run_async, status, until
+from loopback import OPTIONS, CacheBox, Rig, default_answer, rig, run_async, status, until
 
 from corkshift.seam import now_ms
 from forkweir.adapter import settings_of
@@ -22,7 +22,7 @@
 
     def script(head: bytes) -> Optional[bytes]:
         heads.append(head)
-        return good(head) if len(heads) > 1 else None
+        return default_answer(head) if len(heads) > 1 else None
 
     return script
 
@@ -60,7 +60,7 @@
             assert status(answer) == 200 and asked(made) == 2
             # The one that has not answered is given up, and nothing of it stays.
             await until(lambda: not made.node._attempts and not made.node._balancer.held)
-            await until(lambda: sum(box.open for box in made.boxes.values()) == 1)
+            await until(lambda: sum(box.open_connections for box in made.boxes.values()) == 1)
 
     run_async(test)
 
@@ -87,7 +87,7 @@
     async def test() -> None:
         mute = [True]
         boxes = {
-            "s0": CacheBox(lambda head: None if mute[0] else good(head)),
+            "s0": CacheBox(lambda head: None if mute[0] else default_answer(head)),
             **{f"s{n}": CacheBox() for n in range(1, 6)},
         }
         async with rig(boxes) as made:
@@ -127,7 +127,9 @@
     async def test() -> None:
         bad, count = [False], itertools.count()
         boxes = {
-            "s0": CacheBox(lambda head: None if bad[0] and next(count) % 3 else good(head)),
+            "s0": CacheBox(
+                lambda head: None if bad[0] and next(count) % 3 else default_answer(head)
+            ),
             **{f"s{n}": CacheBox() for n in range(1, 6)},
         }
         async with rig(boxes, 512) as made:
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -15,7 +15,7 @@
 from pathlib import Path
 
 import pytest
-from loopback import CacheBox, Registry, entry, good, request, run_async, status, until
+from loopback import CacheBox, Registry, default_answer, entry, request, run_async, status, until
 from test_process import Process, free_port, running
 
 from corkshift.seam import now_ms
@@ -83,7 +83,7 @@
     """Close the idle connections of the node, so that the next attempts have to connect."""
     for connection in list(box.connections):
         connection.stream.close()
-    await until(lambda: box.open == 0)
+    await until(lambda: box.open_connections == 0)
     await asyncio.sleep(0.02)
 
 
@@ -205,7 +205,7 @@
             shim.move_single_bytes(True)
             fresh = CacheBox()
             fresh.listen()
-            registry.change(entry("s1", fresh.port))
+            registry.update(entry("s1", fresh.port))
             assert await ask_all(process, "a") == [200] * 12
             body = b"v" * 3_000
             put = (
@@ -240,7 +240,7 @@
     async def slow(head: bytes) -> bytes:
         if b"/slow" in head:
             await asyncio.sleep(0.1)
-        return good(head)
+        return default_answer(head)
 
     run_async(test)
 
@@ -250,7 +250,7 @@
     # Deadlines, grace periods, waits and windows are monotonic: a request that is pending during a
     # step has its full deadline and no more.
     async def test() -> None:
-        box = CacheBox(lambda head: None if b"/never" in head else good(head))
+        box = CacheBox(lambda head: None if b"/never" in head else default_answer(head))
         async with shimmed(tmp_path, library, box) as (process, registry, shim):
             data = request("never", "Connection: close\r\n", "/api/never").replace(
                 b"X-Remaining-Ms: 20000", b"X-Remaining-Ms: 900"
@@ -262,8 +262,8 @@
             assert await ask_all(process, "a") == [200] * 12
             other = CacheBox()
             other.listen()
-            registry.change(entry("s1", other.port))
-            registry.change(entry("s0", box.port, "terminating"), "terminating")
+            registry.update(entry("s1", other.port))
+            registry.update(entry("s0", box.port, "terminating"), "terminating")
             await asyncio.sleep(0.3)
             before = len(box.heads)
             assert await ask_all(process, "b") == [200] * 12
@@ -292,7 +292,7 @@
             assert (counts["svc.pool.in_service"], counts["svc.pool.cold"]) == (1, 0)
             fresh = CacheBox()
             fresh.listen()
-            registry.change({**entry("s1", fresh.port), "startedAtMs": now_ms() - 100.0})
+            registry.update({**entry("s1", fresh.port), "startedAtMs": now_ms() - 100.0})
             await until_figures(process, lambda now: now["svc.pool_size"] == 2)
             counts = await figures(process)
             assert (counts["svc.pool.in_service"], counts["svc.pool.cold"]) == (1, 1)
@@ -317,7 +317,7 @@
         def script(head: bytes) -> bytes:
             sent_deadline_ms = float(head.partition(b"X-Remaining-Ms: ")[2].partition(b"\r\n")[0])
             arrived.append((now_ms(), sent_deadline_ms))
-            return good(head)
+            return default_answer(head)
 
         async with shimmed(tmp_path, library, CacheBox(script)) as (process, _, shim):
             arrived.clear()
@@ -345,7 +345,7 @@
             arrived.append(
                 (now_ms(), float(head.partition(b"X-Remaining-Ms: ")[2].partition(b"\r\n")[0]))
             )
-            return good(head)
+            return default_answer(head)
 
         async with shimmed(tmp_path, library, CacheBox(script)) as (process, _, shim):
             arrived.clear()
--- a/tests/test_unframed_responses.py
+++ b/tests/test_unframed_responses.py
@@ -11,7 +11,7 @@
 from pathlib import Path
 
 import pytest
-from loopback import CacheBox, good, request, rig, run_async, status
+from loopback import CacheBox, default_answer, request, rig, run_async, status
 from test_process import running
 
 from corkshift.budget import MAX_BUFFERED_BODY_BYTES
@@ -142,7 +142,7 @@
 
         def script(head: bytes) -> bytes:
             heads.append(head)
-            return HEAD + b"\r\nevil" if len(heads) == 1 else good(head)
+            return HEAD + b"\r\nevil" if len(heads) == 1 else default_answer(head)
 
         async with rig({"s0": CacheBox(script), "s1": CacheBox(script)}) as made:
             # As after many quick responses: a slow attempt is hedged early.
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 
 import pytest
-from loopback import CacheBox, good, request, run_async, status
+from loopback import CacheBox, default_answer, request, run_async, status
 from test_process import Process, free_port, running
 
 
@@ -75,7 +75,7 @@
     async def test() -> None:
         async def script(head: bytes) -> bytes:
             await asyncio.sleep(0.02)
-            return good(head)
+            return default_answer(head)
 
         with socket.create_server(("127.0.0.1", 0), backlog=256) as listening:
             port: int = listening.getsockname()[1]
--- a/tests/testbed/test_hard_cases.py
+++ b/tests/testbed/test_hard_cases.py
@@ -17,7 +17,7 @@
 from testbed.machine.process import Process
 from testbed.nights.script import Fault, Kind, Script, World
 from testbed.nights.simulation import Result, run
-from testbed.systems.serving import Connection, Message, Server
+from testbed.systems.http import Connection, Message, Server
 
 BOX, NODE = "127.2.0.1", "127.1.0.1"
 SEEDS = range(1, 41)
@@ -107,7 +107,7 @@
 
     async def serve(self, connection: Connection, request: Message) -> None:
         await asyncio.sleep(self.after_us / 1e6)
-        await connection.answer(200, b"value", {"X-Found": "hit"})
+        await connection.send_response(200, b"value", {"X-Found": "hit"})
 
 
 class Bystander:
--- a/tests/testbed/test_soak.py
+++ b/tests/testbed/test_soak.py
@@ -11,10 +11,10 @@
 from testbed.soak.oracle import Oracle, Rule, Spans
 from testbed.soak.plan import Fault, draw
 from testbed.soak.rig import run
-from testbed.systems.clients import CLASSES, Ask
-from testbed.systems.serving import Message
+from testbed.systems.clients import CLASSES, ClientRequest
+from testbed.systems.http import Message
 
-KINDS = {kind.repeat: kind for kind in CLASSES}
+KINDS = {kind.idempotency: kind for kind in CLASSES}
 GRACE_MS = 250.0
 
 
@@ -35,8 +35,8 @@
 
     def ask(
         self, repeat: str = "safe", txn: str = "x1", first: bool = True, budget_ms: float = 2_000.0
-    ) -> Ask:
-        ask = Ask(
+    ) -> ClientRequest:
+        ask = ClientRequest(
             txn,
             KINDS[repeat],
             "k",
@@ -44,10 +44,10 @@
             "n0",
             b"",
             sent_ms=self.now,
-            first=first,
-            budget_ms=budget_ms,
+            first_on_connection=first,
+            client_wait_ms=budget_ms,
         )
-        self.oracle.asked(ask)
+        self.oracle.request_sent(ask)
         return ask
 
     def departs(self, server: str) -> None:
@@ -91,33 +91,33 @@
 def unsafe_refused(world: World) -> None:
     ask = world.ask("unsafe")
     world.oracle.arrived("s0", "x1", None)
-    world.oracle.answered(ask, answer(503))
+    world.oracle.answer_received(ask, answer(503))
 
 
 def keyed_after_its_window(world: World) -> None:
     ask = world.ask("keyed")
     world.oracle.arrived("s0", "x1", None)
-    world.now += ask.kind.window_ms + 60.0
+    world.now += ask.request_class.window_ms + 60.0
     world.oracle.arrived("s1", "x1", None)
 
 
 def no_answer(world: World) -> None:
-    world.oracle.ended(world.ask(), "no answer")
+    world.oracle.no_answer(world.ask(), "no answer")
 
 
 def closed_after_it_was_sent_on(world: World) -> None:
     ask = world.ask(first=False)
     world.oracle.arrived("s0", "x1", None)
-    assert not world.oracle.ended(ask, "Ended")
+    assert not world.oracle.no_answer(ask, "Ended")
 
 
 def closed_on_a_new_connection(world: World) -> None:
-    assert not world.oracle.ended(world.ask(first=True), "Ended")
+    assert not world.oracle.no_answer(world.ask(first=True), "Ended")
 
 
 def sent_after_the_client_left(world: World) -> None:
     ask = world.ask()
-    world.oracle.left(ask)
+    world.oracle.client_left(ask)
     world.now += 106.0
     world.oracle.arrived("s0", "x1", None)
 
@@ -129,7 +129,7 @@
 
 
 def not_its_answer(world: World) -> None:
-    world.oracle.answered(world.ask(), answer(200, b"something"))
+    world.oracle.answer_received(world.ask(), answer(200, b"something"))
 
 
 def unframed_not_forwarded(world: World) -> None:
@@ -141,7 +141,7 @@
 
 
 def a_bad_client_without_an_end(world: World) -> None:
-    world.oracle.rude("n0", "half a head", -1, 3_200.0)
+    world.oracle.bad_client_result("n0", "half a head", -1, 3_200.0)
 
 
 DEFECTS: dict[str, tuple[Callable[[World], None], Rule]] = {
@@ -177,10 +177,12 @@
     for n, repeat in enumerate(("safe", "keyed", "unsafe")):
         ask = world.ask(repeat, txn=f"x{n}", first=False)
         world.oracle.arrived("s0", f"x{n}", 1_995.0)
-        world.oracle.made(None, f"x{n}", b"value")  # type: ignore[arg-type]
-        world.oracle.answered(ask, answer(200, b"value"))
+        world.oracle.answer_made(None, f"x{n}", b"value")  # type: ignore[arg-type]
+        world.oracle.answer_received(ask, answer(200, b"value"))
     crossed = world.ask(txn="x9", first=False)
-    assert world.oracle.ended(crossed, "Ended")  # a close between requests: it is sent once more
+    assert world.oracle.no_answer(
+        crossed, "Ended"
+    )  # a close between requests: it is sent once more
     # While discovery can't be reached a change does not count as notified, and six seconds begin anew.
     world.oracle.reachable("n0", False)
     world.departs("s1")
@@ -193,7 +195,7 @@
     ask = world.ask("unsafe", txn="x11")
     world.oracle.arrived("s2", "x11", None)
     world.oracle._records["x11"].arrivals[0].turned_away = True
-    world.oracle.answered(ask, answer(503))
+    world.oracle.answer_received(ask, answer(503))
     world.oracle.finish()
     assert world.rules == []
 
