--- a/benchmarks/growth.py
+++ b/benchmarks/growth.py
@@ -110,7 +110,7 @@
             await asyncio.sleep(0.05)
         await clients.run(WARM_S)
         cpu, made = _cpu_s(process.pid), sum(box.accepted for box in boxes)
-        asked, served = clients.counts.asked, clients.counts.served
+        asked, served = clients.totals.asked, clients.totals.served
         await clients.run(seconds)
         return Needs(
             servers=count,
@@ -120,7 +120,7 @@
             connections=sum(box.accepted for box in boxes) - made,
             list_kb=round(place.written / 1024.0, 1),
             served=round(
-                (clients.counts.served - served) / max(1, clients.counts.asked - asked), 4
+                (clients.totals.served - served) / max(1, clients.totals.asked - asked), 4
             ),
         )
     finally:
--- a/corkshift/cli/demo.py
+++ b/corkshift/cli/demo.py
@@ -90,7 +90,7 @@
     def counts(self) -> dict[str, int]:
         """Totals since the start."""
         assert self.clients is not None
-        figures = self.clients.counts
+        figures = self.clients.totals
         return {
             "requests": figures.asked,
             "in time": figures.in_time,
--- a/testbed/cli.py
+++ b/testbed/cli.py
@@ -119,14 +119,14 @@
     from testbed.nights.oracle import served_at_most, worth_at_most
 
     figures = result.figures
-    first = f"first asked {figures.first_tries}, served in time at last {figures.good_tries}"
+    first = f"first asked {figures.first_attempts}, served in time at last {figures.served_first_attempts}"
     try:
         most = sum(served_at_most(result.demands, result.supply).values())
         worth = worth_at_most(result.demands, result.supply).total
     except ImportError:
         return f"{first}; the most that could be: not known without scipy (requirements-dev.txt)"
     return (
-        f"{first}, of {most:.0f} at most ({100.0 * figures.good_tries / max(1.0, most):.0f}%); "
+        f"{first}, of {most:.0f} at most ({100.0 * figures.served_first_attempts / max(1.0, most):.0f}%); "
         f"worth for work {100.0 * result.worth / max(1e-9, worth):.0f}% of the most that could be"
     )
 
--- a/testbed/machine/process.py
+++ b/testbed/machine/process.py
@@ -45,14 +45,14 @@
         self.context = Context()  # of its code, once it is started
         self.task: Optional[asyncio.Task[Any]] = None
         self.tasks: dict[asyncio.Task[Any], None] = {}
-        self._start_ms = 0.0
+        self._clock_start_ms = 0.0
         self._deferred: list[asyncio.Handle] = []
         self._prune_tasks_at = 64
 
     # -- the seam ------------------------------------------------------------------------
 
     def now_ms(self) -> float:
-        return self._start_ms + self.net.loop.now_us / 1000.0
+        return self._clock_start_ms + self.net.loop.now_us / 1000.0
 
     def tcp_socket(self) -> VirtualSocket:
         self.check_call(Call.SOCKET)
@@ -125,7 +125,7 @@
     def start(self, main: Callable[[], Coroutine[Any, Any, None]]) -> None:
         """Run a program in a context of its own."""
         self.state = "running"
-        self._start_ms = EPOCH_MS + self.wall_clock_offset_ms
+        self._clock_start_ms = EPOCH_MS + self.wall_clock_offset_ms
         context = self.context = copy_context()
         context.run(seam.set_system, self)
         self.task = context.run(asyncio.get_running_loop().create_task, main())
--- a/testbed/nights/simulation.py
+++ b/testbed/nights/simulation.py
@@ -200,7 +200,7 @@
             classes=self.classes,
         )
         self.clients.left_share, self.clients.leave_ms = w.leaving, w.leave_ms
-        self.clients.leave_oddly, self.clients.leave_together_ms = (
+        self.clients.leave_abnormally, self.clients.leave_together_ms = (
             w.leave_oddly,
             w.leave_together_ms,
         )
@@ -974,7 +974,7 @@
         events,
         loop.now_us / 1e6,
         time.perf_counter() - began,
-        world.clients.counts,
+        world.clients.totals,
         loop.callbacks_run,
         world.demands,
         world.supply,
--- a/testbed/soak/faults.py
+++ b/testbed/soak/faults.py
@@ -164,9 +164,9 @@
     async def _leave(self, event: Event) -> None:
         clients = self._world.clients
         before = clients.left_share
-        clients.left_share, clients.leave_ms, clients.leave_oddly = 0.4, 400.0, True
+        clients.left_share, clients.leave_ms, clients.leave_abnormally = 0.4, 400.0, True
         await asyncio.sleep(event.for_s)
-        clients.left_share, clients.leave_ms, clients.leave_oddly = before, 60.0, False
+        clients.left_share, clients.leave_ms, clients.leave_abnormally = before, 60.0, False
 
     async def _stop_clients(self, event: Event) -> None:
         node = self._node(event)
--- a/testbed/soak/large_fleet.py
+++ b/testbed/soak/large_fleet.py
@@ -386,7 +386,7 @@
             status = Path(f"/proc/{pid}/status").read_text()
             self._memory.append(int(status.partition("VmRSS:")[2].split()[0]) / 1024.0)
             self._served.append(
-                ((now_ms() - self._listed_ms) / 1000.0, self._clients.counts.served)
+                ((now_ms() - self._listed_ms) / 1000.0, self._clients.totals.served)
             )
             await asyncio.sleep(SEEN_S)
 
@@ -402,7 +402,7 @@
 
     def _result(self, ended_s: Optional[float]) -> Result:
         self._oracle.finish()
-        figures, log = self._clients.counts, self._log.read_text()
+        figures, log = self._clients.totals, self._log.read_text()
         if "Traceback" in log:
             at = log.index("Traceback")
             self._oracle.broken(Rule.CRASH, log[max(0, at - 200) : at + 600])
--- a/testbed/soak/rig.py
+++ b/testbed/soak/rig.py
@@ -61,7 +61,7 @@
         return self._report(time.monotonic() - began)
 
     def _report(self, real_s: float) -> Report:
-        oracle, figures = self.world.oracle, self.world.clients.counts
+        oracle, figures = self.world.oracle, self.world.clients.totals
         counts = {
             **oracle.counts,
             "asked": figures.asked,
--- a/testbed/systems/clients.py
+++ b/testbed/systems/clients.py
@@ -159,8 +159,8 @@
     failed: int = 0
     unanswered: int = 0
     left: int = 0
-    first_tries: int = 0
-    good_tries: int = 0  # first tries that they or a retry served in time
+    first_attempts: int = 0
+    served_first_attempts: int = 0  # first tries that they or a retry served in time
     by_status: Counter[int] = field(default_factory=Counter)
 
 
@@ -178,11 +178,11 @@
         classes: tuple[RequestClass, ...] = CLASSES,
     ) -> None:
         self.nodes = nodes
-        self.counts = ClientCounts()
+        self.totals = ClientCounts()
         self.rate = rate
         self.left_share = 0.03  # of the requests: their clients leave before the answer,
         self.leave_ms = 60.0  # after up to so long
-        self.leave_oddly = (
+        self.leave_abnormally = (
             False  # some by a reset, and some behind the beginning of a further request
         )
         self.leave_together_ms = (
@@ -257,7 +257,7 @@
         self._number += 1
         token = f"t{self._number}" if kind.idempotency == "keyed" else ""
         body = rng.randbytes(rng.choice((0, 40, 400, 5_000))) if kind.method == "PUT" else b""
-        self.counts.first_tries += 1
+        self.totals.first_attempts += 1
         number = self.on_first_attempt(kind, key)
         begun = now_ms()
         for attempt in range(3):
@@ -269,7 +269,7 @@
             status, wait_ms = await self._attempt(kind, key, token, body, budget, attempt > 0)
             if status == 200:
                 good = now_ms() - begun <= kind.target_ms
-                self.counts.good_tries += good
+                self.totals.served_first_attempts += good
                 if good:
                     self.on_served(number)
                 return
@@ -338,7 +338,7 @@
             headers["Idempotency-Key"] = ask.idempotency_key
         ask.first_on_connection = connection.exchanges == 0
         ask.client_wait_ms = budget_ms
-        figures, observer = self.counts, self._observer
+        figures, observer = self.totals, self._observer
         figures.asked += 1
         try:
             async with asyncio.timeout(budget_ms / 1000.0):
@@ -357,8 +357,8 @@
             ):
                 answer = await connection.read_message()
         except TimeoutError:
-            if leaves and self.leave_oddly:
-                await self._leave_oddly(connection)
+            if leaves and self.leave_abnormally:
+                await self._leave_abnormally(connection)
             connection.stream.close()
             if leaves:
                 figures.left += 1
@@ -404,7 +404,7 @@
             )
         return after_ms / 1000.0
 
-    async def _leave_oddly(self, connection: Connection) -> None:
+    async def _leave_abnormally(self, connection: Connection) -> None:
         """One in three resets its connection, and one in three leaves bytes before its end."""
         how = self._number % 3
         if how == 0:
--- a/testbed/systems/emulators.py
+++ b/testbed/systems/emulators.py
@@ -100,7 +100,7 @@
         self._book = book
         self._observer = witness
         self._cold_since_ms = now_ms() if cold else 0.0
-        self._cores = asyncio.Semaphore(spec.cores)
+        self._core_slots = asyncio.Semaphore(spec.cores)
         self._active = 0
         self._values: OrderedDict[str, bytes] = OrderedDict()
         self._fetches: dict[str, asyncio.Future[bytes]] = {}
@@ -177,7 +177,7 @@
         await connection.send_response(status, body, {"X-Found": found} if found else {})
 
     async def _execute(self, request: Message, key: str, work: float) -> tuple[int, str, bytes]:
-        async with self._cores:
+        async with self._core_slots:
             await asyncio.sleep(work * self.slow / (self.spec.speed * self.speed_share()) / 1000.0)
         if request.method == "PUT":
             return await self._write(request, key)
--- a/testbed/tier/processes.py
+++ b/testbed/tier/processes.py
@@ -658,7 +658,7 @@
 
     def _report(self, real_s: float) -> dict[str, Any]:
         assert self.clients is not None
-        figures, spans = self.clients.counts, self.spans()
+        figures, spans = self.clients.totals, self.spans()
         failures = list(self.watch.failures)
         held = most_held(spans)
         for bound, (parts, at) in held.items():
--- a/tests/testbed/test_oracle.py
+++ b/tests/testbed/test_oracle.py
@@ -39,8 +39,8 @@
 def test_no_night_serves_more_than_its_bound_and_a_calm_one_serves_nearly_that() -> None:
     calm = run(3, Script(world=World(seconds=2.0)))
     most = sum(served_at_most(calm.demands, calm.supply).values())
-    assert most == pytest.approx(calm.figures.first_tries)
-    assert calm.figures.good_tries > 0.93 * most  # some clients leave
+    assert most == pytest.approx(calm.figures.first_attempts)
+    assert calm.figures.served_first_attempts > 0.93 * most  # some clients leave
     cold = [Fault(at_ms=300.0, kind="box_quick_restart", target=n) for n in range(2)]
     hard = run(
         1,
@@ -49,7 +49,9 @@
         ),
     )
     most = sum(served_at_most(hard.demands, hard.supply).values())
-    assert 0.3 * most < hard.figures.good_tries < most < 0.6 * hard.figures.first_tries
+    assert (
+        0.3 * most < hard.figures.served_first_attempts < most < 0.6 * hard.figures.first_attempts
+    )
 
 
 def test_worth_for_work_prefers_no_cheap_requests_and_knows_the_order_book() -> None:
