--- a/testbed/machine/__init__.py
+++ b/testbed/machine/__init__.py
@@ -1,1 +1,1 @@
-"""The virtual machine: a loop on virtual time, a network, and processes on it."""
+"""Virtual machine: an event loop on virtual time, a network, and the processes that run on it."""
--- a/testbed/machine/faults.py
+++ b/testbed/machine/faults.py
@@ -1,6 +1,8 @@
-"""System calls of a virtual process that fail as Linux documents them (accept(2), socket(2), connect(2), send(2), recv(2)).
+"""Injected failures of a virtual process's system calls.
 
-EINTR is not among them: the standard library makes such a call again by itself (PEP 475), so that a program never sees it.
+The errors are those that Linux documents for accept(2), socket(2), connect(2), send(2) and
+recv(2). EINTR is not among them: the standard library retries such a call itself (PEP 475), so
+that a program never sees it.
 """
 
 from __future__ import annotations
@@ -12,7 +14,7 @@
 
 
 class Call(StrEnum):
-    """The calls that can be made to fail."""
+    """System calls that can be made to fail."""
 
     ACCEPT = "accept"
     SOCKET = "socket"
@@ -38,29 +40,29 @@
 CALL_ERRORS: tuple[tuple[Call, int], ...] = tuple(
     (call, error) for call, errors in ERRORS.items() for error in errors
 )
-"""Every call with every error, by number: the value of a `node_calls` fault."""
+"""Every pair of call and error; the value of a `node_calls` fault is an index into it."""
 
 
 @dataclass(slots=True)
 class _Failure:
     error: int
     until_us: int
-    remaining: int  # how often at most; below 0: without a bound
+    remaining: int  # calls that still fail at most; negative: no limit
 
 
 class CallFaults:
-    """Which calls of one process fail now."""
+    """Injected system call failures of one process; `injected` counts the calls that failed."""
 
     def __init__(self) -> None:
         self._failures: dict[Call, _Failure] = {}
         self.injected = 0
 
     def fail(self, call: Call, error: int, until_us: int, times: int = -1) -> None:
-        """From now on a call fails, until then or so often."""
+        """Make a call fail until a time, at most `times` times (negative: no limit)."""
         self._failures[call] = _Failure(error, until_us, times)
 
     def check(self, call: Call, now_us: int) -> None:
-        """OSError where the call fails now."""
+        """Raise the injected OSError if the call is to fail at this time."""
         failure = self._failures.get(call)
         if failure is None:
             return
--- a/testbed/machine/loop.py
+++ b/testbed/machine/loop.py
@@ -1,10 +1,12 @@
 """An asyncio event loop on virtual time.
 
-It never sleeps: when nothing is ready, the clock jumps to the next timer. What becomes due in one instant (timers and
-sockets alike) runs in an order drawn from the seed, so that both orders of two events are explored; what is called soon
-keeps its order, as asyncio promises. Time is whole microseconds.
+The loop never sleeps: when nothing is ready, the clock jumps to the next timer. Timers and
+sockets that become ready in the same instant run in an order drawn from the seed, so that both
+orders of two events are explored. Callbacks passed to call_soon keep their order, as asyncio
+guarantees. Time is counted in whole microseconds.
 
-Model: FoundationDB's Net2/Sim2 and tokio's turmoil. Bounds: one thread, no executor, no name look-ups, no subprocesses.
+The design follows FoundationDB's Net2/Sim2 and tokio's turmoil. Limits: one thread, no executor,
+no name look-ups, no subprocesses.
 """
 
 from __future__ import annotations
@@ -20,44 +22,49 @@
 from corkshift import seam
 from testbed.machine.protocols import ProcessProtocol, SocketProtocol
 
-MAX_ITERATIONS_PER_INSTANT = 20_000  # turns in one instant: something spins without making progress
-MAX_CANCELLED_TIMERS = 512  # cancelled timers that may wait in the heap before they are swept out
+# A loop that iterates more often than this without advancing the clock is in a livelock.
+MAX_ITERATIONS_PER_INSTANT = 20_000
+# Cancelled timers that may stay in the heap before it is rebuilt without them.
+MAX_CANCELLED_TIMERS = 512
 
 _Ts = TypeVarTuple("_Ts")
 
 
 class Livelock(RuntimeError):
-    """The clock stands still while callbacks go on: something spins."""
+    """Callbacks keep running while the virtual clock does not advance."""
 
 
 class Deadlock(RuntimeError):
-    """Nothing is left to happen, and the main task has not ended."""
+    """No callback or timer is left, and the main task has not ended."""
 
 
 class VirtualLoop(asyncio.BaseEventLoop):
-    """One world's loop. All of its processes share it; each callback belongs to the process whose context it runs in."""
+    """The event loop of one simulation, shared by all of its processes.
+
+    Each callback belongs to the process in whose context it runs. `now_us` is the virtual time,
+    `callbacks_run` counts the callbacks of processes, and `after_callback` is called after each
+    of them.
+    """
 
     def __init__(self, seed: int) -> None:
         super().__init__()
         self.now_us = 0
-        self.callbacks_run = 0  # callbacks run
-        self.after_callback: Optional[Callable[[ProcessProtocol], None]] = (
-            None  # called after each callback of a process
-        )
+        self.callbacks_run = 0
+        self.after_callback: Optional[Callable[[ProcessProtocol], None]] = None
         self._order_random = random.Random(f"order/{seed}")
         self._timer_heap: list[tuple[int, float, int, asyncio.TimerHandle]] = []
         self._timer_number = 0
         self._cancelled_timers = 0
         self._readers: dict[SocketProtocol, asyncio.Handle] = {}
         self._writers: dict[SocketProtocol, asyncio.Handle] = {}
-        self._maybe_ready: dict[SocketProtocol, None] = {}  # sockets that may be ready
-        self._iterations = 0  # in this instant
+        self._maybe_ready: dict[SocketProtocol, None] = {}  # sockets whose state has changed
+        self._iterations = 0  # since the clock last advanced
         self.set_task_factory(_make_task)
 
     # -- time ----------------------------------------------------------------------------
 
     def time(self) -> float:
-        """Virtual seconds since the world began."""
+        """Virtual seconds since the start of the simulation."""
         return self.now_us / 1e6
 
     def call_at(
@@ -72,7 +79,7 @@
     def after_us(
         self, delay_us: int, callback: Callable[..., object], *args: Any
     ) -> asyncio.TimerHandle:
-        """Call back after so many microseconds, on behalf of the world and of no process."""
+        """Schedule a callback of the simulator itself, which belongs to no process."""
         return self._schedule(self.now_us + delay_us, callback, args, _SIMULATOR_CONTEXT)
 
     def _schedule(
@@ -97,7 +104,7 @@
             self._cancelled_timers = 0
 
     def pending_timers(self) -> list[asyncio.TimerHandle]:
-        """Every timer that is still to come, in the order in which it will."""
+        """Timers that are neither due nor cancelled, in the order in which they will run."""
         return [
             entry[3]
             for entry in sorted(self._timer_heap, key=lambda entry: entry[:3])
@@ -119,55 +126,55 @@
         return self._unregister_one(self._writers, fd)
 
     def mark_ready(self, sock: SocketProtocol) -> None:
-        """A socket's state has changed: it may be ready now."""
+        """Check a socket for readiness in the next iteration, since its state has changed."""
         self._maybe_ready[sock] = None
 
     def unregister(self, sock: SocketProtocol) -> None:
-        """A socket is closed: the kernel reports it no more."""
+        """Remove the callbacks of a socket that was closed."""
         self._unregister_one(self._readers, sock)
         self._unregister_one(self._writers, sock)
         self._maybe_ready.pop(sock, None)
 
     def _register(
         self,
-        which: dict[SocketProtocol, asyncio.Handle],
+        handlers: dict[SocketProtocol, asyncio.Handle],
         sock: SocketProtocol,
         callback: Callable[..., object],
         args: Any,
     ) -> None:
         if sock.closed:
-            raise ValueError("the socket is closed")
-        self._unregister_one(which, sock)
-        which[sock] = asyncio.Handle(callback, args, self)
+            raise ValueError("cannot watch a closed socket")
+        self._unregister_one(handlers, sock)
+        handlers[sock] = asyncio.Handle(callback, args, self)
         self.mark_ready(sock)
 
     def _unregister_one(
-        self, which: dict[SocketProtocol, asyncio.Handle], sock: SocketProtocol
+        self, handlers: dict[SocketProtocol, asyncio.Handle], sock: SocketProtocol
     ) -> bool:
-        handle = which.pop(sock, None)
+        handle = handlers.pop(sock, None)
         if handle is None:
             return False
         handle.cancel()
         return True
 
     async def sock_connect(self, sock: Any, address: Any) -> None:
-        """Connect a virtual socket; OSError as the kernel has it."""
+        """Connect a virtual socket; raises OSError as the kernel does."""
         done: asyncio.Future[None] = self.create_future()
         sock.connect(address, done)
         await done
 
     def add_signal_handler(self, sig: int, callback: Callable[[*_Ts], object], *args: *_Ts) -> None:
-        """A handler of the process whose code calls this."""
-        owner = process_of(copy_context())
-        if owner is None:
-            raise RuntimeError("only a virtual process has signals")
-        owner.signal_handlers[sig] = asyncio.Handle(callback, args, self)
+        """Set a signal handler of the calling process; RuntimeError outside a virtual process."""
+        process = process_of(copy_context())
+        if process is None:
+            raise RuntimeError("signal handlers can only be set inside a virtual process")
+        process.signal_handlers[sig] = asyncio.Handle(callback, args, self)
 
     def remove_signal_handler(self, sig: int) -> bool:
-        owner = process_of(copy_context())
-        return owner is not None and owner.signal_handlers.pop(sig, None) is not None
+        process = process_of(copy_context())
+        return process is not None and process.signal_handlers.pop(sig, None) is not None
 
-    # -- turns ---------------------------------------------------------------------------
+    # -- iterations ----------------------------------------------------------------------
 
     def _run_once(self) -> None:
         ready: Any = self._ready  # type: ignore[attr-defined]
@@ -177,16 +184,16 @@
                 heappop(self._timer_heap)
                 self._cancelled_timers -= 1
             if not self._timer_heap:
-                raise Deadlock("nothing is left to happen")
+                raise Deadlock("no callback or timer is left, and the main task has not ended")
             self.now_us = self._timer_heap[0][0]
             self._iterations = 0
             self._collect_ready(ready)
         self._iterations += 1
         if self._iterations > MAX_ITERATIONS_PER_INSTANT:
             raise Livelock(
-                f"{MAX_ITERATIONS_PER_INSTANT} turns at {self.now_us} us; the last is {ready[0]!r}"
+                f"{MAX_ITERATIONS_PER_INSTANT} iterations at {self.now_us} us; next: {ready[0]!r}"
                 if ready
-                else "spinning"
+                else "the loop iterates without advancing the clock and without callbacks"
             )
         for _ in range(len(ready)):
             self._run_handle(ready.popleft())
@@ -194,22 +201,22 @@
     def _run_handle(self, handle: asyncio.Handle) -> None:
         if handle.cancelled():
             return
-        owner = process_of(handle._context)  # type: ignore[attr-defined]
-        if owner is None:
+        process = process_of(handle._context)  # type: ignore[attr-defined]
+        if process is None:
             handle._run()
             return
-        if not owner.running:
-            owner.defer(handle)
+        if not process.running:
+            process.defer(handle)
             return
         self.callbacks_run += 1
         handle._run()
         if self.after_callback is not None:
-            self.after_callback(owner)
+            self.after_callback(process)
 
     def _collect_ready(self, ready: Any) -> None:
-        """Queue what is due now and what is ready, in a drawn order."""
+        """Queue the timers that are due and the sockets that are ready, in a random order."""
         due = self._timer_heap
-        fresh: list[asyncio.Handle] = []
+        handles: list[asyncio.Handle] = []
         while due and due[0][0] <= self.now_us:
             handle = heappop(due)[3]
             if handle.cancelled():
@@ -217,53 +224,59 @@
                 continue
             handle._scheduled = False  # type: ignore[attr-defined]
             if handle._context is _SIMULATOR_CONTEXT:  # type: ignore[attr-defined]
-                handle._run()  # the network and the faults act below the programs: what they bring is ready in this turn
+                # The network and the faults run before the programs, so that what they deliver
+                # is ready in this iteration.
+                handle._run()
             else:
-                fresh.append(handle)
-        hot: list[asyncio.Handle] = []
+                handles.append(handle)
+        socket_handles: list[asyncio.Handle] = []
         for sock in list(self._maybe_ready):
             if sock.process is not None and not sock.process.running:
-                continue  # nobody polls; it is asked again when the process goes on
+                continue  # a paused process does not poll; checked again after it resumes
             reader, writer = self._readers.get(sock), self._writers.get(sock)
             reads, writes = (
                 reader is not None and sock.readable,
                 writer is not None and sock.writable,
             )
             if reads and reader is not None:
-                hot.append(reader)
+                socket_handles.append(reader)
             if writes and writer is not None:
-                hot.append(writer)
+                socket_handles.append(writer)
             if not (reads or writes):
                 del self._maybe_ready[sock]
-        if hot and len(fresh) + len(hot) > 1:
-            fresh += hot
-            self._order_random.shuffle(fresh)
+        if socket_handles and len(handles) + len(socket_handles) > 1:
+            handles += socket_handles
+            self._order_random.shuffle(handles)
         else:
-            fresh += hot
-        ready.extend(fresh)
+            handles += socket_handles
+        ready.extend(handles)
 
-    # -- what a loop must have -----------------------------------------------------------
+    # -- hooks of BaseEventLoop ----------------------------------------------------------
 
     def _process_events(self, event_list: Any) -> None:
-        """Nothing comes from a selector."""
+        """Do nothing: there is no selector."""
 
     def _write_to_self(self) -> None:
-        """Nobody waits in a selector."""
+        """Do nothing: there is no selector to wake up."""
 
 
 def _make_task(loop: asyncio.AbstractEventLoop, coro: Any, **options: Any) -> asyncio.Task[Any]:
-    """A task that its process keeps: what a killed one leaves behind must not be collected, and so run its last lines."""
+    """Create a task and register it with its process.
+
+    The reference keeps the tasks of a killed process from being garbage-collected, which would
+    run their `finally` blocks.
+    """
     task: asyncio.Task[Any] = asyncio.Task(coro, loop=loop, **options)
-    owner = process_of(options.get("context") or copy_context())
-    if owner is not None:
-        owner.register_task(task)
+    process = process_of(options.get("context") or copy_context())
+    if process is not None:
+        process.register_task(task)
     return task
 
 
 def process_of(context: Context) -> Optional[ProcessProtocol]:
-    """The virtual process in whose context something runs; None for the world itself."""
-    side = context.get(seam.CURRENT_SYSTEM)
-    return side if side is not None and getattr(side, "virtual", False) else None  # type: ignore[return-value]
+    """Return the virtual process that a context belongs to, or None for the simulator itself."""
+    system = context.get(seam.CURRENT_SYSTEM)
+    return system if system is not None and getattr(system, "virtual", False) else None  # type: ignore[return-value]
 
 
 _SIMULATOR_CONTEXT = Context()
--- a/testbed/machine/net.py
+++ b/testbed/machine/net.py
@@ -1,10 +1,12 @@
-"""A virtual network: TCP and UDP as a program sees them through non-blocking sockets, with links that can be hurt.
+"""Virtual network: TCP and UDP as a program sees them through non-blocking sockets, with faults.
 
-What is modelled: buffers on both sides with partial writes and EAGAIN, flow control by the receiver's window, segments in
-order with latency, jitter, bandwidth and retransmission, FIN and half close, RST with unread data and with SO_LINGER 0,
-the accept backlog, dials that are refused or never answered, hosts that vanish, links cut one way or both, and datagrams
-that are lost, doubled, reordered or late. What is not: congestion control, Nagle, urgent data, path MTU. The parity suite
-(tests/testbed/test_parity.py) holds what the node's stream layer sees here against the kernel's sockets.
+Modelled are buffers on both sides with partial writes and EAGAIN, flow control by the receiver's
+window, segments in order with latency, jitter, bandwidth and retransmission, FIN and half close,
+RST with unread data and with SO_LINGER 0, the accept backlog, connection attempts that are
+refused or never answered, hosts that disappear, links cut in one or both directions, and
+datagrams that are lost, duplicated, reordered or delayed. Not modelled are congestion control,
+Nagle's algorithm, urgent data and the path MTU. The parity tests (tests/testbed/test_parity.py)
+compare what the node's stream layer sees here with what it sees on the kernel's sockets.
 
 Units: microseconds and bytes.
 """
@@ -27,66 +29,72 @@
 from testbed.machine.loop import VirtualLoop
 from testbed.machine.protocols import ProcessProtocol
 
-DEFAULT_BUFFER_BYTES = 131_072  # bytes of a socket's buffer in each direction where nothing is asked (a kernel doubles what is asked)
-SEGMENT_BYTES = 16_384  # bytes carried at once
-INITIAL_RTO_US = 200_000  # the first retransmission; doubles up to the longest
+# A socket's buffer in each direction if no size is set. Linux doubles a size that is set.
+DEFAULT_BUFFER_BYTES = 131_072
+SEGMENT_BYTES = 16_384  # the largest segment
+INITIAL_RTO_US = 200_000  # first retransmission timeout; doubles up to MAX_RTO_US
 MAX_RTO_US = 3_200_000
-INITIAL_SYN_RTO_US = 1_000_000  # the first repeat of a SYN; doubles
-UDP_BUFFER_BYTES = 212_992  # bytes that wait to be read from a UDP socket
-MAX_DATAGRAM_BYTES = 65_507
+INITIAL_SYN_RTO_US = 1_000_000  # before the first repeat of a SYN; doubles each time
+UDP_BUFFER_BYTES = 212_992  # receive buffer of a UDP socket
+MAX_DATAGRAM_BYTES = 65_507  # payload of an IPv4 UDP datagram
 FIRST_EPHEMERAL_PORT = 32_768
 LINGER_OFF = struct.pack("ii", 0, 0)
 
 
 def os_error(number: int) -> OSError:
-    """The OSError that the kernel's errno makes (with its proper subclass)."""
+    """Return the OSError, or its subclass, for an errno."""
     return OSError(number, os.strerror(number))
 
 
 @dataclass(slots=True)
 class Link:
-    """One direction between two hosts."""
+    """One direction of the path between two hosts.
+
+    `loss`, `double` and `late` are probabilities: that a segment or datagram is lost, that a
+    datagram is duplicated, and that it is delayed by up to `late_us`, so that others overtake it.
+    """
 
     latency_us: int = 250
     jitter_us: int = 0
-    bandwidth: int = 0  # bytes a second; 0 has no limit
-    loss: float = 0.0  # of segments and datagrams
-    double: float = 0.0  # of datagrams
-    late: float = 0.0  # of datagrams, which others overtake
+    bandwidth: int = 0  # bytes per second; 0: no limit
+    loss: float = 0.0
+    double: float = 0.0
+    late: float = 0.0
     late_us: int = 5_000
     cut: bool = False
-    busy_until_us: int = 0  # when the line has carried what was put on it
-    last_datagram_us: int = (
-        0  # when the last datagram arrives: none overtakes another but where it is drawn so
-    )
+    busy_until_us: int = 0  # when everything sent so far has been transmitted
+    # Arrival of the last datagram: one overtakes another only if `late` delays the other.
+    last_datagram_us: int = 0
 
 
 @dataclass(slots=True)
 class ByteTrigger:
-    """A fault that waits for a byte: after so many bytes one way on a connection, something happens in mid-write."""
+    """A fault in the middle of a write, after a number of bytes in one direction."""
 
-    source: str  # host that writes
-    target: str  # host that is written to
-    after_bytes: int  # bytes
+    source: str  # the sending host
+    target: str  # the receiving host
+    after_bytes: int
     action: Callable[[VirtualSocket], None]
-    connections: int = 1  # how many connections it catches
+    connections: int = 1  # how many more connections it applies to
 
 
 class Pipe:
-    """What is on the way from one end to the other: segments in order, the head's arrival scheduled."""
+    """Segments in flight in one direction, in order; the arrival of the first is scheduled."""
 
     __slots__ = ("net", "source", "queue", "last_due_us", "rto_us", "arrival_scheduled")
 
     def __init__(self, net: Network, source: VirtualSocket) -> None:
         self.net = net
         self.source = source
-        self.queue: deque[tuple[int, bytes | str]] = deque()  # when due, bytes or "fin" or "rst"
+        self.queue: deque[tuple[int, bytes | str]] = (
+            deque()
+        )  # arrival time, and bytes, "fin" or "rst"
         self.last_due_us = 0
         self.rto_us = INITIAL_RTO_US
         self.arrival_scheduled = False
 
     def send(self, what: bytes | str) -> None:
-        """Send a segment on its way."""
+        """Send a segment."""
         net, source = self.net, self.source
         assert source.peer is not None
         link = net.link(source.host, source.peer.host)
@@ -114,7 +122,7 @@
         _, what = self.queue[0]
         if not net.is_reachable(source.host, target.host):
             if source.send_stopped:
-                self.queue.clear()  # nobody is left to send it again
+                self.queue.clear()  # the sender no longer retransmits
                 return
             self._schedule_arrival(net.loop.now_us + self.rto_us)
             self.rto_us = min(MAX_RTO_US, self.rto_us * 2)
@@ -127,7 +135,10 @@
 
 
 class VirtualSocket:
-    """One socket of a virtual process, in the words and with the errors of the standard library's."""
+    """A socket of a virtual process, with the methods and errors of `socket.socket`.
+
+    `kind` is stream or datagram; `state` is new, listening, dialing or open.
+    """
 
     __slots__ = (
         "net",
@@ -172,19 +183,19 @@
         self.process = process
         self.host = host
         self.number = net.next_number()
-        self.kind = kind  # stream or datagram
-        self.state = "new"  # new, listening, dialing, open
+        self.kind = kind
+        self.state = "new"
         self.local: Address = ("", 0)
         self.remote: Address = ("", 0)
         self.peer: Optional[VirtualSocket] = None
         self.is_initiator = False
-        self.closed = False  # by its program
-        self.send_stopped = False  # nothing more is sent, not even again
+        self.closed = False  # by its own program
+        self.send_stopped = False  # nothing is sent or retransmitted any more
         self.rx: deque[bytes] = deque()
-        self.last_received_us = net.loop.now_us  # when the last bytes came in
+        self.last_received_us = net.loop.now_us  # when the last bytes arrived
         self.rx_bytes = 0
-        self.fin_received = False  # the peer's FIN has come
-        self.pending_error = 0  # told once
+        self.fin_received = False
+        self.pending_error = 0  # errno, reported once
         self.reset = False
         self.tx = bytearray()
         self.in_flight_bytes = 0
@@ -197,12 +208,12 @@
         self.backlog = 0
         self.accept_queue: deque[VirtualSocket] = deque()
         self.connect_future: Optional[asyncio.Future[None]] = None
-        self.sent_bytes = 0  # bytes taken from the program
+        self.sent_bytes = 0  # accepted from the program
         self.trigger: Optional[ByteTrigger] = None
         self.datagrams: deque[tuple[bytes, Address]] = deque()
         self.queued_datagram_bytes = 0
 
-    # -- the program's side --------------------------------------------------------------
+    # -- calls of the program ------------------------------------------------------------
 
     def fileno(self) -> int:
         return -1 if self.closed else self.number
@@ -233,7 +244,10 @@
         self.net.notify_observers("listen", self)
 
     def accept(self) -> tuple[VirtualSocket, Address]:
-        """The oldest connection that waits. BlockingIOError where none does, EMFILE where there is no descriptor for it."""
+        """Accept the oldest waiting connection.
+
+        Raises BlockingIOError if there is none, and OSError (EMFILE) if no descriptor is left.
+        """
         self._check_open()
         if self.state != "listening":
             raise os_error(errno.EINVAL)
@@ -252,7 +266,10 @@
         return self.local
 
     def connect(self, address: Address, done: asyncio.Future[None]) -> None:
-        """Begin to connect; the future ends when the connection is up, or with its error. OSError where it can't begin."""
+        """Start to connect; the future ends when the connection is established, or with its error.
+
+        Raises OSError if the attempt cannot start.
+        """
         self._check_open()
         if self.process is not None:
             self.process.check_call(Call.CONNECT)
@@ -281,21 +298,21 @@
         size = len(data)
         if not size:
             return 0
-        room = self.send_buffer - len(self.tx) - self.in_flight_bytes
-        if room <= 0:
+        capacity = self.send_buffer - len(self.tx) - self.in_flight_bytes
+        if capacity <= 0:
             raise BlockingIOError(errno.EAGAIN, os.strerror(errno.EAGAIN))
-        taken = min(size, room)
-        tripped = None
+        taken = min(size, capacity)
+        fired = None
         if self.trigger is not None and self.sent_bytes + taken >= self.trigger.after_bytes:
             taken = max(0, self.trigger.after_bytes - self.sent_bytes)
-            tripped, self.trigger = self.trigger, None
-        piece = bytes(memoryview(data)[:taken])
+            fired, self.trigger = self.trigger, None
+        chunk = bytes(memoryview(data)[:taken])
         self.sent_bytes += taken
-        self.net.on_send(self, piece, size)
-        self.tx += piece
+        self.net.on_send(self, chunk, size)
+        self.tx += chunk
         self.transmit()
-        if tripped is not None:
-            tripped.action(self)
+        if fired is not None:
+            fired.action(self)
             if not taken:
                 if self.pending_error:
                     number, self.pending_error = self.pending_error, 0
@@ -311,14 +328,14 @@
             view = memoryview(buffer)
             size = 0
             while self.rx and size < len(view):
-                piece = self.rx[0]
-                taken = min(len(piece), len(view) - size)
-                view[size : size + taken] = piece[:taken]
+                chunk = self.rx[0]
+                taken = min(len(chunk), len(view) - size)
+                view[size : size + taken] = chunk[:taken]
                 size += taken
-                if taken == len(piece):
+                if taken == len(chunk):
                     self.rx.popleft()
                 else:
-                    self.rx[0] = piece[taken:]
+                    self.rx[0] = chunk[taken:]
             self.rx_bytes -= size
             if self.peer is not None and self.peer.tx:
                 self.net.loop.after_us(
@@ -363,7 +380,7 @@
             self.transmit()
 
     def close(self) -> None:
-        """End the socket as the kernel does: an RST where it lingers for no time or holds unread input, else a FIN."""
+        """Close as the kernel does: RST with SO_LINGER 0 or unread input, else FIN."""
         if self.closed:
             return
         hard = self.linger or bool(self.rx)
@@ -388,7 +405,7 @@
             self.send_stopped = True
         self.rx.clear()
 
-    # -- the kernel's side ---------------------------------------------------------------
+    # -- the kernel ----------------------------------------------------------------------
 
     @property
     def readable(self) -> bool:
@@ -404,7 +421,7 @@
 
     @property
     def writable(self) -> bool:
-        """Whether a third of the send buffer is free, as the kernel has it, or a write would fail."""
+        """Whether a third of the send buffer is free, as in Linux, or a write would fail."""
         if self.kind == "datagram" or self.pending_error or self.reset or self.write_closed:
             return True
         return (
@@ -413,7 +430,7 @@
         )
 
     def transmit(self) -> None:
-        """Send what the peer has room for, and the end after the last byte."""
+        """Send what fits into the peer's window, and FIN after the last byte."""
         peer = self.peer
         if peer is None or self.send_stopped or self.state != "open":
             return
@@ -425,23 +442,23 @@
             )
             if size <= 0:
                 return
-            piece = bytes(self.tx[:size])
+            chunk = bytes(self.tx[:size])
             del self.tx[:size]
             self.in_flight_bytes += size
-            self.pipe.send(piece)
+            self.pipe.send(chunk)
         if self.write_closed and not self.fin_sent:
             self.fin_sent = True
             self.pipe.send("fin")
 
     def send_reset(self) -> None:
-        """End the connection at once: what has not been sent is dropped."""
+        """Send RST and drop what has not been sent."""
         self.tx.clear()
         self.send_stopped = True
         if self.peer is not None:
             self.pipe.send("rst")
 
     def receive_segment(self, what: bytes | str) -> None:
-        """A segment has come."""
+        """Process a segment that has arrived."""
         peer = self.peer
         assert peer is not None
         if what == "rst":
@@ -458,7 +475,8 @@
             )
         if self.closed or self.send_stopped:
             if what != "fin":
-                self.send_reset()  # there is nobody to read it, and an earlier word of that may have been lost
+                # Nobody reads the data, and an earlier RST may have been lost.
+                self.send_reset()
             return
         if self.reset:
             return
@@ -471,7 +489,7 @@
         self.net.loop.mark_ready(self)
 
     def on_acknowledged(self, size: int) -> None:
-        """The peer's kernel has these bytes. Over a cut link the word does not come, until it is healed."""
+        """Process the acknowledgement of sent bytes; it waits until a cut link is restored."""
         peer = self.peer
         assert peer is not None
         if not self.net.is_reachable(peer.host, self.host):
@@ -484,7 +502,7 @@
             self.net.loop.mark_ready(self)
 
     def reset_both_ends(self) -> None:
-        """Reset both ends, as a middle box does."""
+        """Reset both ends, as a middlebox does."""
         for sock in (self, self.peer):
             if sock is not None and not (sock.reset or sock.send_stopped):
                 sock.reset = sock.send_stopped = True
@@ -502,7 +520,7 @@
 
 @dataclass(slots=True)
 class Host:
-    """A machine: it may vanish, and then says nothing."""
+    """A machine. While it is not up, it neither sends nor receives anything."""
 
     name: str
     up: bool = True
@@ -511,7 +529,11 @@
 
 
 class Network:
-    """All hosts, links and sockets of a world."""
+    """All hosts, links and sockets of a simulation.
+
+    `observers` are called with each socket event; `on_send` is called with each chunk of data that
+    a socket accepts and the size that the program asked it to send.
+    """
 
     def __init__(self, loop: VirtualLoop, seed: int) -> None:
         self.loop = loop
@@ -521,28 +543,28 @@
         self.default_link = Link()
         self.triggers: list[ByteTrigger] = []
         self.observers: list[Callable[[str, VirtualSocket], None]] = []
-        self.on_send: Callable[[VirtualSocket, bytes, int], None] = lambda sock, piece, asked: None
+        self.on_send: Callable[[VirtualSocket, bytes, int], None] = lambda sock, chunk, asked: None
         self._number = 2
 
     def next_number(self) -> int:
-        """A descriptor's number, never used twice."""
+        """Return a descriptor number, which is never used twice."""
         self._number += 1
         return self._number
 
     def notify_observers(self, what: str, sock: VirtualSocket) -> None:
-        """Tell the observers what happened to a socket."""
+        """Call the observers with a socket event."""
         for observer in self.observers:
             observer(what, sock)
 
     def host(self, name: str) -> Host:
-        """A host by its address; made when first named."""
+        """Return a host by its address, created on first use."""
         got = self.hosts.get(name)
         if got is None:
             got = self.hosts[name] = Host(name)
         return got
 
     def link(self, source: str, target: str) -> Link:
-        """The link one way; made like the default when first used."""
+        """Return the link in one direction, created on first use as a copy of the default."""
         got = self.links.get((source, target))
         if got is None:
             d = self.default_link
@@ -552,16 +574,16 @@
         return got
 
     def is_reachable(self, source: str, target: str) -> bool:
-        """Whether anything sent now arrives."""
+        """Whether both hosts are up and the link is not cut."""
         return self.host(source).up and self.host(target).up and not self.link(source, target).cut
 
     def delay(self, source: str, target: str) -> int:
-        """Latency of one way now, jitter included."""
+        """Return the latency in one direction with jitter, in us."""
         link = self.link(source, target)
         return link.latency_us + (self.rng.randrange(link.jitter_us + 1) if link.jitter_us else 0)
 
     def arrival_us(self, link: Link, size: int) -> int:
-        """When something put on a link now arrives."""
+        """Return the arrival time of `size` bytes sent on a link now."""
         now = self.loop.now_us
         if link.bandwidth:
             now = link.busy_until_us = (
@@ -576,7 +598,10 @@
     # -- addresses -----------------------------------------------------------------------
 
     def bind(self, sock: VirtualSocket, address: Address) -> None:
-        """Give a socket an address; EADDRINUSE where one has it, EADDRNOTAVAIL where it is another host's."""
+        """Bind a socket to an address.
+
+        Raises OSError: EADDRINUSE if the address is taken, EADDRNOTAVAIL for another host's.
+        """
         if address[0] != sock.host:
             raise os_error(errno.EADDRNOTAVAIL)
         host, port = self.host(sock.host), address[1]
@@ -593,7 +618,7 @@
         sock.local = (sock.host, port)
 
     def unbind(self, sock: VirtualSocket) -> None:
-        """Free a closed socket's address."""
+        """Release the address of a closed socket."""
         bound = self.host(sock.host).bound
         if bound.get((sock.kind, sock.local[1])) is sock:
             del bound[sock.kind, sock.local[1]]
@@ -601,7 +626,7 @@
     # -- connecting ----------------------------------------------------------------------
 
     def send_syn(self, sock: VirtualSocket, repeat_us: int) -> None:
-        """Ask for a connection, and again while nothing answers."""
+        """Send a SYN, and repeat it while there is no answer."""
         if sock.closed or sock.state != "dialing":
             return
         link = self.link(sock.host, sock.remote[0])
@@ -626,7 +651,7 @@
             self.loop.after_us(self.delay(sock.remote[0], sock.host), self._refused, sock)
             return
         if len(listener.accept_queue) > listener.backlog:
-            return  # dropped; the SYN comes again
+            return  # dropped; the SYN is repeated
         other = VirtualSocket(self, None, listener.host, "stream")
         other.state, other.local, other.remote, other.peer = (
             "open",
@@ -660,9 +685,9 @@
             return
         sock.state = "open"
         if sock.closed:
-            sock.send_reset()  # nobody waits for it any more
+            sock.send_reset()  # the program has closed it meanwhile
             return
-        if sock.peer.closed or sock.peer.reset:  # reset before it was up
+        if sock.peer.closed or sock.peer.reset:  # reset before it was established
             sock.state = "new"
             if sock.connect_future is not None and not sock.connect_future.done():
                 sock.connect_future.set_exception(os_error(errno.ECONNRESET))
@@ -675,16 +700,19 @@
         self.loop.mark_ready(sock)
 
     def _attach_trigger(self, sock: VirtualSocket) -> None:
-        for trip in self.triggers:
-            if trip.connections > 0 and (trip.source, trip.target) == (sock.host, sock.remote[0]):
-                trip.connections -= 1
-                sock.trigger = trip
+        for trigger in self.triggers:
+            if trigger.connections > 0 and (trigger.source, trigger.target) == (
+                sock.host,
+                sock.remote[0],
+            ):
+                trigger.connections -= 1
+                sock.trigger = trigger
                 return
 
     # -- datagrams -----------------------------------------------------------------------
 
     def send_datagram(self, sock: VirtualSocket, data: bytes, address: Address) -> None:
-        """Send a datagram over a link that may lose, double or delay it."""
+        """Send a datagram over a link that may lose, duplicate or delay it."""
         link, rng = self.link(sock.host, address[0]), self.rng
         copies = 1 + (link.double > 0.0 and rng.random() < link.double)
         for _ in range(copies):
@@ -700,7 +728,7 @@
             )
 
     def inject_datagram(self, sender: Address, address: Address, data: bytes) -> None:
-        """A datagram of whoever forges its sender arrives now."""
+        """Deliver a datagram now, with a sender address that may be forged."""
         self._deliver_datagram(data, sender, address)
 
     def _deliver_datagram(self, data: bytes, sender: Address, address: Address) -> None:
--- a/testbed/machine/process.py
+++ b/testbed/machine/process.py
@@ -1,4 +1,7 @@
-"""A virtual process: one side of the seam, with a clock, descriptors, files, an environment and signals of its own."""
+"""A virtual process: an implementation of the system interface.
+
+It has its own clock, descriptors, files, environment and signals.
+"""
 
 from __future__ import annotations
 
@@ -14,11 +17,15 @@
 from testbed.machine.faults import Call, CallFaults
 from testbed.machine.net import Network, VirtualSocket, os_error
 
-EPOCH_MS = 1_764_547_200_000.0  # Unix time at the start of each world
+EPOCH_MS = 1_764_547_200_000.0  # Unix time at the start of each simulation
 
 
 class Process:
-    """What runs as one program on one host. It can be killed, paused and signalled."""
+    """A program on one host, which can be killed, paused and signalled.
+
+    descriptors: the most sockets it may have open. `wall_clock_offset_ms` is the error of its wall
+    clock, read when it starts. `state` is one of new, running, paused, ended and killed.
+    """
 
     virtual = True
 
@@ -29,27 +36,24 @@
         self.descriptors = descriptors
         self.files: dict[str, bytes] = {}
         self.environment: dict[str, str] = {}
-        self.wall_clock_offset_ms = (
-            0.0  # how wrong the wall clock is; a process reads it as it starts
-        )
+        self.wall_clock_offset_ms = 0.0
         self.sockets: dict[VirtualSocket, None] = {}
         self.signal_handlers: dict[int, asyncio.Handle] = {}
-        self.state = "new"  # new, running, paused, ended, killed
-        self.paused_spans_us: list[tuple[int, int]] = []  # spans in which it stood still
+        self.state = "new"
+        self.paused_spans_us: list[tuple[int, int]] = []  # begin and end of each pause
         self.call_faults = CallFaults()
-        self.starved_spans_us: list[
-            tuple[int, int]
-        ] = []  # spans in which it had no descriptor to accept with
+        # Spans in which it had no free descriptor to accept a connection with.
+        self.starved_spans_us: list[tuple[int, int]] = []
         self.exit_error: Optional[BaseException] = None
         self.on_end: Callable[[], None] = lambda: None
-        self.context = Context()  # of its code, once it is started
+        self.context = Context()  # the context of its code, set by start()
         self.task: Optional[asyncio.Task[Any]] = None
         self.tasks: dict[asyncio.Task[Any], None] = {}
         self._clock_start_ms = 0.0
         self._deferred: list[asyncio.Handle] = []
         self._prune_tasks_at = 64
 
-    # -- the seam ------------------------------------------------------------------------
+    # -- system interface ----------------------------------------------------------------
 
     def now_ms(self) -> float:
         return self._clock_start_ms + self.net.loop.now_us / 1000.0
@@ -62,7 +66,7 @@
         return self._socket("datagram")
 
     def inherited_listener(self, descriptor: int) -> VirtualSocket:
-        raise os_error(errno.EBADF)  # no virtual process is started with one
+        raise os_error(errno.EBADF)  # no virtual process is started with an open descriptor
 
     def closed_by_peer(self, sock: VirtualSocket) -> bool:
         return sock.fin_received or sock.reset
@@ -82,7 +86,7 @@
         return self.net.rng.randbytes(size)
 
     def unix_listener(self, path: str) -> VirtualSocket:
-        raise os_error(errno.EAFNOSUPPORT)  # nobody comes to a Unix socket here
+        raise os_error(errno.EAFNOSUPPORT)  # Unix sockets are not modelled
 
     def _socket(self, kind: str) -> VirtualSocket:
         self.check_descriptors()
@@ -91,39 +95,39 @@
         return sock
 
     def check_call(self, call: Call) -> None:
-        """OSError where a system call is to fail now."""
+        """Raise OSError if a fault makes this system call fail now."""
         self.call_faults.check(call, self.net.loop.now_us)
 
     # -- descriptors ---------------------------------------------------------------------
 
     def check_descriptors(self) -> None:
-        """EMFILE where no descriptor is left."""
+        """Raise OSError (EMFILE) if no descriptor is left."""
         if len(self.sockets) >= self.descriptors:
             raise os_error(errno.EMFILE)
 
     def add_socket(self, sock: VirtualSocket) -> None:
-        """An accepted connection is this process's now."""
+        """Make this process the owner of an accepted connection."""
         sock.process = self
         self.sockets[sock] = None
 
     def remove_socket(self, sock: VirtualSocket) -> None:
-        """A socket was closed."""
+        """Remove a closed socket from the open descriptors."""
         self.sockets.pop(sock, None)
 
-    # -- its life ------------------------------------------------------------------------
+    # -- lifecycle -----------------------------------------------------------------------
 
     @property
     def running(self) -> bool:
-        """Whether its code may run now."""
+        """Whether its code may run now; False while it is paused."""
         return self.state == "running"
 
     @property
     def alive(self) -> bool:
-        """Whether it has been started and has not ended."""
+        """Whether it has been started and has not ended; True also while it is paused."""
         return self.state in ("running", "paused")
 
     def start(self, main: Callable[[], Coroutine[Any, Any, None]]) -> None:
-        """Run a program in a context of its own."""
+        """Run a program in its own context, with this process as its system interface."""
         self.state = "running"
         self._clock_start_ms = EPOCH_MS + self.wall_clock_offset_ms
         context = self.context = copy_context()
@@ -132,18 +136,18 @@
         self.task.add_done_callback(self._on_task_done, context=context)
 
     def register_task(self, task: asyncio.Task[Any]) -> None:
-        """A task of this process was made."""
+        """Keep a reference to a new task of this process."""
         self.tasks[task] = None
         if len(self.tasks) > self._prune_tasks_at:
             self.tasks = {task: None for task in self.tasks if not task.done()}
             self._prune_tasks_at = 64 + 2 * len(self.tasks)
 
     def pending_tasks(self) -> list[asyncio.Task[Any]]:
-        """The tasks that have not ended, oldest first."""
+        """Return the tasks that have not ended, oldest first."""
         return [task for task in self.tasks if not task.done()]
 
     def discard_tasks(self) -> None:
-        """After the world's end: let go of what never ended, without a word."""
+        """Drop the tasks that never ended, without asyncio warnings, after the simulation."""
         self._close_all()
         for task in self.pending_tasks():
             task._log_destroy_pending = False  # type: ignore[attr-defined]
@@ -152,18 +156,18 @@
         self.tasks.clear()
 
     def defer(self, handle: asyncio.Handle) -> None:
-        """What would have run while it stands still waits; what it would have done when dead is dropped."""
+        """Keep a callback until a paused process resumes; drop it if the process has ended."""
         if self.state == "paused":
             self._deferred.append(handle)
 
     def pause(self) -> None:
-        """SIGSTOP: nothing of it runs, while its kernel goes on."""
+        """SIGSTOP: stop running its code, while its kernel keeps receiving and acknowledging."""
         if self.state == "running":
             self.state = "paused"
             self.paused_spans_us.append((self.net.loop.now_us, 1 << 62))
 
     def resume(self) -> None:
-        """SIGCONT."""
+        """SIGCONT: run the callbacks that were deferred during the pause."""
         if self.state != "paused":
             return
         self.state = "running"
@@ -172,19 +176,19 @@
         self.net.loop._ready.extend(held)  # type: ignore[attr-defined]
 
     def was_paused(self, since_us: int, until_us: int, longer_than_us: int = -1) -> bool:
-        """Whether it was paused at any time in a span, by a pause that lasted for longer than this."""
+        """Whether a pause of more than `longer_than_us` overlaps a span of time."""
         return any(
             begin <= until_us and end >= since_us and end - begin > longer_than_us
             for begin, end in self.paused_spans_us
         )
 
     def was_paused_or_starved(self, since_us: int, until_us: int) -> bool:
-        """Whether it was paused, or could accept nothing for want of descriptors, at any time in a span."""
+        """Whether it was paused, or had no descriptor to accept with, at any time in a span."""
         starved = any(begin <= until_us and end >= since_us for begin, end in self.starved_spans_us)
         return starved or self.was_paused(since_us, until_us)
 
     def signal(self, number: int) -> None:
-        """Deliver a signal: to its handler, or to what the system does without one."""
+        """Deliver a signal: call its handler, or take the default action."""
         if number == signal.SIGKILL:
             self.kill()
         elif not self.alive:
@@ -196,7 +200,7 @@
             self.kill()
 
     def kill(self) -> None:
-        """End at once: its connections are reset, and nothing of its code runs any more."""
+        """End at once: reset its connections and run none of its code any more."""
         if self.alive:
             self.state = "killed"
             self._close_all()
--- a/testbed/machine/protocols.py
+++ b/testbed/machine/protocols.py
@@ -1,7 +1,7 @@
-"""What the loop, the network and the processes of the virtual machine need of one another.
+"""Protocols through which the event loop, the network and the processes use one another.
 
-The loop knows sockets and processes by these, and the network knows processes by them; so that loop, net and process import one another
-in that order alone.
+The loop uses sockets and processes through these protocols, and the network uses processes
+through them. So the imports go one way: `net` imports `loop`, and `process` imports `net`.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 
 class ProcessProtocol(Protocol):
-    """A process, as the loop that runs its code and the network that carries its bytes know it."""
+    """A process as the event loop and the network see it."""
 
     name: str
     host: str
@@ -23,57 +23,57 @@
 
     @property
     def running(self) -> bool:
-        """Whether its code may run now."""
+        """Whether its code may run now; False while it is paused."""
         ...
 
     @property
     def alive(self) -> bool:
-        """Whether it has been started and has not ended."""
+        """Whether it has been started and has not ended; True also while it is paused."""
         ...
 
     def now_ms(self) -> float:
-        """Its own clock."""
+        """The time of its own wall clock, in ms since the Unix epoch."""
         ...
 
     def defer(self, handle: asyncio.Handle) -> None:
-        """What would have run while it stands still waits."""
+        """Take over a callback that cannot run now, since the process is not running."""
         ...
 
     def register_task(self, task: asyncio.Task[Any]) -> None:
-        """A task of this process was made."""
+        """Keep a reference to a new task of this process."""
         ...
 
     def pending_tasks(self) -> list[asyncio.Task[Any]]:
-        """The tasks that have not ended, oldest first."""
+        """Return the tasks that have not ended, oldest first."""
         ...
 
     def check_call(self, call: Call) -> None:
-        """OSError where a system call is to fail now."""
+        """Raise OSError if a fault makes this system call fail now."""
         ...
 
     def check_descriptors(self) -> None:
-        """OSError (EMFILE) where it can open no other."""
+        """Raise OSError (EMFILE) if the process cannot open another descriptor."""
         ...
 
     def add_socket(self, sock: Any) -> None:
-        """An accepted connection is this process's now."""
+        """Make this process the owner of an accepted connection."""
         ...
 
     def remove_socket(self, sock: Any) -> None:
-        """A socket was closed."""
+        """Remove a closed socket from the open descriptors."""
         ...
 
     def was_paused(self, since_us: int, until_us: int, longer_than_us: int = -1) -> bool:
-        """Whether it was paused at any time in a span."""
+        """Whether a pause of more than `longer_than_us` overlaps a span of time."""
         ...
 
     def was_paused_or_starved(self, since_us: int, until_us: int) -> bool:
-        """Whether it was paused, or could accept nothing for want of descriptors, at any time in a span."""
+        """Whether it was paused, or had no descriptor to accept with, at any time in a span."""
         ...
 
 
 class SocketProtocol(Protocol):
-    """A socket, as the loop that watches it knows it."""
+    """A socket as the event loop sees it."""
 
     closed: bool
     process: Optional[ProcessProtocol]
