--- a/testbed/systems/__init__.py
+++ b/testbed/systems/__init__.py
@@ -1,1 +1,4 @@
-"""The emulated systems: cache boxes, the order book, discovery and clients, on real sockets or on virtual ones."""
+"""Emulated systems: cache boxes, the order book, discovery, clients and DNS.
+
+They run on real sockets and on virtual ones.
+"""
--- a/testbed/systems/emulators.py
+++ b/testbed/systems/emulators.py
@@ -1,6 +1,7 @@
-"""The stand-ins: cache boxes, the order book and discovery. Written once, run on real loopback and on the virtual network.
+"""Emulated cache boxes, order book and discovery.
 
-They speak what the protocol page says and nothing of what is inside the node. Each tells a `Witness` what it saw.
+They run on real loopback sockets and on the virtual network. They follow the documented protocols
+and use nothing of the node's internals. Each reports what it sees to a `ServerObserver`.
 """
 
 from __future__ import annotations
@@ -30,35 +31,44 @@
 
 
 class ServerObserver:
-    """What the stand-ins report; the rules (testbed/nights/rules.py) are one."""
+    """Receives what the emulated systems report, for example for the rules of a scenario."""
 
     def request_received(self, box: CacheBox, txn: str, method: str, work_ms: float) -> None:
-        """A request's last byte has come to a box, which begins it."""
+        """A box has received a whole request and starts to work on it."""
 
     def request_turned_away(self, box: CacheBox, txn: str) -> None:
-        """A box says that the request never ran."""
+        """A box has answered that the request never ran."""
 
     def answer_made(self, box: CacheBox, txn: str, body: bytes) -> None:
-        """A box made an answer for a request."""
+        """A box has produced the answer to a request."""
 
     def origin_fetched(self, box: str, key: str) -> None:
-        """The order book was asked for a key."""
+        """A box sends the order book a request for a key."""
 
     def list_sent(
         self, node: str, entries: list[dict[str, object]], full: bool, sound: bool = True
     ) -> None:
-        """Discovery has written entries to a node; sound: in a line that can be read, on a watch of which all could be."""
+        """Discovery has written entries to a node.
+
+        sound: the line is well-formed, and so were all earlier lines of this watch.
+        """
 
 
 def majority_box_share(reads: Mapping[str, Mapping[str, int]]) -> float:
-    """The part of the reads (by key and box) that went to the box to which most of their key's went; keys read once are left out."""
+    """Return the share of reads that went to the box with the most reads of their key.
+
+    reads: the number of reads by key and box. Keys that were read once are left out.
+    """
     counts = [boxes.values() for boxes in reads.values() if sum(boxes.values()) > 1]
     return sum(map(max, counts)) / max(1, sum(map(sum, counts)))
 
 
 @dataclass(slots=True)
 class BoxSpec:
-    """A cache box's size. Work is in ms of one core of the yardstick."""
+    """The size of a cache box.
+
+    speed: work done per core and ms, relative to the reference core in whose ms work is measured.
+    """
 
     cores: int = 2
     speed: float = 1.0
@@ -66,16 +76,17 @@
     cache_capacity: int = 400  # keys
     cold_share: float = 0.12
     cold_ms: float = 24_000.0
-    deduplication_ms: float = 4_000.0  # how long repeats of a key are dropped
+    # How long a repeated write with the same idempotency key is answered without a new write.
+    deduplication_ms: float = 4_000.0
 
 
 def request_work_ms(key: str, method: str) -> float:
-    """The work of a request in ms, the same at every box."""
+    """Return the work of a request in ms of a reference core, the same at every box."""
     return (12.0 if method == "GET" else 18.0) * (0.6 + 0.8 * random.Random(key).random())
 
 
 class CacheBox(Server):
-    """Reads through to the order book, keeps what it read, and works on a bounded number of requests."""
+    """A read-through cache in front of the order book, with a bounded number of active requests."""
 
     def __init__(
         self,
@@ -83,43 +94,42 @@
         address: Address,
         book: Address,
         spec: BoxSpec,
-        witness: ServerObserver,
+        observer: ServerObserver,
         cold: bool,
     ) -> None:
         super().__init__(address)
         self.name = name
         self.spec = spec
         self.hits = self.misses = self.turned_away = 0
-        # Faults, each off at first.
+        # Faults, none of them active at first.
         self.slow = 1.0
         self.hang: Optional[asyncio.Event] = None
-        self.corruptions: list[str] = []  # of the next answers
-        self.errors_left = 0  # next answers that are 500
+        self.corruptions: list[str] = []  # of the next answers, from CORRUPT_ANSWERS
+        self.errors_left = 0  # so many of the next answers are 500
         self.full = False
         self.draining = False
         self._book = book
-        self._observer = witness
+        self._observer = observer
         self._cold_since_ms = now_ms() if cold else 0.0
         self._core_slots = asyncio.Semaphore(spec.cores)
         self._active = 0
         self._values: OrderedDict[str, bytes] = OrderedDict()
         self._fetches: dict[str, asyncio.Future[bytes]] = {}
-        self._completed_writes: dict[
-            str, tuple[float, bytes]
-        ] = {}  # by idempotency key: when, and what was answered
+        # Time and body of the answer, by idempotency key, oldest first.
+        self._completed_writes: dict[str, tuple[float, bytes]] = {}
         self._book_connections: list[Connection] = []
 
     @property
     def started_ms(self) -> float:
-        """When it started cold, as discovery tells it; 0 for long ago."""
+        """When it started cold, as its discovery entry has it; 0 if it is warm."""
         return self._cold_since_ms
 
     def speed_share(self) -> float:
-        """The part of its full speed that it has now."""
+        """Return its current speed as a share of its full speed."""
         return self.speed_share_at(now_ms())
 
     def speed_share_at(self, at_ms: float) -> float:
-        """The part of its full speed that it has at a time: it grows evenly from the cold share."""
+        """Return its speed at a time as a share of its full speed; it grows linearly when cold."""
         age = at_ms - self._cold_since_ms
         if not self._cold_since_ms or age >= self.spec.cold_ms:
             return 1.0
@@ -127,16 +137,16 @@
 
     @property
     def full_speed(self) -> float:
-        """Work in ms that it does in one ms when warm."""
+        """Work in ms that it does per ms when warm."""
         return self.spec.cores * self.spec.speed
 
     def warm(self, keys: list[str]) -> None:
-        """Keep these keys from the start."""
+        """Put these keys into the cache."""
         for key in keys[: self.spec.cache_capacity]:
             self._values[key] = b"v0"
 
     def invalidate(self, key: str) -> None:
-        """A write was carried out: a kept copy is worth nothing."""
+        """Remove a key from the cache, since it was written."""
         self._values.pop(key, None)
 
     async def serve(self, connection: Connection, request: Message) -> None:
@@ -221,7 +231,7 @@
                 self._values.popitem(last=False)
 
     async def _fetch(self, method: str, key: str, body: bytes) -> bytes:
-        """Ask the order book; OSError or Ended where it does not serve."""
+        """Send a request to the order book; OSError or Ended if it is not answered with 200."""
         self._observer.origin_fetched(self.name, key)
         link = self._book_connections.pop() if self._book_connections else None
         if link is not None and not link.has_no_unsolicited_input:
@@ -238,11 +248,11 @@
         link.start_next_exchange()
         self._book_connections.append(link)
         if answer.status != 200:
-            raise Ended(f"the order book answers {answer.status}")
+            raise Ended(f"the order book did not answer 200 but {answer.status}")
         return answer.body
 
     async def _send_corrupt(self, how: str, connection: Connection, body: bytes) -> None:
-        """Write an answer that is wrong, or good with more than belongs to it. The connection stays open."""
+        """Write a corrupt answer, or a good one with extra data. The connection stays open."""
         stream: Stream = connection.stream
         good = b"HTTP/1.1 200 OK\r\nX-Found: hit\r\nContent-Length: %d\r\n\r\n%s" % (
             len(body),
@@ -272,7 +282,10 @@
 
 
 class OrderBook(Server):
-    """The origin: slow, with a bounded number of places; it turns away beyond them."""
+    """The origin, which works on at most `places` requests at once.
+
+    At most three times as many wait; further requests are answered 503.
+    """
 
     def __init__(self, address: Address, places: int, service_ms: float) -> None:
         super().__init__(address)
@@ -298,8 +311,8 @@
             self._active -= 1
         if request.method == "PUT":
             self.writes += 1
-            for void in self.invalidations:
-                void(key)
+            for invalidate in self.invalidations:
+                invalidate(key)
         else:
             self.fetches += 1
         await connection.send_response(200, b"v%d %s" % (self.writes, key.encode()))
@@ -313,15 +326,17 @@
     b"\xe2\x28" * 40,
 )
 CORRUPTION_KINDS = ("cut", "stop", "before", "inside", "after", "framing")
-HISTORY_LENGTH = 64  # changes that a watch is told of in place of the whole list
+# Changes that are kept, so that a new watch gets them instead of the whole list.
+HISTORY_LENGTH = 64
 
 
 @dataclass(frozen=True, slots=True)
 class LineCorruption:
-    """How the next line of a watch is spoilt.
+    """How the next line of a watch is corrupted.
 
-    cut: its connection breaks after `at` bytes of it. stop: nothing comes after so many, for good. before, inside, after: noise
-    in front of it, after `at` bytes, or before its end. framing: it comes as it is, in no chunk.
+    Kinds: `cut` aborts the connection after `offset` bytes of the line. `stop` writes `offset`
+    bytes and nothing more on that watch. `before`, `inside` and `after` add noise in front of the
+    line, after `offset` bytes, or before its end. `framing` writes it without a chunk header.
     """
 
     kind: str
@@ -330,42 +345,42 @@
 
 
 class DiscoveryServer(Server):
-    """Discovery: the whole list, and watches on it."""
+    """Emulated discovery: answers calls for the whole list, and serves watches.
+
+    `down` and `refusing`: new calls are answered 503, while open watches go on. `mute`: calls are
+    read and not answered. `late_s`: delay of each line.
+    """
 
     def __init__(
         self,
         address: Address,
-        witness: ServerObserver,
+        observer: ServerObserver,
         entries: Optional[dict[str, dict[str, object]]] = None,
     ) -> None:
         super().__init__(address)
-        self.entries = (
-            entries if entries is not None else {}
-        )  # by instanceId; may be shared by two places
+        # By instanceId; may be shared by two servers.
+        self.entries = entries if entries is not None else {}
         self.generation = 1
         self._writable = asyncio.Event()
         self._writable.set()
         self.late_s = 0.0
         self.down = False
-        self.refusing = False  # calls are answered 503, and watches go on
-        self.mute = False  # calls are taken and not answered
-        self.corruptions: list[
-            LineCorruption
-        ] = []  # of the next lines, each at every watch that it is written to
+        self.refusing = False
+        self.mute = False
+        # Of the next lines; each applies to every watch that its line is written to.
+        self.corruptions: list[LineCorruption] = []
         self.watches: dict[Connection, str] = {}
-        self._unreadable: set[Connection] = (
-            set()
-        )  # a line of theirs could not be read: nothing more can be built on them
-        self._started: dict[Connection, None] = {}  # have had their first line
-        self._muted: set[Connection] = set()  # nothing more is written
-        self._history: OrderedDict[int, list[dict[str, object]]] = (
-            OrderedDict()
-        )  # by generation, oldest first
-        self._observer = witness
+        # Watches with a corrupt line: later changes on them no longer make up a known list.
+        self._unreadable: set[Connection] = set()
+        self._started: dict[Connection, None] = {}  # watches whose first line was written
+        self._muted: set[Connection] = set()  # watches on which nothing more is written
+        # Changes by generation, oldest first.
+        self._history: OrderedDict[int, list[dict[str, object]]] = OrderedDict()
+        self._observer = observer
 
     @property
     def silent(self) -> bool:
-        """Whether it writes nothing; what it has to say meanwhile comes after, in its order."""
+        """Whether it writes nothing; lines are held back and written afterwards, in order."""
         return not self._writable.is_set()
 
     @silent.setter
@@ -379,8 +394,8 @@
     def entry(
         name: str, address: Address, started_ms: float = 0.0, zone: str = "a"
     ) -> dict[str, object]:
-        """One server as discovery lists it."""
-        place = f"{address[0]}:{address[1]}"
+        """Return the list entry of a server."""
+        host_port = f"{address[0]}:{address[1]}"
         more = {
             "zone": zone,
             "machineType": "m",
@@ -388,10 +403,10 @@
             "lifecycle": "in_service",
             "weight": 1.0,
         }
-        return {"instanceId": name, "hostPort": place, "startedAtMs": started_ms, **more}
+        return {"instanceId": name, "hostPort": host_port, "startedAtMs": started_ms, **more}
 
     def update(self, entry: dict[str, object], lifecycle: str = "in_service") -> None:
-        """A server's entry is new, or another: every watch hears of it."""
+        """Add, change or (terminated) remove the entry of a server, and notify every watch."""
         entry = {**entry, "lifecycle": lifecycle}
         if lifecycle == "terminated":
             self.entries.pop(str(entry["instanceId"]), None)
@@ -400,25 +415,25 @@
         self.publish([entry])
 
     def publish(self, entries: list[dict[str, object]]) -> None:
-        """Write changes to every watch."""
+        """Write changed entries to every watch, as a new generation."""
         self.generation += 1
         self._history[self.generation] = entries
         if len(self._history) > HISTORY_LENGTH:
             self._history.popitem(last=False)
-        spoil = self.corruptions.pop(0) if self.corruptions else None
+        corruption = self.corruptions.pop(0) if self.corruptions else None
         for connection in list(self.watches):
             asyncio.get_running_loop().create_task(
-                self._write_line(connection, self.generation, entries, False, spoil)
+                self._write_line(connection, self.generation, entries, False, corruption)
             )
 
     def publish_raw(self, data: bytes) -> None:
-        """Write bytes that need not be a list to every watch that has had its first line."""
+        """Write raw bytes to every watch whose first line was written."""
         for connection in list(self._started):
             self._unreadable.add(connection)
             asyncio.get_running_loop().create_task(self._send(connection, _encode_chunk(data)))
 
     def drop_watches(self) -> None:
-        """End every watch that has had its first line."""
+        """Abort every watch whose first line was written."""
         for connection in list(self._started):
             connection.stream.abort()
 
@@ -440,43 +455,46 @@
         generation: int,
         entries: list[dict[str, object]],
         full: bool,
-        spoil: Optional[LineCorruption] = None,
+        corruption: Optional[LineCorruption] = None,
     ) -> None:
-        """Write a line, and tell the witness of what came whole with it.
+        """Write a line, and report the entries in it that are whole to the observer.
 
-        generation: of the changes up to here, and not of a later one of the same instant, which a call after it would not be told.
+        generation: that of the changes in this line. The current generation may already be newer,
+        and a watch that resumes after it would miss the change of the same instant.
         """
         node = self.watches.get(connection, "")
         text, spans = _encode_line(generation, entries, full)
-        sound = connection not in self._unreadable
-        whole = entries
+        readable = connection not in self._unreadable
+        delivered = entries
         data = _encode_chunk(text)
-        if spoil is not None:
-            sound = False
-            at = min(spoil.offset, len(text) - 2)  # the line's end is never among what is written
-            if spoil.kind in ("cut", "stop"):
+        if corruption is not None:
+            readable = False
+            at = min(corruption.offset, len(text) - 2)  # the end of the line is never written
+            if corruption.kind in ("cut", "stop"):
                 data = _encode_chunk(text[:at]) if at else b""
-                whole = [entry for entry, (_, end) in zip(entries, spans, strict=True) if end <= at]
-            elif spoil.kind == "framing":
+                delivered = [
+                    entry for entry, (_, end) in zip(entries, spans, strict=True) if end <= at
+                ]
+            elif corruption.kind == "framing":
                 data = text
             else:
-                at = {"before": 0, "inside": at, "after": len(text) - 1}[spoil.kind]
-                data = _encode_chunk(text[:at] + spoil.noise + text[at:])
-                whole = [
+                at = {"before": 0, "inside": at, "after": len(text) - 1}[corruption.kind]
+                data = _encode_chunk(text[:at] + corruption.noise + text[at:])
+                delivered = [
                     entry
                     for entry, (begin, end) in zip(entries, spans, strict=True)
                     if not begin < at < end
                 ]
         if not await self._send(connection, data):
             return
-        if spoil is not None:
+        if corruption is not None:
             self._unreadable.add(connection)
-            if spoil.kind == "stop":
+            if corruption.kind == "stop":
                 self._muted.add(connection)
-            elif spoil.kind == "cut":
+            elif corruption.kind == "cut":
                 connection.stream.abort()
         if node:
-            self._observer.list_sent(node, whole, full and sound, sound)
+            self._observer.list_sent(node, delivered, full and readable, readable)
 
     async def serve(self, connection: Connection, request: Message) -> None:
         if self.mute:
@@ -497,16 +515,16 @@
         stream = connection.stream
         await stream.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
         self.watches[connection] = self.node_name(connection)
-        beat = asyncio.get_running_loop().create_task(self._send_heartbeats(connection))
-        first = asyncio.get_running_loop().create_task(
+        heartbeats = asyncio.get_running_loop().create_task(self._send_heartbeats(connection))
+        first_line = asyncio.get_running_loop().create_task(
             self._start_watch(connection, self.generation, *self._changes_since(request.target))
         )
         try:
             while await stream.read():
                 pass
         finally:
-            first.cancel()
-            beat.cancel()
+            first_line.cancel()
+            heartbeats.cancel()
             del self.watches[connection]
             self._started.pop(connection, None)
             self._unreadable.discard(connection)
@@ -520,7 +538,10 @@
         self._started[connection] = None
 
     def _changes_since(self, target: str) -> tuple[list[dict[str, object]], bool]:
-        """What a watch hears first: what changed after the version that it names, or the whole list; and whether it is whole."""
+        """Return the entries of a watch's first line, and whether they are the whole list.
+
+        They are the changes after the generation that the watch names, or else the whole list.
+        """
         after = target.partition("after=")[2]
         if (
             after.isdigit()
@@ -537,7 +558,7 @@
         return list(self.entries.values()), True
 
     def node_name(self, connection: Connection) -> str:
-        """Who watches; the virtual world knows it by the address."""
+        """Return the name of the watching node; the simulation derives it from the address."""
         return "node"
 
     async def _send_heartbeats(self, connection: Connection) -> None:
@@ -553,7 +574,7 @@
 def _encode_line(
     generation: int, entries: list[dict[str, object]], full: bool
 ) -> tuple[bytes, list[tuple[int, int]]]:
-    """A line of a watch, and from where to where in it each entry stands, in bytes."""
+    """Return a line of a watch, and the begin and end of each entry in it, in bytes."""
     text = json.dumps({"generation": generation, "reset": full, "instances": []})[:-2].encode()
     spans = []
     for n, entry in enumerate(entries):
--- a/testbed/systems/http.py
+++ b/testbed/systems/http.py
@@ -1,4 +1,7 @@
-"""What the stand-ins share: a server and a requester over the node's own streams, so that they run on both sides of the seam."""
+"""HTTP/1.1 server and client of the emulated systems.
+
+They use the node's streams, so that they run on real sockets and on virtual ones.
+"""
 
 from __future__ import annotations
 
@@ -14,18 +17,22 @@
 from corkshift.seam import Address, Socket
 from corkshift.stream import KERNEL_BUFFER_BYTES, Stream
 
-MOST_BODY = 1 << 25
+MAX_BODY_BYTES = 1 << 25
 
 Result = TypeVar("Result")
 
 
 class Ended(Exception):
-    """The other side ended or broke the connection before a whole message had come."""
+    """The peer ended the connection before a whole message was received."""
 
 
 @dataclass(frozen=True, slots=True)
 class Message:
-    """A whole request or answer."""
+    """A whole request or response.
+
+    The status of a request is 0; method and target of a response are empty. Header names are in
+    lower case.
+    """
 
     method: str
     target: str
@@ -38,7 +45,7 @@
 
 
 class Connection:
-    """One end of an HTTP/1.1 connection, one exchange at a time."""
+    """One end of an HTTP/1.1 connection, which carries one exchange at a time."""
 
     def __init__(self, stream: Stream, role: type[h11.CLIENT] | type[h11.SERVER]) -> None:
         self.stream = stream
@@ -49,11 +56,11 @@
 
     @property
     def has_no_unsolicited_input(self) -> bool:
-        """Whether nothing has come that nobody asked for."""
+        """Whether no input has arrived since the last message."""
         return not self._extra_input and self.stream.no_input
 
     def start_next_exchange(self) -> None:
-        """Begin the next exchange."""
+        """Prepare for the next exchange on this connection."""
         self._extra_input = bytes(self._parser.trailing_data[0])
         self._parser = h11.Connection(self._role)
         if self._extra_input:
@@ -62,7 +69,7 @@
         self.exchanges += 1
 
     async def read_message(self) -> Message:
-        """The next whole message; Ended, h11.RemoteProtocolError, or OSError where there is none."""
+        """Read the next whole message; raises Ended, h11.RemoteProtocolError or OSError."""
         head: Optional[h11.Request | h11.Response] = None
         body = bytearray()
         while True:
@@ -70,14 +77,14 @@
             if event is h11.NEED_DATA:
                 data = await self.stream.read()
                 if not data and head is None and not self._parser.trailing_data[0]:
-                    raise Ended("between messages")
+                    raise Ended("the connection ended between messages")
                 self._parser.receive_data(data)
             elif isinstance(event, (h11.Request, h11.Response)):
                 head = event
             elif isinstance(event, h11.Data):
                 body += event.data
-                if len(body) > MOST_BODY:
-                    raise Ended("a body without end")
+                if len(body) > MAX_BODY_BYTES:
+                    raise Ended("the body is longer than MAX_BODY_BYTES")
             elif isinstance(event, h11.EndOfMessage):
                 assert head is not None
                 if isinstance(head, h11.Request):
@@ -86,11 +93,11 @@
                     method, target, status = "", "", head.status_code
                 return Message(method, target, status, dict(head.headers), bytes(body))
             elif isinstance(event, h11.ConnectionClosed) or event is h11.PAUSED:
-                raise Ended("closed")
+                raise Ended("the peer closed the connection")
 
     @property
     def must_close(self) -> bool:
-        """Whether the connection can carry no other exchange."""
+        """Whether the connection cannot carry another exchange."""
         return (
             h11.MUST_CLOSE in (self._parser.our_state, self._parser.their_state)
             or self.stream.closed
@@ -99,7 +106,7 @@
     async def send_response(
         self, status: int, body: bytes = b"", headers: Mapping[str, str] | None = None
     ) -> None:
-        """Write a whole answer."""
+        """Write a whole response with a Content-Length."""
         fields = [(name, value) for name, value in (headers or {}).items()] + [
             ("Content-Length", str(len(body)))
         ]
@@ -112,7 +119,7 @@
     async def send_request(
         self, method: str, target: str, headers: Mapping[str, str], body: bytes = b""
     ) -> None:
-        """Write a whole request."""
+        """Write a whole request; Content-Length is set for a body and for PUT."""
         fields = [("Host", "service.internal"), *headers.items()]
         if body or method == "PUT":
             fields.append(("Content-Length", str(len(body))))
@@ -125,7 +132,7 @@
 
 
 async def open_connection(address: Address, within_s: float) -> Connection:
-    """A connection to a server; OSError (TimeoutError among them) where it does not come up."""
+    """Connect to a server within a time in s; raises OSError, also TimeoutError, if that fails."""
     sock = seam.tcp_socket()
     try:
         seam.limit_buffers(sock, KERNEL_BUFFER_BYTES)
@@ -138,7 +145,7 @@
 
 
 async def fetch_body(address: Address, path: str) -> Optional[bytes]:
-    """The body of a 200 answer to one GET on a connection of its own; None where there is none within 1.5 s."""
+    """GET a path on a new connection; None unless it is answered 200 within 1.5 s."""
     try:
         connection = await open_connection(address, 0.5)
     except OSError:
@@ -155,18 +162,18 @@
 
 
 class Program:
-    """What runs as a process of its own until it is ended."""
+    """A program that runs as its own process until it is ended."""
 
     def listen(self) -> None:
-        """Begin to answer. OSError where the address is taken."""
+        """Start to accept requests. OSError if the address is taken."""
         raise NotImplementedError
 
     def close(self) -> None:
-        """End at once."""
+        """Stop at once."""
         raise NotImplementedError
 
     async def run(self) -> None:
-        """Listen until cancelled."""
+        """Serve until cancelled."""
         self.listen()
         try:
             await asyncio.get_running_loop().create_future()
@@ -175,17 +182,17 @@
 
 
 class Server(Program):
-    """A server at an address: `serve` is called for each request that comes whole."""
+    """A server at an address, which calls `serve` for each whole request."""
 
     def __init__(self, address: Address, backlog: int = 256) -> None:
         self.address = address
-        self.accepted = 0  # connections, ever
+        self.accepted = 0  # connections accepted since the start
         self.connections: dict[Connection, asyncio.Task[None]] = {}
         self._backlog = backlog
         self._listener: Optional[Socket] = None
 
     def listen(self) -> None:
-        """Begin to accept. OSError where the address is taken."""
+        """Start to accept connections. OSError if the address is taken."""
         self._listener = seam.bind_listener(self.address, KERNEL_BUFFER_BYTES)
         self._listener.listen(self._backlog)
         host, port = self._listener.getsockname()
@@ -193,7 +200,7 @@
         asyncio.get_running_loop().add_reader(self._listener, self._accept)
 
     def close(self) -> None:
-        """End: the listener and every connection, at once."""
+        """Close the listener and abort every connection."""
         if self._listener is not None:
             asyncio.get_running_loop().remove_reader(self._listener)
             self._listener.close()
@@ -245,13 +252,13 @@
 
 
 async def cancel_on_disconnect(stream: Stream, work: asyncio.Task[Result]) -> Result:
-    """Wait for work that nobody wants once the peer has ended its side; Ended where that comes first."""
+    """Wait for a task, and cancel it once the peer ends its side; raises Ended in that case."""
 
-    def noticed() -> None:
+    def on_input() -> None:
         if stream.ended:
             work.cancel()
 
-    before, stream.on_input = stream.on_input, noticed
+    before, stream.on_input = stream.on_input, on_input
     try:
         if stream.ended:
             work.cancel()
@@ -259,7 +266,7 @@
     except asyncio.CancelledError:
         work.cancel()
         if stream.ended:
-            raise Ended("given up") from None
+            raise Ended("the peer ended its side while work was under way") from None
         raise
     finally:
         stream.on_input = before
--- a/testbed/systems/scripted.py
+++ b/testbed/systems/scripted.py
@@ -1,6 +1,6 @@
-"""A cache box that answers by a script, for tests of single answers; the other stand-ins are in `standins`.
+"""A cache box that answers by a script, for tests of single answers.
 
-It runs on the same server as they do, on both sides of the seam.
+It runs on the same server as the other emulated systems, on real sockets and on virtual ones.
 """
 
 from __future__ import annotations
@@ -14,17 +14,19 @@
 
 Answer = Optional[bytes]
 Script = Callable[[bytes], Answer | Awaitable[Answer]]
-"""From a request's head to the bytes to write as they are; None leaves the request without an answer for good. OSError from
-it closes the connection. Where it gives an awaitable, that is given up when the node ends its sending."""
+"""Returns the bytes to write unchanged for a request's head; None never answers the request.
+
+An OSError closes the connection. A returned awaitable is cancelled when the node ends its side.
+"""
 
 
 def request_path(head: bytes) -> bytes:
-    """The path of a request's head."""
+    """Return the path in a request's head."""
     return head.split(b" ", 2)[1]
 
 
 def ok_response(body: bytes, head: bytes = b"") -> bytes:
-    """A good answer, with further header lines (each with its end) where they are given."""
+    """Return a 200 answer, with further header lines that each end in CRLF."""
     return b"HTTP/1.1 200 OK\r\nX-Found: hit\r\n%sContent-Length: %d\r\n\r\n%s" % (
         head,
         len(body),
@@ -33,29 +35,32 @@
 
 
 def default_answer(head: bytes) -> bytes:
-    """The answer of a cache box that is well: it names the request's path."""
+    """Return the answer of a healthy cache box, which names the request's path."""
     return ok_response(b"for " + request_path(head))
 
 
 class ScriptedBox(Server):
-    """A cache box that keeps nothing and does what its script says. What came is kept in `heads` and `bodies`."""
+    """A cache box without a cache that follows its script and records requests.
+
+    `heads` holds request lines and headers with names in title case, `bodies` the bodies.
+    """
 
     def __init__(
         self, script: Script = default_answer, address: Address = ("127.0.0.1", 0)
     ) -> None:
         super().__init__(address)
         self.script = script
-        self.heads: list[bytes] = []  # request line and headers, names in title case
+        self.heads: list[bytes] = []
         self.bodies: list[bytes] = []
 
     @property
     def port(self) -> int:
-        """Where it listens; 0 before it does, if the system is to choose."""
+        """The port it listens at; 0 before it listens, if the system chooses one."""
         return self.address[1]
 
     @property
     def open_connections(self) -> int:
-        """How many connections there are to it."""
+        """The number of open connections to it."""
         return len(self.connections)
 
     async def serve(self, connection: Connection, request: Message) -> None:
@@ -73,5 +78,5 @@
             await connection.stream.write(answer)
 
 
-async def _await_result(coming: Awaitable[Answer]) -> Answer:
-    return await coming
+async def _await_result(answer: Awaitable[Answer]) -> Answer:
+    return await answer
