--- a/testbed/systems/clients.py
+++ b/testbed/systems/clients.py
@@ -1,8 +1,8 @@
-"""Clients as the brief describes them: open arrivals, kept connections, retries by class, and some that are rude.
+"""Emulated clients: open arrivals, kept-alive connections, retries by class, and bad clients.
 
-A client asks with a new id each time, keeps its connections, and opens more when all are busy. It repeats a `safe`
-request after any failure, a `keyed` one likewise within its window, and others only after a refusal or when the node
-could not be reached. Runs on both sides of the seam.
+Each attempt has a new id. Clients keep their connections and open more when all are busy. They
+retry a `safe` request after any failure, a `keyed` one likewise within its window, and others only
+after a refusal or when the node could not be reached. They run on real sockets and on virtual ones.
 """
 
 from __future__ import annotations
@@ -21,20 +21,22 @@
 from corkshift.seam import Address, now_ms
 from testbed.systems.http import Connection, Ended, Message, open_connection
 
-ANSWER_GRACE_MS = 120.0  # see `Clients.slack_ms`
-# What stands before an end; less than a kernel's buffer, or the end could not come while nobody reads.
+ANSWER_GRACE_MS = 120.0  # default of `Clients.answer_grace_ms`
+# Bytes that clients write before they close. They fit into a kernel's buffer, since the close would
+# otherwise not arrive while nobody reads.
 PARTIAL_REQUESTS = (
     b"\r\n",
     b"GET /api/k1 HTT",
     b"GET /api/k1 HTTP/1.1\r\nHost: x\r\nX: " + b"x" * 9_000,
     b"\r\n" * 20_000,
 )
-BAD_CLIENT_WAIT_S = 3.2  # a bad client is owed an error or a close within 3 s
+# A node must answer a bad client with an error or close its connection within 3 s.
+BAD_CLIENT_WAIT_S = 3.2
 
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
-    """One request class, in the settings' terms."""
+    """A request class with its settings, its share of the requests and its method."""
 
     name: str
     target_ms: float
@@ -54,15 +56,16 @@
 )
 
 SITE_VALUES = {"menu-read": 3.0, "cart-update": 5.0, "order-place": 8.0, "stall-note": 3.0}
+# The same classes with different values, for `worths = "site"`.
 SITE_CLASSES = tuple(
-    replace(kind, worth=SITE_VALUES[kind.name]) for kind in CLASSES
-)  # with what the brief's table says they are worth
+    replace(request_class, worth=SITE_VALUES[request_class.name]) for request_class in CLASSES
+)
 
 
 def settings(
     classes: tuple[RequestClass, ...] = CLASSES, poll_within_ms: float = 2_000.0
 ) -> dict[str, Any]:
-    """The settings object that a node gets for these classes."""
+    """Return the settings that a node gets for these classes."""
     return {
         "services": [
             {
@@ -100,7 +103,10 @@
 def peer_config(
     settings: dict[str, Any], slot: int, peers: list[str], listen: str = ""
 ) -> dict[str, object]:
-    """What a configuration has where nodes may talk to one another; the settings are changed to say so. listen: if not as peers have it."""
+    """Return the keys of a node's configuration for peers, and change the settings accordingly.
+
+    listen: the node's own peer address; by default its entry in peers.
+    """
     settings |= {
         "slotNo": slot,
         "balancers": len(peers),
@@ -112,7 +118,7 @@
 
 @dataclass(eq=False, slots=True)
 class ClientRequest:
-    """One request as a client sees it."""
+    """One attempt of a request as its client sees it; `client_wait_ms` counts from sending."""
 
     txn: str
     request_class: RequestClass
@@ -121,36 +127,43 @@
     node: str
     body: bytes
     sent_ms: float = 0.0
-    first_on_connection: bool = False  # on its connection
-    client_wait_ms: float = 0.0  # how long its client waits, from when it was sent
+    first_on_connection: bool = False
+    client_wait_ms: float = 0.0
 
 
 class ClientObserver:
-    """What clients report; the rules are one."""
+    """Receives what clients report, for example for the rules of a scenario."""
+
+    def request_sent(self, request: ClientRequest) -> None:
+        """The last byte of a request was written."""
 
-    def request_sent(self, ask: ClientRequest) -> None:
-        """A request's last byte is written."""
+    def answer_received(self, request: ClientRequest, answer: Message) -> None:
+        """A whole answer was received."""
 
-    def answer_received(self, ask: ClientRequest, answer: Message) -> None:
-        """A whole answer has come."""
+    def client_left(self, request: ClientRequest) -> None:
+        """The client has left before its answer."""
 
-    def client_left(self, ask: ClientRequest) -> None:
-        """The client has gone away before its answer."""
+    def no_answer(self, request: ClientRequest, how: str) -> bool:
+        """The connection or the client's wait ended without an answer.
 
-    def no_answer(self, ask: ClientRequest, how: str) -> bool:
-        """The connection ended, or the time did, with no answer. Whether it may be sent once more on a new connection."""
+        how: "no answer" when the time is up, else the name of the exception. Returns whether the
+        client may send the request once more on a new connection.
+        """
         return False
 
     def unsolicited_input(self, node: str) -> None:
-        """Something came on a connection on which nothing was asked."""
+        """Input arrived on an idle connection."""
 
     def bad_client_result(self, node: str, name: str, status: int, waited_ms: float) -> None:
-        """How a bad client was met: its answer's status, 0 for a close, -1 for neither."""
+        """Result of a bad client: the status of its answer, 0 for a close, -1 for neither."""
 
 
 @dataclass(slots=True)
 class ClientCounts:
-    """What the clients saw, by kind of end."""
+    """Counts of what the clients saw.
+
+    `served_first_attempts` are first attempts that they themselves or a retry served in time.
+    """
 
     asked: int = 0
     served: int = 0
@@ -160,12 +173,22 @@
     unanswered: int = 0
     left: int = 0
     first_attempts: int = 0
-    served_first_attempts: int = 0  # first tries that they or a retry served in time
+    served_first_attempts: int = 0
     by_status: Counter[int] = field(default_factory=Counter)
 
 
 class Clients:
-    """All clients of one installation, behind a front that deals connections out to its nodes."""
+    """All clients of an installation, behind a front end that spreads connections over its nodes.
+
+    left_share: share of the requests whose clients leave before the answer, within `leave_ms`.
+    leave_abnormally: some of these reset the connection, and some first send the start of a further
+    request. leave_together_ms: if positive, clients leave only at its next multiple.
+    answer_grace_ms: how long after its deadline an answer is awaited before it counts as missing.
+    max_active: the most requests at once; beyond it no new ones arrive.
+    on_first_attempt: called for each first attempt. on_served: called with the value that it
+    returned once that attempt or a retry is served in time.
+    is_down: whether the front end has noticed that a node is dead.
+    """
 
     def __init__(
         self,
@@ -180,25 +203,15 @@
         self.nodes = nodes
         self.totals = ClientCounts()
         self.rate = rate
-        self.left_share = 0.03  # of the requests: their clients leave before the answer,
-        self.leave_ms = 60.0  # after up to so long
-        self.leave_abnormally = (
-            False  # some by a reset, and some behind the beginning of a further request
-        )
-        self.leave_together_ms = (
-            0.0  # over this: all that are to leave do so at the next multiple of it
-        )
-        self.answer_grace_ms = ANSWER_GRACE_MS  # past its deadline an answer is awaited for this long before it is missing
-        self.max_active = 10_000  # requests out at once; beyond them clients wait to ask
-        self.on_first_attempt: Callable[[RequestClass, str], int] = lambda kind, key: (
-            0
-        )  # told of each request that is first asked for,
-        self.on_served: Callable[[int], None] = lambda number: (
-            None
-        )  # and of those served in time at last, by what it returned
-        self.is_down: Callable[[str], bool] = lambda node: (
-            False
-        )  # whether the front has noticed that a node is dead
+        self.left_share = 0.03
+        self.leave_ms = 60.0
+        self.leave_abnormally = False
+        self.leave_together_ms = 0.0
+        self.answer_grace_ms = ANSWER_GRACE_MS
+        self.max_active = 10_000
+        self.on_first_attempt: Callable[[RequestClass, str], int] = lambda request_class, key: 0
+        self.on_served: Callable[[int], None] = lambda number: None
+        self.is_down: Callable[[str], bool] = lambda node: False
         self._observer = observer
         self._random = random.Random(f"clients/{seed}")
         self._keys = [f"k{n}" for n in range(keys)]
@@ -215,11 +228,11 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     def keys(self) -> list[str]:
-        """All keys, the most popular first."""
+        """Return all keys, the most popular first."""
         return self._keys
 
     async def run(self, seconds: float) -> None:
-        """Ask for so long, and wait for what is out."""
+        """Send requests for a time, then wait for those that are under way."""
         end = now_ms() + seconds * 1000.0
         while not self._stopped:
             await asyncio.sleep(self._random.expovariate(self.rate))
@@ -231,7 +244,7 @@
             await asyncio.wait(self._tasks)
 
     def stop(self) -> None:
-        """Ask nothing new."""
+        """Send no new requests."""
         self._stopped = True
 
     def close(self) -> None:
@@ -247,43 +260,49 @@
         task.add_done_callback(self._tasks.discard)
 
     def _draw_request(self) -> tuple[RequestClass, str]:
-        kind = self._random.choices(self._classes, self._shares)[0]
+        request_class = self._random.choices(self._classes, self._shares)[0]
         key = self._random.choices(self._keys, cum_weights=self._cumulative)[0]
-        return kind, key
+        return request_class, key
 
     async def _first_attempt(self) -> None:
-        kind, key = self._draw_request()
+        request_class, key = self._draw_request()
         rng = self._random
         self._number += 1
-        token = f"t{self._number}" if kind.idempotency == "keyed" else ""
-        body = rng.randbytes(rng.choice((0, 40, 400, 5_000))) if kind.method == "PUT" else b""
+        token = f"t{self._number}" if request_class.idempotency == "keyed" else ""
+        body = (
+            rng.randbytes(rng.choice((0, 40, 400, 5_000))) if request_class.method == "PUT" else b""
+        )
         self.totals.first_attempts += 1
-        number = self.on_first_attempt(kind, key)
-        begun = now_ms()
+        number = self.on_first_attempt(request_class, key)
+        started_ms = now_ms()
         for attempt in range(3):
-            budget = kind.deadline_ms - (now_ms() - begun)
+            budget = request_class.deadline_ms - (now_ms() - started_ms)
             if budget < 50.0 or (
-                attempt and kind.idempotency == "keyed" and now_ms() - begun > kind.window_ms
+                attempt
+                and request_class.idempotency == "keyed"
+                and now_ms() - started_ms > request_class.window_ms
             ):
                 return
-            status, wait_ms = await self._attempt(kind, key, token, body, budget, attempt > 0)
+            status, wait_ms = await self._attempt(
+                request_class, key, token, body, budget, attempt > 0
+            )
             if status == 200:
-                good = now_ms() - begun <= kind.target_ms
-                self.totals.served_first_attempts += good
-                if good:
+                in_time = now_ms() - started_ms <= request_class.target_ms
+                self.totals.served_first_attempts += in_time
+                if in_time:
                     self.on_served(number)
                 return
-            again = (
+            retry = (
                 status in (429, 503)
-                or (status != -2 and kind.idempotency != "unsafe")
+                or (status != -2 and request_class.idempotency != "unsafe")
                 or status == -3
             )
-            if not again or rng.random() < 0.3:
+            if not retry or rng.random() < 0.3:
                 return
             await asyncio.sleep((wait_ms or rng.uniform(30.0, 240.0)) / 1000.0)
 
     async def _connect(self, node: str) -> Connection:
-        """An idle connection, or a new one."""
+        """Return an idle connection to a node, or a new one."""
         idle = self._idle.setdefault(node, [])
         while idle:
             connection = idle.pop()
@@ -295,25 +314,35 @@
         return await open_connection(self.nodes[node], 1.0)
 
     async def _attempt(
-        self, kind: RequestClass, key: str, token: str, body: bytes, budget_ms: float, again: bool
+        self,
+        request_class: RequestClass,
+        key: str,
+        token: str,
+        body: bytes,
+        budget_ms: float,
+        retry: bool,
     ) -> tuple[int, float]:
-        """One request. Its status (0: the connection ended, -1: no answer in time, -2: left, -3: not reached), and how long to wait."""
+        """Send one attempt. Return its status and how long to wait before a retry, in ms.
+
+        Status 0: the connection ended; -1: no answer in time; -2: the client left; -3: the node
+        could not be reached.
+        """
         rng = self._random
-        live = [name for name in self.nodes if not self.is_down(name)] or list(self.nodes)
-        node = rng.choice(live)
+        up_nodes = [name for name in self.nodes if not self.is_down(name)] or list(self.nodes)
+        node = rng.choice(up_nodes)
         leaves = rng.random() < self.left_share
         self._number += 1
-        ask = ClientRequest(f"x{self._number}", kind, key, token, node, body)
-        for tries in range(2):
+        request = ClientRequest(f"x{self._number}", request_class, key, token, node, body)
+        for connection_number in range(2):
             try:
                 connection = (
                     await self._connect(node)
-                    if not tries
+                    if not connection_number
                     else await open_connection(self.nodes[node], 1.0)
                 )
             except OSError:
                 return -3, 0.0
-            status, wait_ms = await self._exchange(connection, ask, budget_ms, again, leaves)
+            status, wait_ms = await self._exchange(connection, request, budget_ms, retry, leaves)
             if status != -4:
                 return status, wait_ms
         return 0, 0.0
@@ -321,36 +350,36 @@
     async def _exchange(
         self,
         connection: Connection,
-        ask: ClientRequest,
+        request: ClientRequest,
         budget_ms: float,
-        again: bool,
+        retry: bool,
         leaves: bool,
     ) -> tuple[int, float]:
         headers = {
-            "X-Txn": ask.txn,
-            "X-Lane": ask.request_class.name,
+            "X-Txn": request.txn,
+            "X-Lane": request.request_class.name,
             "X-Org": "stalls",
             "X-Remaining-Ms": str(int(budget_ms)),
         }
-        if again:
+        if retry:
             headers["X-Resent"] = "1"
-        if ask.idempotency_key:
-            headers["Idempotency-Key"] = ask.idempotency_key
-        ask.first_on_connection = connection.exchanges == 0
-        ask.client_wait_ms = budget_ms
-        figures, observer = self.totals, self._observer
-        figures.asked += 1
+        if request.idempotency_key:
+            headers["Idempotency-Key"] = request.idempotency_key
+        request.first_on_connection = connection.exchanges == 0
+        request.client_wait_ms = budget_ms
+        totals, observer = self.totals, self._observer
+        totals.asked += 1
         try:
             async with asyncio.timeout(budget_ms / 1000.0):
                 await connection.send_request(
-                    ask.request_class.method, f"/api/{ask.key}", headers, ask.body
+                    request.request_class.method, f"/api/{request.key}", headers, request.body
                 )
         except OSError:
             connection.stream.abort()
-            figures.failed += 1
+            totals.failed += 1
             return -3, 0.0
-        ask.sent_ms = now_ms()
-        observer.request_sent(ask)
+        request.sent_ms = now_ms()
+        observer.request_sent(request)
         try:
             async with asyncio.timeout(
                 self._leave_after_s() if leaves else (budget_ms + self.answer_grace_ms) / 1000.0
@@ -361,39 +390,39 @@
                 await self._leave_abnormally(connection)
             connection.stream.close()
             if leaves:
-                figures.left += 1
-                observer.client_left(ask)
+                totals.left += 1
+                observer.client_left(request)
                 return -2, 0.0
-            figures.unanswered += 1
-            observer.no_answer(ask, "no answer")
+            totals.unanswered += 1
+            observer.no_answer(request, "no answer")
             return -1, 0.0
         except (OSError, Ended, h11.RemoteProtocolError) as error:
             connection.stream.abort()
-            if observer.no_answer(ask, type(error).__name__):
+            if observer.no_answer(request, type(error).__name__):
                 return -4, 0.0
-            figures.failed += 1
+            totals.failed += 1
             return 0, 0.0
-        observer.answer_received(ask, answer)
-        figures.by_status[answer.status] += 1
+        observer.answer_received(request, answer)
+        totals.by_status[answer.status] += 1
         if answer.status == 200:
-            figures.served += 1
-            figures.in_time += now_ms() - ask.sent_ms <= ask.request_class.target_ms
+            totals.served += 1
+            totals.in_time += now_ms() - request.sent_ms <= request.request_class.target_ms
         elif answer.status in (429, 503):
-            figures.refused += 1
+            totals.refused += 1
         else:
-            figures.failed += 1
+            totals.failed += 1
         if connection.must_close or answer.header(b"connection").lower() == "close":
             connection.stream.close()
         else:
             connection.start_next_exchange()
-            self._idle.setdefault(ask.node, []).append(connection)
+            self._idle.setdefault(request.node, []).append(connection)
         wait = answer.header(b"retry-after")
         return answer.status, float(wait) * 1000.0 if wait else 0.0
 
     # -- clients that leave --------------------------------------------------------------
 
     def _leave_after_s(self) -> float:
-        """After how long a client leaves, in s."""
+        """Draw after how long a client leaves, in s."""
         after_ms = self._random.uniform(0.0, self.leave_ms)
         if self.leave_together_ms > 0.0:
             now = now_ms()
@@ -405,7 +434,7 @@
         return after_ms / 1000.0
 
     async def _leave_abnormally(self, connection: Connection) -> None:
-        """One in three resets its connection, and one in three leaves bytes before its end."""
+        """Reset one connection in three, and write extra bytes on another one in three."""
         how = self._number % 3
         if how == 0:
             connection.stream.abort()
@@ -419,11 +448,11 @@
     # -- bad clients ---------------------------------------------------------------------
 
     def send_bad_request(self, node: str, name: str, data: bytes) -> None:
-        """Send something bad on a new connection; an error or a close is owed."""
+        """Send a bad request on a new connection; the node must answer with an error or close."""
         self._spawn(self._bad_client(node, name, data))
 
     async def _bad_client(self, node: str, name: str, data: bytes) -> None:
-        begun = now_ms()
+        started_ms = now_ms()
         try:
             connection = await open_connection(self.nodes[node], 1.0)
         except OSError:
@@ -440,7 +469,7 @@
         except OSError:
             status = 0
         connection.stream.abort()
-        self._observer.bad_client_result(node, name, status, now_ms() - begun)
+        self._observer.bad_client_result(node, name, status, now_ms() - started_ms)
 
 
 _VALID_HEAD = (
@@ -456,6 +485,8 @@
     + b"\r\n",
     "no id": b"GET /api/k1 HTTP/1.1\r\nHost: x\r\nX-Lane: menu-read\r\n\r\n",
     "unknown class": b"GET /api/k1 HTTP/1.1\r\nHost: x\r\nX-Txn: lane\r\nX-Lane: gold\r\n\r\n",
-    "huge": b"PUT /api/k1 HTTP/1.1\r\nHost: x\r\nX-Txn: huge\r\nX-Lane: order-place\r\nContent-Length: 60000000\r\n\r\n",
-    "half a body": b"PUT /api/k1 HTTP/1.1\r\nHost: x\r\nX-Txn: body\r\nX-Lane: order-place\r\nContent-Length: 50\r\n\r\nhalf",
+    "huge": b"PUT /api/k1 HTTP/1.1\r\nHost: x\r\nX-Txn: huge\r\nX-Lane: order-place\r\n"
+    b"Content-Length: 60000000\r\n\r\n",
+    "half a body": b"PUT /api/k1 HTTP/1.1\r\nHost: x\r\nX-Txn: body\r\nX-Lane: order-place\r\n"
+    b"Content-Length: 50\r\n\r\nhalf",
 }
--- a/testbed/systems/dns.py
+++ b/testbed/systems/dns.py
@@ -1,6 +1,7 @@
-"""A stand-in DNS server for one zone, over UDP and TCP, with answers by script. Runs on both sides of the seam.
+"""Emulated DNS server of one zone, over UDP and TCP, with scripted faults.
 
-It answers SRV, A and CNAME from its records and is wrong in the ways of HOWS, each named by what it does.
+It answers SRV, A and CNAME queries from its records. BEHAVIOURS lists the good behaviour and the
+faults, each named by what the server does. It runs on real sockets and on virtual ones.
 """
 
 from __future__ import annotations
@@ -30,30 +31,35 @@
 _SERVICE_WIRE = b"".join(
     bytes([len(label)]) + label.encode() for label in SERVICE.rstrip(".").split(".")
 )
-MANY_RECORDS = 4_000  # records: what one message over TCP holds
+MANY_RECORDS = 4_000  # about as many A records as one message over TCP holds
 
 BEHAVIOURS = (
-    "good", "silent", "servfail", "refused", "garbage", "another question", "another case", "forged id", "forged sender", "truncated",
-    "truncated over tcp", "hangs over tcp", "empty", "nxdomain", "loop", "many", "flood", "late",
+    "good", "silent", "servfail", "refused", "garbage", "another question", "another case",
+    "forged id", "forged sender", "truncated", "truncated over tcp", "hangs over tcp", "empty",
+    "nxdomain", "loop", "many", "flood", "late",
 )  # fmt: skip
 
 
 @dataclass(slots=True)
 class Zone:
-    """Records by name and type: lifetime in s and their texts. May be shared by several servers."""
+    """The records of a zone: TTL in s and texts, by name and type.
+
+    glue: answers with SRV records contain the addresses of the targets. Several servers may share
+    a zone.
+    """
 
     records: dict[tuple[str, str], tuple[int, list[str]]] = field(default_factory=dict)
-    glue: bool = True  # addresses of targets come along
+    glue: bool = True
 
     def set_records(self, name: str, kind: str, ttl: int, texts: list[str]) -> None:
-        """Set what a name has of a type; none: nothing."""
+        """Set the records of a name and type; no texts remove them."""
         if texts:
             self.records[name.lower(), kind] = ttl, texts
         else:
             self.records.pop((name.lower(), kind), None)
 
     def set_boxes(self, boxes: dict[str, Address], ttl: int = 2, priority: int = 0) -> None:
-        """Name these boxes, by id, and no others."""
+        """Replace the boxes that the service record names, given by id."""
         for name, kind in [key for key in self.records if key[1] == "A"]:
             del self.records[name, kind]
         self.set_records(
@@ -67,23 +73,26 @@
 
 
 class NameServer(Program):
-    """One server of the zone. how: what it does with each query from now on."""
+    """A DNS server of a zone.
+
+    how: its current behaviour, one of BEHAVIOURS. on_service_answer: called with the asking host
+    and the targets when it answers a query for the service over UDP. queries: for each query its
+    transport, the name as it was received, and the type.
+    """
 
     def __init__(self, address: Address, zone: Zone, how: str = "good") -> None:
         self.address = address
         self.zone = zone
         self.how = how
         self.delay_s = 1.0
-        self.on_service_answer: Callable[[str, list[str]], None] = lambda host, targets: (
-            None
-        )  # whom it gave the service's records, and their targets
-        self.queries: list[tuple[str, str, str]] = []  # by which way, name as it came, type
+        self.on_service_answer: Callable[[str, list[str]], None] = lambda host, targets: None
+        self.queries: list[tuple[str, str, str]] = []
         self._udp: Any = None
         self._tcp: Any = None
         self._tasks: set[asyncio.Task[None]] = set()
 
     def listen(self) -> None:
-        """Begin to answer, at one port for both ways. OSError where it is taken."""
+        """Start to answer on one port over UDP and TCP. OSError if it is taken."""
         loop = asyncio.get_running_loop()
         self._tcp = seam.bind_listener(self.address, KERNEL_BUFFER_BYTES)
         self._tcp.listen(64)
@@ -94,7 +103,7 @@
         loop.add_reader(self._tcp, self._accept)
 
     def close(self) -> None:
-        """End at once."""
+        """Stop at once."""
         if self._udp is None:
             return
         loop = asyncio.get_running_loop()
@@ -169,10 +178,10 @@
         finally:
             stream.close()
 
-    # -- what is answered ----------------------------------------------------------------
+    # -- responses -----------------------------------------------------------------------
 
     def answers(self, data: bytes, stream: bool) -> list[bytes]:
-        """The messages that go back for a query."""
+        """Return the messages that are sent for a query."""
         query = dns.message.from_wire(data)
         question = query.question[0]
         self.queries.append(
@@ -211,7 +220,7 @@
         return [good]
 
     def _forged_response(self, query: dns.message.Message) -> bytes:
-        """A message that names a box which is none."""
+        """Return a response with a false target or address."""
         answer = dns.message.make_response(query)
         name, kind = query.question[0].name, query.question[0].rdtype
         text = "0 1 9 forged.example.net." if kind == dns.rdatatype.SRV else "127.9.9.9"
--- a/testbed/systems/emulators.py
+++ b/testbed/systems/emulators.py
@@ -500,7 +500,7 @@
         if self.mute:
             while await connection.stream.read():
                 pass
-            raise Ended("nobody answers")
+            raise Ended("the peer closed a connection that is not answered")
         if self.down or self.refusing:
             await connection.send_response(503)
             return
@@ -529,7 +529,7 @@
             self._started.pop(connection, None)
             self._unreadable.discard(connection)
             self._muted.discard(connection)
-        raise Ended("the watch")
+        raise Ended("the peer closed the watch")
 
     async def _start_watch(
         self, connection: Connection, generation: int, entries: list[dict[str, object]], full: bool
--- a/tests/testbed/test_call_faults.py
+++ b/tests/testbed/test_call_faults.py
@@ -1,4 +1,4 @@
-"""System calls that fail on the virtual clock: the injector itself, and nights that once spun."""
+"""Injected system call failures: the injector, and seeds on which the node once spun in a loop."""
 
 from __future__ import annotations
 
@@ -10,11 +10,12 @@
 from testbed.nights import simulation
 from testbed.nights.script import CALLS_FROM, draw
 
-# Accepting that went on without a pause while each accept failed with ECONNABORTED, and calls of every other kind.
-ONCE_FAILED = (3, 4, 22, 56, 76, 121, 138)
+# On some of these seeds the node retried accept without a pause while each call failed with
+# ECONNABORTED; the others make calls of every other kind fail.
+ONCE_FAILING_SEEDS = (3, 4, 22, 56, 76, 121, 138)
 
 
-def test_a_call_fails_for_its_time_or_so_often() -> None:
+def test_a_call_fails_until_a_time_or_a_number_of_times() -> None:
     faults = CallFaults()
     faults.fail(Call.SEND, errno.ENOBUFS, until_us=1_000)
     faults.fail(Call.ACCEPT, errno.EMFILE, until_us=1_000, times=1)
@@ -30,7 +31,7 @@
     assert faults.injected == 3
 
 
-def test_nights_reach_every_call_and_error() -> None:
+def test_scenarios_draw_every_call_and_error() -> None:
     drawn = {
         int(fault.value)
         for n in range(400)
@@ -40,6 +41,6 @@
     assert drawn == set(range(len(CALL_ERRORS)))
 
 
-@pytest.mark.parametrize("n", ONCE_FAILED)
-def test_a_night_on_which_calls_fail_keeps_every_rule(n: int) -> None:
+@pytest.mark.parametrize("n", ONCE_FAILING_SEEDS)
+def test_a_scenario_with_failing_calls_keeps_every_rule(n: int) -> None:
     assert simulation.run(CALLS_FROM - 1 + n, draw(CALLS_FROM - 1 + n)).failures == []
--- a/tests/testbed/test_net.py
+++ b/tests/testbed/test_net.py
@@ -1,4 +1,8 @@
-"""What loopback can't show: latency, bandwidth, loss, links cut one way, machines that vanish, and hurt datagrams."""
+"""Faults of the virtual network that loopback cannot show.
+
+These are latency, bandwidth, loss, links cut in one direction, hosts that disappear, and datagrams
+that are lost, duplicated or delayed.
+"""
 
 from __future__ import annotations
 
@@ -19,7 +23,7 @@
 
 
 class Pair:
-    """Two processes on two hosts, and a connection from the first to the second."""
+    """Two processes on two hosts, with a connection from the first to the second."""
 
     def __init__(self, seed: int = 1) -> None:
         self.loop = VirtualLoop(seed)
@@ -44,12 +48,12 @@
     async def _accept(self) -> None:
         listener = seam.bind_listener((B, 80), 65_536)
         listener.listen(8)
-        came = self.loop.create_future()
-        self.loop.add_reader(listener, lambda: None if came.done() else came.set_result(None))
-        await came
+        arrived = self.loop.create_future()
+        self.loop.add_reader(listener, lambda: None if arrived.done() else arrived.set_result(None))
+        await arrived
         self.loop.remove_reader(listener)
         self.far = Stream(listener.accept()[0])
-        self.b.sockets.clear()  # they stay open though the program ends
+        self.b.sockets.clear()  # keeps them open when the program ends
 
     async def _dial(self) -> None:
         sock = seam.tcp_socket()
@@ -85,7 +89,7 @@
 
 
 @pytest.mark.parametrize("seed", range(1, 6))
-def test_loss_delays_and_keeps_the_order(seed: int) -> None:
+def test_loss_delays_data_and_keeps_its_order(seed: int) -> None:
     async def test(pair: Pair) -> None:
         pair.net.link(A, B).loss = 0.3
         sent = bytes(range(256)) * 2_000
@@ -99,24 +103,24 @@
     Pair(seed).play(test)
 
 
-def test_a_link_cut_one_way() -> None:
+def test_a_link_cut_in_one_direction() -> None:
     async def test(pair: Pair) -> None:
         pair.net.link(B, A).cut = True
         await pair.near.write(b"there")
-        assert await pair.far.read() == b"there"  # this way is whole
+        assert await pair.far.read() == b"there"  # this direction is not cut
         await pair.far.write(b"back")
         with pytest.raises(TimeoutError):
             await asyncio.wait_for(pair.near.read(), 5.0)
         pair.net.link(B, A).cut = False
-        assert await asyncio.wait_for(pair.near.read(), 5.0) == b"back"  # the kernel sends it again
+        assert await asyncio.wait_for(pair.near.read(), 5.0) == b"back"  # retransmitted
 
     Pair().play(test)
 
 
-def test_a_machine_that_vanishes_says_nothing_and_one_that_died_is_reset() -> None:
+def test_a_host_that_is_down_sends_nothing_and_resets_when_it_is_up_again() -> None:
     async def test(pair: Pair) -> None:
         pair.net.host(B).up = False
-        pair.far.abort()  # nobody hears of it
+        pair.far.abort()  # the RST is lost
         await pair.near.write(b"x")
         with pytest.raises(TimeoutError):
             await asyncio.wait_for(pair.near.read(), 30.0)
@@ -127,8 +131,8 @@
     Pair().play(test)
 
 
-def hurt(loss: float = 0.0, double: float = 0.0, late: float = 0.0) -> list[int]:
-    """Numbers sent as datagrams over a link, as they come."""
+def send_over_faulty_link(loss: float = 0.0, double: float = 0.0, late: float = 0.0) -> list[int]:
+    """Send 500 numbered datagrams over a link and return the numbers as they arrive."""
     loop = VirtualLoop(5)
     net = Network(loop, 5)
     link = net.link(A, B)
@@ -159,13 +163,13 @@
     return got
 
 
-def test_datagrams_are_lost_doubled_and_overtaken_as_the_link_says() -> None:
-    assert hurt() == list(range(500))
-    lost = hurt(loss=0.2)
+def test_datagrams_are_lost_duplicated_and_reordered_as_the_link_is_set() -> None:
+    assert send_over_faulty_link() == list(range(500))
+    lost = send_over_faulty_link(loss=0.2)
     assert lost == sorted(set(lost)) and 350 < len(lost) < 450
-    doubled = hurt(double=0.2)
+    doubled = send_over_faulty_link(double=0.2)
     assert set(doubled) == set(range(500)) and 560 < len(doubled) < 640
-    late = hurt(late=0.2)
+    late = send_over_faulty_link(late=0.2)
     assert sorted(late) == list(range(500)) and late != sorted(late)
 
 
--- a/tests/testbed/test_parity.py
+++ b/tests/testbed/test_parity.py
@@ -1,8 +1,8 @@
-"""The same scripted socket behaviours on the virtual network and on the kernel's: what the node's stream layer sees is the same.
+"""The same socket scenarios on the virtual network and on the kernel's give the same results.
 
-Each scenario returns what it saw (bytes, ends, errors by name), and no times. A simulator that differs from the kernel
-in one of them lies to every test that stands on it. Loss, reordering and cut links can't be had from loopback: there the
-scenario does by hand what the network would (sends twice, in another order, late, or not at all).
+Each scenario returns what it observed (bytes, ends, names of errors), but no times. A virtual
+network that differs from the kernel would make every test on it unreliable. Loopback does not lose,
+reorder or cut: there the scenario itself sends twice, in another order, late, or not at all.
 """
 
 from __future__ import annotations
@@ -59,8 +59,8 @@
     return seen[0]
 
 
-async def named(what: Awaitable[object]) -> object:
-    """A result, or the name of its error."""
+async def result_or_error(what: Awaitable[object]) -> object:
+    """Return a result, or the name of the error."""
     try:
         return await what
     except TimeoutError:
@@ -69,7 +69,7 @@
         return errno.errorcode.get(error.errno or 0, type(error).__name__)
 
 
-def called(what: Callable[[], object]) -> object:
+def call_result_or_error(what: Callable[[], object]) -> object:
     try:
         return what()
     except BlockingIOError:
@@ -85,10 +85,10 @@
 
 async def readable(sock: Socket) -> None:
     loop = asyncio.get_running_loop()
-    came = loop.create_future()
-    loop.add_reader(sock, lambda: None if came.done() else came.set_result(None))
+    arrived = loop.create_future()
+    loop.add_reader(sock, lambda: None if arrived.done() else arrived.set_result(None))
     try:
-        await came
+        await arrived
     finally:
         loop.remove_reader(sock)
 
@@ -101,7 +101,7 @@
 
 
 async def raw_pair() -> tuple[Socket, Socket]:
-    """A connection: the dialing end and the accepted one."""
+    """Return a connection: the connecting end and the accepted one."""
     listener = seam.bind_listener((HOST, 0), KERNEL_BUFFER_BYTES)
     listener.listen(8)
     dialing = seam.tcp_socket()
@@ -117,11 +117,11 @@
     return Stream(a), Stream(b)
 
 
-async def all_of(stream: Stream) -> tuple[int, object]:
-    """How many bytes come, and how it ends."""
+async def read_to_end(stream: Stream) -> tuple[int, object]:
+    """Return how many bytes arrive, and how the stream ends."""
     size = 0
     while True:
-        data = await named(stream.read())
+        data = await result_or_error(stream.read())
         if not isinstance(data, bytes) or not data:
             return size, data
         size += len(data)
@@ -137,7 +137,10 @@
 @scenario
 async def nothing_to_read_is_eagain() -> Seen:
     a, b = await raw_pair()
-    return [called(lambda: a.recv_into(bytearray(10))), called(lambda: b.recv_into(bytearray(10)))]
+    return [
+        call_result_or_error(lambda: a.recv_into(bytearray(10))),
+        call_result_or_error(lambda: b.recv_into(bytearray(10))),
+    ]
 
 
 @scenario
@@ -145,7 +148,7 @@
     a, b = await raw_pair()
     chunk, taken, last = bytes(1_000_000), 0, 0
     while True:
-        got = called(lambda: a.send(chunk))
+        got = call_result_or_error(lambda: a.send(chunk))
         if got == "EAGAIN":
             break
         assert isinstance(got, int)
@@ -154,12 +157,12 @@
     seen: Seen = [0 < last < len(chunk)]
     size = 0
     while size < taken:
-        got = called(lambda: b.recv_into(bytearray(65_536)))
+        got = call_result_or_error(lambda: b.recv_into(bytearray(65_536)))
         if isinstance(got, int):
             size += got
         else:
             await asyncio.sleep(0.005)
-    return [*seen, size == taken, called(lambda: b.recv_into(bytearray(10)))]
+    return [*seen, size == taken, call_result_or_error(lambda: b.recv_into(bytearray(10)))]
 
 
 @scenario
@@ -175,7 +178,7 @@
 
 
 @scenario
-async def a_reader_that_pauses_holds_the_rest_back() -> Seen:
+async def a_paused_reader_stops_the_flow() -> Seen:
     a, b = await pair()
     job = asyncio.create_task(a.write(bytes(1_000_000)))
     await asyncio.sleep(0.2)
@@ -191,7 +194,11 @@
     a.shutdown(socket.SHUT_WR)
     other, mine = Stream(b), Stream(a)
     seen: Seen = [await other.read(), await other.read(), other.ended]
-    seen += [await other.write(b"still here"), await mine.read(), called(lambda: a.send(b"x"))]
+    seen += [
+        await other.write(b"still here"),
+        await mine.read(),
+        call_result_or_error(lambda: a.send(b"x")),
+    ]
     return seen
 
 
@@ -200,7 +207,7 @@
     a, b = await pair()
     await a.write(b"bye")
     a.close()
-    return [await all_of(b)]
+    return [await read_to_end(b)]
 
 
 @scenario
@@ -210,14 +217,14 @@
     await readable(a)
     other = Stream(b)
     a.close()
-    return [await all_of(other)]
+    return [await read_to_end(other)]
 
 
 @scenario
 async def no_linger_is_a_reset() -> Seen:
     a, b = await pair()
     a.abort()
-    return [await all_of(b), called(lambda: b.write_now(b"x"))]
+    return [await read_to_end(b), call_result_or_error(lambda: b.write_now(b"x"))]
 
 
 @scenario
@@ -229,7 +236,7 @@
     a.close()
     await asyncio.sleep(0.05)
     buffer = bytearray(100)
-    return [called(lambda: b.recv_into(buffer)) for _ in range(3)]
+    return [call_result_or_error(lambda: b.recv_into(buffer)) for _ in range(3)]
 
 
 @scenario
@@ -241,32 +248,44 @@
     a.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     a.close()
     await until(lambda: other.ended)
-    return [await named(other.read()), await named(other.read())]
+    return [await result_or_error(other.read()), await result_or_error(other.read())]
 
 
 @scenario
-async def a_write_to_one_that_has_closed_is_reset() -> Seen:
+async def a_write_to_a_peer_that_has_closed_is_reset() -> Seen:
     a, b = await raw_pair()
     b.close()
-    await readable(a)  # its end has come
-    seen: Seen = [called(lambda: a.recv_into(bytearray(10))), called(lambda: a.send(b"first"))]
+    await readable(a)  # the FIN has arrived
+    seen: Seen = [
+        call_result_or_error(lambda: a.recv_into(bytearray(10))),
+        call_result_or_error(lambda: a.send(b"first")),
+    ]
     await asyncio.sleep(0.05)
     return [
         *seen,
-        called(lambda: a.send(b"second")),
-        called(lambda: a.send(b"third")),
-        called(lambda: a.recv_into(bytearray(10))),
+        call_result_or_error(lambda: a.send(b"second")),
+        call_result_or_error(lambda: a.send(b"third")),
+        call_result_or_error(lambda: a.recv_into(bytearray(10))),
     ]
 
 
 @scenario
-async def a_stream_that_writes_to_one_that_has_closed() -> Seen:
+async def a_stream_that_writes_to_a_peer_that_has_closed() -> Seen:
     a, b = await pair()
     b.close()
     await until(lambda: a.ended)
-    seen: Seen = [a.error is None, await named(a.read()), called(lambda: a.write_now(b"first"))]
+    seen: Seen = [
+        a.error is None,
+        await result_or_error(a.read()),
+        call_result_or_error(lambda: a.write_now(b"first")),
+    ]
     await asyncio.sleep(0.05)
-    return [*seen, called(lambda: a.write_now(b"second")), a.closed, type(a.error).__name__]
+    return [
+        *seen,
+        call_result_or_error(lambda: a.write_now(b"second")),
+        a.closed,
+        type(a.error).__name__,
+    ]
 
 
 @scenario
@@ -274,13 +293,13 @@
     listener = seam.bind_listener((HOST, 0), KERNEL_BUFFER_BYTES)
     address = listener.getsockname()
     listener.close()
-    return [await named(seam.connect(seam.tcp_socket(), address))]
+    return [await result_or_error(seam.connect(seam.tcp_socket(), address))]
 
 
 @scenario
 async def a_bound_socket_that_does_not_listen_refuses() -> Seen:
     listener = seam.bind_listener((HOST, 0), KERNEL_BUFFER_BYTES)
-    return [await named(seam.connect(seam.tcp_socket(), listener.getsockname()))]
+    return [await result_or_error(seam.connect(seam.tcp_socket(), listener.getsockname()))]
 
 
 @scenario
@@ -294,7 +313,7 @@
     seen: Seen = []
     for _ in dials:
         seen.append(await Stream(await accept(listener)).read())
-    return [*seen, called(lambda: listener.accept())]
+    return [*seen, call_result_or_error(lambda: listener.accept())]
 
 
 @scenario
@@ -306,7 +325,9 @@
     for _ in range(4):
         kept.append(seam.tcp_socket())
         seen.append(
-            await named(asyncio.wait_for(seam.connect(kept[-1], listener.getsockname()), 0.3))
+            await result_or_error(
+                asyncio.wait_for(seam.connect(kept[-1], listener.getsockname()), 0.3)
+            )
         )
     return seen
 
@@ -320,17 +341,17 @@
     dial.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     dial.close()
     await asyncio.sleep(0.05)
-    return [await all_of(Stream(await accept(listener)))]
+    return [await read_to_end(Stream(await accept(listener)))]
 
 
 @scenario
-async def a_listener_that_closes_resets_what_waits() -> Seen:
+async def a_listener_that_closes_resets_waiting_connections() -> Seen:
     listener = seam.bind_listener((HOST, 0), KERNEL_BUFFER_BYTES)
     listener.listen(8)
     dial = seam.tcp_socket()
     await seam.connect(dial, listener.getsockname())
     listener.close()
-    return [await all_of(Stream(dial))]
+    return [await read_to_end(Stream(dial))]
 
 
 @scenario
@@ -338,16 +359,18 @@
     listener = seam.bind_listener((HOST, 0), KERNEL_BUFFER_BYTES)
     listener.listen(8)
     return [
-        called(lambda: seam.bind_listener(listener.getsockname(), KERNEL_BUFFER_BYTES).listen(8))
+        call_result_or_error(
+            lambda: seam.bind_listener(listener.getsockname(), KERNEL_BUFFER_BYTES).listen(8)
+        )
     ]
 
 
 @scenario
-async def a_silent_peer_is_a_timeout_and_nothing_else() -> Seen:
+async def an_unresponsive_peer_is_a_timeout_and_nothing_else() -> Seen:
     a, b = await pair()
-    seen: Seen = [await named(asyncio.wait_for(a.read(), 0.05)), a.ended, a.no_input]
+    seen: Seen = [await result_or_error(asyncio.wait_for(a.read(), 0.05)), a.ended, a.no_input]
     a.expire()
-    return [*seen, await named(a.read()), await b.write(b"late"), await a.read()]
+    return [*seen, await result_or_error(a.read()), await b.write(b"late"), await a.read()]
 
 
 @scenario
@@ -366,9 +389,9 @@
     a, _ = await raw_pair()
     a.close()
     return [
-        called(lambda: a.send(b"x")),
-        called(lambda: a.recv_into(bytearray(1))),
-        called(lambda: a.shutdown(socket.SHUT_WR)),
+        call_result_or_error(lambda: a.send(b"x")),
+        call_result_or_error(lambda: a.recv_into(bytearray(1))),
+        call_result_or_error(lambda: a.shutdown(socket.SHUT_WR)),
         a.fileno(),
     ]
 
@@ -376,7 +399,10 @@
 @scenario
 async def a_socket_that_was_never_connected() -> Seen:
     sock = seam.tcp_socket()
-    return [called(lambda: sock.shutdown(socket.SHUT_WR)), called(lambda: sock.send(b"x"))]
+    return [
+        call_result_or_error(lambda: sock.shutdown(socket.SHUT_WR)),
+        call_result_or_error(lambda: sock.send(b"x")),
+    ]
 
 
 @scenario
@@ -384,7 +410,7 @@
     a, b = await pair()
     a.abort()
     await until(lambda: b.ended)
-    return [called(lambda: b._sock.shutdown(socket.SHUT_WR)), type(b.error).__name__]
+    return [call_result_or_error(lambda: b._sock.shutdown(socket.SHUT_WR)), type(b.error).__name__]
 
 
 @scenario
@@ -393,11 +419,11 @@
     job = asyncio.create_task(a.write(bytes(2_000_000)))
     await b.read()
     b.abort()
-    return [await named(job), a.error is not None]
+    return [await result_or_error(job), a.error is not None]
 
 
 @scenario
-async def until_input_stops_a_write_when_the_peer_speaks() -> Seen:
+async def until_input_stops_a_write_when_the_peer_sends() -> Seen:
     a, b = await pair()
     job = asyncio.create_task(a.write(bytes(2_000_000), until_input=True))
     await b.read()
@@ -409,7 +435,7 @@
 
 
 @scenario
-async def a_dial_given_up_leaves_nothing() -> Seen:
+async def a_connection_closed_at_once_leaves_nothing() -> Seen:
     listener = seam.bind_listener((HOST, 0), KERNEL_BUFFER_BYTES)
     listener.listen(8)
     dial = seam.tcp_socket()
@@ -417,7 +443,7 @@
     await asyncio.sleep(0)
     await job
     dial.close()
-    return [await all_of(Stream(await accept(listener)))]
+    return [await read_to_end(Stream(await accept(listener)))]
 
 
 async def datagrams(count: int) -> list[Socket]:
@@ -428,7 +454,7 @@
 
 
 @scenario
-async def datagrams_keep_their_bounds_and_their_sender() -> Seen:
+async def datagrams_keep_their_boundaries_and_their_sender() -> Seen:
     a, b = await datagrams(2)
     a.sendto(b"one", b.getsockname())
     a.sendto(b"", b.getsockname())
@@ -438,11 +464,11 @@
         await readable(b)
         data, sender = b.recvfrom(size)
         seen += [data, sender == a.getsockname()]
-    return [*seen, called(lambda: b.recvfrom(10))]
+    return [*seen, call_result_or_error(lambda: b.recvfrom(10))]
 
 
 @scenario
-async def datagrams_doubled_and_overtaken_come_as_they_were_sent() -> Seen:
+async def datagrams_duplicated_and_reordered_arrive_as_they_were_sent() -> Seen:
     a, b = await datagrams(2)
     for data in (b"2", b"1", b"1", b"3"):
         a.sendto(data, b.getsockname())
@@ -453,32 +479,32 @@
 
 
 @scenario
-async def a_datagram_to_nobody_is_lost_without_a_word() -> Seen:
+async def a_datagram_to_a_closed_port_is_lost_without_an_error() -> Seen:
     a, b = await datagrams(2)
     address = b.getsockname()
     b.close()
-    seen: Seen = [called(lambda: a.sendto(b"x", address))]
+    seen: Seen = [call_result_or_error(lambda: a.sendto(b"x", address))]
     await asyncio.sleep(0.02)
-    return [*seen, called(lambda: a.recvfrom(10))]
+    return [*seen, call_result_or_error(lambda: a.recvfrom(10))]
 
 
 @scenario
 async def a_datagram_that_is_too_long() -> Seen:
     a, b = await datagrams(2)
     return [
-        called(lambda: a.sendto(bytes(70_000), b.getsockname())),
-        called(lambda: a.sendto(bytes(60_000), b.getsockname())),
+        call_result_or_error(lambda: a.sendto(bytes(70_000), b.getsockname())),
+        call_result_or_error(lambda: a.sendto(bytes(60_000), b.getsockname())),
     ]
 
 
 @scenario
-async def a_full_datagram_buffer_drops_what_comes_later() -> Seen:
+async def a_full_datagram_buffer_drops_later_datagrams() -> Seen:
     a, b = await datagrams(2)
     for _ in range(400):
         a.sendto(bytes(8_000), b.getsockname())
     await asyncio.sleep(0.05)
     count = 0
-    while called(lambda: b.recvfrom(10)) != "EAGAIN":
+    while call_result_or_error(lambda: b.recvfrom(10)) != "EAGAIN":
         count += 1
     return [0 < count < 400]
 
