--- a/testbed/machine/faults.py
+++ b/testbed/machine/faults.py
@@ -44,7 +44,7 @@
 
 
 @dataclass(slots=True)
-class _Failure:
+class _InjectedFailure:
     error: int
     until_us: int
     remaining: int  # calls that still fail at most; negative: no limit
@@ -54,12 +54,12 @@
     """Injected system call failures of one process; `injected` counts the calls that failed."""
 
     def __init__(self) -> None:
-        self._failures: dict[Call, _Failure] = {}
+        self._failures: dict[Call, _InjectedFailure] = {}
         self.injected = 0
 
     def fail(self, call: Call, error: int, until_us: int, times: int = -1) -> None:
         """Make a call fail until a time, at most `times` times (negative: no limit)."""
-        self._failures[call] = _Failure(error, until_us, times)
+        self._failures[call] = _InjectedFailure(error, until_us, times)
 
     def check(self, call: Call, now_us: int) -> None:
         """Raise the injected OSError if the call is to fail at this time."""
--- a/testbed/machine/loop.py
+++ b/testbed/machine/loop.py
@@ -74,6 +74,7 @@
         *args: *_Ts,
         context: Optional[Context] = None,
     ) -> asyncio.TimerHandle:
+        """Schedule a callback at a virtual time in s, in the context of the caller by default."""
         return self._schedule(ceil(when * 1e6 - 1e-3), callback, args, context)
 
     def after_us(
@@ -114,15 +115,19 @@
     # -- readiness -----------------------------------------------------------------------
 
     def add_reader(self, fd: Any, callback: Callable[[*_Ts], object], *args: *_Ts) -> None:
+        """Call back whenever a virtual socket is readable."""
         self._register(self._readers, fd, callback, args)
 
     def remove_reader(self, fd: Any) -> bool:
+        """Remove the reader of a socket; False if there is none."""
         return self._unregister_one(self._readers, fd)
 
     def add_writer(self, fd: Any, callback: Callable[[*_Ts], object], *args: *_Ts) -> None:
+        """Call back whenever a virtual socket is writable."""
         self._register(self._writers, fd, callback, args)
 
     def remove_writer(self, fd: Any) -> bool:
+        """Remove the writer of a socket; False if there is none."""
         return self._unregister_one(self._writers, fd)
 
     def mark_ready(self, sock: SocketProtocol) -> None:
@@ -171,6 +176,7 @@
         process.signal_handlers[sig] = asyncio.Handle(callback, args, self)
 
     def remove_signal_handler(self, sig: int) -> bool:
+        """Remove a signal handler of the calling process; False if there is none."""
         process = process_of(copy_context())
         return process is not None and process.signal_handlers.pop(sig, None) is not None
 
--- a/testbed/machine/net.py
+++ b/testbed/machine/net.py
@@ -216,13 +216,16 @@
     # -- calls of the program ------------------------------------------------------------
 
     def fileno(self) -> int:
+        """Return the descriptor number, or -1 once the socket is closed."""
         return -1 if self.closed else self.number
 
     def setblocking(self, flag: bool) -> None:
+        """Accept only False, since virtual sockets never block."""
         if flag:
             raise ValueError("virtual sockets never block")
 
     def setsockopt(self, level: int, option: int, value: Any) -> None:
+        """Apply SO_LINGER, SO_RCVBUF and SO_SNDBUF; other options are ignored."""
         self._check_open()
         if level == socket.SOL_SOCKET and option == socket.SO_LINGER:
             on, seconds = struct.unpack("ii", value)
@@ -233,10 +236,12 @@
             self.send_buffer = 2 * value
 
     def bind(self, address: Any) -> None:
+        """Bind to an address of the own host; port 0 takes a free one."""
         self._check_open()
         self.net.bind(self, (address[0], address[1]))
 
     def listen(self, backlog: int = 128) -> None:
+        """Start to listen, at a free port if the socket is not bound."""
         self._check_open()
         if not self.local[1]:
             self.net.bind(self, (self.host, 0))
@@ -262,6 +267,7 @@
         return sock, sock.remote
 
     def getsockname(self) -> Address:
+        """Return the local address."""
         self._check_open()
         return self.local
 
@@ -285,6 +291,7 @@
         self.net.send_syn(self, INITIAL_SYN_RTO_US)
 
     def send(self, data: Any) -> int:
+        """Put data into the send buffer and return how much was taken; OSError as in Linux."""
         self._check_open()
         if self.process is not None:
             self.process.check_call(Call.SEND)
@@ -321,6 +328,7 @@
         return taken
 
     def recv_into(self, buffer: Any) -> int:
+        """Read received bytes into a buffer; 0 at the end of the input, OSError as in Linux."""
         self._check_open()
         if self.process is not None:
             self.process.check_call(Call.RECV)
@@ -354,6 +362,7 @@
         raise BlockingIOError(errno.EAGAIN, os.strerror(errno.EAGAIN))
 
     def sendto(self, data: Any, address: Any) -> int:
+        """Send a datagram; OSError (EMSGSIZE) if it is too long."""
         self._check_open()
         if len(data) > MAX_DATAGRAM_BYTES:
             raise os_error(errno.EMSGSIZE)
@@ -363,6 +372,7 @@
         return len(data)
 
     def recvfrom(self, size: int) -> tuple[bytes, Address]:
+        """Return the oldest received datagram, cut to `size` bytes, and its sender."""
         self._check_open()
         if not self.datagrams:
             raise BlockingIOError(errno.EAGAIN, os.strerror(errno.EAGAIN))
@@ -371,6 +381,7 @@
         return data[:size], sender
 
     def shutdown(self, how: int) -> None:
+        """End the sending direction; OSError (ENOTCONN) without a connection."""
         self._check_open()
         if self.state != "open" or self.reset:
             raise os_error(errno.ENOTCONN)
--- a/testbed/machine/process.py
+++ b/testbed/machine/process.py
@@ -56,36 +56,46 @@
     # -- system interface ----------------------------------------------------------------
 
     def now_ms(self) -> float:
+        """Return the time of its own wall clock, in ms since the Unix epoch."""
         return self._clock_start_ms + self.net.loop.now_us / 1000.0
 
     def tcp_socket(self) -> VirtualSocket:
+        """Open a TCP socket."""
         self.check_call(Call.SOCKET)
         return self._socket("stream")
 
     def udp_socket(self) -> VirtualSocket:
+        """Open a UDP socket."""
         return self._socket("datagram")
 
     def inherited_listener(self, descriptor: int) -> VirtualSocket:
+        """Raise OSError (EBADF)."""
         raise os_error(errno.EBADF)  # no virtual process is started with an open descriptor
 
     def closed_by_peer(self, sock: VirtualSocket) -> bool:
+        """Whether a FIN or an RST of the peer was received."""
         return sock.fin_received or sock.reset
 
     def ms_since_last_receive(self, sock: VirtualSocket) -> float:
+        """Return how long ago a socket last received data, in ms."""
         return (self.net.loop.now_us - sock.last_received_us) / 1000.0
 
     def read_file(self, path: str) -> bytes:
+        """Return the content of a virtual file; OSError (ENOENT) if there is none."""
         if path not in self.files:
             raise os_error(errno.ENOENT)
         return self.files[path]
 
     def environ(self) -> Mapping[str, str]:
+        """Return the environment variables."""
         return self.environment
 
     def random_bytes(self, size: int) -> bytes:
+        """Return bytes from the random stream of the network."""
         return self.net.rng.randbytes(size)
 
     def unix_listener(self, path: str) -> VirtualSocket:
+        """Raise OSError (EAFNOSUPPORT)."""
         raise os_error(errno.EAFNOSUPPORT)  # Unix sockets are not modelled
 
     def _socket(self, kind: str) -> VirtualSocket:
--- a/testbed/systems/emulators.py
+++ b/testbed/systems/emulators.py
@@ -150,6 +150,7 @@
         self._values.pop(key, None)
 
     async def serve(self, connection: Connection, request: Message) -> None:
+        """Answer a read from the cache or the order book, and pass a write on."""
         txn = request.header(b"x-txn")
         key = request.target.partition("?")[0].rpartition("/")[2]
         if not txn:
@@ -233,20 +234,20 @@
     async def _fetch(self, method: str, key: str, body: bytes) -> bytes:
         """Send a request to the order book; OSError or Ended if it is not answered with 200."""
         self._observer.origin_fetched(self.name, key)
-        link = self._book_connections.pop() if self._book_connections else None
-        if link is not None and not link.has_no_unsolicited_input:
-            link.stream.abort()
-            link = None
-        link = link or await open_connection(self._book, 0.5)
+        connection = self._book_connections.pop() if self._book_connections else None
+        if connection is not None and not connection.has_no_unsolicited_input:
+            connection.stream.abort()
+            connection = None
+        connection = connection or await open_connection(self._book, 0.5)
         try:
-            await link.send_request(method, f"/book/{key}", {}, body)
+            await connection.send_request(method, f"/book/{key}", {}, body)
             async with asyncio.timeout(2.0):
-                answer = await link.read_message()
+                answer = await connection.read_message()
         except BaseException:
-            link.stream.abort()
+            connection.stream.abort()
             raise
-        link.start_next_exchange()
-        self._book_connections.append(link)
+        connection.start_next_exchange()
+        self._book_connections.append(connection)
         if answer.status != 200:
             raise Ended(f"the order book did not answer 200 but {answer.status}")
         return answer.body
@@ -298,6 +299,7 @@
         self._slots = asyncio.Semaphore(places)
 
     async def serve(self, connection: Connection, request: Message) -> None:
+        """Answer a read or a write after the service time, and report writes to the boxes."""
         key = request.target.rpartition("/")[2]
         if self.down or self._active >= 4 * self.places:
             self.refused += 1
@@ -497,6 +499,7 @@
             self._observer.list_sent(node, delivered, full and readable, readable)
 
     async def serve(self, connection: Connection, request: Message) -> None:
+        """Answer a call for the whole list, or serve a watch until its peer ends it."""
         if self.mute:
             while await connection.stream.read():
                 pass
--- a/testbed/systems/http.py
+++ b/testbed/systems/http.py
@@ -41,6 +41,7 @@
     body: bytes
 
     def header(self, name: bytes) -> str:
+        """Return a header by its lower-case name, or an empty string."""
         return self.headers.get(name, b"").decode("latin-1")
 
 
--- a/testbed/systems/scripted.py
+++ b/testbed/systems/scripted.py
@@ -64,6 +64,7 @@
         return len(self.connections)
 
     async def serve(self, connection: Connection, request: Message) -> None:
+        """Record a request and write what the script returns for it."""
         lines = [f"{request.method} {request.target} HTTP/1.1".encode()]
         lines += [b"%s: %s" % (name.title(), value) for name, value in request.headers.items()]
         head = b"\r\n".join(lines) + b"\r\n\r\n"
