--- a/testbed/machine/net.py
+++ b/testbed/machine/net.py
@@ -1,10 +1,12 @@
-"""A virtual network: TCP and UDP as a program sees them through non-blocking sockets, with links that can be hurt.
+"""Virtual network: TCP and UDP as a program sees them through non-blocking sockets, with faults.
 
-What is modelled: buffers on both sides with partial writes and EAGAIN, flow control by the receiver's window, segments in
-order with latency, jitter, bandwidth and retransmission, FIN and half close, RST with unread data and with SO_LINGER 0,
-the accept backlog, dials that are refused or never answered, hosts that vanish, links cut one way or both, and datagrams
-that are lost, doubled, reordered or late. What is not: congestion control, Nagle, urgent data, path MTU. The parity suite
-(tests/testbed/test_parity.py) holds what the node's stream layer sees here against the kernel's sockets.
+Modelled are buffers on both sides with partial writes and EAGAIN, flow control by the receiver's
+window, segments in order with latency, jitter, bandwidth and retransmission, FIN and half close,
+RST with unread data and with SO_LINGER 0, the accept backlog, connection attempts that are
+refused or never answered, hosts that disappear, links cut in one or both directions, and
+datagrams that are lost, duplicated, reordered or delayed. Not modelled are congestion control,
+Nagle's algorithm, urgent data and the path MTU. The parity tests (tests/testbed/test_parity.py)
+compare what the node's stream layer sees here with what it sees on the kernel's sockets.
 
 Units: microseconds and bytes.
 """
@@ -25,107 +27,118 @@
 from corkshift.seam import Address
 from testbed.machine.faults import Call
 from testbed.machine.loop import VirtualLoop
-from testbed.machine.parts import Owner
-
-BUFFER = 131_072  # bytes of a socket's buffer in each direction where nothing is asked (a kernel doubles what is asked)
-SEGMENT = 16_384  # bytes carried at once
-RTO_US = 200_000  # the first retransmission; doubles up to the longest
-RTO_MAX_US = 3_200_000
-SYN_US = 1_000_000  # the first repeat of a SYN; doubles
-DATAGRAMS = 212_992  # bytes that wait to be read from a UDP socket
-DATAGRAM_MOST = 65_507
-EPHEMERAL = 32_768
+from testbed.machine.protocols import ProcessProtocol
+
+# A socket's buffer in each direction if no size is set. Linux doubles a size that is set.
+DEFAULT_BUFFER_BYTES = 131_072
+SEGMENT_BYTES = 16_384  # the largest segment
+INITIAL_RTO_US = 200_000  # first retransmission timeout; doubles up to MAX_RTO_US
+MAX_RTO_US = 3_200_000
+INITIAL_SYN_RTO_US = 1_000_000  # before the first repeat of a SYN; doubles each time
+UDP_BUFFER_BYTES = 212_992  # receive buffer of a UDP socket
+MAX_DATAGRAM_BYTES = 65_507  # payload of an IPv4 UDP datagram
+FIRST_EPHEMERAL_PORT = 32_768
 LINGER_OFF = struct.pack("ii", 0, 0)
 
 
-def failure(number: int) -> OSError:
-    """The OSError that the kernel's errno makes (with its proper subclass)."""
+def os_error(number: int) -> OSError:
+    """Return the OSError, or its subclass, for an errno."""
     return OSError(number, os.strerror(number))
 
 
 @dataclass(slots=True)
 class Link:
-    """One direction between two hosts."""
+    """One direction of the path between two hosts.
+
+    `loss`, `double` and `late` are probabilities: that a segment or datagram is lost, that a
+    datagram is duplicated, and that it is delayed by up to `late_us`, so that others overtake it.
+    """
 
     latency_us: int = 250
     jitter_us: int = 0
-    bandwidth: int = 0  # bytes a second; 0 has no limit
-    loss: float = 0.0  # of segments and datagrams
-    double: float = 0.0  # of datagrams
-    late: float = 0.0  # of datagrams, which others overtake
+    bandwidth: int = 0  # bytes per second; 0: no limit
+    loss: float = 0.0
+    double: float = 0.0
+    late: float = 0.0
     late_us: int = 5_000
     cut: bool = False
-    free_us: int = 0  # when the line has carried what was put on it
-    datagram_us: int = (
-        0  # when the last datagram arrives: none overtakes another but where it is drawn so
-    )
+    busy_until_us: int = 0  # when everything sent so far has been transmitted
+    # Arrival of the last datagram: one overtakes another only if `late` delays the other.
+    last_datagram_us: int = 0
 
 
 @dataclass(slots=True)
-class Trip:
-    """A fault that waits for a byte: after so many bytes one way on a connection, something happens in mid-write."""
+class ByteTrigger:
+    """A fault in the middle of a write, after a number of bytes in one direction."""
 
-    source: str  # host that writes
-    target: str  # host that is written to
-    after: int  # bytes
+    source: str  # the sending host
+    target: str  # the receiving host
+    after_bytes: int
     action: Callable[[VirtualSocket], None]
-    connections: int = 1  # how many connections it catches
+    connections: int = 1  # how many more connections it applies to
 
 
 class Pipe:
-    """What is on the way from one end to the other: segments in order, the head's arrival scheduled."""
+    """Segments in flight in one direction, in order; the arrival of the first is scheduled."""
 
-    __slots__ = ("net", "source", "queue", "last_us", "rto_us", "moving")
+    __slots__ = ("net", "source", "queue", "last_due_us", "rto_us", "arrival_scheduled")
 
     def __init__(self, net: Network, source: VirtualSocket) -> None:
         self.net = net
         self.source = source
-        self.queue: deque[tuple[int, bytes | str]] = deque()  # when due, bytes or "fin" or "rst"
-        self.last_us = 0
-        self.rto_us = RTO_US
-        self.moving = False
-
-    def put(self, what: bytes | str) -> None:
-        """Send a segment on its way."""
+        self.queue: deque[tuple[int, bytes | str]] = (
+            deque()
+        )  # arrival time, and bytes, "fin" or "rst"
+        self.last_due_us = 0
+        self.rto_us = INITIAL_RTO_US
+        self.arrival_scheduled = False
+
+    def send(self, what: bytes | str) -> None:
+        """Send a segment."""
         net, source = self.net, self.source
         assert source.peer is not None
         link = net.link(source.host, source.peer.host)
-        due = max(net.flight(link, len(what) if isinstance(what, bytes) else 40), self.last_us)
+        due = max(
+            net.arrival_us(link, len(what) if isinstance(what, bytes) else 40), self.last_due_us
+        )
         if link.loss and net.rng.random() < link.loss:
-            due += RTO_US
-        self.last_us = due
+            due += INITIAL_RTO_US
+        self.last_due_us = due
         self.queue.append((due, what))
-        if not self.moving:
-            self._move(due)
+        if not self.arrival_scheduled:
+            self._schedule_arrival(due)
 
-    def _move(self, due: int) -> None:
-        self.moving = True
-        self.net.loop.after_us(max(0, due - self.net.loop.now_us), self._arrive)
+    def _schedule_arrival(self, due: int) -> None:
+        self.arrival_scheduled = True
+        self.net.loop.after_us(max(0, due - self.net.loop.now_us), self._deliver)
 
-    def _arrive(self) -> None:
-        self.moving = False
+    def _deliver(self) -> None:
+        self.arrival_scheduled = False
         if not self.queue:
             return
         net, source = self.net, self.source
         target = source.peer
         assert target is not None
         _, what = self.queue[0]
-        if not net.reaches(source.host, target.host):
-            if source.dead:
-                self.queue.clear()  # nobody is left to send it again
+        if not net.is_reachable(source.host, target.host):
+            if source.send_stopped:
+                self.queue.clear()  # the sender no longer retransmits
                 return
-            self._move(net.loop.now_us + self.rto_us)
-            self.rto_us = min(RTO_MAX_US, self.rto_us * 2)
+            self._schedule_arrival(net.loop.now_us + self.rto_us)
+            self.rto_us = min(MAX_RTO_US, self.rto_us * 2)
             return
-        self.rto_us = RTO_US
+        self.rto_us = INITIAL_RTO_US
         self.queue.popleft()
         if self.queue:
-            self._move(max(net.loop.now_us, self.queue[0][0]))
-        target.arrive(what)
+            self._schedule_arrival(max(net.loop.now_us, self.queue[0][0]))
+        target.receive_segment(what)
 
 
 class VirtualSocket:
-    """One socket of a virtual process, in the words and with the errors of the standard library's."""
+    """A socket of a virtual process, with the methods and errors of `socket.socket`.
+
+    `kind` is stream or datagram; `state` is new, listening, dialing or open.
+    """
 
     __slots__ = (
         "net",
@@ -137,77 +150,82 @@
         "local",
         "remote",
         "peer",
-        "dialed",
+        "is_initiator",
         "closed",
-        "dead",
+        "send_stopped",
         "rx",
-        "rx_size",
-        "rx_end",
-        "error",
+        "rx_bytes",
+        "fin_received",
+        "pending_error",
         "reset",
         "tx",
-        "flying",
-        "shut",
+        "in_flight_bytes",
+        "write_closed",
         "fin_sent",
         "pipe",
         "receive_buffer",
         "send_buffer",
         "linger",
         "backlog",
-        "waiting",
-        "connected",
-        "sent",
-        "trip",
+        "accept_queue",
+        "connect_future",
+        "sent_bytes",
+        "trigger",
         "datagrams",
-        "datagram_size",
-        "received_us",
+        "queued_datagram_bytes",
+        "last_received_us",
     )
 
-    def __init__(self, net: Network, process: Optional[Owner], host: str, kind: str) -> None:
+    def __init__(
+        self, net: Network, process: Optional[ProcessProtocol], host: str, kind: str
+    ) -> None:
         self.net = net
         self.process = process
         self.host = host
         self.number = net.next_number()
-        self.kind = kind  # stream or datagram
-        self.state = "new"  # new, listening, dialing, open
+        self.kind = kind
+        self.state = "new"
         self.local: Address = ("", 0)
         self.remote: Address = ("", 0)
         self.peer: Optional[VirtualSocket] = None
-        self.dialed = False
-        self.closed = False  # by its program
-        self.dead = False  # nothing more is sent, not even again
+        self.is_initiator = False
+        self.closed = False  # by its own program
+        self.send_stopped = False  # nothing is sent or retransmitted any more
         self.rx: deque[bytes] = deque()
-        self.received_us = net.loop.now_us  # when the last bytes came in
-        self.rx_size = 0
-        self.rx_end = False  # the peer's FIN has come
-        self.error = 0  # told once
+        self.last_received_us = net.loop.now_us  # when the last bytes arrived
+        self.rx_bytes = 0
+        self.fin_received = False
+        self.pending_error = 0  # errno, reported once
         self.reset = False
         self.tx = bytearray()
-        self.flying = 0
-        self.shut = False
+        self.in_flight_bytes = 0
+        self.write_closed = False
         self.fin_sent = False
         self.pipe = Pipe(net, self)
-        self.receive_buffer = BUFFER
-        self.send_buffer = BUFFER
+        self.receive_buffer = DEFAULT_BUFFER_BYTES
+        self.send_buffer = DEFAULT_BUFFER_BYTES
         self.linger = False
         self.backlog = 0
-        self.waiting: deque[VirtualSocket] = deque()
-        self.connected: Optional[asyncio.Future[None]] = None
-        self.sent = 0  # bytes taken from the program
-        self.trip: Optional[Trip] = None
+        self.accept_queue: deque[VirtualSocket] = deque()
+        self.connect_future: Optional[asyncio.Future[None]] = None
+        self.sent_bytes = 0  # accepted from the program
+        self.trigger: Optional[ByteTrigger] = None
         self.datagrams: deque[tuple[bytes, Address]] = deque()
-        self.datagram_size = 0
+        self.queued_datagram_bytes = 0
 
-    # -- the program's side --------------------------------------------------------------
+    # -- calls of the program ------------------------------------------------------------
 
     def fileno(self) -> int:
+        """Return the descriptor number, or -1 once the socket is closed."""
         return -1 if self.closed else self.number
 
     def setblocking(self, flag: bool) -> None:
+        """Accept only False, since virtual sockets never block."""
         if flag:
             raise ValueError("virtual sockets never block")
 
     def setsockopt(self, level: int, option: int, value: Any) -> None:
+        """Apply SO_LINGER, SO_RCVBUF and SO_SNDBUF; other options are ignored."""
         self._check_open()
         if level == socket.SOL_SOCKET and option == socket.SO_LINGER:
             on, seconds = struct.unpack("ii", value)
@@ -218,88 +236,99 @@
             self.send_buffer = 2 * value
 
     def bind(self, address: Any) -> None:
+        """Bind to an address of the own host; port 0 takes a free one."""
         self._check_open()
         self.net.bind(self, (address[0], address[1]))
 
     def listen(self, backlog: int = 128) -> None:
+        """Start to listen, at a free port if the socket is not bound."""
         self._check_open()
         if not self.local[1]:
             self.net.bind(self, (self.host, 0))
         self.state, self.backlog = "listening", backlog
-        self.net.note("listen", self)
+        self.net.notify_observers("listen", self)
 
     def accept(self) -> tuple[VirtualSocket, Address]:
-        """The oldest connection that waits. BlockingIOError where none does, EMFILE where there is no descriptor for it."""
+        """Accept the oldest waiting connection.
+
+        Raises BlockingIOError if there is none, and OSError (EMFILE) if no descriptor is left.
+        """
         self._check_open()
         if self.state != "listening":
-            raise failure(errno.EINVAL)
-        if not self.waiting:
+            raise os_error(errno.EINVAL)
+        if not self.accept_queue:
             raise BlockingIOError(errno.EAGAIN, os.strerror(errno.EAGAIN))
         assert self.process is not None
         self.process.check_call(Call.ACCEPT)
         self.process.check_descriptors()
-        sock = self.waiting.popleft()
-        self.process.adopt(sock)
-        self.net.note("accept", sock)
+        sock = self.accept_queue.popleft()
+        self.process.add_socket(sock)
+        self.net.notify_observers("accept", sock)
         return sock, sock.remote
 
     def getsockname(self) -> Address:
+        """Return the local address."""
         self._check_open()
         return self.local
 
     def connect(self, address: Address, done: asyncio.Future[None]) -> None:
-        """Begin to connect; the future ends when the connection is up, or with its error. OSError where it can't begin."""
+        """Start to connect; the future ends when the connection is established, or with its error.
+
+        Raises OSError if the attempt cannot start.
+        """
         self._check_open()
         if self.process is not None:
             self.process.check_call(Call.CONNECT)
         if not self.local[1]:
             self.net.bind(self, (self.host, 0))
-        self.state, self.remote, self.connected, self.dialed = (
+        self.state, self.remote, self.connect_future, self.is_initiator = (
             "dialing",
             (address[0], address[1]),
             done,
             True,
         )
-        self.net.note("dial", self)
-        self.net.send_syn(self, SYN_US)
+        self.net.notify_observers("dial", self)
+        self.net.send_syn(self, INITIAL_SYN_RTO_US)
 
     def send(self, data: Any) -> int:
+        """Put data into the send buffer and return how much was taken; OSError as in Linux."""
         self._check_open()
         if self.process is not None:
             self.process.check_call(Call.SEND)
-        if self.error:
-            number, self.error = self.error, 0
-            raise failure(number)
-        if self.shut or self.reset:
-            raise failure(errno.EPIPE)
+        if self.pending_error:
+            number, self.pending_error = self.pending_error, 0
+            raise os_error(number)
+        if self.write_closed or self.reset:
+            raise os_error(errno.EPIPE)
         if self.state != "open":
-            raise failure(errno.EPIPE if self.state == "new" else errno.EAGAIN)
+            raise os_error(errno.EPIPE if self.state == "new" else errno.EAGAIN)
         size = len(data)
         if not size:
             return 0
-        room = self.send_buffer - len(self.tx) - self.flying
-        if room <= 0:
+        capacity = self.send_buffer - len(self.tx) - self.in_flight_bytes
+        if capacity <= 0:
             raise BlockingIOError(errno.EAGAIN, os.strerror(errno.EAGAIN))
-        taken = min(size, room)
-        tripped = None
-        if self.trip is not None and self.sent + taken >= self.trip.after:
-            taken = max(0, self.trip.after - self.sent)
-            tripped, self.trip = self.trip, None
-        piece = bytes(memoryview(data)[:taken])
-        self.sent += taken
-        self.net.on_send(self, piece, size)
-        self.tx += piece
-        self.pump()
-        if tripped is not None:
-            tripped.action(self)
+        taken = min(size, capacity)
+        fired = None
+        if self.trigger is not None and self.sent_bytes + taken >= self.trigger.after_bytes:
+            taken = max(0, self.trigger.after_bytes - self.sent_bytes)
+            fired, self.trigger = self.trigger, None
+        chunk = bytes(memoryview(data)[:taken])
+        self.sent_bytes += taken
+        self.net.on_send(self, chunk, size)
+        self.tx += chunk
+        self.transmit()
+        if fired is not None:
+            fired.action(self)
             if not taken:
-                if self.error:
-                    number, self.error = self.error, 0
-                    raise failure(number)
+                if self.pending_error:
+                    number, self.pending_error = self.pending_error, 0
+                    raise os_error(number)
                 raise BlockingIOError(errno.EAGAIN, os.strerror(errno.EAGAIN))
         return taken
 
     def recv_into(self, buffer: Any) -> int:
+        """Read received bytes into a buffer; 0 at the end of the input, OSError as in Linux."""
         self._check_open()
         if self.process is not None:
             self.process.check_call(Call.RECV)
@@ -307,246 +336,270 @@
             view = memoryview(buffer)
             size = 0
             while self.rx and size < len(view):
-                piece = self.rx[0]
-                taken = min(len(piece), len(view) - size)
-                view[size : size + taken] = piece[:taken]
+                chunk = self.rx[0]
+                taken = min(len(chunk), len(view) - size)
+                view[size : size + taken] = chunk[:taken]
                 size += taken
-                if taken == len(piece):
+                if taken == len(chunk):
                     self.rx.popleft()
                 else:
-                    self.rx[0] = piece[taken:]
-            self.rx_size -= size
+                    self.rx[0] = chunk[taken:]
+            self.rx_bytes -= size
             if self.peer is not None and self.peer.tx:
-                self.net.loop.after_us(self.net.delay(self.host, self.peer.host), self.peer.pump)
+                self.net.loop.after_us(
+                    self.net.delay(self.host, self.peer.host), self.peer.transmit
+                )
             return size
-        if self.rx_end:
+        if self.fin_received:
             return 0
-        if self.error:
-            number, self.error = self.error, 0
-            raise failure(number)
+        if self.pending_error:
+            number, self.pending_error = self.pending_error, 0
+            raise os_error(number)
         if self.reset:
             return 0
         if self.state != "open":
-            raise failure(errno.ENOTCONN)
+            raise os_error(errno.ENOTCONN)
         raise BlockingIOError(errno.EAGAIN, os.strerror(errno.EAGAIN))
 
     def sendto(self, data: Any, address: Any) -> int:
+        """Send a datagram; OSError (EMSGSIZE) if it is too long."""
         self._check_open()
-        if len(data) > DATAGRAM_MOST:
-            raise failure(errno.EMSGSIZE)
+        if len(data) > MAX_DATAGRAM_BYTES:
+            raise os_error(errno.EMSGSIZE)
         if not self.local[1]:
             self.net.bind(self, (self.host, 0))
         self.net.send_datagram(self, bytes(data), (address[0], address[1]))
         return len(data)
 
     def recvfrom(self, size: int) -> tuple[bytes, Address]:
+        """Return the oldest received datagram, cut to `size` bytes, and its sender."""
         self._check_open()
         if not self.datagrams:
             raise BlockingIOError(errno.EAGAIN, os.strerror(errno.EAGAIN))
         data, sender = self.datagrams.popleft()
-        self.datagram_size -= len(data)
+        self.queued_datagram_bytes -= len(data)
         return data[:size], sender
 
     def shutdown(self, how: int) -> None:
+        """End the sending direction; OSError (ENOTCONN) without a connection."""
         self._check_open()
         if self.state != "open" or self.reset:
-            raise failure(errno.ENOTCONN)
-        if how in (socket.SHUT_WR, socket.SHUT_RDWR) and not self.shut:
-            self.shut = True
-            self.net.note("shutdown", self)
-            self.pump()
+            raise os_error(errno.ENOTCONN)
+        if how in (socket.SHUT_WR, socket.SHUT_RDWR) and not self.write_closed:
+            self.write_closed = True
+            self.net.notify_observers("shutdown", self)
+            self.transmit()
 
     def close(self) -> None:
-        """End the socket as the kernel does: an RST where it lingers for no time or holds unread input, else a FIN."""
+        """Close as the kernel does: RST with SO_LINGER 0 or unread input, else FIN."""
         if self.closed:
             return
         hard = self.linger or bool(self.rx)
         self.closed = True
-        self.net.loop.forget(self)
+        self.net.loop.unregister(self)
         if self.process is not None:
-            self.process.release(self)
+            self.process.remove_socket(self)
         self.net.unbind(self)
-        self.net.note("abort" if hard else "close", self)
+        self.net.notify_observers("abort" if hard else "close", self)
         if self.state == "listening":
-            for sock in self.waiting:
+            for sock in self.accept_queue:
                 sock.linger = True
                 sock.close()
-            self.waiting.clear()
+            self.accept_queue.clear()
         elif self.state == "open" and not self.reset:
             if hard:
                 self.send_reset()
             else:
-                self.shut = True
-                self.pump()
+                self.write_closed = True
+                self.transmit()
         elif self.state == "dialing":
-            self.dead = True
+            self.send_stopped = True
         self.rx.clear()
 
-    # -- the kernel's side ---------------------------------------------------------------
+    # -- the kernel ----------------------------------------------------------------------
 
     @property
     def readable(self) -> bool:
         """Whether a read or an accept would not block."""
         return bool(
-            self.rx or self.rx_end or self.error or self.reset or self.waiting or self.datagrams
+            self.rx
+            or self.fin_received
+            or self.pending_error
+            or self.reset
+            or self.accept_queue
+            or self.datagrams
         )
 
     @property
     def writable(self) -> bool:
-        """Whether a third of the send buffer is free, as the kernel has it, or a write would fail."""
-        if self.kind == "datagram" or self.error or self.reset or self.shut:
+        """Whether a third of the send buffer is free, as in Linux, or a write would fail."""
+        if self.kind == "datagram" or self.pending_error or self.reset or self.write_closed:
             return True
-        return self.state == "open" and 3 * (len(self.tx) + self.flying) <= 2 * self.send_buffer
+        return (
+            self.state == "open"
+            and 3 * (len(self.tx) + self.in_flight_bytes) <= 2 * self.send_buffer
+        )
 
-    def pump(self) -> None:
-        """Send what the peer has room for, and the end after the last byte."""
+    def transmit(self) -> None:
+        """Send what fits into the peer's window, and FIN after the last byte."""
         peer = self.peer
-        if peer is None or self.dead or self.state != "open":
+        if peer is None or self.send_stopped or self.state != "open":
             return
         while self.tx:
-            size = min(SEGMENT, len(self.tx), peer.receive_buffer - peer.rx_size - self.flying)
+            size = min(
+                SEGMENT_BYTES,
+                len(self.tx),
+                peer.receive_buffer - peer.rx_bytes - self.in_flight_bytes,
+            )
             if size <= 0:
                 return
-            piece = bytes(self.tx[:size])
+            chunk = bytes(self.tx[:size])
             del self.tx[:size]
-            self.flying += size
-            self.pipe.put(piece)
-        if self.shut and not self.fin_sent:
+            self.in_flight_bytes += size
+            self.pipe.send(chunk)
+        if self.write_closed and not self.fin_sent:
             self.fin_sent = True
-            self.pipe.put("fin")
+            self.pipe.send("fin")
 
     def send_reset(self) -> None:
-        """End the connection at once: what has not been sent is dropped."""
+        """Send RST and drop what has not been sent."""
         self.tx.clear()
-        self.dead = True
+        self.send_stopped = True
         if self.peer is not None:
-            self.pipe.put("rst")
+            self.pipe.send("rst")
 
-    def arrive(self, what: bytes | str) -> None:
-        """A segment has come."""
+    def receive_segment(self, what: bytes | str) -> None:
+        """Process a segment that has arrived."""
         peer = self.peer
         assert peer is not None
         if what == "rst":
-            if not self.reset and not self.dead:
-                self.net.note("reset", self)
-                self.reset = self.dead = True
-                self.error = errno.EPIPE if self.rx_end else errno.ECONNRESET
+            if not self.reset and not self.send_stopped:
+                self.net.notify_observers("reset", self)
+                self.reset = self.send_stopped = True
+                self.pending_error = errno.EPIPE if self.fin_received else errno.ECONNRESET
                 self.tx.clear()
-                self.net.loop.poke(self)
+                self.net.loop.mark_ready(self)
             return
         if isinstance(what, bytes):
             self.net.loop.after_us(
-                self.net.delay(self.host, peer.host), peer.acknowledged, len(what)
+                self.net.delay(self.host, peer.host), peer.on_acknowledged, len(what)
             )
-        if self.closed or self.dead:
+        if self.closed or self.send_stopped:
             if what != "fin":
-                self.send_reset()  # there is nobody to read it, and an earlier word of that may have been lost
+                # Nobody reads the data, and an earlier RST may have been lost.
+                self.send_reset()
             return
         if self.reset:
             return
         if what == "fin":
-            self.rx_end = True
+            self.fin_received = True
         elif isinstance(what, bytes):
             self.rx.append(what)
-            self.received_us = self.net.loop.now_us
-            self.rx_size += len(what)
-        self.net.loop.poke(self)
+            self.last_received_us = self.net.loop.now_us
+            self.rx_bytes += len(what)
+        self.net.loop.mark_ready(self)
 
-    def acknowledged(self, size: int) -> None:
-        """The peer's kernel has these bytes. Over a cut link the word does not come, until it is healed."""
+    def on_acknowledged(self, size: int) -> None:
+        """Process the acknowledgement of sent bytes; it waits until a cut link is restored."""
         peer = self.peer
         assert peer is not None
-        if not self.net.reaches(peer.host, self.host):
-            if not self.dead:
-                self.net.loop.after_us(RTO_US, self.acknowledged, size)
+        if not self.net.is_reachable(peer.host, self.host):
+            if not self.send_stopped:
+                self.net.loop.after_us(INITIAL_RTO_US, self.on_acknowledged, size)
             return
-        self.flying -= size
-        self.pump()
+        self.in_flight_bytes -= size
+        self.transmit()
         if not self.closed:
-            self.net.loop.poke(self)
+            self.net.loop.mark_ready(self)
 
-    def hurt(self) -> None:
-        """Reset both ends, as a middle box does."""
+    def reset_both_ends(self) -> None:
+        """Reset both ends, as a middlebox does."""
         for sock in (self, self.peer):
-            if sock is not None and not (sock.reset or sock.dead):
-                sock.reset = sock.dead = True
-                sock.error = errno.ECONNRESET
+            if sock is not None and not (sock.reset or sock.send_stopped):
+                sock.reset = sock.send_stopped = True
+                sock.pending_error = errno.ECONNRESET
                 sock.tx.clear()
                 sock.pipe.queue.clear()
                 if not sock.closed:
-                    self.net.loop.poke(sock)
-        self.net.note("hurt", self)
+                    self.net.loop.mark_ready(sock)
+        self.net.notify_observers("hurt", self)
 
     def _check_open(self) -> None:
         if self.closed:
-            raise failure(errno.EBADF)
+            raise os_error(errno.EBADF)
 
 
 @dataclass(slots=True)
 class Host:
-    """A machine: it may vanish, and then says nothing."""
+    """A machine. While it is not up, it neither sends nor receives anything."""
 
     name: str
     up: bool = True
-    next_port: int = EPHEMERAL
+    next_port: int = FIRST_EPHEMERAL_PORT
     bound: dict[tuple[str, int], VirtualSocket] = field(default_factory=dict)  # by kind and port
 
 
 class Network:
-    """All hosts, links and sockets of a world."""
+    """All hosts, links and sockets of a simulation.
+
+    `observers` are called with each socket event; `on_send` is called with each chunk of data that
+    a socket accepts and the size that the program asked it to send.
+    """
 
     def __init__(self, loop: VirtualLoop, seed: int) -> None:
         self.loop = loop
         self.rng = random.Random(f"net/{seed}")
         self.hosts: dict[str, Host] = {}
         self.links: dict[tuple[str, str], Link] = {}
-        self.default = Link()
-        self.trips: list[Trip] = []
+        self.default_link = Link()
+        self.triggers: list[ByteTrigger] = []
         self.observers: list[Callable[[str, VirtualSocket], None]] = []
-        self.on_send: Callable[[VirtualSocket, bytes, int], None] = lambda sock, piece, asked: None
+        self.on_send: Callable[[VirtualSocket, bytes, int], None] = lambda sock, chunk, asked: None
         self._number = 2
 
     def next_number(self) -> int:
-        """A descriptor's number, never used twice."""
+        """Return a descriptor number, which is never used twice."""
         self._number += 1
         return self._number
 
-    def note(self, what: str, sock: VirtualSocket) -> None:
-        """Tell the observers what happened to a socket."""
+    def notify_observers(self, what: str, sock: VirtualSocket) -> None:
+        """Call the observers with a socket event."""
         for observer in self.observers:
             observer(what, sock)
 
     def host(self, name: str) -> Host:
-        """A host by its address; made when first named."""
+        """Return a host by its address, created on first use."""
         got = self.hosts.get(name)
         if got is None:
             got = self.hosts[name] = Host(name)
         return got
 
     def link(self, source: str, target: str) -> Link:
-        """The link one way; made like the default when first used."""
+        """Return the link in one direction, created on first use as a copy of the default."""
         got = self.links.get((source, target))
         if got is None:
-            d = self.default
+            d = self.default_link
             got = self.links[source, target] = Link(
                 d.latency_us, d.jitter_us, d.bandwidth, d.loss, d.double, d.late, d.late_us
             )
         return got
 
-    def reaches(self, source: str, target: str) -> bool:
-        """Whether anything sent now arrives."""
+    def is_reachable(self, source: str, target: str) -> bool:
+        """Whether both hosts are up and the link is not cut."""
         return self.host(source).up and self.host(target).up and not self.link(source, target).cut
 
     def delay(self, source: str, target: str) -> int:
-        """Latency of one way now, jitter included."""
+        """Return the latency in one direction with jitter, in us."""
         link = self.link(source, target)
         return link.latency_us + (self.rng.randrange(link.jitter_us + 1) if link.jitter_us else 0)
 
-    def flight(self, link: Link, size: int) -> int:
-        """When something put on a link now arrives."""
+    def arrival_us(self, link: Link, size: int) -> int:
+        """Return the arrival time of `size` bytes sent on a link now."""
         now = self.loop.now_us
         if link.bandwidth:
-            now = link.free_us = max(now, link.free_us) + size * 1_000_000 // link.bandwidth
+            now = link.busy_until_us = (
+                max(now, link.busy_until_us) + size * 1_000_000 // link.bandwidth
+            )
         return (
             now
             + link.latency_us
@@ -556,22 +609,27 @@
     # -- addresses -----------------------------------------------------------------------
 
     def bind(self, sock: VirtualSocket, address: Address) -> None:
-        """Give a socket an address; EADDRINUSE where one has it, EADDRNOTAVAIL where it is another host's."""
+        """Bind a socket to an address.
+
+        Raises OSError: EADDRINUSE if the address is taken, EADDRNOTAVAIL for another host's.
+        """
         if address[0] != sock.host:
-            raise failure(errno.EADDRNOTAVAIL)
+            raise os_error(errno.EADDRNOTAVAIL)
         host, port = self.host(sock.host), address[1]
         while not port:
             port = host.next_port
-            host.next_port = EPHEMERAL + (host.next_port + 1 - EPHEMERAL) % (65_536 - EPHEMERAL)
+            host.next_port = FIRST_EPHEMERAL_PORT + (host.next_port + 1 - FIRST_EPHEMERAL_PORT) % (
+                65_536 - FIRST_EPHEMERAL_PORT
+            )
             if (sock.kind, port) in host.bound:
                 port = 0
         if (sock.kind, port) in host.bound:
-            raise failure(errno.EADDRINUSE)
+            raise os_error(errno.EADDRINUSE)
         host.bound[sock.kind, port] = sock
         sock.local = (sock.host, port)
 
     def unbind(self, sock: VirtualSocket) -> None:
-        """Free a closed socket's address."""
+        """Release the address of a closed socket."""
         bound = self.host(sock.host).bound
         if bound.get((sock.kind, sock.local[1])) is sock:
             del bound[sock.kind, sock.local[1]]
@@ -579,14 +637,16 @@
     # -- connecting ----------------------------------------------------------------------
 
     def send_syn(self, sock: VirtualSocket, repeat_us: int) -> None:
-        """Ask for a connection, and again while nothing answers."""
+        """Send a SYN, and repeat it while there is no answer."""
         if sock.closed or sock.state != "dialing":
             return
         link = self.link(sock.host, sock.remote[0])
-        if self.reaches(sock.host, sock.remote[0]) and not (
+        if self.is_reachable(sock.host, sock.remote[0]) and not (
             link.loss and self.rng.random() < link.loss
         ):
-            self.loop.after_us(self.flight(link, 40) - self.loop.now_us, self._syn_arrives, sock)
+            self.loop.after_us(
+                self.arrival_us(link, 40) - self.loop.now_us, self._syn_arrives, sock
+            )
         self.loop.after_us(repeat_us, self.send_syn, sock, 2 * repeat_us)
 
     def _syn_arrives(self, sock: VirtualSocket) -> None:
@@ -594,15 +654,15 @@
             sock.closed
             or sock.state != "dialing"
             or sock.peer is not None
-            or not self.reaches(sock.host, sock.remote[0])
+            or not self.is_reachable(sock.host, sock.remote[0])
         ):
             return
         listener = self.host(sock.remote[0]).bound.get(("stream", sock.remote[1]))
         if listener is None or listener.state != "listening":
             self.loop.after_us(self.delay(sock.remote[0], sock.host), self._refused, sock)
             return
-        if len(listener.waiting) > listener.backlog:
-            return  # dropped; the SYN comes again
+        if len(listener.accept_queue) > listener.backlog:
+            return  # dropped; the SYN is repeated
         other = VirtualSocket(self, None, listener.host, "stream")
         other.state, other.local, other.remote, other.peer = (
             "open",
@@ -612,77 +672,84 @@
         )
         other.receive_buffer, other.send_buffer = listener.receive_buffer, listener.send_buffer
         sock.peer = other
-        listener.waiting.append(other)
-        self.loop.poke(listener)
-        self._answer_syn(sock, RTO_US)
+        listener.accept_queue.append(other)
+        self.loop.mark_ready(listener)
+        self._answer_syn(sock, INITIAL_RTO_US)
 
     def _answer_syn(self, sock: VirtualSocket, repeat_us: int) -> None:
         if sock.state != "dialing" or sock.peer is None:
             return
-        if self.reaches(sock.remote[0], sock.host):
+        if self.is_reachable(sock.remote[0], sock.host):
             self.loop.after_us(self.delay(sock.remote[0], sock.host), self._connected, sock)
         else:
             self.loop.after_us(repeat_us, self._answer_syn, sock, 2 * repeat_us)
 
     def _refused(self, sock: VirtualSocket) -> None:
-        if sock.state != "dialing" or not self.reaches(sock.remote[0], sock.host):
+        if sock.state != "dialing" or not self.is_reachable(sock.remote[0], sock.host):
             return
         sock.state = "new"
-        if sock.connected is not None and not sock.connected.done():
-            sock.connected.set_exception(failure(errno.ECONNREFUSED))
+        if sock.connect_future is not None and not sock.connect_future.done():
+            sock.connect_future.set_exception(os_error(errno.ECONNREFUSED))
 
     def _connected(self, sock: VirtualSocket) -> None:
         if sock.state != "dialing" or sock.peer is None:
             return
         sock.state = "open"
         if sock.closed:
-            sock.send_reset()  # nobody waits for it any more
+            sock.send_reset()  # the program has closed it meanwhile
             return
-        if sock.peer.closed or sock.peer.reset:  # reset before it was up
+        if sock.peer.closed or sock.peer.reset:  # reset before it was established
             sock.state = "new"
-            if sock.connected is not None and not sock.connected.done():
-                sock.connected.set_exception(failure(errno.ECONNRESET))
+            if sock.connect_future is not None and not sock.connect_future.done():
+                sock.connect_future.set_exception(os_error(errno.ECONNRESET))
             return
-        self._arm(sock)
-        self._arm(sock.peer)
-        self.note("open", sock)
-        if sock.connected is not None and not sock.connected.done():
-            sock.connected.set_result(None)
-        self.loop.poke(sock)
-
-    def _arm(self, sock: VirtualSocket) -> None:
-        for trip in self.trips:
-            if trip.connections > 0 and (trip.source, trip.target) == (sock.host, sock.remote[0]):
-                trip.connections -= 1
-                sock.trip = trip
+        self._attach_trigger(sock)
+        self._attach_trigger(sock.peer)
+        self.notify_observers("open", sock)
+        if sock.connect_future is not None and not sock.connect_future.done():
+            sock.connect_future.set_result(None)
+        self.loop.mark_ready(sock)
+
+    def _attach_trigger(self, sock: VirtualSocket) -> None:
+        for trigger in self.triggers:
+            if trigger.connections > 0 and (trigger.source, trigger.target) == (
+                sock.host,
+                sock.remote[0],
+            ):
+                trigger.connections -= 1
+                sock.trigger = trigger
                 return
 
     # -- datagrams -----------------------------------------------------------------------
 
     def send_datagram(self, sock: VirtualSocket, data: bytes, address: Address) -> None:
-        """Send a datagram over a link that may lose, double or delay it."""
+        """Send a datagram over a link that may lose, duplicate or delay it."""
         link, rng = self.link(sock.host, address[0]), self.rng
         copies = 1 + (link.double > 0.0 and rng.random() < link.double)
         for _ in range(copies):
-            due = link.datagram_us = max(self.flight(link, len(data)), link.datagram_us + 1)
+            due = link.last_datagram_us = max(
+                self.arrival_us(link, len(data)), link.last_datagram_us + 1
+            )
             if link.loss and rng.random() < link.loss:
                 continue
             if link.late and rng.random() < link.late:
                 due += rng.randrange(link.late_us + 1)
-            self.loop.after_us(due - self.loop.now_us, self._datagram, data, sock.local, address)
+            self.loop.after_us(
+                due - self.loop.now_us, self._deliver_datagram, data, sock.local, address
+            )
 
-    def throw(self, sender: Address, address: Address, data: bytes) -> None:
-        """A datagram of whoever forges its sender arrives now."""
-        self._datagram(data, sender, address)
+    def inject_datagram(self, sender: Address, address: Address, data: bytes) -> None:
+        """Deliver a datagram now, with a sender address that may be forged."""
+        self._deliver_datagram(data, sender, address)
 
-    def _datagram(self, data: bytes, sender: Address, address: Address) -> None:
+    def _deliver_datagram(self, data: bytes, sender: Address, address: Address) -> None:
         target = self.host(address[0]).bound.get(("datagram", address[1]))
         if (
             target is None
-            or not self.reaches(sender[0], address[0])
-            or target.datagram_size + len(data) > DATAGRAMS
+            or not self.is_reachable(sender[0], address[0])
+            or target.queued_datagram_bytes + len(data) > UDP_BUFFER_BYTES
         ):
             return
         target.datagrams.append((data, sender))
-        target.datagram_size += len(data)
-        self.loop.poke(target)
+        target.queued_datagram_bytes += len(data)
+        self.loop.mark_ready(target)
--- a/testbed/nights/rules.py
+++ b/testbed/nights/rules.py
@@ -35,10 +35,10 @@
 from corkshift.tier.transport import UdpTransport
 from forkweir.tier.leases import TOTAL_SHARES, Lease
 from testbed.machine.net import VirtualSocket
-from testbed.machine.parts import Owner
-from testbed.systems.clients import Ask, Observer
-from testbed.systems.serving import Message
-from testbed.systems.standins import CacheBox, Witness, usual_part
+from testbed.machine.protocols import ProcessProtocol
+from testbed.systems.clients import ClientObserver, ClientRequest
+from testbed.systems.emulators import CacheBox, ServerObserver, majority_box_share
+from testbed.systems.http import Message
 
 GRACE_US = 250_000
 HEARD_US = 1_500_000  # by then an answer of DNS was lost and asked for again
@@ -86,18 +86,18 @@
 class Life:
     """All that is known of one request."""
 
-    ask: Optional[Ask] = None
+    ask: Optional[ClientRequest] = None
     asked_us: int = -1
     answer: Optional[Message] = None
     answered_us: int = -1
     left_us: int = -1
     sends: list[Sent] = field(default_factory=list)  # first byte left a node
     begun: list[Sent] = field(default_factory=list)  # last byte reached a box
-    sender: Optional[Owner] = None  # of the latest of sends
+    sender: Optional[ProcessProtocol] = None  # of the latest of sends
     bodies: list[bytes] = field(default_factory=list)
 
 
-class Rules(Witness, Observer):
+class Rules(ServerObserver, ClientObserver):
     """Collects what happened, and what of it breaks a rule."""
 
     def __init__(
@@ -105,37 +105,39 @@
     ) -> None:
         self.failures: list[Failure] = []
         self.lives: dict[str, Life] = {}
-        self.nodes: dict[str, Owner] = {}  # by host: the process that runs there now
-        self.services: dict[Owner, Service] = {}
+        self.nodes: dict[str, ProcessProtocol] = {}  # by host: the process that runs there now
+        self.services: dict[ProcessProtocol, Service] = {}
         self.boxes: dict[str, str] = {}  # host of a box to its name, for the trace
-        self.excused: Callable[[Ask], bool] = lambda ask: False  # the network or a kill is to blame
+        self.excused: Callable[[ClientRequest], bool] = lambda ask: (
+            False
+        )  # the network or a kill is to blame
         self.steps: Callable[[], int] = lambda: 0
         self._now = now_us
         self._note = note
         self._later = later  # calls back after so many us
         self._left_out: dict[
-            tuple[Owner, str], int
+            tuple[ProcessProtocol, str], int
         ] = {}  # (node, address): since when it may get nothing new
         self._listed: dict[
-            Owner, set[str]
+            ProcessProtocol, set[str]
         ] = {}  # of a node: the addresses that it was told are in service
-        self._started: set[tuple[Owner, str]] = (
+        self._started: set[tuple[ProcessProtocol, str]] = (
             set()
         )  # (node, host of a server): the node was told that it started lately
         self._ever: dict[
-            Owner, set[str]
+            ProcessProtocol, set[str]
         ] = {}  # of a node: the addresses that its list ever named in service
         self._named: set[str] = set()  # and those that DNS did,
         self._heard: dict[
-            Owner, dict[str, int]
+            ProcessProtocol, dict[str, int]
         ] = {}  # and those that it gave to a node, first when
         self._empty: dict[
-            Owner, int
+            ProcessProtocol, int
         ] = {}  # nodes with no server in service, since when one could be (a line may be on its way)
         self._heads: dict[VirtualSocket, bytearray] = {}
         self._work: dict[str, deque[tuple[int, float, bool]]] = {}
-        self._dialed: dict[Owner, int] = {}
-        self._accepted: dict[Owner, int] = {}
+        self._dialed: dict[ProcessProtocol, int] = {}
+        self._accepted: dict[ProcessProtocol, int] = {}
         self._seen: set[tuple[str, str]] = set()
         self.reads: dict[str, Counter[str]] = defaultdict(Counter)  # by key and box
         self.leases = 0  # that were taken,
@@ -159,12 +161,12 @@
 
     # -- clients -------------------------------------------------------------------------
 
-    def asked(self, ask: Ask) -> None:
+    def request_sent(self, ask: ClientRequest) -> None:
         life = self.life(ask.txn)
         life.ask, life.asked_us = ask, self._now()
-        self._note(f"client asks {ask.txn} {ask.kind.name} {ask.key} of {ask.node}")
+        self._note(f"client asks {ask.txn} {ask.request_class.name} {ask.key} of {ask.node}")
 
-    def answered(self, ask: Ask, answer: Message) -> None:
+    def answer_received(self, ask: ClientRequest, answer: Message) -> None:
         life = self.life(ask.txn)
         self._note(f"client gets {ask.txn} {answer.status} {len(answer.body)}")
         if life.answer is not None:
@@ -177,24 +179,28 @@
                 f"{ask.txn} is served with what was not made for it: {answer.body[:40]!r}",
             )
         may_have_run = [begun for begun in life.begun if not begun.turned_away]
-        if answer.status in (429, 503) and ask.kind.repeat == "unsafe" and may_have_run:
+        if (
+            answer.status in (429, 503)
+            and ask.request_class.idempotency == "unsafe"
+            and may_have_run
+        ):
             self.broken(
                 "no effect twice",
                 f"{ask.txn} is refused though it may have run at {may_have_run[0].box}",
             )
 
-    def left(self, ask: Ask) -> None:
+    def client_left(self, ask: ClientRequest) -> None:
         self.life(ask.txn).left_us = self._now()
         self._later(STILL_US, self._no_work_left, ask, self._now())
         self._note(f"client leaves {ask.txn}")
 
-    def _no_work_left(self, ask: Ask, ended_us: int) -> None:
+    def _no_work_left(self, ask: ClientRequest, ended_us: int) -> None:
         """A while after a request's end nothing of it is left in its node."""
         for process, service in self.services.items():
             if (
                 process.name != ask.node
                 or not process.running
-                or process.hindered(ended_us, self._now())
+                or process.was_paused_or_starved(ended_us, self._now())
             ):
                 continue
             txn = ask.txn.encode()
@@ -206,7 +212,7 @@
                     f"an attempt of {process.name} for {ask.txn} is still out",
                 )
 
-    def ended(self, ask: Ask, how: str) -> bool:
+    def no_answer(self, ask: ClientRequest, how: str) -> bool:
         life = self.life(ask.txn)
         self._note(f"client has no answer {ask.txn} {how}")
         if self.excused(ask):
@@ -217,20 +223,23 @@
             self.broken(
                 "one final answer", f"{ask.txn} was sent on, and its connection ended: {how}"
             )
-        elif not ask.first:
+        elif not ask.first_on_connection:
             return (
                 True  # a close that crossed the request: it is sent once more on a new connection
             )
         return False
 
-    def unasked(self, node: str) -> None:
+    def unsolicited_input(self, node: str) -> None:
         self.broken("one final answer", f"{node} writes on a connection on which nothing is asked")
 
-    def rude(self, node: str, name: str, status: int, waited_ms: float) -> None:
+    def bad_client_result(self, node: str, name: str, status: int, waited_ms: float) -> None:
         self._note(f"rude client {name} {status} of {node}")
         since = self._now() - int(waited_ms * 1000)
         here = [process for process in self.services if process.name == node]
-        if any(process.hindered(since, self._now()) or not process.alive for process in here):
+        if any(
+            process.was_paused_or_starved(since, self._now()) or not process.alive
+            for process in here
+        ):
             return
         if status == -1:
             self.broken(
@@ -241,18 +250,18 @@
 
     # -- boxes ---------------------------------------------------------------------------
 
-    def received(self, box: CacheBox, txn: str, method: str, work_ms: float) -> None:
+    def request_received(self, box: CacheBox, txn: str, method: str, work_ms: float) -> None:
         life, now = self.life(txn), self._now()
         self._note(f"{box.name} receives {txn}")
         earlier = [begun for begun in life.begun if not begun.turned_away]
         life.begun.append(Sent(now, box.name))
-        kind = life.ask.kind if life.ask is not None else None
-        if earlier and kind is not None and kind.repeat == "unsafe":
+        kind = life.ask.request_class if life.ask is not None else None
+        if earlier and kind is not None and kind.idempotency == "unsafe":
             self.broken(
                 "no effect twice",
                 f"{txn} may have run at {earlier[0].box} and is sent to {box.name}",
             )
-        if earlier and kind is not None and kind.repeat == "keyed":
+        if earlier and kind is not None and kind.idempotency == "keyed":
             if now - earlier[0].at_us > 1000 * kind.window_ms + MORE_US:
                 self.broken("no effect twice", f"{txn} is sent to {box.name} after the window")
         if method == "PUT" and life.ask is None and txn == "hidden":
@@ -263,30 +272,32 @@
 
     def usual(self) -> float:
         """The part of the reads that went to the box to which most of their key's went."""
-        return usual_part(self.reads)
+        return majority_box_share(self.reads)
 
-    def turned_away(self, box: CacheBox, txn: str) -> None:
+    def request_turned_away(self, box: CacheBox, txn: str) -> None:
         self.life(txn).begun[-1].turned_away = True
         self._note(f"{box.name} turns away {txn}")
 
-    def made(self, box: CacheBox, txn: str, body: bytes) -> None:
+    def answer_made(self, box: CacheBox, txn: str, body: bytes) -> None:
         self.life(txn).bodies.append(body)
         self._note(f"{box.name} answers {txn}")
 
-    def fetched(self, box: str, key: str) -> None:
+    def origin_fetched(self, box: str, key: str) -> None:
         self._note(f"{box} fetches {key}")
 
-    def _cold(self, box: CacheBox, work_ms: float, now: int, sender: Optional[Owner]) -> None:
+    def _cold(
+        self, box: CacheBox, work_ms: float, now: int, sender: Optional[ProcessProtocol]
+    ) -> None:
         """Hold what a cold box gets against its budget, where those that knew of its start sent the most of it.
 
         A node that was not told (discovery was silent, or lies) can't know, nor can one whose wall clock is further ahead than a
         start takes: there is no other clock to hold it against.
         """
-        capacity = box.capacity()
+        capacity = box.speed_share()
         if capacity >= 1.0:
             return
         sent = self._work.setdefault(box.name, deque())
-        ahead = sender is not None and sender.wall_offset_ms >= box.spec.cold_ms
+        ahead = sender is not None and sender.wall_clock_offset_ms >= box.spec.cold_ms
         told = sender is not None and (sender, box.address[0]) in self._started and not ahead
         sent.append((now, work_ms, told))
         while sent[0][0] < now - FALL_US:
@@ -299,7 +310,7 @@
 
     # -- discovery -----------------------------------------------------------------------
 
-    def starts(self, process: Owner, known: list[dict[str, object]]) -> None:
+    def starts(self, process: ProcessProtocol, known: list[dict[str, object]]) -> None:
         """A node starts with the list as it last was."""
         self.nodes[process.host] = process
         self._listed[process] = {
@@ -307,7 +318,7 @@
         }
         self._ever[process] = set(self._listed[process])
 
-    def told(
+    def list_sent(
         self, node: str, entries: list[dict[str, object]], full: bool, sound: bool = True
     ) -> None:
         now = self._now()
@@ -376,7 +387,7 @@
             since = self._empty.setdefault(process, self._now())
             if not left:
                 self._empty[process] = self._now()
-            elif self._now() - since > GRACE_US and not process.stood_still(since, self._now()):
+            elif self._now() - since > GRACE_US and not process.was_paused(since, self._now()):
                 self.broken(
                     "never empty",
                     f"{process.name} has no server in service though {min(left)} was never taken away",
@@ -384,7 +395,7 @@
 
     # -- the tier ------------------------------------------------------------------------
 
-    def joins(self, process: Owner, carrier: UdpTransport) -> None:
+    def joins(self, process: ProcessProtocol, carrier: UdpTransport) -> None:
         """A node takes part in the tier: rule 9 is looked at whenever it takes a lease, as a sum can rise at no other moment."""
         holdings, told = (
             carrier.tier.allocator.held_leases,
@@ -450,7 +461,9 @@
             (life.answered_us, "its final answer"),
             (life.left_us, "its client had left"),
         ):
-            if 0 <= ended_us < now - CROSSED_US and not process.hindered(ended_us, now):
+            if 0 <= ended_us < now - CROSSED_US and not process.was_paused_or_starved(
+                ended_us, now
+            ):
                 self.broken(
                     "nothing after the end", f"{process.name} sends {txn} to {box} after {what}"
                 )
@@ -460,9 +473,9 @@
                 "left while it waited",
                 f"{process.name} sends {txn} to {box} {late_ms:.0f} ms after its client left",
             )
-        if life.ask is not None and life.ask.budget_ms and life.asked_us >= 0:
-            left_us = life.asked_us + int(1000 * life.ask.budget_ms) - now
-            if told_us > max(1_000, left_us) + TOLD_SLACK_US and not process.stood_still(
+        if life.ask is not None and life.ask.client_wait_ms and life.asked_us >= 0:
+            left_us = life.asked_us + int(1000 * life.ask.client_wait_ms) - now
+            if told_us > max(1_000, left_us) + TOLD_SLACK_US and not process.was_paused(
                 life.asked_us, now
             ):
                 self.broken(
@@ -474,7 +487,7 @@
         if (
             since is not None
             and now - since > GRACE_US + MORE_US
-            and not process.stood_still(since, now, STALL_US)
+            and not process.was_paused(since, now, STALL_US)
         ):
             self.broken(
                 "drains kept",
@@ -494,14 +507,14 @@
                 self.broken("only who is named", f"{process.name} dials {address}")
         if what == "dial" and sock.remote[0] in self.boxes:
             self._dialed[process] = self._dialed.get(process, 0) + 1
-        elif what in ("close", "abort") and sock.dialed and sock.remote[0] in self.boxes:
+        elif what in ("close", "abort") and sock.is_initiator and sock.remote[0] in self.boxes:
             self._dialed[process] -= 1
         elif what == "accept":
             self._accepted[process] = self._accepted.get(process, 0) + 1
-        elif what in ("close", "abort") and not sock.dialed and sock.peer is not None:
+        elif what in ("close", "abort") and not sock.is_initiator and sock.peer is not None:
             self._accepted[process] -= 1
 
-    def after_step(self, process: Owner) -> None:
+    def after_step(self, process: ProcessProtocol) -> None:
         """Hold a node's books against its sockets."""
         service = self.services.get(process)
         if service is None or not process.alive:
@@ -517,7 +530,7 @@
                 "books", f"{process.name} has {accepted} client connections and counts fewer"
             )
 
-    def timers_at_rest(self, timers: dict[Owner, int]) -> None:
+    def timers_at_rest(self, timers: dict[ProcessProtocol, int]) -> None:
         """Shortly after the last answer no timer of a request is left. timers: how many each process has."""
         for process in self.services:
             discovery = self.services[process].discovery
@@ -532,7 +545,7 @@
             if process.state == "running" and timers.get(process, 0) > most:
                 self.broken("books", f"{process.name} at rest holds {timers[process]} timers")
 
-    def at_rest(self, timers: dict[Owner, int]) -> None:
+    def at_rest(self, timers: dict[ProcessProtocol, int]) -> None:
         """Nobody asks and nothing is owed: all books are empty."""
         self.timers_at_rest(timers)
         for process, service in self.services.items():
@@ -550,7 +563,7 @@
                 # A watch that lost something is read on until another has told a line: its next call may be due after the end (10101004).
                 "tasks over the usual": max(
                     0,
-                    len(process.pending())
+                    len(process.pending_tasks())
                     - 2
                     - min(MAX_RETIRING, len(service.discovery._retiring))
                     - more,
--- a/testbed/nights/simulation.py
+++ b/testbed/nights/simulation.py
@@ -18,40 +18,40 @@
 from corkshift.service import Service
 from corkshift.sources.options import DnsTable, SourcesTable
 from corkshift.tier.options import TierTable
-from testbed.machine.faults import TABLE as CALL_TABLE
+from testbed.machine.faults import CALL_ERRORS as CALL_TABLE
 from testbed.machine.faults import Call
-from testbed.machine.loop import Deadlock, Livelock, VirtualLoop, owner_of
-from testbed.machine.net import Link, Network, Trip, VirtualSocket
-from testbed.machine.parts import Owner
+from testbed.machine.loop import Deadlock, Livelock, VirtualLoop, process_of
+from testbed.machine.net import ByteTrigger, Link, Network, VirtualSocket
 from testbed.machine.process import EPOCH_MS, Process
+from testbed.machine.protocols import ProcessProtocol
 from testbed.nights.oracle import Demand, Supply
 from testbed.nights.rules import Failure, Rules
 from testbed.nights.script import Fault, Script, draw, each
 from testbed.nights.script import World as WorldTable
 from testbed.systems.clients import (
+    BAD_REQUESTS,
     CLASSES,
-    RUDE,
     SITE_CLASSES,
-    Ask,
-    Class,
+    ClientCounts,
+    ClientRequest,
     Clients,
-    Figures,
-    neighbours,
+    RequestClass,
+    peer_config,
     settings,
 )
-from testbed.systems.dns import HOWS, SERVICE, NameServer, Zone
-from testbed.systems.serving import Connection, Server
-from testbed.systems.standins import (
-    SPOIL_HOWS,
-    SPOILS,
-    SPOILT_BY,
+from testbed.systems.dns import BEHAVIOURS, SERVICE, NameServer, Zone
+from testbed.systems.emulators import (
+    CORRUPT_ANSWERS,
+    CORRUPTION_KINDS,
+    NOISE_SAMPLES,
     BoxSpec,
     CacheBox,
+    DiscoveryServer,
+    LineCorruption,
     OrderBook,
-    Registry,
-    Spoil,
-    work_of,
+    request_work_ms,
 )
+from testbed.systems.http import Connection, Server
 
 SOON_S = 0.3  # after the last answer, before timers are counted (those of deadlines have not come due by then),
 QUIET_S = 2.7  # and before all books are read
@@ -83,7 +83,7 @@
     events: int
     virtual_s: float
     real_s: float
-    figures: Figures
+    figures: ClientCounts
     steps: int
     demands: list[Demand]  # with `supply` what the oracle (testbed/nights/oracle.py) wants
     supply: Supply
@@ -166,20 +166,23 @@
         self.loop = loop
         self.rng = random.Random(f"world/{seed}")
         self.net = Network(loop, seed)
-        self.net.default.latency_us, self.net.default.jitter_us = w.latency_us, w.jitter_us
-        self.net.default.bandwidth = w.bandwidth
+        self.net.default_link.latency_us, self.net.default_link.jitter_us = (
+            w.latency_us,
+            w.jitter_us,
+        )
+        self.net.default_link.bandwidth = w.bandwidth
         self.trace = Trace(loop, keep)
         self.rules = Rules(lambda: loop.now_us, self.trace.note, loop.after_us)
         self.rules.excused = self._excused
-        self.rules.steps = lambda: loop.steps
+        self.rules.steps = lambda: loop.callbacks_run
         self.net.on_send = self.rules.wire
         self.net.observers += [self.rules.socket, self._trace_socket]
-        loop.after_step = self._after_step
+        loop.after_callback = self._after_step
         self.processes: list[Process] = []
         self.nodes: dict[str, Process] = {}
         self.boxes: dict[int, CacheBox] = {}
         self.box_processes: dict[int, Process] = {}
-        self.registries: list[Registry] = []
+        self.registries: list[DiscoveryServer] = []
         self.entries: dict[str, dict[str, object]] = {}
         self._ids = w.boxes
         self._names = {n: f"s{n}" for n in range(w.boxes)}
@@ -197,14 +200,14 @@
             classes=self.classes,
         )
         self.clients.left_share, self.clients.leave_ms = w.leaving, w.leave_ms
-        self.clients.leave_oddly, self.clients.leave_together_ms = (
+        self.clients.leave_abnormally, self.clients.leave_together_ms = (
             w.leave_oddly,
             w.leave_together_ms,
         )
-        self.clients.down = self._noticed_down
-        self.clients.wanted = self._wanted
+        self.clients.is_down = self._noticed_down
+        self.clients.on_first_attempt = self._wanted
         self.good: set[int] = set()
-        self.clients.got = self.good.add
+        self.clients.on_served = self.good.add
         self.demands: list[Demand] = []
         self.supply = Supply()
         self.tier_at_end: tuple[dict[str, list[int]], list[str]] = (
@@ -221,14 +224,14 @@
 
     # -- what the oracle is told ---------------------------------------------------------
 
-    def _wanted(self, kind: Class, key: str) -> int:
-        work, at_ms = work_of(key, kind.method), self.loop.now_us / 1000.0
+    def _wanted(self, kind: RequestClass, key: str) -> int:
+        work, at_ms = request_work_ms(key, kind.method), self.loop.now_us / 1000.0
         self.demands.append(
-            Demand(at_ms, kind.name, work, kind.aim_ms, kind.worth, kind.method == "PUT")
+            Demand(at_ms, kind.name, work, kind.target_ms, kind.worth, kind.method == "PUT")
         )
         return len(self.demands) - 1
 
-    def _after_step(self, process: Owner) -> None:
+    def _after_step(self, process: ProcessProtocol) -> None:
         self.rules.after_step(process)
         if self.loop.now_us >= self._sample_us:
             self._sample_us = self.loop.now_us + SAMPLE_US
@@ -240,7 +243,7 @@
         for n, box in self.boxes.items():
             there = self.box_processes[n].running and self.net.host(box.address[0]).up
             if there and not (box.draining or box.full or box.hang is not None):
-                work += box.capacity_at(now_ms) * box.full_speed / box.slow
+                work += box.speed_share_at(now_ms) * box.full_speed / box.slow
         fetches = 0.0 if self.book.down else self.book.places / self.book.service_ms
         self.supply.note(self.loop.now_us / 1000.0, work, fetches)
 
@@ -266,7 +269,7 @@
         w, name = self.script.world, f"n{n}"
         process = self._process(name, self._node_host(n))
         process.descriptors = w.descriptors
-        process.wall_offset_ms = wall_offset_ms
+        process.wall_clock_offset_ms = wall_offset_ms
         entries = [] if blank else list(self.entries.values())
         known = {"generation": 1, "reset": True, "instances": entries}
         config: dict[str, Any] = {
@@ -279,13 +282,13 @@
             "settings": settings(self.classes, w.ask_within_ms),
         }
         if w.tier != "off":
-            config |= neighbours(
+            config |= peer_config(
                 config["settings"],
                 n,
                 [f"{self._node_host(m)}:{PEER_PORT}" for m in range(w.nodes + others)],
             )
         process.files["config.json"] = json.dumps(config).encode()
-        process.variables["PROXY_CONFIG"] = "config.json"
+        process.environment["PROXY_CONFIG"] = "config.json"
 
         sources: Optional[SourcesTable] = None
         if w.sources == "dns":
@@ -308,10 +311,10 @@
         self.trace.note(f"{name} starts")
 
     def _node_ended(self, process: Process) -> None:
-        self.trace.note(f"{process.name} ends {type(process.exit).__name__}")
+        self.trace.note(f"{process.name} ends {type(process.exit_error).__name__}")
         self._gone_us[process.name] = self.loop.now_us
-        if process.exit is not None:
-            self.rules.exceptional(process.name, f"the process ended: {process.exit!r}")
+        if process.exit_error is not None:
+            self.rules.exceptional(process.name, f"the process ended: {process.exit_error!r}")
 
     def start_box(self, n: int, name: str, cold: bool) -> None:
         """Start a cache box at its place."""
@@ -326,12 +329,12 @@
             False,
         )
         if cold:
-            box._since_ms = EPOCH_MS + self.loop.now_us / 1000.0
+            box._cold_since_ms = EPOCH_MS + self.loop.now_us / 1000.0
         else:
             box.warm(self.clients.keys())
         self.boxes[n], self.box_processes[n], self._names[n] = box, process, name
         self.rules.boxes[address[0]] = name
-        self.book.voids.append(box.void)
+        self.book.invalidations.append(box.invalidate)
         process.start(box.run)
         self._dns_later()
         self.trace.note(f"{name} starts at {address[0]}{' cold' if cold else ''}")
@@ -341,7 +344,7 @@
         process.start(server.run)
         return process
 
-    def _excused(self, ask: Ask) -> bool:
+    def _excused(self, ask: ClientRequest) -> bool:
         """Whether a request may go without answer: its node was killed or stood still, or the network broke its connection."""
         life = self.rules.life(ask.txn)
         since, now = life.asked_us - 2_000, self.loop.now_us
@@ -349,9 +352,9 @@
         if died >= since:
             return True
         process = self.nodes.get(ask.node)
-        if process is None or process.stood_still(since, now):
+        if process is None or process.was_paused(since, now):
             return True
-        if process.hindered(since, life.sends[0].at_us if life.sends else now):
+        if process.was_paused_or_starved(since, life.sends[0].at_us if life.sends else now):
             return True  # it stood in the backlog, where its time ran and nobody could know
         return any(at >= since for at in self._hurt_us.get(ask.node, ()))
 
@@ -386,7 +389,7 @@
         self._serve("book", self.book)
         for n in range(w.boxes):
             self.start_box(n, f"s{n}", False)
-            self.entries[f"s{n}"] = Registry.entry(f"s{n}", (self._box_host(n), BOX_PORT))
+            self.entries[f"s{n}"] = DiscoveryServer.entry(f"s{n}", (self._box_host(n), BOX_PORT))
         for n in range(2):
             registry = _Registry((f"127.4.0.{n + 1}", 8500), self.rules, self.entries)
             self.registries.append(registry)
@@ -394,7 +397,7 @@
         if w.sources == "dns":
             self._name_boxes()
             for server in self.resolvers:
-                server.told = self._given
+                server.on_service_answer = self._given
                 process = self._process(f"dns-{server.address[0]}", server.address[0])
                 process.start(server.run)
         late = {
@@ -428,10 +431,10 @@
         await asyncio.sleep(0.5)
         self._read_books(self.rules.at_rest)
 
-    def _read_books(self, read: Callable[[dict[Owner, int]], None]) -> None:
-        timers: dict[Owner, int] = {}
-        for handle in self.loop.timers():
-            owner = owner_of(handle._context)  # type: ignore[attr-defined]
+    def _read_books(self, read: Callable[[dict[ProcessProtocol, int]], None]) -> None:
+        timers: dict[ProcessProtocol, int] = {}
+        for handle in self.loop.pending_timers():
+            owner = process_of(handle._context)  # type: ignore[attr-defined]
             if owner is not None:
                 timers[owner] = timers.get(owner, 0) + 1
         read(timers)
@@ -457,7 +460,7 @@
         }
         if odd is not None:
             alive["odd"] = (odd, BOX_PORT)
-        self.zone.serve(alive, ttl=1)
+        self.zone.set_boxes(alive, ttl=1)
         self.rules.named(f"{host}:{port}" for host, port in alive.values())
         self.trace.note(f"DNS names {' '.join(alive)}")
 
@@ -472,7 +475,7 @@
     def _do_dns_how(self, fault: Fault) -> None:
         """One name server, or both, are wrong in one of the ways of `HOWS`."""
         for server in self.resolvers if fault.target == 2 else [self.resolvers[fault.target % 2]]:
-            server.how = HOWS[int(fault.value) % len(HOWS)]
+            server.how = BEHAVIOURS[int(fault.value) % len(BEHAVIOURS)]
             self._later(fault, setattr, server, "how", "good")
 
     def _given(self, host: str, targets: list[str]) -> None:
@@ -541,7 +544,7 @@
 
     def _change(self, entry: dict[str, object], lifecycle: str) -> None:
         for registry in self.registries:  # they share the entries; each tells its own watches
-            registry.change(entry, lifecycle)
+            registry.update(entry, lifecycle)
 
     def _restart_box(self, n: int, name: str, told: bool = True) -> None:
         """Start a box cold; told: whether discovery says so, or that it has run for long."""
@@ -553,7 +556,9 @@
 
     def _tell_start(self, n: int, name: str, started: float) -> None:
         if self._names[n] == name and self.box_processes[n].alive:
-            self._change(Registry.entry(name, (self._box_host(n), BOX_PORT), started), "in_service")
+            self._change(
+                DiscoveryServer.entry(name, (self._box_host(n), BOX_PORT), started), "in_service"
+            )
 
     def _do_box_kill(self, fault: Fault) -> None:
         self._kill_box(fault.target)
@@ -581,7 +586,7 @@
             for key in self.rng.sample(
                 sorted(box._values), int(len(box._values) * (fault.value or 1.0))
             ):
-                box.void(key)
+                box.invalidate(key)
 
     def _do_load_step(self, fault: Fault) -> None:
         """Clients ask so many times as often."""
@@ -589,12 +594,12 @@
         self._later(fault, setattr, self.clients, "rate", self.script.world.requests_per_s)
 
     def _do_box_spoil(self, fault: Fault) -> None:
-        self.boxes[fault.target].spoil += [
-            self.rng.choice(SPOILS) for _ in range(int(fault.value) or 1)
+        self.boxes[fault.target].corruptions += [
+            self.rng.choice(CORRUPT_ANSWERS) for _ in range(int(fault.value) or 1)
         ]
 
     def _do_box_errors(self, fault: Fault) -> None:
-        self.boxes[fault.target].errors += int(fault.value) or 1
+        self.boxes[fault.target].errors_left += int(fault.value) or 1
 
     def _do_box_turn_away(self, fault: Fault) -> None:
         box = self.boxes[fault.target]
@@ -661,14 +666,14 @@
         config["discovery"] = f"127.4.0.{2 - old}:8500"
         process.files["config.json"] = json.dumps(config).encode()
         process.signal(signal.SIGHUP)
-        self.loop.after_us(1_500_000, self.registries[old].drop)
+        self.loop.after_us(1_500_000, self.registries[old].drop_watches)
 
     def _do_node_descriptors(self, fault: Fault) -> None:
         process = self.nodes[f"n{fault.target}"]
         process.descriptors = len(process.sockets)
         for_ms = fault.for_ms or 1_000.0
         # What waits in the backlog is taken a moment later.
-        process.starved_us.append(
+        process.starved_spans_us.append(
             (self.loop.now_us, self.loop.now_us + int(for_ms * 1000) + 200_000)
         )
         self.loop.after_us(
@@ -680,11 +685,11 @@
         process = self.nodes[f"n{fault.target}"]
         call, error = CALL_TABLE[int(fault.value) % len(CALL_TABLE)]
         for_us = int(fault.for_ms * 1000)
-        process.calls.fail(
+        process.call_faults.fail(
             call, error, self.loop.now_us + (for_us or 1_000_000), -1 if for_us else 1
         )
         if call is Call.ACCEPT:
-            process.starved_us.append((self.loop.now_us, self.loop.now_us + for_us + 200_000))
+            process.starved_spans_us.append((self.loop.now_us, self.loop.now_us + for_us + 200_000))
 
     def _links(self, target: int) -> list[tuple[str, str]]:
         """Between all nodes and one box; with target 1 the other way too."""
@@ -724,20 +729,22 @@
         for sock in self.rng.sample(chosen, min(len(chosen), int(fault.value) or 1)):
             if sock.remote[0] == "127.5.0.1" and sock.process is not None:
                 self._hurt_us.setdefault(sock.process.name, []).append(self.loop.now_us)
-            sock.hurt()
+            sock.reset_both_ends()
 
     def _trip(
         self, source: str, target: str, fault: Fault, action: Callable[[VirtualSocket], None]
     ) -> None:
         """Arm a fault for the next new connection and for one that is open."""
-        trip = Trip(source, target, max(1, int(fault.value)), action)
-        self.net.trips.append(trip)
+        trip = ByteTrigger(source, target, max(1, int(fault.value)), action)
+        self.net.triggers.append(trip)
         for process in self.processes:
             if process.host == source and process.alive:
                 for sock in process.sockets:
-                    if sock.state == "open" and sock.remote[0] == target and sock.trip is None:
+                    if sock.state == "open" and sock.remote[0] == target and sock.trigger is None:
                         trip.connections = 0
-                        sock.trip = Trip(source, target, sock.sent + trip.after, action, 0)
+                        sock.trigger = ByteTrigger(
+                            source, target, sock.sent_bytes + trip.after_bytes, action, 0
+                        )
                         return
 
     def _breaking(self, fault: Fault) -> Callable[[VirtualSocket], None]:
@@ -747,7 +754,7 @@
             if int(fault.for_ms) % 2:
                 self._kill_box(fault.target)
             else:
-                sock.hurt()
+                sock.reset_both_ends()
 
         return act
 
@@ -764,7 +771,7 @@
 
         def act(sock: VirtualSocket) -> None:
             self._hurt_us.setdefault(f"n{fault.target}", []).append(self.loop.now_us)
-            sock.hurt()
+            sock.reset_both_ends()
 
         self._trip(self._node_host(fault.target), "127.5.0.1", fault, act)
 
@@ -794,16 +801,16 @@
             b'{"generation":9',
         )
         for registry in self.registries:
-            registry.tell_raw(bad[int(fault.value) % len(bad)])
+            registry.publish_raw(bad[int(fault.value) % len(bad)])
 
     def _do_discovery_spoil(self, fault: Fault) -> None:
         """The next line that each place tells is spoilt: how, by what noise, and at which byte."""
         how, noise = (
-            SPOIL_HOWS[fault.target % len(SPOIL_HOWS)],
-            SPOILT_BY[fault.target // len(SPOIL_HOWS) % len(SPOILT_BY)],
+            CORRUPTION_KINDS[fault.target % len(CORRUPTION_KINDS)],
+            NOISE_SAMPLES[fault.target // len(CORRUPTION_KINDS) % len(NOISE_SAMPLES)],
         )
         for registry in self.registries:
-            registry.spoils.append(Spoil(how, int(fault.value), noise))
+            registry.corruptions.append(LineCorruption(how, int(fault.value), noise))
 
     def _do_discovery_refuse(self, fault: Fault) -> None:
         self._discovery_is(fault, "refusing")
@@ -813,12 +820,12 @@
 
     def _do_discovery_drop(self, fault: Fault) -> None:
         for registry in self.registries:
-            registry.drop()
+            registry.drop_watches()
 
     def _do_discovery_down(self, fault: Fault) -> None:
         for registry in self.registries:
             registry.down = True
-            registry.drop()
+            registry.drop_watches()
             self._later(fault, setattr, registry, "down", False)
 
     def _do_book_slow(self, fault: Fault) -> None:
@@ -897,7 +904,7 @@
                 self._node_host((fault.target + 1) % self.script.world.nodes),
                 "127.9.9.9",
             ):
-                self.net.throw((host, PEER_PORT), to, data)
+                self.net.inject_datagram((host, PEER_PORT), to, data)
 
     def _do_clock_jump(self, fault: Fault) -> None:
         """The wall clock of a node's machine is wrong from its next start on."""
@@ -908,16 +915,18 @@
             self.loop.after_us(50_000, self._restart_node, fault.target, fault.value)
 
     def _do_rude(self, fault: Fault) -> None:
-        names = list(RUDE)
+        names = list(BAD_REQUESTS)
         name = names[int(fault.value) % len(names)]
         for _ in range(3):
-            self.front.context.run(self.clients.be_rude, f"n{fault.target}", name, RUDE[name])
+            self.front.context.run(
+                self.clients.send_bad_request, f"n{fault.target}", name, BAD_REQUESTS[name]
+            )
 
 
-class _Registry(Registry):
+class _Registry(DiscoveryServer):
     """Discovery that knows its watchers by their hosts."""
 
-    def node_of(self, connection: Connection) -> str:
+    def node_name(self, connection: Connection) -> str:
         sock = connection.stream._sock
         assert isinstance(sock, VirtualSocket)
         return sock.remote[0]
@@ -949,11 +958,11 @@
         root.setLevel(level)
         root.propagate = True
         digest, events = world.trace.digest, world.trace.events
-        loop.after_step = None
+        loop.after_callback = None
         world.net.observers.clear()
         loop.set_exception_handler(lambda loop, context: None)
         for process in world.processes:
-            process.bury()
+            process.discard_tasks()
         main._log_destroy_pending = False  # type: ignore[attr-defined]
         loop.close()
         asyncio.set_event_loop(None)
@@ -965,8 +974,8 @@
         events,
         loop.now_us / 1e6,
         time.perf_counter() - began,
-        world.clients.figures,
-        loop.steps,
+        world.clients.totals,
+        loop.callbacks_run,
         world.demands,
         world.supply,
         world.good,
--- a/testbed/soak/faults.py
+++ b/testbed/soak/faults.py
@@ -151,7 +151,7 @@
         server.slow = 1.0
 
     async def _errors(self, event: Event) -> None:
-        self._server(event).errors += int(event.value)
+        self._server(event).errors_left += int(event.value)
 
     async def _resets(self, event: Event) -> None:
         server = self._server(event)
@@ -164,16 +164,16 @@
     async def _leave(self, event: Event) -> None:
         clients = self._world.clients
         before = clients.left_share
-        clients.left_share, clients.leave_ms, clients.leave_oddly = 0.4, 400.0, True
+        clients.left_share, clients.leave_ms, clients.leave_abnormally = 0.4, 400.0, True
         await asyncio.sleep(event.for_s)
-        clients.left_share, clients.leave_ms, clients.leave_oddly = before, 60.0, False
+        clients.left_share, clients.leave_ms, clients.leave_abnormally = before, 60.0, False
 
     async def _stop_clients(self, event: Event) -> None:
         node = self._node(event)
         for n in range(int(event.value)):
             data = STOPPED[n % len(STOPPED)]
             if not node.down:
-                self._world.clients.be_rude(
+                self._world.clients.send_bad_request(
                     node.name, f"client that stops after {len(data)} bytes", data
                 )
 
--- a/tests/sources/virtual.py
+++ b/tests/sources/virtual.py
@@ -25,7 +25,7 @@
         self.loop = loop
         self.net = Network(loop, 1)
         self.zone = Zone()
-        self.zone.serve(BOXES)
+        self.zone.set_boxes(BOXES)
         self.servers = [NameServer((host, 53), self.zone) for host in HOSTS[:servers]]
         self.addresses = [server.address for server in self.servers]
         self.server_processes = [
@@ -69,7 +69,7 @@
         for process, server in zip(fixture.server_processes, fixture.servers, strict=True):
             process.context.run(server.close)
             process.kill()
-            for task in process.pending():
+            for task in process.pending_tasks():
                 task.cancel()
         await asyncio.sleep(0.01)
 
--- a/tests/test_listing.py
+++ b/tests/test_listing.py
@@ -18,11 +18,14 @@
     parse,
     unconfirmed_entries,
 )
-from testbed.systems.standins import SPOILT_BY, Registry
+from testbed.systems.emulators import NOISE_SAMPLES, DiscoveryServer
 
 
 def entry(n: int, lifecycle: str = "terminating") -> dict[str, object]:
-    return {**Registry.entry(f"s{n}", ("127.0.0.1", 8000 + n), 5.0 * n), "lifecycle": lifecycle}
+    return {
+        **DiscoveryServer.entry(f"s{n}", ("127.0.0.1", 8000 + n), 5.0 * n),
+        "lifecycle": lifecycle,
+    }
 
 
 def line(entries: list[dict[str, object]], reset: bool = False) -> bytes:
@@ -52,7 +55,7 @@
         assert suspects <= ({f"s{len(whole)}"} if not reset else set())
 
 
-@pytest.mark.parametrize("noise", SPOILT_BY)
+@pytest.mark.parametrize("noise", NOISE_SAMPLES)
 def test_noise_at_any_byte_loses_at_most_the_entry_it_hits(noise: bytes) -> None:
     for at in range(len(TEXT) - 1):
         found = states_of(unconfirmed_entries(TEXT[:at] + noise + TEXT[at:]))
--- a/tests/test_loop_lag.py
+++ b/tests/test_loop_lag.py
@@ -10,7 +10,7 @@
 import time
 
 import pytest
-from loopback import CacheBox, Rig, entry, good, request, rig, run_async, status, until
+from loopback import CacheBox, Rig, default_answer, entry, request, rig, run_async, status, until
 
 from corkshift import loop_lag
 from corkshift.loop_lag import MIN_UNREAD_MS, PERIOD_MS, STALL_THRESHOLD_MS, LoopLagMonitor
@@ -127,7 +127,7 @@
     # Incident of issue 48: the deadline of such requests counted from when they were read, so they
     # were forwarded after their clients had left.
     async def test() -> None:
-        box = CacheBox(good)
+        box = CacheBox(default_answer)
         async with rig({"s0": box}) as made:
             made.loop_lag.start()
             assert status(await made.ask("first")) == 200
@@ -156,7 +156,7 @@
     # Incident of issue 48: requests went to servers whose drain was written while the node was
     # stalled. The grace period of a drain counts from when it was written.
     async def test() -> None:
-        boxes = {f"s{n}": CacheBox(good) for n in range(2)}
+        boxes = {f"s{n}": CacheBox(default_answer) for n in range(2)}
         async with rig(boxes) as made:
             made.loop_lag.start()
             for n in range(20):
@@ -179,7 +179,7 @@
 
 def test_an_attempt_waits_for_unread_list_changes_and_is_then_checked_again() -> None:
     async def test() -> None:
-        box = CacheBox(good)
+        box = CacheBox(default_answer)
         async with rig({"s0": box}) as made:
             checks = 0
 
@@ -202,7 +202,7 @@
 
 def test_discovery_input_is_checked_only_after_a_stall() -> None:
     async def test() -> None:
-        async with rig({"s0": CacheBox(good)}) as made:
+        async with rig({"s0": CacheBox(default_answer)}) as made:
             made.loop_lag.start()
             await asyncio.sleep(0.2)
             write_drain(made, "s0")
@@ -219,7 +219,7 @@
 
 def test_a_node_whose_loop_is_too_slow_refuses_requests_it_would_fail() -> None:
     async def test() -> None:
-        box = CacheBox(good)
+        box = CacheBox(default_answer)
         async with rig({"s0": box}) as made:
             made.loop_lag.smoothed_lag_ms = 100.0
             assert status(await made.ask("short", within_ms=400)) == 503
@@ -231,7 +231,7 @@
 
 def test_a_stall_of_the_node_does_not_count_against_a_server() -> None:
     async def test() -> None:
-        box = CacheBox(good)
+        box = CacheBox(default_answer)
         async with rig({"s0": box}) as made:
             made.loop_lag.start()
             await asyncio.sleep(0.1)
--- a/tests/test_lost_lines.py
+++ b/tests/test_lost_lines.py
@@ -14,7 +14,7 @@
 from corkshift.seam import now_ms
 from testbed.nights import simulation
 from testbed.nights.script import Fault, Script, World
-from testbed.systems.standins import SPOIL_HOWS, SPOILT_BY, Spoil
+from testbed.systems.emulators import CORRUPTION_KINDS, NOISE_SAMPLES, LineCorruption
 
 NAMES = ("s0", "s1", "s2", "s3", "s4")
 # The shortest pause before a call after an ordinary failure here: 0.3 of 0.05 x 2 x 10 s.
@@ -38,7 +38,7 @@
     return {name for name, member in made.node._balancer.fleet.members.items() if member.present}
 
 
-@pytest.mark.parametrize("how", SPOIL_HOWS)
+@pytest.mark.parametrize("how", CORRUPTION_KINDS)
 @pytest.mark.parametrize("answers", [True, False])
 def test_a_drain_in_a_partial_or_corrupt_line_is_applied(how: str, answers: bool) -> None:
     async def test() -> None:
@@ -50,10 +50,10 @@
             fresh.listen()
             # The line is corrupt after its first entry.
             first, second = (draining_entry(made, "s1"), entry("s9", fresh.port))
-            made.registry.spoils.append(Spoil(how, 260, SPOILT_BY[4]))
-            made.registry.change(first, "terminating")
-            made.registry.spoils.append(Spoil(how, 260, SPOILT_BY[4]))
-            made.registry.tell([draining_entry(made, "s3"), second])
+            made.registry.corruptions.append(LineCorruption(how, 260, NOISE_SAMPLES[4]))
+            made.registry.update(first, "terminating")
+            made.registry.corruptions.append(LineCorruption(how, 260, NOISE_SAMPLES[4]))
+            made.registry.publish([draining_entry(made, "s3"), second])
             await until(lambda: "s1" not in serving(made))
             if answers:
                 await until(lambda: serving(made) == {*NAMES, "s9"} - {"s1", "s3"})
@@ -79,17 +79,17 @@
             use_slow_polling(made)
             made.registry.mute = True
             asked, at = len(made.registry.asked), now_ms()
-            made.registry.tell_raw(b"no list\n")
+            made.registry.publish_raw(b"no list\n")
             await until(lambda: len(made.registry.asked) > asked)
             assert now_ms() - at < WAIT_MS
-            made.registry.change(draining_entry(made, "s2"), "terminating")
+            made.registry.update(draining_entry(made, "s2"), "terminating")
             await until(lambda: "s2" not in serving(made))
             assert len(
                 made.registry.watches
             ) == 1 and made.discovery.address_book._unconfirmed.held_back == ("s2",)
             made.registry.mute = False
             # Back in service: only a valid line may say so.
-            made.registry.change(entry("s2", made.boxes["s2"].port))
+            made.registry.update(entry("s2", made.boxes["s2"].port))
             await asyncio.sleep(0.05)
             assert "s2" not in serving(made)
             made.discovery.move(("127.0.0.1", made.registry.port))
@@ -109,8 +109,8 @@
         async with rig(boxes()) as made:
             use_slow_polling(made)
             made.registry.refusing = True
-            made.registry.spoils.append(Spoil("cut", 120))
-            made.registry.change(draining_entry(made, "s4"), "terminating")
+            made.registry.corruptions.append(LineCorruption("cut", 120))
+            made.registry.update(draining_entry(made, "s4"), "terminating")
             await until(lambda: serving(made) == {"s0", "s1", "s2", "s3"})
             await until(lambda: serving(made) == set(NAMES))
 
@@ -121,8 +121,8 @@
     async def test() -> None:
         async with rig(boxes()) as made:
             made.registry.refusing = True
-            made.registry.spoils.append(Spoil("before", 0))
-            made.registry.tell([draining_entry(made, name) for name in NAMES])
+            made.registry.corruptions.append(LineCorruption("before", 0))
+            made.registry.publish([draining_entry(made, name) for name in NAMES])
             await until(lambda: len(serving(made)) == 1)
             assert status(await made.ask("a")) == 200
             made.registry.refusing = False
@@ -140,7 +140,7 @@
             new.start()
             made.discovery.move(("127.0.0.1", new.port))
             await until(lambda: len(new.asked) == 1)
-            made.registry.tell([draining_entry(made, "s0"), entry("s9", 9)])
+            made.registry.publish([draining_entry(made, "s0"), entry("s9", 9)])
             await until(lambda: "s0" not in serving(made))
             assert "s9" not in made.node.servers and len(made.registry.watches) == 1
             await new.stop()
@@ -157,7 +157,7 @@
 
             async def corrupt() -> None:
                 while True:
-                    made.registry.tell_raw(b"{\n")
+                    made.registry.publish_raw(b"{\n")
                     await asyncio.sleep(0.002)
 
             corrupting = asyncio.create_task(corrupt())
@@ -195,7 +195,10 @@
             for before, value in STATES[state]
         ),
         Fault(
-            at_ms=at - 0.3, kind="discovery_spoil", target=SPOIL_HOWS.index("framing"), value=20.0
+            at_ms=at - 0.3,
+            kind="discovery_spoil",
+            target=CORRUPTION_KINDS.index("framing"),
+            value=20.0,
         ),
         Fault(at_ms=at, kind="box_drain", target=1, for_ms=50.0),
     ]
@@ -215,7 +218,7 @@
     async def test() -> None:
         async with rig(boxes()) as made:
             entries = ", ".join(json.dumps(draining_entry(made, name)) for name in NAMES)
-            made.registry.tell_raw(
+            made.registry.publish_raw(
                 b'{"generation": 999999, "reset": false, "instances": ['
                 + entries.encode()
                 + b"] nonsense}\n"
@@ -238,9 +241,9 @@
     async def test() -> None:
         async with rig(boxes()) as made:
             made.registry.generation = 50
-            made.registry.change(draining_entry(made, "s1"), "terminating")
+            made.registry.update(draining_entry(made, "s1"), "terminating")
             removed_entry = made.registry.entries["s2"]
-            made.registry.change(removed_entry, "terminated")
+            made.registry.update(removed_entry, "terminated")
             await until(lambda: serving(made) == set(NAMES) - {"s1", "s2"})
             behind = Registry(made.boxes)
             behind.start()
