--- a/benchmarks/growth.py
+++ b/benchmarks/growth.py
@@ -21,7 +21,7 @@
 
 from benchmarks.list_freshness import Nobody
 from corkshift.seam import now_ms
-from testbed.soak.discovery import ListOfServers, Place, started_entry
+from testbed.soak.discovery import DiscoveryEndpoint, ServerList, in_service_entry
 from testbed.systems.clients import CLASSES, Clients, Observer, settings
 from testbed.systems.scripted import ScriptedBox
 from testbed.systems.serving import Connection
@@ -58,14 +58,14 @@
         }
 
 
-class CountedPlace(Place):
+class CountedPlace(DiscoveryEndpoint):
     """Discovery that counts the bytes of its lists."""
 
     written = 0
 
-    async def _send(self, connection: Connection, data: bytes) -> bool:
+    async def _write_chunk(self, connection: Connection, data: bytes) -> bool:
         self.written += len(data)
-        return await super()._send(connection, data)
+        return await super()._write_chunk(connection, data)
 
 
 def _cpu_s(pid: int) -> float:
@@ -83,8 +83,10 @@
     boxes = [ScriptedBox(address=(f"127.30.{n >> 8}.{n & 255}", 0)) for n in range(count)]
     for box in boxes:
         box.listen()
-    servers = ListOfServers()
-    servers.change([started_entry(f"s{n}", box.address, cold=False) for n, box in enumerate(boxes)])
+    servers = ServerList()
+    servers.change(
+        [in_service_entry(f"s{n}", box.address, cold=False) for n, box in enumerate(boxes)]
+    )
     place = CountedPlace("n0", servers, Nobody())
     place.listen()
     listen = ports.take()
@@ -132,7 +134,7 @@
             server.close()
 
 
-async def _change(servers: ListOfServers) -> None:
+async def _change(servers: ServerList) -> None:
     """One server drains or comes back each second."""
     rng = random.Random(1)
     names = list(servers.entries)
@@ -149,7 +151,7 @@
                 }
             ]
         )
-        await servers.announce()
+        await servers.notify_watches()
 
 
 async def _all(sizes: list[int], seconds: float) -> list[Needs]:
--- a/benchmarks/list_events.py
+++ b/benchmarks/list_events.py
@@ -24,7 +24,7 @@
 from benchmarks.list_freshness import Nobody
 from benchmarks.revision import ROOT, packages_of
 from corkshift.seam import now_ms
-from testbed.soak.discovery import Entry, ListOfServers, Place, started_entry
+from testbed.soak.discovery import DiscoveryEndpoint, Entry, ServerList, in_service_entry
 from testbed.systems.clients import CLASSES, settings
 from testbed.systems.serving import dial, fetch
 from testbed.tier.processes import HOST, Ports, die_with_parent
@@ -98,12 +98,13 @@
 
 async def measure(root: Path, count: int, folder: Path, ports: Ports) -> Found:
     """What each event costs beside so many servers."""
-    servers = ListOfServers()
+    servers = ServerList()
     entries: list[Entry] = [
-        started_entry(f"s{n}", (f"127.40.{n >> 8}.{n & 255}", 9), cold=False) for n in range(count)
+        in_service_entry(f"s{n}", (f"127.40.{n >> 8}.{n & 255}", 9), cold=False)
+        for n in range(count)
     ]
     written = Written()
-    place = Place("n0", servers, written)
+    place = DiscoveryEndpoint("n0", servers, written)
     place.listen()
     place.down = True
     listen = ports.take()
@@ -147,7 +148,7 @@
             else:
                 servers.change(change)
                 place.down = False
-                await servers.announce()
+                await servers.notify_watches()
             await asyncio.wait_for(written.now.wait(), MOST_S)
             over = await _rest(process.pid, 1000.0 * rest_ms)
             spent = over - before - rest_ms * max(0.0, now_ms() - began - 1000.0 * REST_S)
--- a/benchmarks/list_freshness.py
+++ b/benchmarks/list_freshness.py
@@ -22,7 +22,7 @@
 from typing import Any
 
 from corkshift.seam import now_ms
-from testbed.soak.discovery import Entry, ListOfServers, Place, started_entry
+from testbed.soak.discovery import DiscoveryEndpoint, Entry, ServerList, in_service_entry
 from testbed.systems.clients import CLASSES, settings
 from testbed.systems.scripted import ScriptedBox
 from testbed.systems.serving import Ended, dial
@@ -84,9 +84,11 @@
     boxes = [ScriptedBox(), ScriptedBox()]
     for box in boxes:
         box.listen()
-    servers = ListOfServers()
-    servers.change([started_entry(f"s{n}", box.address, cold=False) for n, box in enumerate(boxes)])
-    places = [Place("n0", servers, Nobody()) for _ in range(2)]
+    servers = ServerList()
+    servers.change(
+        [in_service_entry(f"s{n}", box.address, cold=False) for n, box in enumerate(boxes)]
+    )
+    places = [DiscoveryEndpoint("n0", servers, Nobody()) for _ in range(2)]
     for place in places:
         place.listen()
     listen = ports.take()
@@ -98,7 +100,7 @@
         "limits": {},
     }
 
-    def configure(place: Place) -> None:
+    def configure(place: DiscoveryEndpoint) -> None:
         config["discovery"] = f"{HOST}:{place.address[1]}"
         path.write_text(json.dumps(config))
 
@@ -115,7 +117,7 @@
             place.silence() if case.silent else place.reset()
         moment_ms = now_ms()
         servers.change([{**servers.entries["s0"], "lifecycle": "terminating"}])
-        await servers.announce()
+        await servers.notify_watches()
         if case.reload_after_s:
             asyncio.get_running_loop().call_later(case.reload_after_s, configure, places[1])
             asyncio.get_running_loop().call_later(
--- a/testbed/soak/__main__.py
+++ b/testbed/soak/__main__.py
@@ -14,13 +14,13 @@
 from testbed.soak.rig import Report, run
 
 
-def seeds_of(text: str) -> range:
+def parse_seeds(text: str) -> range:
     """`7` or `1-20`."""
     first, _, last = text.partition("-")
     return range(int(first), int(last or first) + 1)
 
 
-def line_of(report: Report) -> str:
+def summary_line(report: Report) -> str:
     """One report in one line."""
     c = report.counts
     shown = ("asked", "served", "refused", "failed", "left", "unframed", "unframed served")
@@ -54,10 +54,10 @@
 ) -> None:
     """Play randomized faults on real processes and hold the rules against what was seen."""
     reports = []
-    for seed in seeds_of(seeds):
+    for seed in parse_seeds(seeds):
         report = run(draw(seed, nodes, seconds), logs / str(seed) if logs else None)
         reports.append(report)
-        click.echo(line_of(report))
+        click.echo(summary_line(report))
         for violation in report.violations[:8]:
             click.echo(f"    {violation}")
     if file is not None:
--- a/testbed/soak/discovery.py
+++ b/testbed/soak/discovery.py
@@ -15,7 +15,7 @@
 Entry = dict[str, object]
 
 
-class Told(Protocol):
+class DiscoveryObserver(Protocol):
     """Who hears what discovery has and writes."""
 
     def changed(self, entries: Iterable[Entry]) -> None:
@@ -37,7 +37,7 @@
 
 
 @dataclass(slots=True)
-class ListOfServers:
+class ServerList:
     """What discovery knows, by version."""
 
     entries: dict[str, Entry] = field(default_factory=dict)
@@ -45,7 +45,7 @@
     changed: asyncio.Condition = field(default_factory=asyncio.Condition)
 
     @property
-    def number(self) -> int:
+    def latest_version(self) -> int:
         """The latest version."""
         return len(self.versions)
 
@@ -57,18 +57,18 @@
                 self.entries.pop(name, None)
             else:
                 self.entries[name] = entry
-        self.versions.append(Version(self.number + 1, entries))
+        self.versions.append(Version(self.latest_version + 1, entries))
 
-    async def announce(self) -> None:
+    async def notify_watches(self) -> None:
         """Wake every watch."""
         async with self.changed:
             self.changed.notify_all()
 
 
-class Place(Server):
+class DiscoveryEndpoint(Server):
     """Discovery at one address, for one node."""
 
-    def __init__(self, node: str, servers: ListOfServers, told: Told) -> None:
+    def __init__(self, node: str, servers: ServerList, told: DiscoveryObserver) -> None:
         super().__init__(("127.0.0.1", 0))
         self.node = node
         self.delay_s = 0.0  # of each call's answer
@@ -76,7 +76,7 @@
         self.down = False
         self.cuts = 0  # further lines that are cut in their middle
         self._servers = servers
-        self._told = told
+        self._observer = told
         self._watches: dict[Connection, None] = {}
         self._silent: set[Connection] = set()
 
@@ -98,7 +98,9 @@
             return
         await connection.stream.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
         self._watches[connection] = None
-        writing = asyncio.create_task(self._write(connection, _after(request.target)))
+        writing = asyncio.create_task(
+            self._write_watch(connection, _requested_generation(request.target))
+        )
         try:
             while await connection.stream.read():
                 pass
@@ -108,25 +110,27 @@
             self._silent.discard(connection)
         raise Ended("the watch")
 
-    async def _write(self, connection: Connection, after: int | None) -> None:
+    async def _write_watch(self, connection: Connection, after: int | None) -> None:
         servers = self._servers
-        sent = servers.number
+        sent = servers.latest_version
         if after is None or after > sent:
-            await self._line(connection, sent, list(servers.entries.values()), whole=True)
+            await self._write_list(connection, sent, list(servers.entries.values()), whole=True)
         else:
-            await self._line(connection, sent, _latest(servers.versions[after:]), whole=False)
+            await self._write_list(
+                connection, sent, _latest_entries(servers.versions[after:]), whole=False
+            )
         while True:
             try:
                 async with asyncio.timeout(HEARTBEAT_S), servers.changed:
-                    await servers.changed.wait_for(lambda: servers.number > sent)  # noqa: B023
+                    await servers.changed.wait_for(lambda: servers.latest_version > sent)  # noqa: B023
             except TimeoutError:
-                await self._send(connection, b"\n")
+                await self._write_chunk(connection, b"\n")
                 continue
-            changes = _latest(servers.versions[sent:])
-            sent = servers.number
-            await self._line(connection, sent, changes, whole=False)
+            changes = _latest_entries(servers.versions[sent:])
+            sent = servers.latest_version
+            await self._write_list(connection, sent, changes, whole=False)
 
-    async def _line(
+    async def _write_list(
         self, connection: Connection, number: int, entries: list[Entry], whole: bool
     ) -> None:
         line = (
@@ -135,13 +139,13 @@
         )
         if self.cuts and len(line) > 200:
             self.cuts -= 1
-            await self._send(connection, line[: len(line) // 2])
+            await self._write_chunk(connection, line[: len(line) // 2])
             connection.stream.abort()
             return
-        if await self._send(connection, line):
-            self._told.notified(self.node, entries)
+        if await self._write_chunk(connection, line):
+            self._observer.notified(self.node, entries)
 
-    async def _send(self, connection: Connection, data: bytes) -> bool:
+    async def _write_chunk(self, connection: Connection, data: bytes) -> bool:
         if connection in self._silent or connection.stream.closed or connection.stream.ended:
             return False
         try:
@@ -151,12 +155,12 @@
         return True
 
 
-def _after(target: str) -> int | None:
+def _requested_generation(target: str) -> int | None:
     number = target.partition("after=")[2]
     return int(number) if number.isdigit() else None
 
 
-def _latest(versions: list[Version]) -> list[Entry]:
+def _latest_entries(versions: list[Version]) -> list[Entry]:
     last = {str(entry["instanceId"]): entry for version in versions for entry in version.entries}
     return list(last.values())
 
@@ -164,56 +168,59 @@
 class Discovery:
     """All places, two for each node, and the faults that they have together."""
 
-    def __init__(self, nodes: list[str], told: Told) -> None:
-        self.servers = ListOfServers()
-        self.places = {
-            node: (Place(node, self.servers, told), Place(node, self.servers, told))
+    def __init__(self, nodes: list[str], told: DiscoveryObserver) -> None:
+        self.servers = ServerList()
+        self.endpoints = {
+            node: (
+                DiscoveryEndpoint(node, self.servers, told),
+                DiscoveryEndpoint(node, self.servers, told),
+            )
             for node in nodes
         }
-        self._told = told
-        self._downs = 0
+        self._observer = told
+        self._outages = 0
 
     def listen(self) -> None:
         """Begin to answer at every place."""
-        for place in self.all():
+        for place in self.all_endpoints():
             place.listen()
 
     def close(self) -> None:
         """End every place."""
-        for place in self.all():
+        for place in self.all_endpoints():
             place.close()
 
-    def all(self) -> list[Place]:
+    def all_endpoints(self) -> list[DiscoveryEndpoint]:
         """Every place."""
-        return [place for pair in self.places.values() for place in pair]
+        return [place for pair in self.endpoints.values() for place in pair]
 
     async def change(self, entries: list[Entry]) -> None:
         """Make one change and write it to every watch."""
         self.servers.change(entries)
-        self._told.changed(entries)
-        await self.servers.announce()
+        self._observer.changed(entries)
+        await self.servers.notify_watches()
 
     def go_down(self) -> None:
         """Watches end and calls fail, until it is back as often as it went down."""
-        self._downs += 1
-        for place in self.all():
+        self._outages += 1
+        for place in self.all_endpoints():
             place.down = True
             place.reset()
-        for node in self.places:
-            self._told.reachable(node, False)
+        for node in self.endpoints:
+            self._observer.reachable(node, False)
 
-    def come_back(self) -> None:
+    def recover(self) -> None:
         """See `go_down`."""
-        self._downs -= 1
-        if self._downs:
+        self._outages -= 1
+        if self._outages:
             return
-        for place in self.all():
+        for place in self.all_endpoints():
             place.down = False
-        for node in self.places:
-            self._told.reachable(node, True)
+        for node in self.endpoints:
+            self._observer.reachable(node, True)
 
 
-def started_entry(name: str, address: Address, cold: bool) -> Entry:
+def in_service_entry(name: str, address: Address, cold: bool) -> Entry:
     """A server in service as discovery lists it."""
     return {
         "instanceId": name,
--- a/testbed/soak/faults.py
+++ b/testbed/soak/faults.py
@@ -11,17 +11,17 @@
 from testbed.soak.servers import SoakServer
 from testbed.soak.world import World
 
-LEAST_SERVING = 4  # servers that no fault takes away
-MOST_REPLACED = 3
-SLOWED = 8.0  # times as long as usual a slow server takes
-STOPPED = (
+MIN_SERVING = 4  # servers that no fault takes away
+MAX_REPLACED = 3
+SLOW_FACTOR = 8.0  # times as long as usual a slow server takes
+TRUNCATED_REQUESTS = (
     b"GET /api/k1 HT",
     b"GET /api/k1 HTTP/1.1\r\nHost: x\r\nX-Txn: stop",
     b"PUT /api/k1 HTTP/1.1\r\nHost: x\r\nContent-Length: 500\r\n\r\nabc",
 )
 
 
-class Faults:
+class FaultInjector:
     """One method for each kind of fault."""
 
     def __init__(self, world: World, notes: list[str]) -> None:
@@ -36,7 +36,7 @@
             Fault.NODE_STALLS: self._stall,
             Fault.NODE_CLOCK: self._step_clock,
             Fault.NODE_CALLS: self._fail_calls,
-            Fault.NODE_SHORT_IO: lambda event: self._node(event).short_io(event.for_s),
+            Fault.NODE_SHORT_IO: lambda event: self._node(event).short_io(event.duration_s),
             Fault.DISCOVERY_DOWN: self._discovery_down,
             Fault.DISCOVERY_SLOW: self._discovery_slow,
             Fault.DISCOVERY_REFUSES: self._discovery_refuses,
@@ -45,19 +45,19 @@
             Fault.DISCOVERY_CUTS: self._discovery_cuts,
             Fault.SERVERS_DRAIN: self._drain_servers,
             Fault.SERVERS_REPLACED: self._replace_servers,
-            Fault.SERVER_HANGS: self._hang,
-            Fault.SERVER_SLOW: self._slow,
-            Fault.SERVER_ERRORS: self._errors,
-            Fault.SERVER_RESETS: self._resets,
-            Fault.CLIENTS_LEAVE: self._leave,
+            Fault.SERVER_HANGS: self._server_hangs,
+            Fault.SERVER_SLOW: self._server_slow,
+            Fault.SERVER_ERRORS: self._server_errors,
+            Fault.SERVER_RESETS: self._server_resets,
+            Fault.CLIENTS_LEAVE: self._clients_leave,
             Fault.CLIENTS_STOP: self._stop_clients,
-            Fault.LOAD_BURST: self._burst,
+            Fault.LOAD_BURST: self._load_burst,
         }
 
-    async def carry_out(self, event: Event) -> None:
+    async def inject(self, event: Event) -> None:
         """One fault, from its beginning to its end."""
         self._notes.append(
-            f"{event.at_s:.2f} {event.kind} {event.target} for {event.for_s:.2f} s, {event.value:g}"
+            f"{event.at_s:.2f} {event.kind} {event.target} for {event.duration_s:.2f} s, {event.value:g}"
         )
         await self._handlers[event.kind](event)
 
@@ -76,46 +76,46 @@
         self._node(event).shim.step_wall_clock(int(event.value))
 
     async def _fail_calls(self, event: Event) -> None:
-        self._notes.append(await self._node(event).fail_calls(int(event.value), event.for_s))
+        self._notes.append(await self._node(event).fail_calls(int(event.value), event.duration_s))
 
     # -- of discovery --------------------------------------------------------------------
 
     async def _discovery_down(self, event: Event) -> None:
         self._world.discovery.go_down()
-        await asyncio.sleep(event.for_s)
-        self._world.discovery.come_back()
+        await asyncio.sleep(event.duration_s)
+        self._world.discovery.recover()
 
     async def _discovery_slow(self, event: Event) -> None:
-        for place in self._world.discovery.all():
+        for place in self._world.discovery.all_endpoints():
             place.delay_s, place.refusals = event.value, 0
-        await asyncio.sleep(event.for_s)
-        for place in self._world.discovery.all():
+        await asyncio.sleep(event.duration_s)
+        for place in self._world.discovery.all_endpoints():
             place.delay_s = 0.0
 
     async def _discovery_refuses(self, event: Event) -> None:
-        for place in self._world.discovery.all():
+        for place in self._world.discovery.all_endpoints():
             if (
                 not place.delay_s
             ):  # late and refused calls together leave no time that any node could keep
                 place.refusals = int(event.value)
 
     async def _discovery_silent(self, event: Event) -> None:
-        for place in self._world.discovery.all():
+        for place in self._world.discovery.all_endpoints():
             place.silence()
 
     async def _discovery_resets(self, event: Event) -> None:
-        for place in self._world.discovery.all():
+        for place in self._world.discovery.all_endpoints():
             place.reset()
 
     async def _discovery_cuts(self, event: Event) -> None:
-        for place in self._world.discovery.all():
+        for place in self._world.discovery.all_endpoints():
             place.cuts = 1
 
     # -- of servers ----------------------------------------------------------------------
 
     async def _drain_servers(self, event: Event) -> None:
         serving = self._world.serving()
-        leaving = serving[event.target % 2 :: 4][: max(0, len(serving) - LEAST_SERVING)]
+        leaving = serving[event.target % 2 :: 4][: max(0, len(serving) - MIN_SERVING)]
         entries: list[Entry] = [
             {**self._world.discovery.servers.entries[server.name], "lifecycle": "terminating"}
             for server in leaving
@@ -125,7 +125,7 @@
 
     async def _replace_servers(self, event: Event) -> None:
         ending = self._world.serving()[
-            : max(0, min(MOST_REPLACED, len(self._world.serving()) - LEAST_SERVING))
+            : max(0, min(MAX_REPLACED, len(self._world.serving()) - MIN_SERVING))
         ]
         entries: list[Entry] = [
             {**self._world.discovery.servers.entries[server.name], "lifecycle": "terminated"}
@@ -137,47 +137,47 @@
         if entries:
             await self._world.discovery.change(entries)
 
-    async def _hang(self, event: Event) -> None:
+    async def _server_hangs(self, event: Event) -> None:
         server = self._server(event)
         gate = server.hang = asyncio.Event()
-        await asyncio.sleep(event.for_s)
+        await asyncio.sleep(event.duration_s)
         server.hang = None
         gate.set()
 
-    async def _slow(self, event: Event) -> None:
+    async def _server_slow(self, event: Event) -> None:
         server = self._server(event)
-        server.slow = SLOWED
-        await asyncio.sleep(event.for_s)
+        server.slow = SLOW_FACTOR
+        await asyncio.sleep(event.duration_s)
         server.slow = 1.0
 
-    async def _errors(self, event: Event) -> None:
+    async def _server_errors(self, event: Event) -> None:
         self._server(event).errors += int(event.value)
 
-    async def _resets(self, event: Event) -> None:
+    async def _server_resets(self, event: Event) -> None:
         server = self._server(event)
         server.broken_share = 0.4
-        await asyncio.sleep(event.for_s)
+        await asyncio.sleep(event.duration_s)
         server.broken_share = 0.0
 
     # -- of clients ----------------------------------------------------------------------
 
-    async def _leave(self, event: Event) -> None:
+    async def _clients_leave(self, event: Event) -> None:
         clients = self._world.clients
         before = clients.left_share
         clients.left_share, clients.leave_ms, clients.leave_oddly = 0.4, 400.0, True
-        await asyncio.sleep(event.for_s)
+        await asyncio.sleep(event.duration_s)
         clients.left_share, clients.leave_ms, clients.leave_oddly = before, 60.0, False
 
     async def _stop_clients(self, event: Event) -> None:
         node = self._node(event)
         for n in range(int(event.value)):
-            data = STOPPED[n % len(STOPPED)]
+            data = TRUNCATED_REQUESTS[n % len(TRUNCATED_REQUESTS)]
             if not node.down:
                 self._world.clients.be_rude(
                     node.name, f"client that stops after {len(data)} bytes", data
                 )
 
-    async def _burst(self, event: Event) -> None:
+    async def _load_burst(self, event: Event) -> None:
         self._world.clients.rate = 2.0 * self._world.plan.requests_per_s
-        await asyncio.sleep(event.for_s)
+        await asyncio.sleep(event.duration_s)
         self._world.clients.rate = self._world.plan.requests_per_s
--- a/testbed/soak/large_fleet.py
+++ b/testbed/soak/large_fleet.py
@@ -29,9 +29,9 @@
 from corkshift import seam
 from corkshift.seam import Address, now_ms
 from corkshift.stream import KERNEL_BUFFER_BYTES
-from testbed.soak.__main__ import seeds_of
-from testbed.soak.discovery import Entry, ListOfServers, Place, started_entry
-from testbed.soak.oracle import Oracle, Rule, Spans
+from testbed.soak.__main__ import parse_seeds
+from testbed.soak.discovery import DiscoveryEndpoint, Entry, ServerList, in_service_entry
+from testbed.soak.oracle import Intervals, Oracle, Rule
 from testbed.soak.shim import Shim, build
 from testbed.systems.clients import CLASSES, Ask, Clients, settings
 from testbed.systems.serving import Connection, Message, Server, fetch
@@ -48,19 +48,17 @@
 AIM_MS = 800.0
 ANSWER_SLACK_MS = 500.0  # a later answer is a lost request
 ATTEMPT_SLACK_MS = 100.0  # past its client's time an attempt may begin for so long
-ASK_WITHIN_MS = 10_000.0
+POLL_WITHIN_MS = 10_000.0
 MEMORY_MB = 80
 SOCKETS = 1_024
-READY_S = 30.0
-END_S = (
+READY_TIMEOUT_S = 30.0
+SHUTDOWN_LIMIT_S = (
     DEADLINE_MS / 1000.0 + 0.7 + 0.5
 )  # after SIGTERM: when SIGKILL may come, and half a second for the harness
-LIST_S = 0.6  # from the clients' start to the first list
-SEEN_S = 0.25  # between two looks at the node's memory
-MOST_KNOWN = 1_500  # servers for which the oracle keeps a budget of cold work
-CLASSES_OF_THE_RUN = tuple(
-    replace(kind, aim_ms=AIM_MS, deadline_ms=DEADLINE_MS) for kind in CLASSES
-)
+FIRST_LIST_DELAY_S = 0.6  # from the clients' start to the first list
+SAMPLE_INTERVAL_S = 0.25  # between two looks at the node's memory
+MAX_COLD_BUDGETS = 1_500  # servers for which the oracle keeps a budget of cold work
+RUN_CLASSES = tuple(replace(kind, aim_ms=AIM_MS, deadline_ms=DEADLINE_MS) for kind in CLASSES)
 
 
 class WatchFault(StrEnum):
@@ -119,7 +117,7 @@
 
 SIZES = (200, 400, 800, 1_600, 3_200)
 CORE_SHARES = (1.0, 0.5, 0.3, 0.2, 0.1)
-DRAWN_S = 12.0  # of load in a drawn scenario
+DRAWN_LOAD_S = 12.0  # of load in a drawn scenario
 LAST_FAULT_S = 8.0
 
 
@@ -134,7 +132,7 @@
     return Scenario(
         servers=rng.choice(SIZES),
         core_share=rng.choice(CORE_SHARES),
-        seconds=DRAWN_S,
+        seconds=DRAWN_LOAD_S,
         requests_per_s=rng.choice((15.0, 30.0)),
         replace_every_s=every_s,
         replaced_part=rng.choice((0.01, 0.02)) * every_s,
@@ -166,7 +164,7 @@
         self._listener = sock
         asyncio.get_running_loop().add_reader(sock, self._accept)
 
-    def start(self, cold: bool) -> Entry:
+    def start_server(self, cold: bool) -> Entry:
         """One more cache server; its entry in the list."""
         number = len(self._names)
         name = f"s{number}"
@@ -175,14 +173,14 @@
             self.address[1],
         )
         self._names[f"{address[0]}:{address[1]}"] = name
-        if cold and len(self.oracle.cold) < MOST_KNOWN:
+        if cold and len(self.oracle.cold) < MAX_COLD_BUDGETS:
             spec = BoxSpec()
             self.oracle.cold[name] = ColdBox(
                 name, spec.cold_from, spec.cold_ms, float("inf"), now_ms()
             )
-        return started_entry(name, address, cold)
+        return in_service_entry(name, address, cold)
 
-    def expect(self, ask: Ask) -> None:
+    def note_deadline(self, ask: Ask) -> None:
         """A client has sent this request."""
         self._deadlines_ms[ask.txn] = ask.sent_ms + ask.budget_ms
 
@@ -192,7 +190,7 @@
         deadline_ms = self._deadlines_ms.get(txn)
         if (
             deadline_ms is not None
-            and now_ms() > deadline_ms + ATTEMPT_SLACK_MS + self.oracle.lag.since(deadline_ms)
+            and now_ms() > deadline_ms + ATTEMPT_SLACK_MS + self.oracle.lag.worst_since(deadline_ms)
         ):
             self.late_attempts += 1
         self.oracle.arrived(name, txn, float(told) if told.isdigit() else None)
@@ -202,29 +200,29 @@
         await connection.answer(200, body, {"X-Found": "hit"})
 
 
-class FirstCall(Place):
+class ObservedEndpoint(DiscoveryEndpoint):
     """Discovery that notes when it first answered a call with the list."""
 
-    answered_ms: Optional[float] = None
-    forgets = False  # the next call gets the whole list, whatever it asks for
+    first_answer_ms: Optional[float] = None
+    send_full_list = False  # the next call gets the whole list, whatever it asks for
 
     async def serve(self, connection: Connection, request: Message) -> None:
-        if self.answered_ms is None and not self.down:
-            self.answered_ms = now_ms()
-        if self.forgets and not self.down:
-            self.forgets = False
+        if self.first_answer_ms is None and not self.down:
+            self.first_answer_ms = now_ms()
+        if self.send_full_list and not self.down:
+            self.send_full_list = False
             request = replace(request, target=request.target.partition("&after=")[0])
         await super().serve(connection, request)
 
 
-class RangeOracle(Oracle):
+class LargeFleetOracle(Oracle):
     """The soak's oracle, which tells the servers of each request."""
 
     servers: ServerRange
 
     def asked(self, ask: Ask) -> None:
         super().asked(ask)
-        self.servers.expect(ask)
+        self.servers.note_deadline(ask)
 
 
 class LargeFleet:
@@ -233,10 +231,10 @@
     def __init__(self, scenario: Scenario, folder: Path) -> None:
         self.scenario = scenario
         self._folder = folder
-        self._oracle = RangeOracle(grace_ms=250.0)
+        self._oracle = LargeFleetOracle(grace_ms=250.0)
         self._servers = self._oracle.servers = ServerRange(self._oracle)
-        self._list = ListOfServers()
-        self._place = FirstCall(NODE, self._list, self._oracle)
+        self._server_list = ServerList()
+        self._endpoint = ObservedEndpoint(NODE, self._server_list, self._oracle)
         self._ports = Ports()
         self._clients = Clients(
             {},
@@ -244,49 +242,53 @@
             scenario.seed,
             2_000,
             scenario.requests_per_s,
-            classes=CLASSES_OF_THE_RUN,
+            classes=RUN_CLASSES,
         )
         self._clients.slack_ms = ANSWER_SLACK_MS
         self._shim = Shim(build(folder), folder / "node.shim")
         self._listen: Address = (HOST, self._ports.take())
-        self._memory: list[float] = []
-        self._served: list[tuple[float, int]] = []  # (s after the first list, served so far)
-        self._listed_ms = 0.0
+        self._memory_samples_mb: list[float] = []
+        self._served_samples: list[
+            tuple[float, int]
+        ] = []  # (s after the first list, served so far)
+        self._first_list_ms = 0.0
         self._log = folder / "node.log"
 
-    async def play(self) -> Result:
+    async def run(self) -> Result:
         """Play it."""
         self._servers.listen()
-        self._place.listen()
-        self._place.down = True
+        self._endpoint.listen()
+        self._endpoint.down = True
         for table in (
-            self._oracle.unreachable,
-            self._oracle.hurt,
-            self._oracle.held_up,
-            self._oracle.deaf,
+            self._oracle.discovery_unreachable,
+            self._oracle.exempt,
+            self._oracle.stalled,
+            self._oracle.slow_io,
         ):
-            table[NODE] = Spans()
+            table[NODE] = Intervals()
         process = await self._start()
         measuring = asyncio.create_task(self._oracle.lag.measure())
         background = [measuring]
-        crowd = await self._crowd()
+        crowd = await self._open_idle_clients()
         try:
             self._clients.nodes[NODE] = self._listen
-            load = asyncio.create_task(self._clients.run(LIST_S + self.scenario.seconds))
-            await asyncio.sleep(LIST_S)
-            self._list.change(
-                [self._servers.start(cold=False) for _ in range(self.scenario.servers)]
+            load = asyncio.create_task(
+                self._clients.run(FIRST_LIST_DELAY_S + self.scenario.seconds)
+            )
+            await asyncio.sleep(FIRST_LIST_DELAY_S)
+            self._server_list.change(
+                [self._servers.start_server(cold=False) for _ in range(self.scenario.servers)]
             )
-            self._place.down = False
-            self._listed_ms = now_ms()
+            self._endpoint.down = False
+            self._first_list_ms = now_ms()
             background += [
                 asyncio.create_task(task)
-                for task in (self._replace(), self._look(process.pid), self._spoil())
+                for task in (self._replace(), self._sample(process.pid), self._inject_faults())
             ]
             await load
             for task in background[1:]:
                 task.cancel()
-            ended_s = await self._end(process)
+            ended_s = await self._terminate(process)
         finally:
             for task in background:
                 task.cancel()
@@ -297,27 +299,27 @@
             if process.returncode is None:
                 process.kill()
             await process.wait()
-            self._place.close()
+            self._endpoint.close()
             self._servers.close()
             self._ports.close()
             self._shim.close()
         for task in background:
             if not task.cancelled() and (error := task.exception()) is not None:
-                self._oracle.broken(Rule.CRASH, f"the rig itself failed: {error!r}")
+                self._oracle.record_violation(Rule.CRASH, f"the rig itself failed: {error!r}")
         return self._result(ended_s)
 
     async def _start(self) -> asyncio.subprocess.Process:
         config: dict[str, Any] = {
             "name": NODE,
             "listen": f"{HOST}:{self._listen[1]}",
-            "discovery": f"{HOST}:{self._place.address[1]}",
+            "discovery": f"{HOST}:{self._endpoint.address[1]}",
             "seed": "1",
             "limits": {
                 "cores": self.scenario.core_share,
                 "memory_mb": MEMORY_MB,
                 "sockets": SOCKETS,
             },
-            "settings": settings(CLASSES_OF_THE_RUN, ASK_WITHIN_MS),
+            "settings": settings(RUN_CLASSES, POLL_WITHIN_MS),
         }
         path = self._folder / "node.json"
         path.write_text(json.dumps(config))
@@ -327,16 +329,16 @@
                 sys.executable, "-m", "corkshift", cwd=ROOT, env=environ, stdin=asyncio.subprocess.DEVNULL, stdout=log, stderr=log,
                 preexec_fn=die_with_parent,
             )  # fmt: skip
-        async with asyncio.timeout(READY_S):
+        async with asyncio.timeout(READY_TIMEOUT_S):
             while await fetch(self._listen, "/up") is None:
                 await asyncio.sleep(0.02)
-        self._shim.share_core(self.scenario.core_share)
+        self._shim.limit_core_share(self.scenario.core_share)
         return process
 
     async def _replace(self) -> None:
         """Some servers leave and as many start, over and over; those that drained are gone a round later."""
         leaving: list[Entry] = []
-        serving = list(self._list.entries.values())
+        serving = list(self._server_list.entries.values())
         count = max(1, round(self.scenario.replaced_part * self.scenario.servers))
         while True:
             await asyncio.sleep(self.scenario.replace_every_s)
@@ -344,31 +346,31 @@
             leaving, serving = serving[:count], serving[count:]
             if not self.scenario.drain:
                 gone, leaving = [{**entry, "lifecycle": "terminated"} for entry in leaving], []
-            started = [self._servers.start(cold=True) for _ in range(count)]
+            started = [self._servers.start_server(cold=True) for _ in range(count)]
             serving += started
             change: list[Entry] = [
                 *gone,
                 *({**entry, "lifecycle": "terminating"} for entry in leaving),
                 *started,
             ]
-            self._list.change(change)
+            self._server_list.change(change)
             self._oracle.changed(change)
-            await self._list.announce()
+            await self._server_list.notify_watches()
 
-    async def _spoil(self) -> None:
+    async def _inject_faults(self) -> None:
         """Faults of the watch, each at its time."""
         for at_s, fault in self.scenario.faults:
-            await asyncio.sleep(max(0.0, at_s - (now_ms() - self._listed_ms) / 1000.0))
+            await asyncio.sleep(max(0.0, at_s - (now_ms() - self._first_list_ms) / 1000.0))
             if fault is WatchFault.SILENT:
-                self._place.silence()
+                self._endpoint.silence()
             elif fault is WatchFault.CUT:
-                self._place.cuts = 1
+                self._endpoint.cuts = 1
             else:
                 if fault is WatchFault.WHOLE_LIST:
-                    self._place.forgets = True
-                self._place.reset()
+                    self._endpoint.send_full_list = True
+                self._endpoint.reset()
 
-    async def _crowd(self) -> list[socket.socket]:
+    async def _open_idle_clients(self) -> list[socket.socket]:
         """Connections on which nothing is asked."""
         crowd = []
         for _ in range(self.scenario.idle_clients):
@@ -381,20 +383,20 @@
                 )
         return crowd
 
-    async def _look(self, pid: int) -> None:
+    async def _sample(self, pid: int) -> None:
         while True:
             status = Path(f"/proc/{pid}/status").read_text()
-            self._memory.append(int(status.partition("VmRSS:")[2].split()[0]) / 1024.0)
-            self._served.append(
-                ((now_ms() - self._listed_ms) / 1000.0, self._clients.figures.served)
+            self._memory_samples_mb.append(int(status.partition("VmRSS:")[2].split()[0]) / 1024.0)
+            self._served_samples.append(
+                ((now_ms() - self._first_list_ms) / 1000.0, self._clients.figures.served)
             )
-            await asyncio.sleep(SEEN_S)
+            await asyncio.sleep(SAMPLE_INTERVAL_S)
 
-    async def _end(self, process: asyncio.subprocess.Process) -> Optional[float]:
+    async def _terminate(self, process: asyncio.subprocess.Process) -> Optional[float]:
         begun = now_ms()
         process.send_signal(signal.SIGTERM)
         try:
-            async with asyncio.timeout(END_S):
+            async with asyncio.timeout(SHUTDOWN_LIMIT_S):
                 await process.wait()
         except TimeoutError:
             return None
@@ -405,7 +407,7 @@
         figures, log = self._clients.figures, self._log.read_text()
         if "Traceback" in log:
             at = log.index("Traceback")
-            self._oracle.broken(Rule.CRASH, log[max(0, at - 200) : at + 600])
+            self._oracle.record_violation(Rule.CRASH, log[max(0, at - 200) : at + 600])
         return Result(
             scenario=self.scenario,
             violations=[str(violation) for violation in self._oracle.violations],
@@ -418,34 +420,39 @@
             served_by_third=self._thirds(figures.served),
             first_served_s=self._first_served_s(),
             ended_s=ended_s,
-            memory_mb=(round(self._memory[len(self._memory) // 2], 1), round(self._memory[-1], 1)),
+            memory_mb=(
+                round(self._memory_samples_mb[len(self._memory_samples_mb) // 2], 1),
+                round(self._memory_samples_mb[-1], 1),
+            ),
             decisions_failed=log.count("a decision failed"),
             harness_late_ms=round(self._oracle.lag.worst_ms, 1),
         )
 
     def _first_served_s(self) -> Optional[float]:
-        asked_s = ((self._place.answered_ms or self._listed_ms) - self._listed_ms) / 1000.0
-        return next((round(at - asked_s, 2) for at, served in self._served if served), None)
+        asked_s = (
+            (self._endpoint.first_answer_ms or self._first_list_ms) - self._first_list_ms
+        ) / 1000.0
+        return next((round(at - asked_s, 2) for at, served in self._served_samples if served), None)
 
     def _thirds(self, served: int) -> tuple[int, int, int]:
         third = self.scenario.seconds / 3.0
         marks = [
-            max((count for at, count in self._served if at <= third * part), default=0)
+            max((count for at, count in self._served_samples if at <= third * part), default=0)
             for part in (1, 2)
         ]
         return marks[0], marks[1] - marks[0], served - marks[1]
 
 
-def run(scenario: Scenario, keep: Optional[Path] = None) -> Result:
+def run(scenario: Scenario, log_folder: Optional[Path] = None) -> Result:
     """Play a scenario in a folder of its own; `keep` names one in which the node's log stays."""
-    if keep is not None:
-        keep.mkdir(parents=True, exist_ok=True)
-        return asyncio.run(LargeFleet(scenario, keep).play())
+    if log_folder is not None:
+        log_folder.mkdir(parents=True, exist_ok=True)
+        return asyncio.run(LargeFleet(scenario, log_folder).run())
     with tempfile.TemporaryDirectory(prefix="gradeshift-large-") as folder:
-        return asyncio.run(LargeFleet(scenario, Path(folder)).play())
+        return asyncio.run(LargeFleet(scenario, Path(folder)).run())
 
 
-def line_of(result: Result) -> str:
+def summary_line(result: Result) -> str:
     """One result in one line."""
     scenario = result.scenario
     state = "kept" if result.kept else f"{len(result.violations)} VIOLATIONS"
@@ -467,7 +474,7 @@
     return ", ".join(parts)
 
 
-def _numbers(text: str) -> list[float]:
+def _parse_numbers(text: str) -> list[float]:
     return [float(part) for part in text.split(",")]
 
 
@@ -503,7 +510,7 @@
 ) -> None:  # fmt: skip
     """Play each number of servers with each share, or what seeds draw; exits with 1 where a rule was broken."""
     if seeds:
-        scenarios = [draw(number) for number in seeds_of(seeds)]
+        scenarios = [draw(number) for number in parse_seeds(seeds)]
     else:
         scenarios = [
             Scenario(
@@ -515,8 +522,8 @@
                 drain=drain,
                 seed=seed,
             )
-            for count in map(int, _numbers(servers))
-            for share in _numbers(shares)
+            for count in map(int, _parse_numbers(servers))
+            for share in _parse_numbers(shares)
         ]
     results = []
     for scenario in scenarios:
@@ -525,7 +532,7 @@
             logs / f"{scenario.seed}-{scenario.servers}-{scenario.core_share:g}" if logs else None,
         )
         results.append(result)
-        click.echo(line_of(result))
+        click.echo(summary_line(result))
         for violation in result.violations[:6]:
             click.echo(f"    {violation}")
     if file is not None:
--- a/testbed/soak/nodes.py
+++ b/testbed/soak/nodes.py
@@ -17,19 +17,21 @@
 from corkshift.seam import Address, now_ms
 from testbed.soak.discovery import Discovery
 from testbed.soak.oracle import Oracle, Rule
-from testbed.soak.plan import RELOADS_APART_S
-from testbed.soak.shim import ACCEPT_ERRORS, SHORTAGES, Shim, SystemCall
+from testbed.soak.plan import RELOAD_INTERVALS_S
+from testbed.soak.shim import ACCEPT_ERRORS, LOCAL_CONNECT_ERRORS, Shim, SystemCall
 from testbed.systems.serving import fetch
 from testbed.tier.processes import die_with_parent
 
 ROOT = Path(__file__).parents[2]
-READY_S = 30.0
-END_S = 4.3  # after SIGTERM
-FRONT_S = 0.8  # until clients know that a node has died,
-NEW_S = 0.35  # and for how long after SIGTERM they make new connections to it
-LOCAL_FAULT_MS = 400.0  # of accept: what waits in the queue has its time counted from its last byte
-SHORT_MS = 50.0  # of reads and writes
-CONNECT_ERRORS = (*SHORTAGES, errno.EHOSTUNREACH, errno.ETIMEDOUT)
+READY_TIMEOUT_S = 30.0
+SHUTDOWN_LIMIT_S = 4.3  # after SIGTERM
+CRASH_DETECTION_S = 0.8  # until clients know that a node has died,
+SHUTDOWN_DETECTION_S = 0.35  # and for how long after SIGTERM they make new connections to it
+MAX_ACCEPT_FAULT_MS = (
+    400.0  # of accept: what waits in the queue has its time counted from its last byte
+)
+MAX_IO_FAULT_MS = 50.0  # of reads and writes
+CONNECT_ERRORS = (*LOCAL_CONNECT_ERRORS, errno.EHOSTUNREACH, errno.ETIMEDOUT)
 SOCKET_ERRORS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
 BUFFER_ERRORS = (errno.ENOBUFS, errno.ENOMEM, errno.EINTR)
 CALL_ERRORS: dict[SystemCall, tuple[int, ...]] = {
@@ -52,11 +54,11 @@
     config: dict[str, Any]
     discovery: Discovery
     oracle: Oracle
-    place: int = 0  # of discovery that its configuration names
+    endpoint_index: int = 0  # of discovery that its configuration names
     process: Optional[asyncio.subprocess.Process] = None
     down_from_s: float = 0.0  # clients send it nothing from then on
-    busy: bool = False  # it is being ended or started
-    exits: list[int] = field(default_factory=list)
+    restarting: bool = False  # it is being ended or started
+    exit_codes: list[int] = field(default_factory=list)
 
     @property
     def down(self) -> bool:
@@ -70,13 +72,13 @@
 
     # -- its life ------------------------------------------------------------------------
 
-    def configure(self) -> None:
+    def write_config(self) -> None:
         """Write its file: discovery's place, and the list as it is now."""
-        host, port = self.discovery.places[self.name][self.place].address
+        host, port = self.discovery.endpoints[self.name][self.endpoint_index].address
         self.config["discovery"] = f"{host}:{port}"
         servers = self.discovery.servers
         self.config["known"] = {
-            "generation": servers.number,
+            "generation": servers.latest_version,
             "reset": True,
             "instances": list(servers.entries.values()),
         }
@@ -88,7 +90,7 @@
 
     async def start(self) -> None:
         """Start a process by a fresh file."""
-        self.configure()
+        self.write_config()
         environ = {
             **os.environ,
             **self.shim.environment,
@@ -102,28 +104,28 @@
             )  # fmt: skip
         self.oracle.started_ms[self.name] = now_ms()
 
-    async def ready(self) -> None:
+    async def wait_ready(self) -> None:
         """Until it answers; RuntimeError where it has ended, TimeoutError after READY_S."""
-        async with asyncio.timeout(READY_S):
+        async with asyncio.timeout(READY_TIMEOUT_S):
             while await fetch(self.listen, "/up") is None:
                 if self.process is None or self.process.returncode is not None:
                     raise RuntimeError(f"{self.name} does not start: {self.log[-800:]}")
                 await asyncio.sleep(0.05)
 
-    async def come_back(self) -> None:
+    async def start_again(self) -> None:
         """Start it again, and let clients know."""
         await self.start()
-        await self.ready()
+        await self.wait_ready()
         self.down_from_s = 0.0
 
-    async def bury(self) -> None:
+    async def stop(self) -> None:
         """End it for good."""
         if self.process is not None:
             if self.process.returncode is None:
                 with suppress(ProcessLookupError):
                     self.process.kill()
-            elif not self.busy:
-                self.exits.append(self.process.returncode)
+            elif not self.restarting:
+                self.exit_codes.append(self.process.returncode)
             await self.process.wait()
         self.shim.close()
 
@@ -131,56 +133,58 @@
 
     async def kill(self) -> None:
         """SIGKILL, and a new process a moment later."""
-        if self.busy or self.process is None:
+        if self.restarting or self.process is None:
             return
-        self.busy = True
+        self.restarting = True
         try:
-            self.oracle.hurt[self.name].begin()
+            self.oracle.exempt[self.name].begin()
             self.process.kill()
-            self.down_from_s = time.monotonic() + FRONT_S
-            self.exits.append(await self.process.wait())
+            self.down_from_s = time.monotonic() + CRASH_DETECTION_S
+            self.exit_codes.append(await self.process.wait())
             await asyncio.sleep(0.3)
-            await self.come_back()
-            self.oracle.hurt[self.name].end()
+            await self.start_again()
+            self.oracle.exempt[self.name].end()
         finally:
-            self.busy = False
+            self.restarting = False
 
     async def restart(self) -> None:
         """SIGTERM, and a new process once it has ended."""
-        if self.busy or self.process is None:
+        if self.restarting or self.process is None:
             return
-        self.busy = True
+        self.restarting = True
         try:
             self.process.send_signal(signal.SIGTERM)
-            self.down_from_s = time.monotonic() + NEW_S
+            self.down_from_s = time.monotonic() + SHUTDOWN_DETECTION_S
             try:
-                async with asyncio.timeout(END_S):
-                    self.exits.append(await self.process.wait())
+                async with asyncio.timeout(SHUTDOWN_LIMIT_S):
+                    self.exit_codes.append(await self.process.wait())
             except TimeoutError:
-                self.oracle.broken(Rule.CRASH, f"{self.name} has not ended {END_S} s after SIGTERM")
+                self.oracle.record_violation(
+                    Rule.CRASH, f"{self.name} has not ended {SHUTDOWN_LIMIT_S} s after SIGTERM"
+                )
                 self.process.kill()
                 await self.process.wait()
-            await self.come_back()
+            await self.start_again()
         finally:
-            self.busy = False
+            self.restarting = False
 
     async def reload(self, times: int) -> None:
         """So many SIGHUPs in a row, each moving discovery to its other place."""
         for n in range(times):
-            if self.busy or self.process is None:
+            if self.restarting or self.process is None:
                 return
-            self.place = 1 - self.place
-            self.configure()
+            self.endpoint_index = 1 - self.endpoint_index
+            self.write_config()
             with suppress(ProcessLookupError):
                 self.process.send_signal(signal.SIGHUP)
-            if n < len(RELOADS_APART_S):
-                await asyncio.sleep(RELOADS_APART_S[n])
+            if n < len(RELOAD_INTERVALS_S):
+                await asyncio.sleep(RELOAD_INTERVALS_S[n])
 
     async def pause(self, for_ms: float) -> None:
         """Stop the process for so long."""
-        if self.busy or self.process is None:
+        if self.restarting or self.process is None:
             return
-        process, held_up = self.process, self.oracle.held_up[self.name]
+        process, held_up = self.process, self.oracle.stalled[self.name]
         held_up.begin()
         with suppress(ProcessLookupError):
             process.send_signal(signal.SIGSTOP)
@@ -192,10 +196,10 @@
     def stall(self, times: int) -> None:
         """Hold it up for 0.15 s before each of its next writes."""
         span_ms = 150.0 * times + 1_000.0
-        self.oracle.held_up[self.name].add(now_ms(), now_ms() + span_ms)
+        self.oracle.stalled[self.name].add(now_ms(), now_ms() + span_ms)
         if times > 1:  # several stalls in a row are more than the rules allow for
-            self.oracle.deaf[self.name].add(now_ms(), now_ms() + span_ms)
-            self.oracle.hurt[self.name].add(now_ms() - 1.0, now_ms() + span_ms)
+            self.oracle.slow_io[self.name].add(now_ms(), now_ms() + span_ms)
+            self.oracle.exempt[self.name].add(now_ms() - 1.0, now_ms() + span_ms)
         self.shim.stall_writes(150, times)
 
     async def fail_calls(self, draw: int, for_s: float) -> str:
@@ -203,9 +207,9 @@
         call = SystemCall(draw % len(SystemCall))
         error = CALL_ERRORS[call][draw % len(CALL_ERRORS[call])]
         most_ms = {
-            SystemCall.ACCEPT: LOCAL_FAULT_MS,
-            SystemCall.SEND: SHORT_MS,
-            SystemCall.RECV: SHORT_MS,
+            SystemCall.ACCEPT: MAX_ACCEPT_FAULT_MS,
+            SystemCall.SEND: MAX_IO_FAULT_MS,
+            SystemCall.RECV: MAX_IO_FAULT_MS,
         }.get(call, 10_000.0)
         for_s = min(for_s, most_ms / 1000.0)
         blocks = call in (SystemCall.CONNECT, SystemCall.SOCKET)
@@ -213,16 +217,16 @@
             self.oracle.reachable(self.name, False)
         self.shim.fail(call, error)
         await asyncio.sleep(for_s)
-        self.shim.heal(call)
+        self.shim.restore(call)
         if blocks:
             self.oracle.reachable(self.name, True)
         return f"{self.name}: {call.name.lower()} fails with {errno.errorcode[error]} for {for_s} s"
 
     async def short_io(self, for_s: float) -> None:
         """Its reads and writes move single bytes for a while."""
-        self.oracle.deaf[self.name].begin()
+        self.oracle.slow_io[self.name].begin()
         self.shim.move_single_bytes(True)
         await asyncio.sleep(for_s)
         self.shim.move_single_bytes(False)
         await asyncio.sleep(0.3)
-        self.oracle.deaf[self.name].end()
+        self.oracle.slow_io[self.name].end()
--- a/testbed/soak/oracle.py
+++ b/testbed/soak/oracle.py
@@ -21,15 +21,19 @@
 from testbed.systems.standins import CacheBox, Witness
 from testbed.tier.books import ColdBox
 
-NOTIFIED_MS = 6_000.0  # after discovery had a change and could be reached it counts as notified
-STARTING_MS = (
+NOTIFICATION_LIMIT_MS = (
+    6_000.0  # after discovery had a change and could be reached it counts as notified
+)
+STARTUP_LIMIT_MS = (
     10_000.0  # a new process is held to the list that it was given for so long (`mustAskInMs`)
 )
 SOCKET_SLACK_MS = 50.0  # of each limit of the rules
-LEFT_MS = 100.0  # after its client closed no attempt of a request may begin
+CLIENT_LEFT_SLACK_MS = 100.0  # after its client closed no attempt of a request may begin
 DEADLINE_SLACK_MS = 150.0  # of the deadline that a server is told
-LEAST_UNFRAMED = 20  # complete answers with no length, from which on their share is looked at,
-UNFRAMED_SHARE = 0.5  # and that share
+MIN_UNFRAMED_ANSWERS = (
+    20  # complete answers with no length, from which on their share is looked at,
+)
+MIN_UNFRAMED_SERVED_SHARE = 0.5  # and that share
 
 
 class Rule(StrEnum):
@@ -69,7 +73,7 @@
 
 
 @dataclass(slots=True)
-class Record:
+class RequestRecord:
     """All that is known of one request."""
 
     ask: Ask
@@ -84,47 +88,47 @@
         return [arrival for arrival in self.arrivals if not arrival.turned_away]
 
 
-class Spans:
+class Intervals:
     """When something was so, as spans of time; the last one may be open."""
 
     def __init__(self) -> None:
-        self._spans: list[tuple[float, float]] = []
+        self._intervals: list[tuple[float, float]] = []
         self._open = 0
 
     def begin(self) -> None:
         """It is so from now on."""
         if not self._open:
-            self._spans.append((now_ms(), inf))
+            self._intervals.append((now_ms(), inf))
         self._open += 1
 
     def end(self) -> None:
         """It is no longer so, if it has ended as often as it began."""
         self._open = max(0, self._open - 1)
-        if not self._open and self._spans and self._spans[-1][1] == inf:
-            self._spans[-1] = (self._spans[-1][0], now_ms())
+        if not self._open and self._intervals and self._intervals[-1][1] == inf:
+            self._intervals[-1] = (self._intervals[-1][0], now_ms())
 
     def add(self, since: float, until: float) -> None:
         """It is so from then until then."""
-        self._spans.append((since, until))
+        self._intervals.append((since, until))
 
-    def overlap(self, since: float, until: float) -> bool:
+    def overlaps(self, since: float, until: float) -> bool:
         """Whether it was so at any moment between."""
-        return any(begin <= until and end >= since for begin, end in self._spans)
+        return any(begin <= until and end >= since for begin, end in self._intervals)
 
-    def quiet_for(self, since: float, span_ms: float) -> float:
+    def end_of_first_gap(self, since: float, span_ms: float) -> float:
         """The first moment at which it was not so for this long, from `since` on; inf where none has come."""
         start = since
-        for begin, end in sorted(self._spans):
+        for begin, end in sorted(self._intervals):
             if start + span_ms <= begin:
                 break
             start = max(start, end)
         return start + span_ms
 
 
-class Lag:
+class EventLoopLag:
     """How late this process runs: the stand-ins see what happens by so much later."""
 
-    STEP_S = 0.005
+    INTERVAL_S = 0.005
 
     def __init__(self) -> None:
         self.worst_ms = 0.0
@@ -135,13 +139,13 @@
         loop = asyncio.get_running_loop()
         while True:
             before = loop.time()
-            await asyncio.sleep(self.STEP_S)
-            late_ms = 1000.0 * (loop.time() - before - self.STEP_S)
+            await asyncio.sleep(self.INTERVAL_S)
+            late_ms = 1000.0 * (loop.time() - before - self.INTERVAL_S)
             if late_ms > 2.0:
                 self._late.append((now_ms(), late_ms))
                 self.worst_ms = max(self.worst_ms, late_ms)
 
-    def since(self, at_ms: float) -> float:
+    def worst_since(self, at_ms: float) -> float:
         """The longest that this process stood still since then."""
         return max((late for when, late in self._late if when >= at_ms), default=0.0) + 5.0
 
@@ -152,51 +156,53 @@
     def __init__(self, grace_ms: float) -> None:
         self.violations: list[Violation] = []
         self.counts: Counter[str] = Counter()
-        self.lag = Lag()
-        self.unreachable: dict[str, Spans] = {}  # by node: discovery can't be reached
-        self.hurt: dict[
-            str, Spans
+        self.lag = EventLoopLag()
+        self.discovery_unreachable: dict[str, Intervals] = {}  # by node: discovery can't be reached
+        self.exempt: dict[
+            str, Intervals
         ] = {}  # by node: killed, or just started again: nothing is owed by it
-        self.held_up: dict[str, Spans] = {}  # by node: stopped, or held up before writes
-        self.deaf: dict[str, Spans] = {}  # by node: it can't read as fast as it is written to
+        self.stalled: dict[str, Intervals] = {}  # by node: stopped, or held up before writes
+        self.slow_io: dict[
+            str, Intervals
+        ] = {}  # by node: it can't read as fast as it is written to
         self.started_ms: dict[str, float] = {}  # by node: when its process began
         self.cold: dict[str, ColdBox] = {}
         self._grace_ms = grace_ms
-        self._began = now_ms()
-        self._records: dict[str, Record] = {}
-        self._changed_ms: dict[str, float] = {}  # by server: when discovery had its departure
+        self._started_at_ms = now_ms()
+        self._records: dict[str, RequestRecord] = {}
+        self._departed_ms: dict[str, float] = {}  # by server: when discovery had its departure
         self._notified_ms: dict[tuple[str, str], float] = {}
-        self._knows_start: set[tuple[str, str]] = set()
+        self._start_known: set[tuple[str, str]] = set()
         self._unframed: dict[
             str, bool
         ] = {}  # by request with a complete answer without a length: whether that one was served
-        self._asked_again: set[str] = set()
+        self._retried_unframed: set[str] = set()
 
-    def broken(self, rule: Rule, what: str) -> None:
+    def record_violation(self, rule: Rule, what: str) -> None:
         """Note a violation."""
-        self.violations.append(Violation((now_ms() - self._began) / 1000.0, rule, what))
+        self.violations.append(Violation((now_ms() - self._started_at_ms) / 1000.0, rule, what))
 
     # -- clients -------------------------------------------------------------------------
 
     def asked(self, ask: Ask) -> None:
-        record = self._records.setdefault(ask.txn, Record(ask))
+        record = self._records.setdefault(ask.txn, RequestRecord(ask))
         record.ask = ask
 
     def answered(self, ask: Ask, answer: Message) -> None:
         record = self._records[ask.txn]
         if record.answered:
-            self.broken(Rule.LOST, f"{ask.txn} is answered twice")
+            self.record_violation(Rule.LOST, f"{ask.txn} is answered twice")
         record.answered = True
         if answer.status == 200:
             if answer.body not in record.bodies:
-                self.broken(
+                self.record_violation(
                     Rule.WRONG_ANSWER,
                     f"{ask.txn} is served with what was not made for it: {answer.body[:40]!r}",
                 )
-            if ask.txn in self._unframed and ask.txn not in self._asked_again:
+            if ask.txn in self._unframed and ask.txn not in self._retried_unframed:
                 self._unframed[ask.txn] = True
         if answer.status in (429, 503) and ask.kind.repeat == "unsafe" and record.may_have_run:
-            self.broken(
+            self.record_violation(
                 Rule.DUPLICATE,
                 f"{ask.txn} is refused though it may have run at {record.may_have_run[0].server}",
             )
@@ -206,18 +212,20 @@
 
     def ended(self, ask: Ask, how: str) -> bool:
         record = self._records[ask.txn]
-        if self.hurt[ask.node].overlap(ask.sent_ms - SOCKET_SLACK_MS, now_ms()):
+        if self.exempt[ask.node].overlaps(ask.sent_ms - SOCKET_SLACK_MS, now_ms()):
             return False
         if how == "no answer":
-            self.broken(Rule.LOST, f"{ask.txn} of {ask.node} has no answer when its time is up")
+            self.record_violation(
+                Rule.LOST, f"{ask.txn} of {ask.node} has no answer when its time is up"
+            )
             return False
         if record.arrivals:
-            self.broken(
+            self.record_violation(
                 Rule.LOST, f"{ask.txn} of {ask.node} was sent on, and its connection ended: {how}"
             )
             return False
         if ask.first:
-            self.broken(
+            self.record_violation(
                 Rule.LOST, f"{ask.txn} of {ask.node} was on a new connection, which ended: {how}"
             )
             return False
@@ -225,18 +233,22 @@
 
     def rude(self, node: str, name: str, status: int, waited_ms: float) -> None:
         since = now_ms() - waited_ms
-        if self.hurt[node].overlap(since, now_ms()) or self.held_up[node].overlap(since, now_ms()):
+        if self.exempt[node].overlaps(since, now_ms()) or self.stalled[node].overlaps(
+            since, now_ms()
+        ):
             return
         if status == -1:
-            self.broken(
+            self.record_violation(
                 Rule.BAD_CLIENT,
                 f"{name} got neither an error nor a close of {node} in {waited_ms:.0f} ms",
             )
         elif 200 <= status < 400:
-            self.broken(Rule.BAD_CLIENT, f"{name} was served by {node} with {status}")
+            self.record_violation(Rule.BAD_CLIENT, f"{name} was served by {node} with {status}")
 
     def unasked(self, node: str) -> None:
-        self.broken(Rule.WRONG_ANSWER, f"{node} writes on a connection on which nothing is asked")
+        self.record_violation(
+            Rule.WRONG_ANSWER, f"{node} writes on a connection on which nothing is asked"
+        )
 
     # -- servers -------------------------------------------------------------------------
 
@@ -245,75 +257,77 @@
         now = now_ms()
         record = self._records.get(txn)
         if record is None:
-            self.broken(Rule.WRONG_ANSWER, f"{server} got {txn}, which no client sent")
+            self.record_violation(Rule.WRONG_ANSWER, f"{server} got {txn}, which no client sent")
             return
         self.counts["attempts"] += 1
         ask = record.ask
         if txn in self._unframed:
-            self._asked_again.add(txn)  # its complete answer was not taken for one
+            self._retried_unframed.add(txn)  # its complete answer was not taken for one
         earlier = record.may_have_run
         record.arrivals.append(Arrival(server, now))
         self._check_repeat(ask, server, earlier, now)
         self._check_departure(ask, server, now)
-        if now > record.left_ms + LEFT_MS + self.lag.since(
+        if now > record.left_ms + CLIENT_LEFT_SLACK_MS + self.lag.worst_since(
             record.left_ms
-        ) and not self._excused_late(ask.node, record.left_ms, now):
-            self.broken(
+        ) and not self._lateness_excused(ask.node, record.left_ms, now):
+            self.record_violation(
                 Rule.LEFT,
                 f"{txn} of {ask.node} came to {server} {now - record.left_ms:.0f} ms after its client left",
             )
         if told_ms is not None and ask.sent_ms:
             left_ms = ask.sent_ms + ask.budget_ms - now
             # A node that is held up several times in a row reads requests late, and can't know how late.
-            late = self.deaf[ask.node].overlap(ask.sent_ms, now)
+            late = self.slow_io[ask.node].overlaps(ask.sent_ms, now)
             if (
                 not late
                 and told_ms > 1.0
-                and told_ms > left_ms + DEADLINE_SLACK_MS + self.lag.since(now - 500.0)
+                and told_ms > left_ms + DEADLINE_SLACK_MS + self.lag.worst_since(now - 500.0)
             ):
-                self.broken(
+                self.record_violation(
                     Rule.DEADLINE,
                     f"{server} was told {told_ms:.0f} ms for {txn} of {ask.node}, {left_ms:.0f} are left",
                 )
 
-    def _excused_late(self, node: str, since: float, until: float) -> bool:
-        return self.held_up[node].overlap(since, until) or self.deaf[node].overlap(since, until)
+    def _lateness_excused(self, node: str, since: float, until: float) -> bool:
+        return self.stalled[node].overlaps(since, until) or self.slow_io[node].overlaps(
+            since, until
+        )
 
     def _check_repeat(self, ask: Ask, server: str, earlier: list[Arrival], now: float) -> None:
         if not earlier:
             return
         self.counts["repeats"] += 1
         if ask.kind.repeat == "unsafe":
-            self.broken(
+            self.record_violation(
                 Rule.DUPLICATE,
                 f"{ask.txn} may have run at {earlier[0].server} and came to {server}",
             )
         elif ask.kind.repeat == "keyed":
             late_ms = now - earlier[0].at_ms - ask.kind.window_ms
-            if late_ms > SOCKET_SLACK_MS + self.lag.since(earlier[0].at_ms):
-                self.broken(
+            if late_ms > SOCKET_SLACK_MS + self.lag.worst_since(earlier[0].at_ms):
+                self.record_violation(
                     Rule.DUPLICATE, f"{ask.txn} came to {server} {late_ms:.0f} ms after its window"
                 )
 
     def _check_departure(self, ask: Ask, server: str, now: float) -> None:
-        told = self._told_ms(ask.node, server)
+        told = self._notification_due_ms(ask.node, server)
         if told == inf:
             return
         late_ms = now - told - self._grace_ms - SOCKET_SLACK_MS
-        if late_ms > self.lag.since(told) and not self.deaf[ask.node].overlap(told, now):
-            self.broken(
+        if late_ms > self.lag.worst_since(told) and not self.slow_io[ask.node].overlaps(told, now):
+            self.record_violation(
                 Rule.DRAIN,
                 f"{ask.txn} of {ask.node} came to {server} {now - told:.0f} ms after it counts as notified",
             )
 
-    def _told_ms(self, node: str, server: str) -> float:
-        changed = self._changed_ms.get(server)
+    def _notification_due_ms(self, node: str, server: str) -> float:
+        changed = self._departed_ms.get(server)
         if changed is None:
             return inf
         started = self.started_ms.get(node, 0.0)
-        due = self.unreachable[node].quiet_for(changed, NOTIFIED_MS)
+        due = self.discovery_unreachable[node].end_of_first_gap(changed, NOTIFICATION_LIMIT_MS)
         if started > changed:
-            due = max(due, started + STARTING_MS)
+            due = max(due, started + STARTUP_LIMIT_MS)
         written = self._notified_ms.get((node, server), inf)
         return min(due, written if written >= started else inf)
 
@@ -326,7 +340,7 @@
         if (
             cold is not None
             and record is not None
-            and (record.ask.node, box.name) in self._knows_start
+            and (record.ask.node, box.name) in self._start_known
         ):
             cold.got.append((now_ms(), work_ms, record.ask.node))
 
@@ -351,7 +365,7 @@
         """See `discovery.Told`."""
         for entry in entries:
             if entry["lifecycle"] != "in_service":
-                self._changed_ms.setdefault(str(entry["instanceId"]), now_ms())
+                self._departed_ms.setdefault(str(entry["instanceId"]), now_ms())
 
     def notified(self, node: str, entries: Iterable[Entry]) -> None:
         """See `discovery.Told`."""
@@ -360,14 +374,14 @@
             if entry["lifecycle"] != "in_service":
                 self._notified_ms.setdefault((node, name), now_ms())
             elif entry["startedAtMs"]:
-                self._knows_start.add((node, name))
+                self._start_known.add((node, name))
 
     def reachable(self, node: str, now: bool) -> None:
         """See `discovery.Told`."""
         if now:
-            self.unreachable[node].end()
+            self.discovery_unreachable[node].end()
         else:
-            self.unreachable[node].begin()
+            self.discovery_unreachable[node].begin()
 
     # -- the end -------------------------------------------------------------------------
 
@@ -375,11 +389,15 @@
         """Hold what only the whole run shows against the rules."""
         for name, cold in self.cold.items():
             if cold.worst() > 1.0:
-                self.broken(
+                self.record_violation(
                     Rule.FAILBACK,
                     f"{name} got {cold.worst():.2f} of its budget from nodes that knew of its start",
                 )
         served = sum(self._unframed.values())
         self.counts["unframed"], self.counts["unframed served"] = len(self._unframed), served
-        if len(self._unframed) >= LEAST_UNFRAMED and served < UNFRAMED_SHARE * len(self._unframed):
-            self.broken(Rule.UNFRAMED, f"{served} of {len(self._unframed)} were forwarded")
+        if len(self._unframed) >= MIN_UNFRAMED_ANSWERS and served < MIN_UNFRAMED_SERVED_SHARE * len(
+            self._unframed
+        ):
+            self.record_violation(
+                Rule.UNFRAMED, f"{served} of {len(self._unframed)} were forwarded"
+            )
--- a/testbed/soak/plan.py
+++ b/testbed/soak/plan.py
@@ -6,9 +6,9 @@
 from dataclasses import dataclass, field
 from enum import StrEnum
 
-CALM_S = 1.5  # before the first fault
-LEAST_FAULTS, MOST_FAULTS = 8, 16
-RELOADS_APART_S = (0.3, 0.4, 0.9)  # between the reloads of one burst
+FAULT_FREE_START_S = 1.5  # before the first fault
+MIN_FAULTS, MAX_FAULTS = 8, 16
+RELOAD_INTERVALS_S = (0.3, 0.4, 0.9)  # between the reloads of one burst
 
 
 class Fault(StrEnum):
@@ -40,13 +40,13 @@
 
 
 PAUSE_MS = (40, 90, 150)
-DELAYS_S = (
+DISCOVERY_DELAYS_S = (
     1.0,
     2.0,
     3.0,
 )  # a call may be late by so much and still tell a change within 6 s of a silence
-WALL_STEPS_MS = (-3_600_000, -5_000, 5_000, 3_600_000)
-CALL_FAULT_S = (0.05, 0.4, 2.0)
+WALL_CLOCK_STEPS_MS = (-3_600_000, -5_000, 5_000, 3_600_000)
+CALL_FAULT_DURATIONS_S = (0.05, 0.4, 2.0)
 
 
 @dataclass(frozen=True, slots=True)
@@ -56,7 +56,7 @@
     at_s: float
     kind: Fault
     target: int = 0  # node or server, modulo how many there are
-    for_s: float = 0.0
+    duration_s: float = 0.0
     value: float = 0.0
 
 
@@ -78,10 +78,10 @@
     rng = random.Random(f"soak/{seed}")
     servers = rng.randint(8, 16)
     events: list[Event] = []
-    for _ in range(rng.randint(LEAST_FAULTS, MOST_FAULTS)):
-        events.append(_event(rng, seconds))
+    for _ in range(rng.randint(MIN_FAULTS, MAX_FAULTS)):
+        events.append(_draw_event(rng, seconds))
     if rng.random() < 0.5:
-        events += _incident(rng, seconds)
+        events += _draw_incident(rng, seconds)
     return Plan(
         seed=seed,
         nodes=nodes,
@@ -93,9 +93,9 @@
     )
 
 
-def _event(rng: random.Random, seconds: float) -> Event:
+def _draw_event(rng: random.Random, seconds: float) -> Event:
     kind = rng.choice(list(Fault))
-    at_s = rng.uniform(CALM_S, max(CALM_S + 1.0, seconds - 4.0))
+    at_s = rng.uniform(FAULT_FREE_START_S, max(FAULT_FREE_START_S + 1.0, seconds - 4.0))
     target = rng.randrange(1_000)
     spans: dict[Fault, float] = {
         Fault.DISCOVERY_DOWN: rng.uniform(1.0, 6.0),
@@ -105,16 +105,16 @@
         Fault.SERVER_RESETS: rng.uniform(1.0, 4.0),
         Fault.CLIENTS_LEAVE: rng.uniform(1.0, 4.0),
         Fault.LOAD_BURST: rng.uniform(1.0, 3.0),
-        Fault.NODE_CALLS: rng.choice(CALL_FAULT_S),
+        Fault.NODE_CALLS: rng.choice(CALL_FAULT_DURATIONS_S),
         Fault.NODE_SHORT_IO: rng.uniform(0.5, 2.0),
     }
     values: dict[Fault, float] = {
         Fault.NODE_PAUSE: rng.choice(PAUSE_MS),
         Fault.NODE_STALLS: rng.randint(1, 20),
-        Fault.NODE_CLOCK: rng.choice(WALL_STEPS_MS),
+        Fault.NODE_CLOCK: rng.choice(WALL_CLOCK_STEPS_MS),
         Fault.NODE_CALLS: rng.randrange(1_000),
         Fault.NODE_RELOADS: rng.randint(1, 4),
-        Fault.DISCOVERY_SLOW: rng.choice(DELAYS_S),
+        Fault.DISCOVERY_SLOW: rng.choice(DISCOVERY_DELAYS_S),
         Fault.DISCOVERY_REFUSES: rng.randint(1, 2),
         Fault.SERVER_ERRORS: rng.randint(5, 40),
         Fault.CLIENTS_STOP: rng.randint(1, 8),
@@ -122,9 +122,9 @@
     return Event(at_s, kind, target, spans.get(kind, 0.0), values.get(kind, 0.0))
 
 
-def _incident(rng: random.Random, seconds: float) -> list[Event]:
+def _draw_incident(rng: random.Random, seconds: float) -> list[Event]:
     """The shape of the incident of 2026-12-02: discovery down for long, reloads of all nodes, refused calls, and a drain."""
-    at_s = rng.uniform(CALM_S, max(CALM_S + 0.5, seconds - 10.0))
+    at_s = rng.uniform(FAULT_FREE_START_S, max(FAULT_FREE_START_S + 0.5, seconds - 10.0))
     down_s = rng.uniform(2.0, 4.0)
     back_s = at_s + down_s
     reloads = [
@@ -132,7 +132,7 @@
         for n in range(3)
     ]
     return [
-        Event(at_s, Fault.DISCOVERY_DOWN, for_s=down_s),
+        Event(at_s, Fault.DISCOVERY_DOWN, duration_s=down_s),
         *reloads,
         Event(back_s + 0.3, Fault.DISCOVERY_REFUSES, value=2.0),
         Event(back_s + rng.uniform(0.3, 1.5), Fault.SERVERS_DRAIN, rng.randrange(1_000)),
--- a/testbed/soak/rig.py
+++ b/testbed/soak/rig.py
@@ -14,7 +14,7 @@
 from typing import Any, Optional
 
 from corkshift.seam import now_ms
-from testbed.soak.faults import Faults
+from testbed.soak.faults import FaultInjector
 from testbed.soak.oracle import Rule
 from testbed.soak.plan import Event, Plan
 from testbed.soak.world import World
@@ -39,21 +39,21 @@
         self.plan = plan
         self.world = World(plan, folder)
         self.notes: list[str] = []
-        self._faults = Faults(self.world, self.notes)
+        self._faults = FaultInjector(self.world, self.notes)
         self._tasks: set[asyncio.Task[Any]] = set()
-        self._began = now_ms()
+        self._started_ms = now_ms()
 
-    async def play(self) -> Report:
+    async def run(self) -> Report:
         """Play it; the report."""
         began, world = time.monotonic(), self.world
         try:
             await world.open()
-            self._began = now_ms()
+            self._started_ms = now_ms()
             self._spawn(world.oracle.lag.measure())
             for event in self.plan.events:
-                self._spawn(self._at(event))
+                self._spawn(self._inject_at(event))
             await world.clients.run(self.plan.seconds)
-            await world.settle()
+            await world.wait_for_restarts()
         finally:
             await self._close()
         world.oracle.finish()
@@ -84,25 +84,25 @@
         await asyncio.gather(*self._tasks, return_exceptions=True)
         await self.world.close()
 
-    async def _at(self, event: Event) -> None:
-        await asyncio.sleep(max(0.0, self._began / 1000.0 + event.at_s - now_ms() / 1000.0))
-        await self._faults.carry_out(event)
+    async def _inject_at(self, event: Event) -> None:
+        await asyncio.sleep(max(0.0, self._started_ms / 1000.0 + event.at_s - now_ms() / 1000.0))
+        await self._faults.inject(event)
 
     def _spawn(self, what: Awaitable[Any]) -> None:
         task: asyncio.Task[Any] = asyncio.ensure_future(what)
         self._tasks.add(task)
-        task.add_done_callback(self._finished)
+        task.add_done_callback(self._on_task_done)
 
-    def _finished(self, task: asyncio.Task[Any]) -> None:
+    def _on_task_done(self, task: asyncio.Task[Any]) -> None:
         self._tasks.discard(task)
         if not task.cancelled() and (error := task.exception()) is not None:
-            self.world.oracle.broken(Rule.CRASH, f"the rig itself failed: {error!r}")
+            self.world.oracle.record_violation(Rule.CRASH, f"the rig itself failed: {error!r}")
 
 
-def run(plan: Plan, keep: Optional[Path] = None) -> Report:
+def run(plan: Plan, log_folder: Optional[Path] = None) -> Report:
     """Play a plan in a folder of its own; `keep` names one in which logs stay."""
-    if keep is not None:
-        keep.mkdir(parents=True, exist_ok=True)
-        return asyncio.run(Rig(plan, keep).play())
+    if log_folder is not None:
+        log_folder.mkdir(parents=True, exist_ok=True)
+        return asyncio.run(Rig(plan, log_folder).run())
     with tempfile.TemporaryDirectory(prefix="gradeshift-soak-") as folder:
-        return asyncio.run(Rig(plan, Path(folder)).play())
+        return asyncio.run(Rig(plan, Path(folder)).run())
--- a/testbed/soak/servers.py
+++ b/testbed/soak/servers.py
@@ -14,7 +14,7 @@
 UNFRAMED_BROKEN = "unframed-broken"  # no length, and a reset in the middle
 
 
-class Arrivals(Protocol):
+class ArrivalObserver(Protocol):
     """Who hears of each request in the moment in which it has come whole."""
 
     def arrived(self, server: str, txn: str, told_ms: float | None) -> None:
@@ -33,20 +33,20 @@
         origin: Address,
         spec: BoxSpec,
         witness: Witness,
-        arrivals: Arrivals,
+        arrivals: ArrivalObserver,
         cold: bool,
         seed: int,
     ) -> None:
         super().__init__(name, ("127.0.0.1", 0), origin, spec, witness, cold)
         self.unframed_share = 0.0
         self.broken_share = 0.0
-        self._arrivals = arrivals
+        self._arrival_observer = arrivals
         self._random = random.Random(f"server/{seed}/{name}")
 
     async def serve(self, connection: Connection, request: Message) -> None:
         told = request.header(b"x-remaining-ms")
         txn = request.header(b"x-txn")
-        self._arrivals.arrived(self.name, txn, float(told) if told.isdigit() else None)
+        self._arrival_observer.arrived(self.name, txn, float(told) if told.isdigit() else None)
         draw = self._random.random()
         if draw < self.broken_share:
             self.spoil[:] = [self._random.choice((BROKEN, UNFRAMED_BROKEN))]
@@ -68,5 +68,5 @@
             stream.abort()
             return
         # Its id is the body's second word: the answer that was spoilt need not be the one of the latest request.
-        self._arrivals.completed_unframed(body.split(b" ")[1].decode())
+        self._arrival_observer.completed_unframed(body.split(b" ")[1].decode())
         stream.close()
--- a/testbed/soak/shim.py
+++ b/testbed/soak/shim.py
@@ -88,11 +88,11 @@
         slot.error = error
         slot.left = times
 
-    def heal(self, call: SystemCall) -> None:
+    def restore(self, call: SystemCall) -> None:
         """The call goes through again."""
         self._control.calls[call].left = 0
 
-    def hits(self, call: SystemCall) -> int:
+    def failure_count(self, call: SystemCall) -> int:
         """How often a call was made to fail."""
         return int(self._control.calls[call].hits)
 
@@ -110,7 +110,7 @@
         """Let the wall clock be off by so much; the monotonic clock runs on."""
         self._control.wall_step_ms = by_ms
 
-    def share_core(self, share: float) -> None:
+    def limit_core_share(self, share: float) -> None:
         """From now on the process has this share of a core (above 0, up to 1), its start until the first poll left out."""
         self._control.core_share_permille = max(1, round(1000.0 * share))
 
@@ -121,7 +121,7 @@
         self._file.close()
 
 
-SHORTAGES = (errno.EADDRNOTAVAIL, errno.ENETUNREACH, errno.ENOBUFS)
+LOCAL_CONNECT_ERRORS = (errno.EADDRNOTAVAIL, errno.ENETUNREACH, errno.ENOBUFS)
 """Errors of connect that are this machine's."""
 ACCEPT_ERRORS = (
     errno.ECONNABORTED,
--- a/testbed/soak/world.py
+++ b/testbed/soak/world.py
@@ -9,9 +9,9 @@
 from typing import Any
 
 from corkshift.seam import now_ms
-from testbed.soak.discovery import Discovery, Entry, started_entry
-from testbed.soak.nodes import READY_S, Node
-from testbed.soak.oracle import Oracle, Rule, Spans
+from testbed.soak.discovery import Discovery, Entry, in_service_entry
+from testbed.soak.nodes import READY_TIMEOUT_S, Node
+from testbed.soak.oracle import Intervals, Oracle, Rule
 from testbed.soak.plan import Plan
 from testbed.soak.servers import SoakServer
 from testbed.soak.shim import Shim, build
@@ -20,12 +20,12 @@
 from testbed.tier.books import ColdBox
 from testbed.tier.processes import HOST, Ports
 
-ASK_WITHIN_MS = 10_000.0
+POLL_WITHIN_MS = 10_000.0
 ANSWER_SLACK_MS = 500.0  # a later answer is a lost request
 MEMORY_MB = 64
 SOCKETS = 512
-KEYS = 400
-SIGNS_OF_A_DEFECT = ("Traceback", "too late", "had no answer by its deadline")  # in a node's log
+KEY_COUNT = 400
+DEFECT_MARKERS = ("Traceback", "too late", "had no answer by its deadline")  # in a node's log
 
 
 class World:
@@ -38,7 +38,7 @@
         self.servers: list[SoakServer] = []
         self.nodes: list[Node] = []
         self.discovery = Discovery([f"n{n}" for n in range(plan.nodes)], self.oracle)
-        self.clients = Clients({}, self.oracle, plan.seed, KEYS, plan.requests_per_s)
+        self.clients = Clients({}, self.oracle, plan.seed, KEY_COUNT, plan.requests_per_s)
         self._random = random.Random(f"rig/{plan.seed}")
         self._ports = Ports()
         self._origin = OrderBook((HOST, 0), 8, 15.0)
@@ -54,22 +54,22 @@
         for n in range(self.plan.nodes):
             self.nodes.append(self._make_node(n))
         await asyncio.gather(*(node.start() for node in self.nodes))
-        await asyncio.gather(*(node.ready() for node in self.nodes))
+        await asyncio.gather(*(node.wait_ready() for node in self.nodes))
         self.clients.nodes.update({node.name: node.listen for node in self.nodes})
         self.clients.down = lambda name: self.nodes[int(name[1:])].down
         self.clients.slack_ms = ANSWER_SLACK_MS
 
-    async def settle(self) -> None:
+    async def wait_for_restarts(self) -> None:
         """Wait for nodes that are being started, so that their exit codes are known."""
-        async with asyncio.timeout(READY_S):
-            while any(node.busy for node in self.nodes):
+        async with asyncio.timeout(READY_TIMEOUT_S):
+            while any(node.restarting for node in self.nodes):
                 await asyncio.sleep(0.05)
 
     async def close(self) -> None:
         """End all of it."""
         self.clients.close()
         for node in self.nodes:
-            await node.bury()
+            await node.stop()
         self.discovery.close()
         for server in (*self.servers, self._origin):
             server.close()
@@ -92,7 +92,7 @@
             self.oracle.cold[name] = ColdBox(
                 name, spec.cold_from, spec.cold_ms, server.full_speed, now_ms()
             )
-        return started_entry(name, server.address, cold)
+        return in_service_entry(name, server.address, cold)
 
     def serving(self) -> list[SoakServer]:
         """The servers that are listed in service."""
@@ -107,19 +107,19 @@
         name = f"n{n}"
         listen, admin = self._ports.take(), self._ports.take()
         for table in (
-            self.oracle.unreachable,
-            self.oracle.hurt,
-            self.oracle.held_up,
-            self.oracle.deaf,
+            self.oracle.discovery_unreachable,
+            self.oracle.exempt,
+            self.oracle.stalled,
+            self.oracle.slow_io,
         ):
-            table[name] = Spans()
+            table[name] = Intervals()
         config: dict[str, Any] = {
             "name": name,
             "listen": f"{HOST}:{listen}",
             "admin_addr": f"{HOST}:{admin}",
             "seed": f"{self._random.getrandbits(48):x}",
             "limits": {"cores": 1.0, "memory_mb": MEMORY_MB, "sockets": SOCKETS},
-            "settings": settings(CLASSES, ASK_WITHIN_MS),
+            "settings": settings(CLASSES, POLL_WITHIN_MS),
         }
         shim = Shim(self._library, self.folder / f"{name}.shim")
         return Node(name, (HOST, listen), self.folder, shim, config, self.discovery, self.oracle)
@@ -128,12 +128,12 @@
         """What nodes say of themselves: exceptions, violations of the send guard, ends."""
         for node in self.nodes:
             text = node.log
-            for sign in SIGNS_OF_A_DEFECT:
+            for sign in DEFECT_MARKERS:
                 if sign in text:
                     at = text.index(sign)
-                    self.oracle.broken(
+                    self.oracle.record_violation(
                         Rule.CRASH, f"{node.name} logs: {text[max(0, at - 200) : at + 400]}"
                     )
-            for code in node.exits:
+            for code in node.exit_codes:
                 if code not in (0, -signal.SIGKILL):
-                    self.oracle.broken(Rule.CRASH, f"{node.name} ended with {code}")
+                    self.oracle.record_violation(Rule.CRASH, f"{node.name} ended with {code}")
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -110,9 +110,9 @@
         async with shimmed(tmp_path, library, box) as (process, _, shim):
             await drop_idle(process, box)
             shim.fail(call, error)
-            asyncio.get_running_loop().call_later(for_s, shim.heal, call)
+            asyncio.get_running_loop().call_later(for_s, shim.restore, call)
             assert await ask_all(process, "a") == [200] * 12
-            assert shim.hits(call) > 0
+            assert shim.failure_count(call) > 0
             counts = await figures(process)
             assert counts[f"svc.local_errors.{errno.errorcode[error]}"] > 0
             assert counts["svc.pool_ejected"] == 0 and not any(
@@ -134,7 +134,7 @@
             await drop_idle(process, box)
             shim.fail(SystemCall.CONNECT, error, times=4)
             assert set(await ask_all(process, "a")) <= {200, 503}
-            shim.heal(SystemCall.CONNECT)
+            shim.restore(SystemCall.CONNECT)
             await process.served("again")
 
     run_async(test)
@@ -148,9 +148,9 @@
     async def test() -> None:
         async with shimmed(tmp_path, library, CacheBox()) as (process, _, shim):
             shim.fail(SystemCall.ACCEPT, error)
-            asyncio.get_running_loop().call_later(for_s, shim.heal, SystemCall.ACCEPT)
+            asyncio.get_running_loop().call_later(for_s, shim.restore, SystemCall.ACCEPT)
             assert await ask_all(process, "a") == [200] * 12
-            assert shim.hits(SystemCall.ACCEPT) > 0
+            assert shim.failure_count(SystemCall.ACCEPT) > 0
 
     run_async(test)
 
@@ -167,9 +167,9 @@
         box = CacheBox()
         async with shimmed(tmp_path, library, box) as (process, _, shim):
             shim.fail(call, error)
-            asyncio.get_running_loop().call_later(0.2, shim.heal, call)
+            asyncio.get_running_loop().call_later(0.2, shim.restore, call)
             assert await ask_all(process, "a") == [200] * 12
-            assert shim.hits(call) > 0 and len(box.heads) >= 12
+            assert shim.failure_count(call) > 0 and len(box.heads) >= 12
 
     run_async(test)
 
@@ -189,7 +189,7 @@
                 shim.fail(call, error, times=1)
                 answers = await ask_all(process, f"a{n}-", 4)
                 assert sum(answer != 200 for answer in answers) <= 1
-            shim.heal(call)
+            shim.restore(call)
             assert await ask_all(process, "b") == [200] * 12
             assert process.process.returncode is None and not any(
                 "Traceback" in line for line in process.log
@@ -233,7 +233,7 @@
             await until(lambda: len(box.heads) >= 8)
             shim.fail(call, errno.ENOBUFS)
             process.process.send_signal(signal.SIGTERM)
-            asyncio.get_running_loop().call_later(0.25, shim.heal, call)
+            asyncio.get_running_loop().call_later(0.25, shim.restore, call)
             assert [status(answer) for answer in await asyncio.gather(*asked)] == [200] * 8
             assert await process.process.wait() == 0
 
@@ -361,9 +361,9 @@
                 asyncio.create_task(process.send(data)),
                 asyncio.create_task(process.send(late)),
             ]
-            await until(lambda: shim.hits(SystemCall.ACCEPT) > 0)
+            await until(lambda: shim.failure_count(SystemCall.ACCEPT) > 0)
             await asyncio.sleep(0.6)
-            shim.heal(SystemCall.ACCEPT)
+            shim.restore(SystemCall.ACCEPT)
             assert [status(answer) for answer in await asyncio.gather(*asked)] == [200, 503]
             ((at_ms, sent_deadline_ms),) = (
                 arrived  # no attempt for the client whose deadline had passed
--- a/tests/testbed/test_soak.py
+++ b/tests/testbed/test_soak.py
@@ -8,7 +8,7 @@
 import pytest
 
 from testbed.soak import oracle as oracle_module
-from testbed.soak.oracle import Oracle, Rule, Spans
+from testbed.soak.oracle import Intervals, Oracle, Rule
 from testbed.soak.plan import Fault, draw
 from testbed.soak.rig import run
 from testbed.systems.clients import CLASSES, Ask
@@ -26,12 +26,12 @@
         monkeypatch.setattr(oracle_module, "now_ms", lambda: self.now)
         self.oracle = Oracle(GRACE_MS)
         for table in (
-            self.oracle.unreachable,
-            self.oracle.hurt,
-            self.oracle.held_up,
-            self.oracle.deaf,
+            self.oracle.discovery_unreachable,
+            self.oracle.exempt,
+            self.oracle.stalled,
+            self.oracle.slow_io,
         ):
-            table["n0"] = Spans()
+            table["n0"] = Intervals()
 
     def ask(
         self, repeat: str = "safe", txn: str = "x1", first: bool = True, budget_ms: float = 2_000.0
@@ -133,7 +133,7 @@
 
 
 def unframed_not_forwarded(world: World) -> None:
-    for n in range(oracle_module.LEAST_UNFRAMED):
+    for n in range(oracle_module.MIN_UNFRAMED_ANSWERS):
         world.ask(txn=f"x{n}")
         world.oracle.arrived("s0", f"x{n}", None)
         world.oracle.completed_unframed(f"x{n}")
@@ -199,17 +199,17 @@
 
 
 def test_spans_of_time() -> None:
-    spans = Spans()
+    spans = Intervals()
     spans.add(1_000.0, 2_000.0)
     assert (
-        spans.overlap(1_500.0, 1_600.0)
-        and spans.overlap(0.0, 1_000.0)
-        and not spans.overlap(2_001.0, 3_000.0)
+        spans.overlaps(1_500.0, 1_600.0)
+        and spans.overlaps(0.0, 1_000.0)
+        and not spans.overlaps(2_001.0, 3_000.0)
     )
-    assert spans.quiet_for(0.0, 500.0) == 500.0  # it ended before that began
-    assert spans.quiet_for(0.0, 1_500.0) == 3_500.0
+    assert spans.end_of_first_gap(0.0, 500.0) == 500.0  # it ended before that began
+    assert spans.end_of_first_gap(0.0, 1_500.0) == 3_500.0
     spans.add(3_000.0, inf)
-    assert spans.quiet_for(1_500.0, 1_500.0) == inf
+    assert spans.end_of_first_gap(1_500.0, 1_500.0) == inf
 
 
 def test_plans_are_drawn_from_their_seed_alone_and_reach_every_fault() -> None:
