--- a/testbed/soak/discovery.py
+++ b/testbed/soak/discovery.py
@@ -68,7 +68,7 @@
 class DiscoveryEndpoint(Server):
     """Discovery at one address, for one node."""
 
-    def __init__(self, node: str, servers: ServerList, told: DiscoveryObserver) -> None:
+    def __init__(self, node: str, servers: ServerList, observer: DiscoveryObserver) -> None:
         super().__init__(("127.0.0.1", 0))
         self.node = node
         self.delay_s = 0.0  # of each call's answer
@@ -76,7 +76,7 @@
         self.down = False
         self.cuts = 0  # further lines that are cut in their middle
         self._servers = servers
-        self._observer = told
+        self._observer = observer
         self._watches: dict[Connection, None] = {}
         self._silent: set[Connection] = set()
 
@@ -168,31 +168,31 @@
 class Discovery:
     """All places, two for each node, and the faults that they have together."""
 
-    def __init__(self, nodes: list[str], told: DiscoveryObserver) -> None:
+    def __init__(self, nodes: list[str], observer: DiscoveryObserver) -> None:
         self.servers = ServerList()
         self.endpoints = {
             node: (
-                DiscoveryEndpoint(node, self.servers, told),
-                DiscoveryEndpoint(node, self.servers, told),
+                DiscoveryEndpoint(node, self.servers, observer),
+                DiscoveryEndpoint(node, self.servers, observer),
             )
             for node in nodes
         }
-        self._observer = told
+        self._observer = observer
         self._outages = 0
 
     def listen(self) -> None:
         """Begin to answer at every place."""
-        for place in self.all_endpoints():
-            place.listen()
+        for endpoint in self.all_endpoints():
+            endpoint.listen()
 
     def close(self) -> None:
         """End every place."""
-        for place in self.all_endpoints():
-            place.close()
+        for endpoint in self.all_endpoints():
+            endpoint.close()
 
     def all_endpoints(self) -> list[DiscoveryEndpoint]:
         """Every place."""
-        return [place for pair in self.endpoints.values() for place in pair]
+        return [endpoint for pair in self.endpoints.values() for endpoint in pair]
 
     async def change(self, entries: list[Entry]) -> None:
         """Make one change and write it to every watch."""
@@ -203,9 +203,9 @@
     def go_down(self) -> None:
         """Watches end and calls fail, until it is back as often as it went down."""
         self._outages += 1
-        for place in self.all_endpoints():
-            place.down = True
-            place.reset()
+        for endpoint in self.all_endpoints():
+            endpoint.down = True
+            endpoint.reset()
         for node in self.endpoints:
             self._observer.reachable(node, False)
 
@@ -214,8 +214,8 @@
         self._outages -= 1
         if self._outages:
             return
-        for place in self.all_endpoints():
-            place.down = False
+        for endpoint in self.all_endpoints():
+            endpoint.down = False
         for node in self.endpoints:
             self._observer.reachable(node, True)
 
--- a/testbed/soak/faults.py
+++ b/testbed/soak/faults.py
@@ -86,30 +86,30 @@
         self._world.discovery.recover()
 
     async def _discovery_slow(self, event: Event) -> None:
-        for place in self._world.discovery.all_endpoints():
-            place.delay_s, place.refusals = event.value, 0
+        for endpoint in self._world.discovery.all_endpoints():
+            endpoint.delay_s, endpoint.refusals = event.value, 0
         await asyncio.sleep(event.duration_s)
-        for place in self._world.discovery.all_endpoints():
-            place.delay_s = 0.0
+        for endpoint in self._world.discovery.all_endpoints():
+            endpoint.delay_s = 0.0
 
     async def _discovery_refuses(self, event: Event) -> None:
-        for place in self._world.discovery.all_endpoints():
+        for endpoint in self._world.discovery.all_endpoints():
             if (
-                not place.delay_s
+                not endpoint.delay_s
             ):  # late and refused calls together leave no time that any node could keep
-                place.refusals = int(event.value)
+                endpoint.refusals = int(event.value)
 
     async def _discovery_silent(self, event: Event) -> None:
-        for place in self._world.discovery.all_endpoints():
-            place.silence()
+        for endpoint in self._world.discovery.all_endpoints():
+            endpoint.silence()
 
     async def _discovery_resets(self, event: Event) -> None:
-        for place in self._world.discovery.all_endpoints():
-            place.reset()
+        for endpoint in self._world.discovery.all_endpoints():
+            endpoint.reset()
 
     async def _discovery_cuts(self, event: Event) -> None:
-        for place in self._world.discovery.all_endpoints():
-            place.cuts = 1
+        for endpoint in self._world.discovery.all_endpoints():
+            endpoint.cuts = 1
 
     # -- of servers ----------------------------------------------------------------------
 
--- a/testbed/soak/large_fleet.py
+++ b/testbed/soak/large_fleet.py
@@ -43,7 +43,7 @@
 NODE = "n0"
 LOOPBACK_DEVICE = b"lo"
 FIRST_ADDRESS = (127 << 24) + (64 << 16) + 1
-SERVICE_S = 0.02  # of one request at a cache server
+SERVICE_TIME_S = 0.02  # of one request at a cache server
 DEADLINE_MS = 1_100.0
 AIM_MS = 800.0
 ANSWER_SLACK_MS = 500.0  # a later answer is a lost request
@@ -118,14 +118,14 @@
 SIZES = (200, 400, 800, 1_600, 3_200)
 CORE_SHARES = (1.0, 0.5, 0.3, 0.2, 0.1)
 DRAWN_LOAD_S = 12.0  # of load in a drawn scenario
-LAST_FAULT_S = 8.0
+LAST_FAULT_AT_S = 8.0
 
 
 def draw(seed: int) -> Scenario:
     """The scenario of a seed."""
     rng = random.Random(f"large/{seed}")
     faults = [
-        (round(rng.uniform(1.0, LAST_FAULT_S), 2), rng.choice(list(WatchFault)))
+        (round(rng.uniform(1.0, LAST_FAULT_AT_S), 2), rng.choice(list(WatchFault)))
         for _ in range(rng.randint(0, 3))
     ]
     every_s = rng.choice((0.5, 1.5, 3.0))
@@ -186,15 +186,15 @@
 
     async def serve(self, connection: Connection, request: Message) -> None:
         name, txn = self._names[request.header(b"host")], request.header(b"x-txn")
-        told = request.header(b"x-remaining-ms")
+        remaining = request.header(b"x-remaining-ms")
         deadline_ms = self._deadlines_ms.get(txn)
         if (
             deadline_ms is not None
             and now_ms() > deadline_ms + ATTEMPT_SLACK_MS + self.oracle.lag.worst_since(deadline_ms)
         ):
             self.late_attempts += 1
-        self.oracle.arrived(name, txn, float(told) if told.isdigit() else None)
-        await asyncio.sleep(SERVICE_S)
+        self.oracle.arrived(name, txn, float(remaining) if remaining.isdigit() else None)
+        await asyncio.sleep(SERVICE_TIME_S)
         body = f"for {txn} by {name}".encode()
         self.oracle.body_made(txn, body)
         await connection.answer(200, body, {"X-Found": "hit"})
@@ -254,7 +254,7 @@
         self._first_list_ms = 0.0
         self._log = folder / "node.log"
 
-    async def run(self) -> Result:
+    async def run_scenario(self) -> Result:
         """Play it."""
         self._servers.listen()
         self._endpoint.listen()
@@ -269,7 +269,7 @@
         process = await self._start()
         measuring = asyncio.create_task(self._oracle.lag.measure())
         background = [measuring]
-        crowd = await self._open_idle_clients()
+        idle_clients = await self._open_idle_clients()
         try:
             self._clients.nodes[NODE] = self._listen
             load = asyncio.create_task(
@@ -294,7 +294,7 @@
                 task.cancel()
             await asyncio.gather(*background, return_exceptions=True)
             self._clients.close()
-            for sock in crowd:
+            for sock in idle_clients:
                 sock.close()
             if process.returncode is None:
                 process.kill()
@@ -306,7 +306,7 @@
         for task in background:
             if not task.cancelled() and (error := task.exception()) is not None:
                 self._oracle.record_violation(Rule.CRASH, f"the rig itself failed: {error!r}")
-        return self._result(ended_s)
+        return self._make_result(ended_s)
 
     async def _start(self) -> asyncio.subprocess.Process:
         config: dict[str, Any] = {
@@ -342,14 +342,14 @@
         count = max(1, round(self.scenario.replaced_part * self.scenario.servers))
         while True:
             await asyncio.sleep(self.scenario.replace_every_s)
-            gone: list[Entry] = [{**entry, "lifecycle": "terminated"} for entry in leaving]
+            removed: list[Entry] = [{**entry, "lifecycle": "terminated"} for entry in leaving]
             leaving, serving = serving[:count], serving[count:]
             if not self.scenario.drain:
-                gone, leaving = [{**entry, "lifecycle": "terminated"} for entry in leaving], []
+                removed, leaving = [{**entry, "lifecycle": "terminated"} for entry in leaving], []
             started = [self._servers.start_server(cold=True) for _ in range(count)]
             serving += started
             change: list[Entry] = [
-                *gone,
+                *removed,
                 *({**entry, "lifecycle": "terminating"} for entry in leaving),
                 *started,
             ]
@@ -372,16 +372,16 @@
 
     async def _open_idle_clients(self) -> list[socket.socket]:
         """Connections on which nothing is asked."""
-        crowd = []
+        idle_clients = []
         for _ in range(self.scenario.idle_clients):
             sock = socket.socket()
             sock.setblocking(False)
-            crowd.append(sock)
+            idle_clients.append(sock)
             with suppress(OSError):
                 await asyncio.wait_for(
                     asyncio.get_running_loop().sock_connect(sock, self._listen), 1.0
                 )
-        return crowd
+        return idle_clients
 
     async def _sample(self, pid: int) -> None:
         while True:
@@ -402,7 +402,7 @@
             return None
         return round((now_ms() - begun) / 1000.0, 2)
 
-    def _result(self, ended_s: Optional[float]) -> Result:
+    def _make_result(self, ended_s: Optional[float]) -> Result:
         self._oracle.finish()
         figures, log = self._clients.figures, self._log.read_text()
         if "Traceback" in log:
@@ -417,7 +417,7 @@
             failed=figures.failed,
             unanswered=figures.unanswered,
             late_attempts=self._servers.late_attempts,
-            served_by_third=self._thirds(figures.served),
+            served_by_third=self._served_by_third(figures.served),
             first_served_s=self._first_served_s(),
             ended_s=ended_s,
             memory_mb=(
@@ -434,7 +434,7 @@
         ) / 1000.0
         return next((round(at - asked_s, 2) for at, served in self._served_samples if served), None)
 
-    def _thirds(self, served: int) -> tuple[int, int, int]:
+    def _served_by_third(self, served: int) -> tuple[int, int, int]:
         third = self.scenario.seconds / 3.0
         marks = [
             max((count for at, count in self._served_samples if at <= third * part), default=0)
@@ -447,9 +447,9 @@
     """Play a scenario in a folder of its own; `keep` names one in which the node's log stays."""
     if log_folder is not None:
         log_folder.mkdir(parents=True, exist_ok=True)
-        return asyncio.run(LargeFleet(scenario, log_folder).run())
+        return asyncio.run(LargeFleet(scenario, log_folder).run_scenario())
     with tempfile.TemporaryDirectory(prefix="gradeshift-large-") as folder:
-        return asyncio.run(LargeFleet(scenario, Path(folder)).run())
+        return asyncio.run(LargeFleet(scenario, Path(folder)).run_scenario())
 
 
 def summary_line(result: Result) -> str:
--- a/testbed/soak/nodes.py
+++ b/testbed/soak/nodes.py
@@ -168,9 +168,9 @@
         finally:
             self.restarting = False
 
-    async def reload(self, times: int) -> None:
+    async def reload(self, count: int) -> None:
         """So many SIGHUPs in a row, each moving discovery to its other place."""
-        for n in range(times):
+        for n in range(count):
             if self.restarting or self.process is None:
                 return
             self.endpoint_index = 1 - self.endpoint_index
@@ -202,10 +202,10 @@
             self.oracle.exempt[self.name].add(now_ms() - 1.0, now_ms() + span_ms)
         self.shim.stall_writes(150, times)
 
-    async def fail_calls(self, draw: int, for_s: float) -> str:
+    async def fail_calls(self, selector: int, for_s: float) -> str:
         """One of its system calls fails for a while; which one, how and for how long."""
-        call = SystemCall(draw % len(SystemCall))
-        error = CALL_ERRORS[call][draw % len(CALL_ERRORS[call])]
+        call = SystemCall(selector % len(SystemCall))
+        error = CALL_ERRORS[call][selector % len(CALL_ERRORS[call])]
         most_ms = {
             SystemCall.ACCEPT: MAX_ACCEPT_FAULT_MS,
             SystemCall.SEND: MAX_IO_FAULT_MS,
--- a/testbed/soak/oracle.py
+++ b/testbed/soak/oracle.py
@@ -252,7 +252,7 @@
 
     # -- servers -------------------------------------------------------------------------
 
-    def arrived(self, server: str, txn: str, told_ms: Optional[float]) -> None:
+    def arrived(self, server: str, txn: str, remaining_ms: Optional[float]) -> None:
         """See `servers.Arrivals`."""
         now = now_ms()
         record = self._records.get(txn)
@@ -274,18 +274,19 @@
                 Rule.LEFT,
                 f"{txn} of {ask.node} came to {server} {now - record.left_ms:.0f} ms after its client left",
             )
-        if told_ms is not None and ask.sent_ms:
-            left_ms = ask.sent_ms + ask.budget_ms - now
+        if remaining_ms is not None and ask.sent_ms:
+            expected_ms = ask.sent_ms + ask.budget_ms - now
             # A node that is held up several times in a row reads requests late, and can't know how late.
             late = self.slow_io[ask.node].overlaps(ask.sent_ms, now)
             if (
                 not late
-                and told_ms > 1.0
-                and told_ms > left_ms + DEADLINE_SLACK_MS + self.lag.worst_since(now - 500.0)
+                and remaining_ms > 1.0
+                and remaining_ms
+                > expected_ms + DEADLINE_SLACK_MS + self.lag.worst_since(now - 500.0)
             ):
                 self.record_violation(
                     Rule.DEADLINE,
-                    f"{server} was told {told_ms:.0f} ms for {txn} of {ask.node}, {left_ms:.0f} are left",
+                    f"{server} was told {remaining_ms:.0f} ms for {txn} of {ask.node}, {expected_ms:.0f} are left",
                 )
 
     def _lateness_excused(self, node: str, since: float, until: float) -> bool:
@@ -310,14 +311,16 @@
                 )
 
     def _check_departure(self, ask: Ask, server: str, now: float) -> None:
-        told = self._notification_due_ms(ask.node, server)
-        if told == inf:
+        due_ms = self._notification_due_ms(ask.node, server)
+        if due_ms == inf:
             return
-        late_ms = now - told - self._grace_ms - SOCKET_SLACK_MS
-        if late_ms > self.lag.worst_since(told) and not self.slow_io[ask.node].overlaps(told, now):
+        late_ms = now - due_ms - self._grace_ms - SOCKET_SLACK_MS
+        if late_ms > self.lag.worst_since(due_ms) and not self.slow_io[ask.node].overlaps(
+            due_ms, now
+        ):
             self.record_violation(
                 Rule.DRAIN,
-                f"{ask.txn} of {ask.node} came to {server} {now - told:.0f} ms after it counts as notified",
+                f"{ask.txn} of {ask.node} came to {server} {now - due_ms:.0f} ms after it counts as notified",
             )
 
     def _notification_due_ms(self, node: str, server: str) -> float:
--- a/testbed/soak/rig.py
+++ b/testbed/soak/rig.py
@@ -43,7 +43,7 @@
         self._tasks: set[asyncio.Task[Any]] = set()
         self._started_ms = now_ms()
 
-    async def run(self) -> Report:
+    async def run_plan(self) -> Report:
         """Play it; the report."""
         began, world = time.monotonic(), self.world
         try:
@@ -58,9 +58,9 @@
             await self._close()
         world.oracle.finish()
         world.read_logs()
-        return self._report(time.monotonic() - began)
+        return self._make_report(time.monotonic() - began)
 
-    def _report(self, real_s: float) -> Report:
+    def _make_report(self, real_s: float) -> Report:
         oracle, figures = self.world.oracle, self.world.clients.figures
         counts = {
             **oracle.counts,
@@ -103,6 +103,6 @@
     """Play a plan in a folder of its own; `keep` names one in which logs stay."""
     if log_folder is not None:
         log_folder.mkdir(parents=True, exist_ok=True)
-        return asyncio.run(Rig(plan, log_folder).run())
+        return asyncio.run(Rig(plan, log_folder).run_plan())
     with tempfile.TemporaryDirectory(prefix="gradeshift-soak-") as folder:
-        return asyncio.run(Rig(plan, Path(folder)).run())
+        return asyncio.run(Rig(plan, Path(folder)).run_plan())
--- a/testbed/soak/servers.py
+++ b/testbed/soak/servers.py
@@ -17,8 +17,8 @@
 class ArrivalObserver(Protocol):
     """Who hears of each request in the moment in which it has come whole."""
 
-    def arrived(self, server: str, txn: str, told_ms: float | None) -> None:
-        """told_ms: what the request says of how long its node will wait."""
+    def arrived(self, server: str, txn: str, remaining_ms: float | None) -> None:
+        """remaining_ms: what the request says of how long its node will wait."""
 
     def completed_unframed(self, txn: str) -> None:
         """An answer with no length was written whole, and its connection ended."""
@@ -41,15 +41,17 @@
         self.unframed_share = 0.0
         self.broken_share = 0.0
         self._arrival_observer = arrivals
-        self._random = random.Random(f"server/{seed}/{name}")
+        self._rng = random.Random(f"server/{seed}/{name}")
 
     async def serve(self, connection: Connection, request: Message) -> None:
-        told = request.header(b"x-remaining-ms")
+        remaining = request.header(b"x-remaining-ms")
         txn = request.header(b"x-txn")
-        self._arrival_observer.arrived(self.name, txn, float(told) if told.isdigit() else None)
-        draw = self._random.random()
+        self._arrival_observer.arrived(
+            self.name, txn, float(remaining) if remaining.isdigit() else None
+        )
+        draw = self._rng.random()
         if draw < self.broken_share:
-            self.spoil[:] = [self._random.choice((BROKEN, UNFRAMED_BROKEN))]
+            self.spoil[:] = [self._rng.choice((BROKEN, UNFRAMED_BROKEN))]
         elif draw < self.broken_share + self.unframed_share:
             self.spoil[:] = [UNFRAMED]
         await super().serve(connection, request)
--- a/testbed/soak/world.py
+++ b/testbed/soak/world.py
@@ -39,7 +39,7 @@
         self.nodes: list[Node] = []
         self.discovery = Discovery([f"n{n}" for n in range(plan.nodes)], self.oracle)
         self.clients = Clients({}, self.oracle, plan.seed, KEY_COUNT, plan.requests_per_s)
-        self._random = random.Random(f"rig/{plan.seed}")
+        self._rng = random.Random(f"rig/{plan.seed}")
         self._ports = Ports()
         self._origin = OrderBook((HOST, 0), 8, 15.0)
         self._library = build(folder)
@@ -117,7 +117,7 @@
             "name": name,
             "listen": f"{HOST}:{listen}",
             "admin_addr": f"{HOST}:{admin}",
-            "seed": f"{self._random.getrandbits(48):x}",
+            "seed": f"{self._rng.getrandbits(48):x}",
             "limits": {"cores": 1.0, "memory_mb": MEMORY_MB, "sockets": SOCKETS},
             "settings": settings(CLASSES, POLL_WITHIN_MS),
         }
