--- a/testbed/soak/__init__.py
+++ b/testbed/soak/__init__.py
@@ -1,7 +1,12 @@
-"""A randomized fault soak on real processes: nodes started by `run`, stand-ins on loopback, faults that overlap, invariants as the oracle.
+"""A randomized fault soak on real processes of the node.
 
     python -m testbed.soak --seeds 1-20 [--nodes 12] [--seconds 12] [--json FILE]
 
-`plan` draws what happens when, `rig` carries it out, `discovery` and `servers` are the stand-ins, `oracle` holds what was seen against the
-rules, and `shim` makes system calls of a node fail and steps its wall clock. Same seed, same plan; processes interleave as they like.
+Node processes and emulated peers (clients, cache servers, discovery, origin) run on loopback.
+Faults overlap, and an oracle checks the invariants.
+
+`plan` draws the faults and their times from a seed, `rig` runs a plan, `faults` injects its faults,
+`world` holds the systems, `discovery` and `servers` emulate discovery and the cache servers,
+`oracle` checks what was seen against the rules, and `shim` makes system calls of a node fail and
+steps its wall clock. The same seed gives the same plan; how the processes interleave varies.
 """
--- a/testbed/soak/faults.py
+++ b/testbed/soak/faults.py
@@ -1,4 +1,4 @@
-"""Carries out the faults of a plan on the parts of its world."""
+"""Injects the faults of a plan into the systems of its world."""
 
 from __future__ import annotations
 
@@ -11,9 +11,13 @@
 from testbed.soak.servers import SoakServer
 from testbed.soak.world import World
 
-MIN_SERVING = 4  # servers that no fault takes away
+# Servers that remain in service whatever the faults.
+MIN_SERVING = 4
+# Servers replaced by one fault.
 MAX_REPLACED = 3
-SLOW_FACTOR = 8.0  # times as long as usual a slow server takes
+# A slow server takes this many times its usual time.
+SLOW_FACTOR = 8.0
+# Sent by clients that stop in the middle of a request.
 TRUNCATED_REQUESTS = (
     b"GET /api/k1 HT",
     b"GET /api/k1 HTTP/1.1\r\nHost: x\r\nX-Txn: stop",
@@ -22,10 +26,10 @@
 
 
 class FaultInjector:
-    """One method for each kind of fault."""
+    """Injects faults, with one handler for each kind."""
 
     def __init__(self, world: World, notes: list[str]) -> None:
-        """notes: what a fault has to tell of itself is added there."""
+        """Inject into `world`; each fault appends its description to `notes`."""
         self._world = world
         self._notes = notes
         self._handlers: dict[Fault, Callable[[Event], Awaitable[None]]] = {
@@ -55,7 +59,7 @@
         }
 
     async def inject(self, event: Event) -> None:
-        """One fault, from its beginning to its end."""
+        """Inject one fault and wait until it has ended."""
         self._notes.append(
             f"{event.at_s:.2f} {event.kind} {event.target} for {event.duration_s:.2f} s, {event.value:g}"
         )
@@ -67,7 +71,7 @@
     def _server(self, event: Event) -> SoakServer:
         return self._world.servers[event.target % len(self._world.servers)]
 
-    # -- of nodes ------------------------------------------------------------------------
+    # -- nodes ---------------------------------------------------------------------------
 
     async def _stall(self, event: Event) -> None:
         self._node(event).stall(int(event.value))
@@ -78,7 +82,7 @@
     async def _fail_calls(self, event: Event) -> None:
         self._notes.append(await self._node(event).fail_calls(int(event.value), event.duration_s))
 
-    # -- of discovery --------------------------------------------------------------------
+    # -- discovery -----------------------------------------------------------------------
 
     async def _discovery_down(self, event: Event) -> None:
         self._world.discovery.go_down()
@@ -94,9 +98,8 @@
 
     async def _discovery_refuses(self, event: Event) -> None:
         for endpoint in self._world.discovery.all_endpoints():
-            if (
-                not endpoint.delay_s
-            ):  # late and refused calls together leave no time that any node could keep
+            # With delays and refusals together no node could keep the time limits.
+            if not endpoint.delay_s:
                 endpoint.refusals = int(event.value)
 
     async def _discovery_silent(self, event: Event) -> None:
@@ -111,7 +114,7 @@
         for endpoint in self._world.discovery.all_endpoints():
             endpoint.cuts = 1
 
-    # -- of servers ----------------------------------------------------------------------
+    # -- servers -------------------------------------------------------------------------
 
     async def _drain_servers(self, event: Event) -> None:
         serving = self._world.serving()
@@ -159,7 +162,7 @@
         await asyncio.sleep(event.duration_s)
         server.broken_share = 0.0
 
-    # -- of clients ----------------------------------------------------------------------
+    # -- clients -------------------------------------------------------------------------
 
     async def _clients_leave(self, event: Event) -> None:
         clients = self._world.clients
--- a/testbed/soak/oracle.py
+++ b/testbed/soak/oracle.py
@@ -1,7 +1,8 @@
-"""The invariants of the soak: what clients, servers and discovery saw, held against the rules of the platform's pages.
+"""The oracle of the soak: checks what clients, servers and discovery saw against the rules.
 
-Times are ms on the one clock of this process, in which all stand-ins run. What they see may be late by as much as this process stood
-still meanwhile, which `Lag` measures; each limit is allowed that much more.
+Times are in milliseconds on the clock of this process, which runs all emulated systems. An
+observation may be late by the time for which this process's event loop was blocked.
+`EventLoopLag` measures that time, and each limit is extended by it.
 """
 
 from __future__ import annotations
@@ -21,23 +22,24 @@
 from testbed.systems.standins import CacheBox, Witness
 from testbed.tier.books import ColdBox
 
-NOTIFICATION_LIMIT_MS = (
-    6_000.0  # after discovery had a change and could be reached it counts as notified
-)
-STARTUP_LIMIT_MS = (
-    10_000.0  # a new process is held to the list that it was given for so long (`mustAskInMs`)
-)
-SOCKET_SLACK_MS = 50.0  # of each limit of the rules
-CLIENT_LEFT_SLACK_MS = 100.0  # after its client closed no attempt of a request may begin
-DEADLINE_SLACK_MS = 150.0  # of the deadline that a server is told
-MIN_UNFRAMED_ANSWERS = (
-    20  # complete answers with no length, from which on their share is looked at,
-)
-MIN_UNFRAMED_SERVED_SHARE = 0.5  # and that share
+# A node counts as notified of a change once it could reach discovery without interruption for
+# this long after the change.
+NOTIFICATION_LIMIT_MS = 6_000.0
+# A new process may use the list in its configuration for this long (setting `mustAskInMs`).
+STARTUP_LIMIT_MS = 10_000.0
+# Allowance for the delay between a socket operation and its observation by the peer.
+SOCKET_SLACK_MS = 50.0
+# Attempts that arrive later than this after the client left break a rule.
+CLIENT_LEFT_SLACK_MS = 100.0
+# Allowance for the remaining time that a node states to a server.
+DEADLINE_SLACK_MS = 150.0
+# With fewer complete answers without a length, the share that was served is not checked.
+MIN_UNFRAMED_ANSWERS = 20
+MIN_UNFRAMED_SERVED_SHARE = 0.5
 
 
 class Rule(StrEnum):
-    """What may be broken."""
+    """The rules that the oracle checks; the values appear in reports."""
 
     LOST = "lost"
     DUPLICATE = "duplicate"
@@ -53,7 +55,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Violation:
-    """One broken rule."""
+    """One violation of a rule; `at_s` is in seconds since the oracle was created."""
 
     at_s: float
     rule: Rule
@@ -65,7 +67,7 @@
 
 @dataclass(slots=True)
 class Arrival:
-    """One attempt, come whole to a server."""
+    """One attempt that a server received completely."""
 
     server: str
     at_ms: float
@@ -74,7 +76,10 @@
 
 @dataclass(slots=True)
 class RequestRecord:
-    """All that is known of one request."""
+    """Everything the oracle knows about one request.
+
+    `left_ms` is when the client left, `bodies` the answer bodies that servers made for it.
+    """
 
     ask: Ask
     answered: bool = False
@@ -84,39 +89,42 @@
 
     @property
     def may_have_run(self) -> list[Arrival]:
-        """The attempts that no server disowned."""
+        """The attempts that no server reported as not executed."""
         return [arrival for arrival in self.arrivals if not arrival.turned_away]
 
 
 class Intervals:
-    """When something was so, as spans of time; the last one may be open."""
+    """Time intervals in ms during which a condition held; the last one may still be open."""
 
     def __init__(self) -> None:
         self._intervals: list[tuple[float, float]] = []
         self._open = 0
 
     def begin(self) -> None:
-        """It is so from now on."""
+        """Open an interval now; calls may nest."""
         if not self._open:
             self._intervals.append((now_ms(), inf))
         self._open += 1
 
     def end(self) -> None:
-        """It is no longer so, if it has ended as often as it began."""
+        """Close the open interval now, once `end` was called as often as `begin`."""
         self._open = max(0, self._open - 1)
         if not self._open and self._intervals and self._intervals[-1][1] == inf:
             self._intervals[-1] = (self._intervals[-1][0], now_ms())
 
     def add(self, since: float, until: float) -> None:
-        """It is so from then until then."""
+        """Add an interval; its end may lie in the future."""
         self._intervals.append((since, until))
 
     def overlaps(self, since: float, until: float) -> bool:
-        """Whether it was so at any moment between."""
+        """Whether the condition held at any moment between `since` and `until`."""
         return any(begin <= until and end >= since for begin, end in self._intervals)
 
     def end_of_first_gap(self, since: float, span_ms: float) -> float:
-        """The first moment at which it was not so for this long, from `since` on; inf where none has come."""
+        """When the condition first had not held for `span_ms` in a row, counted from `since`.
+
+        The result is inf if the condition still holds.
+        """
         start = since
         for begin, end in sorted(self._intervals):
             if start + span_ms <= begin:
@@ -126,7 +134,7 @@
 
 
 class EventLoopLag:
-    """How late this process runs: the stand-ins see what happens by so much later."""
+    """Measures how late this process's event loop runs, and so how late observations may be."""
 
     INTERVAL_S = 0.005
 
@@ -135,7 +143,7 @@
         self._late: list[tuple[float, float]] = []
 
     async def measure(self) -> None:
-        """Go on until cancelled."""
+        """Measure until cancelled."""
         loop = asyncio.get_running_loop()
         while True:
             before = loop.time()
@@ -146,40 +154,54 @@
                 self.worst_ms = max(self.worst_ms, late_ms)
 
     def worst_since(self, at_ms: float) -> float:
-        """The longest that this process stood still since then."""
+        """The longest lag in ms measured since `at_ms`, plus a margin of 5 ms."""
         return max((late for when, late in self._late if when >= at_ms), default=0.0) + 5.0
 
 
 class Oracle(Observer, Witness):
-    """Collects what was seen, and what of it breaks a rule."""
+    """Collects observations and records those that break a rule.
+
+    Receives reports of clients (`Observer`), cache servers (`Witness`, `servers.ArrivalObserver`)
+    and discovery (`discovery.DiscoveryObserver`). The tables of `Intervals` are keyed by the name
+    of a node and state when a node is excused from some of the rules.
+    """
 
     def __init__(self, grace_ms: float) -> None:
+        """Create an empty oracle.
+
+        grace_ms: how long a node may still send to a server after it was notified of its departure.
+        """
         self.violations: list[Violation] = []
         self.counts: Counter[str] = Counter()
         self.lag = EventLoopLag()
-        self.discovery_unreachable: dict[str, Intervals] = {}  # by node: discovery can't be reached
-        self.exempt: dict[
-            str, Intervals
-        ] = {}  # by node: killed, or just started again: nothing is owed by it
-        self.stalled: dict[str, Intervals] = {}  # by node: stopped, or held up before writes
-        self.slow_io: dict[
-            str, Intervals
-        ] = {}  # by node: it can't read as fast as it is written to
-        self.started_ms: dict[str, float] = {}  # by node: when its process began
+        # The node cannot reach discovery.
+        self.discovery_unreachable: dict[str, Intervals] = {}
+        # The node was killed or has just been restarted, so requests may be lost.
+        self.exempt: dict[str, Intervals] = {}
+        # The process is stopped, or delayed before its writes.
+        self.stalled: dict[str, Intervals] = {}
+        # The node cannot read as fast as its peers write to it.
+        self.slow_io: dict[str, Intervals] = {}
+        # When the process of each node was started.
+        self.started_ms: dict[str, float] = {}
+        # Work that each server received since its cold start.
         self.cold: dict[str, ColdBox] = {}
         self._grace_ms = grace_ms
         self._started_at_ms = now_ms()
         self._records: dict[str, RequestRecord] = {}
-        self._departed_ms: dict[str, float] = {}  # by server: when discovery had its departure
+        # By server: when its departure was entered into discovery.
+        self._departed_ms: dict[str, float] = {}
+        # By node and server: when the departure was written to the node.
         self._notified_ms: dict[tuple[str, str], float] = {}
+        # Node and server, where the node was notified of the server's start time.
         self._start_known: set[tuple[str, str]] = set()
-        self._unframed: dict[
-            str, bool
-        ] = {}  # by request with a complete answer without a length: whether that one was served
+        # Requests that got a complete answer without a length, and whether it reached the client.
+        self._unframed: dict[str, bool] = {}
+        # Requests that the node sent again after such an answer.
         self._retried_unframed: set[str] = set()
 
     def record_violation(self, rule: Rule, what: str) -> None:
-        """Note a violation."""
+        """Record a violation at the present time."""
         self.violations.append(Violation((now_ms() - self._started_at_ms) / 1000.0, rule, what))
 
     # -- clients -------------------------------------------------------------------------
@@ -191,20 +213,20 @@
     def answered(self, ask: Ask, answer: Message) -> None:
         record = self._records[ask.txn]
         if record.answered:
-            self.record_violation(Rule.LOST, f"{ask.txn} is answered twice")
+            self.record_violation(Rule.LOST, f"{ask.txn} was answered twice")
         record.answered = True
         if answer.status == 200:
             if answer.body not in record.bodies:
                 self.record_violation(
                     Rule.WRONG_ANSWER,
-                    f"{ask.txn} is served with what was not made for it: {answer.body[:40]!r}",
+                    f"{ask.txn} was served a body that no server made for it: {answer.body[:40]!r}",
                 )
             if ask.txn in self._unframed and ask.txn not in self._retried_unframed:
                 self._unframed[ask.txn] = True
         if answer.status in (429, 503) and ask.kind.repeat == "unsafe" and record.may_have_run:
             self.record_violation(
                 Rule.DUPLICATE,
-                f"{ask.txn} is refused though it may have run at {record.may_have_run[0].server}",
+                f"{ask.txn} was refused though it may have run at {record.may_have_run[0].server}",
             )
 
     def left(self, ask: Ask) -> None:
@@ -215,21 +237,22 @@
         if self.exempt[ask.node].overlaps(ask.sent_ms - SOCKET_SLACK_MS, now_ms()):
             return False
         if how == "no answer":
-            self.record_violation(
-                Rule.LOST, f"{ask.txn} of {ask.node} has no answer when its time is up"
-            )
+            self.record_violation(Rule.LOST, f"{ask.txn} to {ask.node} got no answer in its time")
             return False
         if record.arrivals:
             self.record_violation(
-                Rule.LOST, f"{ask.txn} of {ask.node} was sent on, and its connection ended: {how}"
+                Rule.LOST,
+                f"{ask.txn} to {ask.node} was forwarded, then its connection ended: {how}",
             )
             return False
         if ask.first:
             self.record_violation(
-                Rule.LOST, f"{ask.txn} of {ask.node} was on a new connection, which ended: {how}"
+                Rule.LOST,
+                f"{ask.txn} to {ask.node} was sent on a new connection, which ended: {how}",
             )
             return False
-        return True  # a close that crossed the request: it is sent once more on a new connection
+        # The node closed an idle connection while the request was on its way: the client retries.
+        return True
 
     def rude(self, node: str, name: str, status: int, waited_ms: float) -> None:
         since = now_ms() - waited_ms
@@ -240,20 +263,23 @@
         if status == -1:
             self.record_violation(
                 Rule.BAD_CLIENT,
-                f"{name} got neither an error nor a close of {node} in {waited_ms:.0f} ms",
+                f"{name} got neither an error nor a close from {node} in {waited_ms:.0f} ms",
             )
         elif 200 <= status < 400:
-            self.record_violation(Rule.BAD_CLIENT, f"{name} was served by {node} with {status}")
+            self.record_violation(
+                Rule.BAD_CLIENT,
+                f"{name} was served by {node} with status {status}",
+            )
 
     def unasked(self, node: str) -> None:
         self.record_violation(
-            Rule.WRONG_ANSWER, f"{node} writes on a connection on which nothing is asked"
+            Rule.WRONG_ANSWER, f"{node} wrote to a connection that carries no request"
         )
 
     # -- servers -------------------------------------------------------------------------
 
     def arrived(self, server: str, txn: str, remaining_ms: Optional[float]) -> None:
-        """See `servers.Arrivals`."""
+        """See `servers.ArrivalObserver`."""
         now = now_ms()
         record = self._records.get(txn)
         if record is None:
@@ -262,7 +288,8 @@
         self.counts["attempts"] += 1
         ask = record.ask
         if txn in self._unframed:
-            self._retried_unframed.add(txn)  # its complete answer was not taken for one
+            # The node did not accept the complete answer as such and retried.
+            self._retried_unframed.add(txn)
         earlier = record.may_have_run
         record.arrivals.append(Arrival(server, now))
         self._check_repeat(ask, server, earlier, now)
@@ -272,11 +299,12 @@
         ) and not self._lateness_excused(ask.node, record.left_ms, now):
             self.record_violation(
                 Rule.LEFT,
-                f"{txn} of {ask.node} came to {server} {now - record.left_ms:.0f} ms after its client left",
+                f"{txn} from {ask.node} arrived at {server} "
+                f"{now - record.left_ms:.0f} ms after its client left",
             )
         if remaining_ms is not None and ask.sent_ms:
             expected_ms = ask.sent_ms + ask.budget_ms - now
-            # A node that is held up several times in a row reads requests late, and can't know how late.
+            # A node that stalls several times in a row reads requests late without knowing it.
             late = self.slow_io[ask.node].overlaps(ask.sent_ms, now)
             if (
                 not late
@@ -286,7 +314,8 @@
             ):
                 self.record_violation(
                     Rule.DEADLINE,
-                    f"{server} was told {remaining_ms:.0f} ms for {txn} of {ask.node}, {expected_ms:.0f} are left",
+                    f"{server} was given {remaining_ms:.0f} ms for {txn} by {ask.node}, "
+                    f"{expected_ms:.0f} ms remain",
                 )
 
     def _lateness_excused(self, node: str, since: float, until: float) -> bool:
@@ -301,13 +330,14 @@
         if ask.kind.repeat == "unsafe":
             self.record_violation(
                 Rule.DUPLICATE,
-                f"{ask.txn} may have run at {earlier[0].server} and came to {server}",
+                f"{ask.txn} may have run at {earlier[0].server} and was sent to {server}",
             )
         elif ask.kind.repeat == "keyed":
             late_ms = now - earlier[0].at_ms - ask.kind.window_ms
             if late_ms > SOCKET_SLACK_MS + self.lag.worst_since(earlier[0].at_ms):
                 self.record_violation(
-                    Rule.DUPLICATE, f"{ask.txn} came to {server} {late_ms:.0f} ms after its window"
+                    Rule.DUPLICATE,
+                    f"{ask.txn} arrived at {server} {late_ms:.0f} ms after its window",
                 )
 
     def _check_departure(self, ask: Ask, server: str, now: float) -> None:
@@ -320,7 +350,8 @@
         ):
             self.record_violation(
                 Rule.DRAIN,
-                f"{ask.txn} of {ask.node} came to {server} {now - due_ms:.0f} ms after it counts as notified",
+                f"{ask.txn} from {ask.node} arrived at {server} "
+                f"{now - due_ms:.0f} ms after the node counts as notified",
             )
 
     def _notification_due_ms(self, node: str, server: str) -> float:
@@ -335,7 +366,7 @@
         return min(due, written if written >= started else inf)
 
     def completed_unframed(self, txn: str) -> None:
-        """See `servers.Arrivals`."""
+        """See `servers.ArrivalObserver`."""
         self._unframed.setdefault(txn, False)
 
     def received(self, box: CacheBox, txn: str, method: str, work_ms: float) -> None:
@@ -358,20 +389,20 @@
         self.body_made(txn, body)
 
     def body_made(self, txn: str, body: bytes) -> None:
-        """A server has made the body of an answer to this request."""
+        """Record the body of an answer that a server made for a request."""
         if txn in self._records:
             self._records[txn].bodies.add(body)
 
     # -- discovery -----------------------------------------------------------------------
 
     def changed(self, entries: Iterable[Entry]) -> None:
-        """See `discovery.Told`."""
+        """See `discovery.DiscoveryObserver`."""
         for entry in entries:
             if entry["lifecycle"] != "in_service":
                 self._departed_ms.setdefault(str(entry["instanceId"]), now_ms())
 
     def notified(self, node: str, entries: Iterable[Entry]) -> None:
-        """See `discovery.Told`."""
+        """See `discovery.DiscoveryObserver`."""
         for entry in entries:
             name = str(entry["instanceId"])
             if entry["lifecycle"] != "in_service":
@@ -380,21 +411,22 @@
                 self._start_known.add((node, name))
 
     def reachable(self, node: str, now: bool) -> None:
-        """See `discovery.Told`."""
+        """See `discovery.DiscoveryObserver`."""
         if now:
             self.discovery_unreachable[node].end()
         else:
             self.discovery_unreachable[node].begin()
 
-    # -- the end -------------------------------------------------------------------------
+    # -- after the run -------------------------------------------------------------------------
 
     def finish(self) -> None:
-        """Hold what only the whole run shows against the rules."""
+        """Check the rules that need the observations of the whole run."""
         for name, cold in self.cold.items():
             if cold.worst() > 1.0:
                 self.record_violation(
                     Rule.FAILBACK,
-                    f"{name} got {cold.worst():.2f} of its budget from nodes that knew of its start",
+                    f"{name} got {cold.worst():.2f} times its budget of work "
+                    "from nodes that were notified of its start",
                 )
         served = sum(self._unframed.values())
         self.counts["unframed"], self.counts["unframed served"] = len(self._unframed), served
@@ -402,5 +434,6 @@
             self._unframed
         ):
             self.record_violation(
-                Rule.UNFRAMED, f"{served} of {len(self._unframed)} were forwarded"
+                Rule.UNFRAMED,
+                f"{served} of {len(self._unframed)} complete answers with no length were forwarded",
             )
--- a/testbed/soak/plan.py
+++ b/testbed/soak/plan.py
@@ -1,4 +1,7 @@
-"""What happens in one run of the soak: sizes, load and faults drawn from a seed. Pure; times are seconds after the start."""
+"""Plans of the soak: sizes, load and faults of one run, drawn from a seed without side effects.
+
+Times are in seconds after the start of the load.
+"""
 
 from __future__ import annotations
 
@@ -6,75 +9,80 @@
 from dataclasses import dataclass, field
 from enum import StrEnum
 
-FAULT_FREE_START_S = 1.5  # before the first fault
+FAULT_FREE_START_S = 1.5
 MIN_FAULTS, MAX_FAULTS = 8, 16
-RELOAD_INTERVALS_S = (0.3, 0.4, 0.9)  # between the reloads of one burst
+# Between consecutive reloads of one burst.
+RELOAD_INTERVALS_S = (0.3, 0.4, 0.9)
 
 
 class Fault(StrEnum):
-    """The kinds of fault."""
-
-    NODE_KILL = "node-kill"  # SIGKILL, started again a moment later
-    NODE_RESTART = "node-restart"  # SIGTERM, started again once it has ended
-    NODE_RELOADS = "node-reloads"  # several SIGHUP in a row, each moving discovery
-    NODE_PAUSE = "node-pause"  # stopped for up to 150 ms
-    NODE_STALLS = "node-stalls"  # held up before its next writes
-    NODE_CLOCK = "node-clock"  # its wall clock steps by up to an hour
-    NODE_CALLS = "node-calls"  # one of its system calls fails
-    NODE_SHORT_IO = "node-short-io"  # its reads and writes move single bytes
+    """The kinds of fault; the values appear in reports."""
+
+    NODE_KILL = "node-kill"  # SIGKILL, restarted shortly after
+    NODE_RESTART = "node-restart"  # SIGTERM, restarted once it has exited
+    NODE_RELOADS = "node-reloads"  # several SIGHUPs, each with the other discovery address
+    NODE_PAUSE = "node-pause"  # SIGSTOP for up to 150 ms
+    NODE_STALLS = "node-stalls"  # delayed before each of its next writes
+    NODE_CLOCK = "node-clock"  # a step of its wall clock by up to an hour
+    NODE_CALLS = "node-calls"  # one of its system calls fails for a while
+    NODE_SHORT_IO = "node-short-io"  # each read and write moves a single byte
     DISCOVERY_DOWN = "discovery-down"
-    DISCOVERY_SLOW = "discovery-slow"  # calls are answered late
-    DISCOVERY_REFUSES = "discovery-refuses"  # the next calls of each node are answered 503
-    DISCOVERY_SILENT = "discovery-silent"  # every open watch falls silent for good
-    DISCOVERY_RESETS = "discovery-resets"  # every open watch is reset
-    DISCOVERY_CUTS = "discovery-cuts"  # the next line of each watch is cut in its middle
-    SERVERS_DRAIN = "servers-drain"  # a quarter of the servers; they stay
-    SERVERS_REPLACED = "servers-replaced"  # some end without a word, others start cold
+    DISCOVERY_SLOW = "discovery-slow"  # answers are delayed
+    DISCOVERY_REFUSES = "discovery-refuses"  # the next calls of each node get 503
+    DISCOVERY_SILENT = "discovery-silent"  # open watches stay open but send nothing any more
+    DISCOVERY_RESETS = "discovery-resets"  # open watches are reset
+    DISCOVERY_CUTS = "discovery-cuts"  # the next line of each watch breaks off in the middle
+    SERVERS_DRAIN = "servers-drain"  # a quarter of the servers, which keep running
+    SERVERS_REPLACED = "servers-replaced"  # some stop without draining, others start cold
     SERVER_HANGS = "server-hangs"
     SERVER_SLOW = "server-slow"
     SERVER_ERRORS = "server-errors"
-    SERVER_RESETS = "server-resets"  # answers break off by a reset, unframed ones among them
+    SERVER_RESETS = "server-resets"  # answers, with and without a length, end in a reset
     CLIENTS_LEAVE = "clients-leave"
-    CLIENTS_STOP = "clients-stop"  # in the middle of a request, and stay
+    CLIENTS_STOP = "clients-stop"  # stop in the middle of a request, stay connected
     LOAD_BURST = "load-burst"
 
 
 PAUSE_MS = (40, 90, 150)
-DISCOVERY_DELAYS_S = (
-    1.0,
-    2.0,
-    3.0,
-)  # a call may be late by so much and still tell a change within 6 s of a silence
+# With an answer delayed by at most this, a node still gets a change within 6 s after its watch
+# became unresponsive.
+DISCOVERY_DELAYS_S = (1.0, 2.0, 3.0)
 WALL_CLOCK_STEPS_MS = (-3_600_000, -5_000, 5_000, 3_600_000)
 CALL_FAULT_DURATIONS_S = (0.05, 0.4, 2.0)
 
 
 @dataclass(frozen=True, slots=True)
 class Event:
-    """One fault: when, to whom, for how long and how much."""
+    """One fault. `target` is an index of a node or server, modulo their number.
+
+    `value` depends on the kind: a count, a time, or a selector.
+    """
 
     at_s: float
     kind: Fault
-    target: int = 0  # node or server, modulo how many there are
+    target: int = 0
     duration_s: float = 0.0
     value: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """One run."""
+    """One run. `unframed_share` is the share of good answers with no length.
+
+    Such an answer ends with its connection.
+    """
 
     seed: int
     nodes: int
     servers: int
     seconds: float
     requests_per_s: float
-    unframed_share: float  # of the good answers end with their connection, with no length
+    unframed_share: float
     events: list[Event] = field(default_factory=list)
 
 
 def draw(seed: int, nodes: int, seconds: float) -> Plan:
-    """The plan of a seed."""
+    """Draw the plan of a seed."""
     rng = random.Random(f"soak/{seed}")
     servers = rng.randint(8, 16)
     events: list[Event] = []
@@ -123,7 +131,10 @@
 
 
 def _draw_incident(rng: random.Random, seconds: float) -> list[Event]:
-    """The shape of the incident of 2026-12-02: discovery down for long, reloads of all nodes, refused calls, and a drain."""
+    """Draw a discovery outage followed by reloads of nodes, refused calls and a drain.
+
+    This reproduces the incident of 2026-12-02.
+    """
     at_s = rng.uniform(FAULT_FREE_START_S, max(FAULT_FREE_START_S + 0.5, seconds - 10.0))
     down_s = rng.uniform(2.0, 4.0)
     back_s = at_s + down_s
--- a/testbed/soak/world.py
+++ b/testbed/soak/world.py
@@ -1,4 +1,7 @@
-"""The world of one soak: node processes, cache servers, origin, discovery and clients, with the oracle that hears of all."""
+"""The systems of one soak: node processes, cache servers, origin, discovery and clients.
+
+All of them report to one oracle.
+"""
 
 from __future__ import annotations
 
@@ -20,18 +23,25 @@
 from testbed.tier.books import ColdBox
 from testbed.tier.processes import HOST, Ports
 
+# The setting `mustAskInMs` of the nodes.
 POLL_WITHIN_MS = 10_000.0
-ANSWER_SLACK_MS = 500.0  # a later answer is a lost request
+# A request whose answer is later than this after its deadline counts as lost.
+ANSWER_SLACK_MS = 500.0
 MEMORY_MB = 64
 SOCKETS = 512
 KEY_COUNT = 400
-DEFECT_MARKERS = ("Traceback", "too late", "had no answer by its deadline")  # in a node's log
+# Texts in a node's log that show a defect.
+DEFECT_MARKERS = ("Traceback", "too late", "had no answer by its deadline")
 
 
 class World:
-    """Everything that a plan needs. All addresses are on 127.0.0.1."""
+    """All systems that a plan needs, on 127.0.0.1."""
 
     def __init__(self, plan: Plan, folder: Path) -> None:
+        """Prepare the systems of a plan; files and logs go into `folder`.
+
+        Raises ShimError where the library of `shim` cannot be built.
+        """
         self.plan = plan
         self.folder = folder
         self.oracle = Oracle(grace_ms=250.0)
@@ -45,7 +55,7 @@
         self._library = build(folder)
 
     async def open(self) -> None:
-        """Start all of it, and wait until every node answers."""
+        """Start all systems and wait until every node answers."""
         self._origin.listen()
         self.discovery.listen()
         await self.discovery.change(
@@ -60,13 +70,16 @@
         self.clients.slack_ms = ANSWER_SLACK_MS
 
     async def wait_for_restarts(self) -> None:
-        """Wait for nodes that are being started, so that their exit codes are known."""
+        """Wait for restarts in progress, so that exit codes are known.
+
+        Raises TimeoutError after READY_TIMEOUT_S.
+        """
         async with asyncio.timeout(READY_TIMEOUT_S):
             while any(node.restarting for node in self.nodes):
                 await asyncio.sleep(0.05)
 
     async def close(self) -> None:
-        """End all of it."""
+        """Stop all systems."""
         self.clients.close()
         for node in self.nodes:
             await node.stop()
@@ -76,7 +89,7 @@
         self._ports.close()
 
     def start_server(self, cold: bool) -> Entry:
-        """A new server, under a new name; its entry."""
+        """Start a server under a new name and return its entry in the list."""
         name = f"s{len(self.servers)}"
         spec = BoxSpec(cores=2, kept=400)
         server = SoakServer(
@@ -95,7 +108,7 @@
         return in_service_entry(name, server.address, cold)
 
     def serving(self) -> list[SoakServer]:
-        """The servers that are listed in service."""
+        """The servers that discovery lists as in service."""
         listed = self.discovery.servers.entries
         return [
             server
@@ -125,15 +138,18 @@
         return Node(name, (HOST, listen), self.folder, shim, config, self.discovery, self.oracle)
 
     def read_logs(self) -> None:
-        """What nodes say of themselves: exceptions, violations of the send guard, ends."""
+        """Record defects that nodes logged, and unexpected exit codes, as violations."""
         for node in self.nodes:
             text = node.log
             for sign in DEFECT_MARKERS:
                 if sign in text:
                     at = text.index(sign)
                     self.oracle.record_violation(
-                        Rule.CRASH, f"{node.name} logs: {text[max(0, at - 200) : at + 400]}"
+                        Rule.CRASH,
+                        f"{node.name} logged a defect: {text[max(0, at - 200) : at + 400]}",
                     )
             for code in node.exit_codes:
                 if code not in (0, -signal.SIGKILL):
-                    self.oracle.record_violation(Rule.CRASH, f"{node.name} ended with {code}")
+                    self.oracle.record_violation(
+                        Rule.CRASH, f"{node.name} ended with exit code {code}"
+                    )
