--- a/testbed/soak/__main__.py
+++ b/testbed/soak/__main__.py
@@ -1,4 +1,4 @@
-"""The soak from the command line: one line a seed, violations below it; exits with 1 where a rule was broken."""
+"""The command line of the soak: prints a line for each seed, followed by its violations."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
 
 
 def parse_seeds(text: str) -> range:
-    """`7` or `1-20`."""
+    """Parse one seed (`7`) or an inclusive range (`1-20`); raises ValueError."""
     first, _, last = text.partition("-")
     return range(int(first), int(last or first) + 1)
 
 
 def summary_line(report: Report) -> str:
-    """One report in one line."""
+    """A one-line summary of a report."""
     c = report.counts
     shown = ("asked", "served", "refused", "failed", "left", "unframed", "unframed served")
     counts = ", ".join(f"{name} {c.get(name, 0)}" for name in shown)
@@ -30,29 +30,34 @@
 
 
 @click.command()
-@click.option("--seeds", default="1-5", show_default=True, help="One seed or a span of them.")
+@click.option("--seeds", default="1-5", show_default=True, help="One seed or a range of them.")
 @click.option(
     "--nodes",
     default=12,
     show_default=True,
     type=click.IntRange(1, 40),
-    help="Processes of the node.",
+    help="Number of node processes.",
 )
 @click.option(
     "--seconds",
     default=14.0,
     show_default=True,
     type=click.FloatRange(4.0, 600.0),
-    help="Of load in each run.",
+    help="Duration of the load in each run.",
 )
-@click.option("--json", "file", type=click.Path(path_type=Path), help="Write all reports there.")
 @click.option(
-    "--logs", type=click.Path(path_type=Path), help="Keep each run's logs in a folder there."
+    "--json", "file", type=click.Path(path_type=Path), help="Write all reports to this file."
+)
+@click.option(
+    "--logs", type=click.Path(path_type=Path), help="Keep the files of each run in a folder there."
 )
 def main(
     seeds: str, nodes: int, seconds: float, file: Optional[Path], logs: Optional[Path]
 ) -> None:
-    """Play randomized faults on real processes and hold the rules against what was seen."""
+    """Inject random faults into real processes and check the rules.
+
+    Exits with 1 where a rule was broken.
+    """
     reports = []
     for seed in parse_seeds(seeds):
         report = run(draw(seed, nodes, seconds), logs / str(seed) if logs else None)
--- a/testbed/soak/discovery.py
+++ b/testbed/soak/discovery.py
@@ -1,4 +1,8 @@
-"""Discovery as the soak needs it: one list of versions, watched by each node at two places of its own, with faults at each of them."""
+"""Emulated discovery of the soak.
+
+One versioned list of servers, which each node watches at two endpoints of its own. Faults are set
+for each endpoint.
+"""
 
 from __future__ import annotations
 
@@ -16,21 +20,21 @@
 
 
 class DiscoveryObserver(Protocol):
-    """Who hears what discovery has and writes."""
+    """Receives what discovery contains and what it writes to nodes."""
 
     def changed(self, entries: Iterable[Entry]) -> None:
-        """Discovery has a change."""
+        """A change was entered into discovery."""
 
     def notified(self, node: str, entries: Iterable[Entry]) -> None:
-        """A change has been written whole to a node."""
+        """A change was completely written to a node."""
 
     def reachable(self, node: str, now: bool) -> None:
-        """From now on a node can reach discovery, or cannot."""
+        """From now on the node can reach discovery (`now` is true) or cannot."""
 
 
 @dataclass(slots=True)
 class Version:
-    """One change of the list."""
+    """One change of the list; `entries` are those that changed."""
 
     number: int
     entries: list[Entry]
@@ -38,7 +42,7 @@
 
 @dataclass(slots=True)
 class ServerList:
-    """What discovery knows, by version."""
+    """The list of servers and its history of changes."""
 
     entries: dict[str, Entry] = field(default_factory=dict)
     versions: list[Version] = field(default_factory=list)
@@ -46,11 +50,11 @@
 
     @property
     def latest_version(self) -> int:
-        """The latest version."""
+        """The number of the latest version."""
         return len(self.versions)
 
     def change(self, entries: list[Entry]) -> None:
-        """Make one change."""
+        """Apply one change; entries with the lifecycle `terminated` are removed."""
         for entry in entries:
             name = str(entry["instanceId"])
             if entry["lifecycle"] == "terminated":
@@ -60,32 +64,36 @@
         self.versions.append(Version(self.latest_version + 1, entries))
 
     async def notify_watches(self) -> None:
-        """Wake every watch."""
+        """Wake all watches, so that they write the change."""
         async with self.changed:
             self.changed.notify_all()
 
 
 class DiscoveryEndpoint(Server):
-    """Discovery at one address, for one node."""
+    """Discovery at one address, for one node.
+
+    Faults: `delay_s` delays each answer, `refusals` further calls get 503, `down` refuses all
+    calls, and `cuts` further lines break off in the middle and reset their connection.
+    """
 
     def __init__(self, node: str, servers: ServerList, observer: DiscoveryObserver) -> None:
         super().__init__(("127.0.0.1", 0))
         self.node = node
-        self.delay_s = 0.0  # of each call's answer
-        self.refusals = 0  # further calls that are answered 503
+        self.delay_s = 0.0
+        self.refusals = 0
         self.down = False
-        self.cuts = 0  # further lines that are cut in their middle
+        self.cuts = 0
         self._servers = servers
         self._observer = observer
         self._watches: dict[Connection, None] = {}
         self._silent: set[Connection] = set()
 
     def silence(self) -> None:
-        """Every open watch falls silent for good."""
+        """Write nothing more to the open watches, which stay open."""
         self._silent.update(self._watches)
 
     def reset(self) -> None:
-        """Every open watch is reset."""
+        """Reset all open watches."""
         for connection in list(self._watches):
             connection.stream.abort()
 
@@ -108,7 +116,7 @@
             writing.cancel()
             del self._watches[connection]
             self._silent.discard(connection)
-        raise Ended("the watch")
+        raise Ended("the watch was closed by its client")
 
     async def _write_watch(self, connection: Connection, after: int | None) -> None:
         servers = self._servers
@@ -166,7 +174,7 @@
 
 
 class Discovery:
-    """All places, two for each node, and the faults that they have together."""
+    """All endpoints, two for each node, and their common faults."""
 
     def __init__(self, nodes: list[str], observer: DiscoveryObserver) -> None:
         self.servers = ServerList()
@@ -181,27 +189,27 @@
         self._outages = 0
 
     def listen(self) -> None:
-        """Begin to answer at every place."""
+        """Accept calls at every endpoint."""
         for endpoint in self.all_endpoints():
             endpoint.listen()
 
     def close(self) -> None:
-        """End every place."""
+        """Close every endpoint."""
         for endpoint in self.all_endpoints():
             endpoint.close()
 
     def all_endpoints(self) -> list[DiscoveryEndpoint]:
-        """Every place."""
+        """The endpoints of all nodes."""
         return [endpoint for pair in self.endpoints.values() for endpoint in pair]
 
     async def change(self, entries: list[Entry]) -> None:
-        """Make one change and write it to every watch."""
+        """Apply one change and write it to every watch."""
         self.servers.change(entries)
         self._observer.changed(entries)
         await self.servers.notify_watches()
 
     def go_down(self) -> None:
-        """Watches end and calls fail, until it is back as often as it went down."""
+        """Reset watches and refuse calls until `recover` was called as often as this method."""
         self._outages += 1
         for endpoint in self.all_endpoints():
             endpoint.down = True
@@ -210,7 +218,7 @@
             self._observer.reachable(node, False)
 
     def recover(self) -> None:
-        """See `go_down`."""
+        """End one outage; see `go_down`."""
         self._outages -= 1
         if self._outages:
             return
@@ -221,7 +229,7 @@
 
 
 def in_service_entry(name: str, address: Address, cold: bool) -> Entry:
-    """A server in service as discovery lists it."""
+    """The list entry of a server in service; only a cold server has a start time."""
     return {
         "instanceId": name,
         "hostPort": f"{address[0]}:{address[1]}",
--- a/testbed/soak/large_fleet.py
+++ b/testbed/soak/large_fleet.py
@@ -1,10 +1,15 @@
-"""One node process with a share of a core beside up to thousands of cache servers, while servers are replaced; the rules are the soak's.
+"""One node process on a share of a core with up to thousands of cache servers being replaced.
 
-    python -m testbed.soak.large_fleet --servers 200,3200 --shares 1.0,0.1 [--seconds 18] [--replace-every 1.5] [--json FILE]
-    python -m testbed.soak.large_fleet --seeds 1-50        # sizes, shares, replacements and faults of discovery drawn from each seed
+The rules are those of the soak.
 
-One listener serves all cache servers: each has an address of its own in 127.64.0.0/10 and all have one port. The node's process gets
-its share from the preloaded library of `shim`. Clients ask before the first list is written. Ends by itself.
+    python -m testbed.soak.large_fleet --servers 200,3200 --shares 1.0,0.1 [--seconds 18]
+        [--replace-every 1.5] [--json FILE]
+    python -m testbed.soak.large_fleet --seeds 1-50
+
+With `--seeds`, each seed draws the size, share, replacements and faults of discovery. One listener
+emulates all cache servers: each has its own address in 127.64.0.0/10, and all share one port. The
+preloaded library of `shim` limits the node's process to its share of a core. Clients send requests
+before the first list is written.
 """
 
 from __future__ import annotations
@@ -42,55 +47,72 @@
 ROOT = Path(__file__).parents[2]
 NODE = "n0"
 LOOPBACK_DEVICE = b"lo"
+# Address of the first cache server, 127.64.0.1.
 FIRST_ADDRESS = (127 << 24) + (64 << 16) + 1
-SERVICE_TIME_S = 0.02  # of one request at a cache server
+# Time a cache server takes for a request.
+SERVICE_TIME_S = 0.02
 DEADLINE_MS = 1_100.0
 AIM_MS = 800.0
-ANSWER_SLACK_MS = 500.0  # a later answer is a lost request
-ATTEMPT_SLACK_MS = 100.0  # past its client's time an attempt may begin for so long
+# A request whose answer is later than this after its deadline counts as lost.
+ANSWER_SLACK_MS = 500.0
+# An attempt that begins later than this after its client's deadline counts as late.
+ATTEMPT_SLACK_MS = 100.0
+# The setting `mustAskInMs` of the node.
 POLL_WITHIN_MS = 10_000.0
 MEMORY_MB = 80
 SOCKETS = 1_024
 READY_TIMEOUT_S = 30.0
-SHUTDOWN_LIMIT_S = (
-    DEADLINE_MS / 1000.0 + 0.7 + 0.5
-)  # after SIGTERM: when SIGKILL may come, and half a second for the harness
-FIRST_LIST_DELAY_S = 0.6  # from the clients' start to the first list
-SAMPLE_INTERVAL_S = 0.25  # between two looks at the node's memory
-MAX_COLD_BUDGETS = 1_500  # servers for which the oracle keeps a budget of cold work
+# Time from SIGTERM to a possible SIGKILL, plus half a second for the test harness.
+SHUTDOWN_LIMIT_S = DEADLINE_MS / 1000.0 + 0.7 + 0.5
+# From the clients' start to the first list.
+FIRST_LIST_DELAY_S = 0.6
+# Between two samples of the node's memory and of the served requests.
+SAMPLE_INTERVAL_S = 0.25
+# Servers for which the oracle keeps a budget of cold work.
+MAX_COLD_BUDGETS = 1_500
 RUN_CLASSES = tuple(replace(kind, aim_ms=AIM_MS, deadline_ms=DEADLINE_MS) for kind in CLASSES)
 
 
 class WatchFault(StrEnum):
-    """What befalls the node's watch."""
+    """Faults of the node's watch; the values appear in reports."""
 
     RESET = "reset"
-    CUT = "cut"  # the next line, in its middle
-    SILENT = "silent"  # for good
-    WHOLE_LIST = "whole-list"  # discovery counts anew: the next call gets the whole list
+    CUT = "cut"  # the next line breaks off in the middle
+    SILENT = "silent"  # the watch stays open but sends nothing any more
+    WHOLE_LIST = "whole-list"  # a reset; the next call gets the whole list
 
 
 @dataclass(frozen=True, slots=True)
 class Scenario:
-    """What is played."""
+    """The parameters of a run; fields are keys of the JSON output.
+
+    `replaced_part` is the share of the servers in service that is replaced each time. With `drain`,
+    leaving servers are listed as terminating first, otherwise they are removed at once.
+    `idle_clients` is the number of connections that carry no requests. `faults` are times in seconds
+    after the first list, with the fault of the watch.
+    """
 
     servers: int
     core_share: float = 1.0
     seconds: float = 18.0
     requests_per_s: float = 30.0
     replace_every_s: float = 1.5
-    replaced_part: float = 0.02  # of the servers in service, each time
-    drain: bool = (
-        True  # the leaving ones are listed as terminating first; otherwise they are gone at once
-    )
+    replaced_part: float = 0.02
+    drain: bool = True
     seed: int = 1
-    idle_clients: int = 0  # connections on which nothing is asked
-    faults: tuple[tuple[float, WatchFault], ...] = ()  # of the watch, in s after the first list
+    idle_clients: int = 0
+    faults: tuple[tuple[float, WatchFault], ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
 class Result:
-    """What came of it."""
+    """The result of a run; fields are keys of the JSON output.
+
+    `late_attempts` began over ATTEMPT_SLACK_MS after their clients' deadlines. `first_served_s` counts
+    from when discovery began to write the first list. `ended_s` counts from SIGTERM and is None where
+    the process had to be killed. `memory_mb` is the resident memory halfway through the run and at
+    its end. `decisions_failed` is counted in the node's log.
+    """
 
     scenario: Scenario
     violations: list[str]
@@ -99,17 +121,17 @@
     refused: int
     failed: int
     unanswered: int
-    late_attempts: int  # begun over ATTEMPT_SLACK_MS past their clients' time
+    late_attempts: int
     served_by_third: tuple[int, int, int]
-    first_served_s: Optional[float]  # from when discovery began to write the first list
-    ended_s: Optional[float]  # from SIGTERM; None where it had to be killed
-    memory_mb: tuple[float, float]  # resident at the run's half and at its end
-    decisions_failed: int  # by the node's log
+    first_served_s: Optional[float]
+    ended_s: Optional[float]
+    memory_mb: tuple[float, float]
+    decisions_failed: int
     harness_late_ms: float
 
     @property
     def kept(self) -> bool:
-        """Whether no rule was broken and the node ended in its time."""
+        """Whether no rule was broken and the process exited in time."""
         return not (
             self.violations or self.late_attempts or self.decisions_failed or self.ended_s is None
         )
@@ -117,12 +139,13 @@
 
 SIZES = (200, 400, 800, 1_600, 3_200)
 CORE_SHARES = (1.0, 0.5, 0.3, 0.2, 0.1)
-DRAWN_LOAD_S = 12.0  # of load in a drawn scenario
+# Duration of the load in a drawn scenario.
+DRAWN_LOAD_S = 12.0
 LAST_FAULT_AT_S = 8.0
 
 
 def draw(seed: int) -> Scenario:
-    """The scenario of a seed."""
+    """Draw the scenario of a seed."""
     rng = random.Random(f"large/{seed}")
     faults = [
         (round(rng.uniform(1.0, LAST_FAULT_AT_S), 2), rng.choice(list(WatchFault)))
@@ -144,17 +167,22 @@
 
 
 class ServerRange(Server):
-    """All cache servers behind one listener on the loopback device. Each answers every request after the same time."""
+    """All cache servers behind one listener on the loopback device.
+
+    Each answers every request after SERVICE_TIME_S.
+    """
 
     def __init__(self, oracle: Oracle) -> None:
         super().__init__(("0.0.0.0", 0), backlog=4_096)
         self.oracle = oracle
         self.late_attempts = 0
-        self._names: dict[str, str] = {}  # by host and port, as requests have them
-        self._deadlines_ms: dict[str, float] = {}  # by request id
+        # Server names by the value of the Host header.
+        self._names: dict[str, str] = {}
+        # Clients' deadlines by request id.
+        self._deadlines_ms: dict[str, float] = {}
 
     def listen(self) -> None:
-        """Begin to accept, from this machine alone."""
+        """Accept connections, from this machine only."""
         sock = seam.tcp_socket()
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_BINDTODEVICE, LOOPBACK_DEVICE)
         seam.limit_buffers(sock, KERNEL_BUFFER_BYTES)
@@ -165,7 +193,7 @@
         asyncio.get_running_loop().add_reader(sock, self._accept)
 
     def start_server(self, cold: bool) -> Entry:
-        """One more cache server; its entry in the list."""
+        """Add a cache server and return its entry in the list."""
         number = len(self._names)
         name = f"s{number}"
         address: Address = (
@@ -181,7 +209,7 @@
         return in_service_entry(name, address, cold)
 
     def note_deadline(self, ask: Ask) -> None:
-        """A client has sent this request."""
+        """Record the deadline of a request that a client sent."""
         self._deadlines_ms[ask.txn] = ask.sent_ms + ask.budget_ms
 
     async def serve(self, connection: Connection, request: Message) -> None:
@@ -201,10 +229,11 @@
 
 
 class ObservedEndpoint(DiscoveryEndpoint):
-    """Discovery that notes when it first answered a call with the list."""
+    """Discovery that records when it first answered a call with the list."""
 
     first_answer_ms: Optional[float] = None
-    send_full_list = False  # the next call gets the whole list, whatever it asks for
+    # The next call gets the whole list, whichever version it asks for.
+    send_full_list = False
 
     async def serve(self, connection: Connection, request: Message) -> None:
         if self.first_answer_ms is None and not self.down:
@@ -216,7 +245,7 @@
 
 
 class LargeFleetOracle(Oracle):
-    """The soak's oracle, which tells the servers of each request."""
+    """The soak's oracle, which also passes the deadlines of requests to the servers."""
 
     servers: ServerRange
 
@@ -226,7 +255,7 @@
 
 
 class LargeFleet:
-    """One play of a scenario."""
+    """Runs one scenario."""
 
     def __init__(self, scenario: Scenario, folder: Path) -> None:
         self.scenario = scenario
@@ -248,14 +277,12 @@
         self._shim = Shim(build(folder), folder / "node.shim")
         self._listen: Address = (HOST, self._ports.take())
         self._memory_samples_mb: list[float] = []
-        self._served_samples: list[
-            tuple[float, int]
-        ] = []  # (s after the first list, served so far)
+        self._served_samples: list[tuple[float, int]] = []  # (s after the first list, total)
         self._first_list_ms = 0.0
         self._log = folder / "node.log"
 
     async def run_scenario(self) -> Result:
-        """Play it."""
+        """Run the scenario and return the result."""
         self._servers.listen()
         self._endpoint.listen()
         self._endpoint.down = True
@@ -305,7 +332,9 @@
             self._shim.close()
         for task in background:
             if not task.cancelled() and (error := task.exception()) is not None:
-                self._oracle.record_violation(Rule.CRASH, f"the rig itself failed: {error!r}")
+                self._oracle.record_violation(
+                    Rule.CRASH, f"a task of the test rig failed: {error!r}"
+                )
         return self._make_result(ended_s)
 
     async def _start(self) -> asyncio.subprocess.Process:
@@ -336,7 +365,7 @@
         return process
 
     async def _replace(self) -> None:
-        """Some servers leave and as many start, over and over; those that drained are gone a round later."""
+        """Replace servers periodically; those that drain are removed one round later."""
         leaving: list[Entry] = []
         serving = list(self._server_list.entries.values())
         count = max(1, round(self.scenario.replaced_part * self.scenario.servers))
@@ -358,7 +387,7 @@
             await self._server_list.notify_watches()
 
     async def _inject_faults(self) -> None:
-        """Faults of the watch, each at its time."""
+        """Inject the faults of the watch at their times."""
         for at_s, fault in self.scenario.faults:
             await asyncio.sleep(max(0.0, at_s - (now_ms() - self._first_list_ms) / 1000.0))
             if fault is WatchFault.SILENT:
@@ -371,7 +400,7 @@
                 self._endpoint.reset()
 
     async def _open_idle_clients(self) -> list[socket.socket]:
-        """Connections on which nothing is asked."""
+        """Open connections that carry no requests."""
         idle_clients = []
         for _ in range(self.scenario.idle_clients):
             sock = socket.socket()
@@ -444,7 +473,7 @@
 
 
 def run(scenario: Scenario, log_folder: Optional[Path] = None) -> Result:
-    """Play a scenario in a folder of its own; `keep` names one in which the node's log stays."""
+    """Run a scenario in `log_folder`, where its files are kept, or in a temporary folder."""
     if log_folder is not None:
         log_folder.mkdir(parents=True, exist_ok=True)
         return asyncio.run(LargeFleet(scenario, log_folder).run_scenario())
@@ -453,7 +482,7 @@
 
 
 def summary_line(result: Result) -> str:
-    """One result in one line."""
+    """A one-line summary of a result."""
     scenario = result.scenario
     state = "kept" if result.kept else f"{len(result.violations)} VIOLATIONS"
     drawn = [
@@ -487,7 +516,12 @@
 @click.option(
     "--replace-every", default=1.5, show_default=True, help="Seconds between two replacements."
 )
-@click.option("--replaced-part", default=0.02, show_default=True, help="Of the servers, each time.")
+@click.option(
+    "--replaced-part",
+    default=0.02,
+    show_default=True,
+    help="Share of the servers replaced each time.",
+)
 @click.option(
     "--drain/--no-drain",
     default=True,
@@ -498,17 +532,22 @@
 @click.option(
     "--seeds",
     default="",
-    help="One seed or a span of them: draw the scenarios, whatever else is given.",
+    help="One seed or a range: draw the scenarios, ignoring the other parameters.",
 )
-@click.option("--json", "file", type=click.Path(path_type=Path), help="Write all results there.")
 @click.option(
-    "--logs", type=click.Path(path_type=Path), help="Keep the nodes' logs in folders there."
+    "--json", "file", type=click.Path(path_type=Path), help="Write all results to this file."
+)
+@click.option(
+    "--logs", type=click.Path(path_type=Path), help="Keep the files of each run in a folder there."
 )
 def main(
     servers: str, shares: str, seconds: float, replace_every: float, replaced_part: float, drain: bool, seed: int, seeds: str,
     file: Optional[Path], logs: Optional[Path],
 ) -> None:  # fmt: skip
-    """Play each number of servers with each share, or what seeds draw; exits with 1 where a rule was broken."""
+    """Run each number of servers with each share, or the scenarios that seeds draw.
+
+    Exits with 1 where a rule was broken.
+    """
     if seeds:
         scenarios = [draw(number) for number in parse_seeds(seeds)]
     else:
--- a/testbed/soak/nodes.py
+++ b/testbed/soak/nodes.py
@@ -1,4 +1,4 @@
-"""The node processes of a soak: their configuration, start and end, and the faults that are done to a process."""
+"""The node processes of a soak: configuration, start, stop, and faults of a process."""
 
 from __future__ import annotations
 
@@ -24,13 +24,16 @@
 
 ROOT = Path(__file__).parents[2]
 READY_TIMEOUT_S = 30.0
-SHUTDOWN_LIMIT_S = 4.3  # after SIGTERM
-CRASH_DETECTION_S = 0.8  # until clients know that a node has died,
-SHUTDOWN_DETECTION_S = 0.35  # and for how long after SIGTERM they make new connections to it
-MAX_ACCEPT_FAULT_MS = (
-    400.0  # of accept: what waits in the queue has its time counted from its last byte
-)
-MAX_IO_FAULT_MS = 50.0  # of reads and writes
+# Time from SIGTERM to the end of the process.
+SHUTDOWN_LIMIT_S = 4.3
+# Clients use a killed node for this long.
+CRASH_DETECTION_S = 0.8
+# Clients open new connections to a node for this long after its SIGTERM.
+SHUTDOWN_DETECTION_S = 0.35
+# Bounded, because the time of a request that waits in the accept queue counts from its last byte.
+MAX_ACCEPT_FAULT_MS = 400.0
+# Longest fault of reads and writes.
+MAX_IO_FAULT_MS = 50.0
 CONNECT_ERRORS = (*LOCAL_CONNECT_ERRORS, errno.EHOSTUNREACH, errno.ETIMEDOUT)
 SOCKET_ERRORS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
 BUFFER_ERRORS = (errno.ENOBUFS, errno.ENOMEM, errno.EINTR)
@@ -45,7 +48,12 @@
 
 @dataclass(slots=True)
 class Node:
-    """One node: its configuration, its process, and what is done to it."""
+    """One node: its configuration, its process and the faults of that process.
+
+    `endpoint_index` selects the discovery address in its configuration. Clients send the node
+    nothing from `down_from_s` on (monotonic seconds; 0: it is up). `restarting` is set while the
+    process is being stopped or started.
+    """
 
     name: str
     listen: Address
@@ -54,26 +62,26 @@
     config: dict[str, Any]
     discovery: Discovery
     oracle: Oracle
-    endpoint_index: int = 0  # of discovery that its configuration names
+    endpoint_index: int = 0
     process: Optional[asyncio.subprocess.Process] = None
-    down_from_s: float = 0.0  # clients send it nothing from then on
-    restarting: bool = False  # it is being ended or started
+    down_from_s: float = 0.0
+    restarting: bool = False
     exit_codes: list[int] = field(default_factory=list)
 
     @property
     def down(self) -> bool:
-        """Whether clients know that it is gone."""
+        """Whether clients have noticed that the node is down."""
         return 0.0 < self.down_from_s <= time.monotonic()
 
     @property
     def log(self) -> str:
-        """All that it has logged."""
+        """Everything that all its processes logged."""
         return (self.folder / f"{self.name}.log").read_text()
 
-    # -- its life ------------------------------------------------------------------------
+    # -- lifecycle -----------------------------------------------------------------------
 
     def write_config(self) -> None:
-        """Write its file: discovery's place, and the list as it is now."""
+        """Write its configuration with the discovery address and the present list of servers."""
         host, port = self.discovery.endpoints[self.name][self.endpoint_index].address
         self.config["discovery"] = f"{host}:{port}"
         servers = self.discovery.servers
@@ -89,7 +97,7 @@
         return self.folder / f"{self.name}.json"
 
     async def start(self) -> None:
-        """Start a process by a fresh file."""
+        """Write the configuration and start a process."""
         self.write_config()
         environ = {
             **os.environ,
@@ -105,21 +113,26 @@
         self.oracle.started_ms[self.name] = now_ms()
 
     async def wait_ready(self) -> None:
-        """Until it answers; RuntimeError where it has ended, TimeoutError after READY_S."""
+        """Wait until the node answers.
+
+        Raises RuntimeError where the process has ended, TimeoutError after READY_TIMEOUT_S.
+        """
         async with asyncio.timeout(READY_TIMEOUT_S):
             while await fetch(self.listen, "/up") is None:
                 if self.process is None or self.process.returncode is not None:
-                    raise RuntimeError(f"{self.name} does not start: {self.log[-800:]}")
+                    raise RuntimeError(
+                        f"{self.name} did not start; end of its log: {self.log[-800:]}"
+                    )
                 await asyncio.sleep(0.05)
 
     async def start_again(self) -> None:
-        """Start it again, and let clients know."""
+        """Start it again; clients use it once it answers."""
         await self.start()
         await self.wait_ready()
         self.down_from_s = 0.0
 
     async def stop(self) -> None:
-        """End it for good."""
+        """Kill the process for good and close the shim."""
         if self.process is not None:
             if self.process.returncode is None:
                 with suppress(ProcessLookupError):
@@ -132,7 +145,7 @@
     # -- faults --------------------------------------------------------------------------
 
     async def kill(self) -> None:
-        """SIGKILL, and a new process a moment later."""
+        """Send SIGKILL and start a new process shortly after."""
         if self.restarting or self.process is None:
             return
         self.restarting = True
@@ -148,7 +161,7 @@
             self.restarting = False
 
     async def restart(self) -> None:
-        """SIGTERM, and a new process once it has ended."""
+        """Send SIGTERM and start a new process once the old one has exited."""
         if self.restarting or self.process is None:
             return
         self.restarting = True
@@ -160,7 +173,8 @@
                     self.exit_codes.append(await self.process.wait())
             except TimeoutError:
                 self.oracle.record_violation(
-                    Rule.CRASH, f"{self.name} has not ended {SHUTDOWN_LIMIT_S} s after SIGTERM"
+                    Rule.CRASH,
+                    f"{self.name} was still running {SHUTDOWN_LIMIT_S} s after SIGTERM, killing it",
                 )
                 self.process.kill()
                 await self.process.wait()
@@ -169,7 +183,7 @@
             self.restarting = False
 
     async def reload(self, count: int) -> None:
-        """So many SIGHUPs in a row, each moving discovery to its other place."""
+        """Send `count` SIGHUPs in a row, each switching to the other discovery address."""
         for n in range(count):
             if self.restarting or self.process is None:
                 return
@@ -181,37 +195,41 @@
                 await asyncio.sleep(RELOAD_INTERVALS_S[n])
 
     async def pause(self, for_ms: float) -> None:
-        """Stop the process for so long."""
+        """Stop the process with SIGSTOP for `for_ms`."""
         if self.restarting or self.process is None:
             return
-        process, held_up = self.process, self.oracle.stalled[self.name]
-        held_up.begin()
+        process, stalled = self.process, self.oracle.stalled[self.name]
+        stalled.begin()
         with suppress(ProcessLookupError):
             process.send_signal(signal.SIGSTOP)
             await asyncio.sleep(for_ms / 1000.0)
             process.send_signal(signal.SIGCONT)
         await asyncio.sleep(0.05)
-        held_up.end()
+        stalled.end()
 
     def stall(self, times: int) -> None:
-        """Hold it up for 0.15 s before each of its next writes."""
+        """Delay each of its next `times` writes by 0.15 s."""
         span_ms = 150.0 * times + 1_000.0
         self.oracle.stalled[self.name].add(now_ms(), now_ms() + span_ms)
-        if times > 1:  # several stalls in a row are more than the rules allow for
+        # The rules do not allow for several stalls in a row.
+        if times > 1:
             self.oracle.slow_io[self.name].add(now_ms(), now_ms() + span_ms)
             self.oracle.exempt[self.name].add(now_ms() - 1.0, now_ms() + span_ms)
         self.shim.stall_writes(150, times)
 
     async def fail_calls(self, selector: int, for_s: float) -> str:
-        """One of its system calls fails for a while; which one, how and for how long."""
+        """Let one of its system calls fail for a while; return a description.
+
+        `selector` determines the call and the errno.
+        """
         call = SystemCall(selector % len(SystemCall))
         error = CALL_ERRORS[call][selector % len(CALL_ERRORS[call])]
-        most_ms = {
+        max_ms = {
             SystemCall.ACCEPT: MAX_ACCEPT_FAULT_MS,
             SystemCall.SEND: MAX_IO_FAULT_MS,
             SystemCall.RECV: MAX_IO_FAULT_MS,
         }.get(call, 10_000.0)
-        for_s = min(for_s, most_ms / 1000.0)
+        for_s = min(for_s, max_ms / 1000.0)
         blocks = call in (SystemCall.CONNECT, SystemCall.SOCKET)
         if blocks:
             self.oracle.reachable(self.name, False)
@@ -223,7 +241,7 @@
         return f"{self.name}: {call.name.lower()} fails with {errno.errorcode[error]} for {for_s} s"
 
     async def short_io(self, for_s: float) -> None:
-        """Its reads and writes move single bytes for a while."""
+        """Let each of its reads and writes move a single byte for `for_s`."""
         self.oracle.slow_io[self.name].begin()
         self.shim.move_single_bytes(True)
         await asyncio.sleep(for_s)
--- a/testbed/soak/rig.py
+++ b/testbed/soak/rig.py
@@ -1,6 +1,6 @@
-"""One run of the soak: carries out the faults of a plan at their times under load, and reports what came of it.
+"""One run of the soak: injects the faults of a plan at their times under load and reports.
 
-Everything ends by itself: nodes die with this process, and a run is bounded in time.
+Nodes die with this process, and a run is bounded in time.
 """
 
 from __future__ import annotations
@@ -22,7 +22,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Report:
-    """What came of a run."""
+    """The result of a run; fields are the keys of the JSON output.
+
+    `harness_late_ms` is the longest event loop lag of this process, `real_s` the run's duration.
+    """
 
     seed: int
     violations: list[str]
@@ -33,7 +36,7 @@
 
 
 class Rig:
-    """One play of a plan."""
+    """Runs one plan."""
 
     def __init__(self, plan: Plan, folder: Path) -> None:
         self.plan = plan
@@ -44,7 +47,7 @@
         self._started_ms = now_ms()
 
     async def run_plan(self) -> Report:
-        """Play it; the report."""
+        """Run the plan and return the report."""
         began, world = time.monotonic(), self.world
         try:
             await world.open()
@@ -96,11 +99,13 @@
     def _on_task_done(self, task: asyncio.Task[Any]) -> None:
         self._tasks.discard(task)
         if not task.cancelled() and (error := task.exception()) is not None:
-            self.world.oracle.record_violation(Rule.CRASH, f"the rig itself failed: {error!r}")
+            self.world.oracle.record_violation(
+                Rule.CRASH, f"a task of the test rig failed: {error!r}"
+            )
 
 
 def run(plan: Plan, log_folder: Optional[Path] = None) -> Report:
-    """Play a plan in a folder of its own; `keep` names one in which logs stay."""
+    """Run a plan in `log_folder`, where its files are kept, or in a temporary folder."""
     if log_folder is not None:
         log_folder.mkdir(parents=True, exist_ok=True)
         return asyncio.run(Rig(plan, log_folder).run_plan())
--- a/testbed/soak/servers.py
+++ b/testbed/soak/servers.py
@@ -1,4 +1,7 @@
-"""Cache servers of the soak: those of `testbed.systems`, with answers that have no length and answers that break off."""
+"""Cache servers of the soak.
+
+They extend those of `testbed.systems` with answers that have no length or break off.
+"""
 
 from __future__ import annotations
 
@@ -9,23 +12,26 @@
 from testbed.systems.serving import Connection, Message
 from testbed.systems.standins import BoxSpec, CacheBox, Witness
 
-UNFRAMED = "unframed"  # no length, ended by the connection's end
-BROKEN = "broken"  # a length, and a reset in the middle
-UNFRAMED_BROKEN = "unframed-broken"  # no length, and a reset in the middle
+# No length; the end of the connection ends the answer.
+UNFRAMED = "unframed"
+# A length, and a reset in the middle.
+BROKEN = "broken"
+# No length, and a reset in the middle.
+UNFRAMED_BROKEN = "unframed-broken"
 
 
 class ArrivalObserver(Protocol):
-    """Who hears of each request in the moment in which it has come whole."""
+    """Receives each request once it has arrived completely."""
 
     def arrived(self, server: str, txn: str, remaining_ms: float | None) -> None:
-        """remaining_ms: what the request says of how long its node will wait."""
+        """A request arrived; its node states that it waits `remaining_ms` longer."""
 
     def completed_unframed(self, txn: str) -> None:
-        """An answer with no length was written whole, and its connection ended."""
+        """A complete answer with no length was written, and its connection ended."""
 
 
 class SoakServer(CacheBox):
-    """One cache server."""
+    """A cache server; given shares of its answers have no length or break off."""
 
     def __init__(
         self,
@@ -69,6 +75,6 @@
         if how == UNFRAMED_BROKEN:
             stream.abort()
             return
-        # Its id is the body's second word: the answer that was spoilt need not be the one of the latest request.
+        # The second word of the body is the request's id. Another request may have arrived since.
         self._arrival_observer.completed_unframed(body.split(b" ")[1].decode())
         stream.close()
--- a/testbed/soak/shim.py
+++ b/testbed/soak/shim.py
@@ -1,4 +1,7 @@
-"""Builds and controls the LD_PRELOAD library of `shim.c`, which makes system calls of a process fail. Needs a C compiler (`cc`)."""
+"""Builds and controls the LD_PRELOAD library `shim.c`, which makes system calls fail.
+
+Needs a C compiler (`cc`).
+"""
 
 from __future__ import annotations
 
@@ -11,15 +14,16 @@
 from pathlib import Path
 
 SOURCE = Path(__file__).with_name("shim.c")
+# As a number of failures: until the call is restored.
 FOREVER = -1
 
 
 class ShimError(Exception):
-    """The library cannot be built here."""
+    """The library cannot be built on this machine."""
 
 
 class SystemCall(IntEnum):
-    """The calls that can be made to fail, in the order of `shim.c`."""
+    """The calls that can be made to fail; the values are those of the enum in `shim.c`."""
 
     ACCEPT = 0
     SOCKET = 1
@@ -29,6 +33,8 @@
 
 
 class _Call(ctypes.Structure):
+    """The state of one call; the layout is that of `Call` in `shim.c`."""
+
     _fields_ = [
         ("error", ctypes.c_int32),
         ("left", ctypes.c_int32),
@@ -38,6 +44,8 @@
 
 
 class _Control(ctypes.Structure):
+    """The shared control block; the layout is that of `Control` in `shim.c`."""
+
     _fields_ = [
         ("calls", _Call * len(SystemCall)),
         ("stall_ms", ctypes.c_int32),
@@ -48,7 +56,10 @@
 
 
 def build(folder: Path) -> Path:
-    """Compile the library into a folder; its path. ShimError where there is no compiler or it fails."""
+    """Compile the library into a folder and return its path.
+
+    Raises ShimError where there is no compiler or the compilation fails.
+    """
     compiler = shutil.which("cc")
     if compiler is None:
         raise ShimError("no C compiler (cc) is installed")
@@ -71,10 +82,13 @@
 
 
 class Shim:
-    """The library in one process: the environment that loads it, and what it does there."""
+    """Controls the library in one process.
+
+    `environment` holds the environment variables that load the library there.
+    """
 
     def __init__(self, library: Path, control: Path) -> None:
-        """control: where the shared settings are kept; one file for each process."""
+        """Create the control block in the file `control`; each process needs its own file."""
         control.write_bytes(bytes(ctypes.sizeof(_Control)))
         self._file = control.open("r+b")
         self._map = mmap.mmap(self._file.fileno(), 0)
@@ -82,47 +96,50 @@
         self.environment = {"LD_PRELOAD": str(library), "GRADESHIFT_SHIM": str(control)}
 
     def fail(self, call: SystemCall, error: int, times: int = FOREVER) -> None:
-        """From now on a call fails with an errno, so many times."""
+        """Let the next `times` calls fail with the errno `error`."""
         slot = self._control.calls[call]
         slot.left = 0
         slot.error = error
         slot.left = times
 
     def restore(self, call: SystemCall) -> None:
-        """The call goes through again."""
+        """Let the call succeed again."""
         self._control.calls[call].left = 0
 
     def failure_count(self, call: SystemCall) -> int:
-        """How often a call was made to fail."""
+        """How many times a call was made to fail."""
         return int(self._control.calls[call].hits)
 
     def move_single_bytes(self, on: bool) -> None:
-        """Let each read and each write move one byte, or as many as it can."""
+        """Turn on or off that each read and each write moves a single byte."""
         for call in (SystemCall.SEND, SystemCall.RECV):
             self._control.calls[call].short_io = on
 
     def stall_writes(self, stall_ms: int, times: int) -> None:
-        """Hold the process up before each of its next writes."""
+        """Delay each of the next `times` writes by `stall_ms`."""
         self._control.stall_ms = stall_ms
         self._control.stall_left = times
 
     def step_wall_clock(self, by_ms: int) -> None:
-        """Let the wall clock be off by so much; the monotonic clock runs on."""
+        """Offset the wall clock by `by_ms`; the monotonic clock is unaffected."""
         self._control.wall_step_ms = by_ms
 
     def limit_core_share(self, share: float) -> None:
-        """From now on the process has this share of a core (above 0, up to 1), its start until the first poll left out."""
+        """Limit the process to a share of a core, above 0 and up to 1.
+
+        The time until its first poll is not limited.
+        """
         self._control.core_share_permille = max(1, round(1000.0 * share))
 
     def close(self) -> None:
-        """Let the settings go; the process keeps them as they are."""
+        """Unmap the control block; the process keeps the present settings."""
         del self._control
         self._map.close()
         self._file.close()
 
 
 LOCAL_CONNECT_ERRORS = (errno.EADDRNOTAVAIL, errno.ENETUNREACH, errno.ENOBUFS)
-"""Errors of connect that are this machine's."""
+"""Errors of connect whose cause is on the local machine."""
 ACCEPT_ERRORS = (
     errno.ECONNABORTED,
     errno.ENFILE,
@@ -131,4 +148,4 @@
     errno.ENOMEM,
     errno.EINTR,
 )
-"""Errors of accept that pass."""
+"""Temporary errors of accept."""
