--- a/testbed/soak/__main__.py
+++ b/testbed/soak/__main__.py
@@ -22,9 +22,9 @@
 
 def summary_line(report: Report) -> str:
     """A one-line summary of a report."""
-    c = report.counts
+    totals = report.counts
     shown = ("asked", "served", "refused", "failed", "left", "unframed", "unframed served")
-    counts = ", ".join(f"{name} {c.get(name, 0)}" for name in shown)
+    counts = ", ".join(f"{name} {totals.get(name, 0)}" for name in shown)
     state = f"{len(report.violations)} VIOLATIONS" if report.violations else "kept"
     return f"seed {report.seed}: {state}; {counts}; harness late {report.harness_late_ms:g} ms; {report.real_s:g} s"
 
--- a/testbed/soak/large_fleet.py
+++ b/testbed/soak/large_fleet.py
@@ -458,10 +458,12 @@
         )
 
     def _first_served_s(self) -> Optional[float]:
-        asked_s = (
+        first_answer_s = (
             (self._endpoint.first_answer_ms or self._first_list_ms) - self._first_list_ms
         ) / 1000.0
-        return next((round(at - asked_s, 2) for at, served in self._served_samples if served), None)
+        return next(
+            (round(at - first_answer_s, 2) for at, served in self._served_samples if served), None
+        )
 
     def _served_by_third(self, served: int) -> tuple[int, int, int]:
         third = self.scenario.seconds / 3.0
--- a/testbed/soak/shim.c
+++ b/testbed/soak/shim.c
@@ -19,66 +19,66 @@
 
 typedef struct {
     int32_t error;      /* errno to fail with; 0: the call goes through */
-    int32_t left;       /* so many more times; below 0: until it is set otherwise */
-    int32_t hits;       /* how often it failed */
+    int32_t remaining;       /* so many more times; below 0: until it is set otherwise */
+    int32_t failures;       /* how often it failed */
     int32_t short_io;   /* 1: a send or recv moves one byte at a time */
 } Call;
 
 typedef struct {
     Call calls[CALLS];
     int32_t stall_ms;   /* held up so long before each send */
-    int32_t stall_left; /* so many more times */
+    int32_t stalls_remaining; /* so many more times */
     int64_t wall_step_ms;
     int32_t core_share_permille; /* of one core; 0: all of it */
 } Control;
 
 static Control *control;
 
-__attribute__((constructor)) static void attach(void) {
+__attribute__((constructor)) static void map_control(void) {
     const char *path = getenv("GRADESHIFT_SHIM");
     if (!path) return;
     int fd = open(path, O_RDWR | O_CLOEXEC);
     if (fd < 0) return;
-    void *at = mmap(NULL, sizeof(Control), PROT_READ | PROT_WRITE, MAP_SHARED, fd, 0);
-    if (at != MAP_FAILED) control = at;
+    void *mapping = mmap(NULL, sizeof(Control), PROT_READ | PROT_WRITE, MAP_SHARED, fd, 0);
+    if (mapping != MAP_FAILED) control = mapping;
     close(fd);
 }
 
-static int fails(int which) {
+static int inject_failure(int call_index) {
     if (!control) return 0;
-    Call *call = &control->calls[which];
-    if (!call->error || !call->left) return 0;
-    if (call->left > 0) call->left--;
-    call->hits++;
+    Call *call = &control->calls[call_index];
+    if (!call->error || !call->remaining) return 0;
+    if (call->remaining > 0) call->remaining--;
+    call->failures++;
     errno = call->error;
     return 1;
 }
 
-static size_t moved(int which, size_t size) {
-    return control && control->calls[which].short_io && size > 1 ? 1 : size;
+static size_t transfer_size(int call_index, size_t size) {
+    return control && control->calls[call_index].short_io && size > 1 ? 1 : size;
 }
 
-static void stall(void) {
-    if (!control || control->stall_left <= 0) return;
-    control->stall_left--;
+static void delay_write(void) {
+    if (!control || control->stalls_remaining <= 0) return;
+    control->stalls_remaining--;
     struct timespec span = {control->stall_ms / 1000, (long)(control->stall_ms % 1000) * 1000000L};
     nanosleep(&span, NULL);
 }
 
-#define LEAST_DEBT_NS 1000000L /* shorter sleeps are put off to the next call */
+#define MIN_SLEEP_NS 1000000L /* shorter sleeps are put off to the next call */
 
 /* Sleeps for as long as a process with this share of a core would have waited for it since the last call: every call that a loop makes
  * passes here, so that a long callback holds the process up by its processor time divided by the share. */
-static void pay_for_core(void) {
-    static __thread int64_t paid_ns = -1, debt_ns;
+static void throttle_to_core_share(void) {
+    static __thread int64_t accounted_ns = -1, debt_ns;
     int32_t permille = control ? control->core_share_permille : 0;
     if (permille <= 0 || permille >= 1000) return;
     struct timespec used;
     if (clock_gettime(CLOCK_THREAD_CPUTIME_ID, &used)) return;
     int64_t now_ns = used.tv_sec * 1000000000LL + used.tv_nsec;
-    if (paid_ns >= 0) debt_ns += (now_ns - paid_ns) * (1000 - permille) / permille;
-    paid_ns = now_ns; /* what came before the first call is the start of the program */
-    if (debt_ns < LEAST_DEBT_NS) return;
+    if (accounted_ns >= 0) debt_ns += (now_ns - accounted_ns) * (1000 - permille) / permille;
+    accounted_ns = now_ns; /* what came before the first call is the start of the program */
+    if (debt_ns < MIN_SLEEP_NS) return;
     struct timespec span = {debt_ns / 1000000000L, debt_ns % 1000000000L};
     while (nanosleep(&span, &span) && errno == EINTR) {}
     debt_ns = 0;
@@ -90,50 +90,50 @@
 
 int accept4(int fd, struct sockaddr *restrict address, socklen_t *restrict length, int flags) {
     REAL(accept4);
-    return fails(ACCEPT) ? -1 : real(fd, address, length, flags);
+    return inject_failure(ACCEPT) ? -1 : real(fd, address, length, flags);
 }
 
 int accept(int fd, struct sockaddr *restrict address, socklen_t *restrict length) {
     REAL(accept);
-    return fails(ACCEPT) ? -1 : real(fd, address, length);
+    return inject_failure(ACCEPT) ? -1 : real(fd, address, length);
 }
 
 int socket(int family, int type, int protocol) {
     REAL(socket);
-    return family == AF_INET && fails(SOCKET) ? -1 : real(family, type, protocol);
+    return family == AF_INET && inject_failure(SOCKET) ? -1 : real(family, type, protocol);
 }
 
 int connect(int fd, const struct sockaddr *address, socklen_t length) {
     REAL(connect);
-    return address->sa_family == AF_INET && fails(CONNECT) ? -1 : real(fd, address, length);
+    return address->sa_family == AF_INET && inject_failure(CONNECT) ? -1 : real(fd, address, length);
 }
 
 ssize_t send(int fd, const void *data, size_t size, int flags) {
     REAL(send);
-    stall();
-    pay_for_core();
-    return fails(SEND) ? -1 : real(fd, data, moved(SEND, size), flags);
+    delay_write();
+    throttle_to_core_share();
+    return inject_failure(SEND) ? -1 : real(fd, data, transfer_size(SEND, size), flags);
 }
 
 ssize_t recv(int fd, void *data, size_t size, int flags) {
     REAL(recv);
-    pay_for_core();
-    return fails(RECV) ? -1 : real(fd, data, moved(RECV, size), flags);
+    throttle_to_core_share();
+    return inject_failure(RECV) ? -1 : real(fd, data, transfer_size(RECV, size), flags);
 }
 
-int epoll_wait(int fd, struct epoll_event *events, int most, int timeout_ms) {
+int epoll_wait(int fd, struct epoll_event *events, int max_events, int timeout_ms) {
     REAL(epoll_wait);
-    pay_for_core();
-    return real(fd, events, most, timeout_ms);
+    throttle_to_core_share();
+    return real(fd, events, max_events, timeout_ms);
 }
 
-int epoll_pwait(int fd, struct epoll_event *events, int most, int timeout_ms, const sigset_t *signals) {
+int epoll_pwait(int fd, struct epoll_event *events, int max_events, int timeout_ms, const sigset_t *signals) {
     REAL(epoll_pwait);
-    pay_for_core();
-    return real(fd, events, most, timeout_ms, signals);
+    throttle_to_core_share();
+    return real(fd, events, max_events, timeout_ms, signals);
 }
 
-static void step(struct timespec *time) {
+static void add_wall_step(struct timespec *time) {
     int64_t ms = control ? control->wall_step_ms : 0;
     time->tv_sec += ms / 1000;
     time->tv_nsec += (ms % 1000) * 1000000L;
@@ -144,7 +144,7 @@
 int clock_gettime(clockid_t clock, struct timespec *time) {
     REAL(clock_gettime);
     int result = real(clock, time);
-    if (!result && clock == CLOCK_REALTIME) step(time);
+    if (!result && clock == CLOCK_REALTIME) add_wall_step(time);
     return result;
 }
 
--- a/testbed/soak/shim.py
+++ b/testbed/soak/shim.py
@@ -37,8 +37,8 @@
 
     _fields_ = [
         ("error", ctypes.c_int32),
-        ("left", ctypes.c_int32),
-        ("hits", ctypes.c_int32),
+        ("remaining", ctypes.c_int32),
+        ("failures", ctypes.c_int32),
         ("short_io", ctypes.c_int32),
     ]
 
@@ -49,7 +49,7 @@
     _fields_ = [
         ("calls", _Call * len(SystemCall)),
         ("stall_ms", ctypes.c_int32),
-        ("stall_left", ctypes.c_int32),
+        ("stalls_remaining", ctypes.c_int32),
         ("wall_step_ms", ctypes.c_int64),
         ("core_share_permille", ctypes.c_int32),
     ]
@@ -98,17 +98,17 @@
     def fail(self, call: SystemCall, error: int, times: int = FOREVER) -> None:
         """Let the next `times` calls fail with the errno `error`."""
         slot = self._control.calls[call]
-        slot.left = 0
+        slot.remaining = 0
         slot.error = error
-        slot.left = times
+        slot.remaining = times
 
     def restore(self, call: SystemCall) -> None:
         """Let the call succeed again."""
-        self._control.calls[call].left = 0
+        self._control.calls[call].remaining = 0
 
     def failure_count(self, call: SystemCall) -> int:
         """How many times a call was made to fail."""
-        return int(self._control.calls[call].hits)
+        return int(self._control.calls[call].failures)
 
     def move_single_bytes(self, on: bool) -> None:
         """Turn on or off that each read and each write moves a single byte."""
@@ -118,7 +118,7 @@
     def stall_writes(self, stall_ms: int, times: int) -> None:
         """Delay each of the next `times` writes by `stall_ms`."""
         self._control.stall_ms = stall_ms
-        self._control.stall_left = times
+        self._control.stalls_remaining = times
 
     def step_wall_clock(self, by_ms: int) -> None:
         """Offset the wall clock by `by_ms`; the monotonic clock is unaffected."""
