--- a/testbed/soak/__main__.py
+++ b/testbed/soak/__main__.py
@@ -26,7 +26,10 @@
     shown = ("asked", "served", "refused", "failed", "left", "unframed", "unframed served")
     counts = ", ".join(f"{name} {totals.get(name, 0)}" for name in shown)
     state = f"{len(report.violations)} VIOLATIONS" if report.violations else "kept"
-    return f"seed {report.seed}: {state}; {counts}; harness late {report.harness_late_ms:g} ms; {report.real_s:g} s"
+    return (
+        f"seed {report.seed}: {state}; {counts}; "
+        f"harness late {report.harness_late_ms:g} ms; {report.real_s:g} s"
+    )
 
 
 @click.command()
--- a/testbed/soak/faults.py
+++ b/testbed/soak/faults.py
@@ -61,7 +61,8 @@
     async def inject(self, event: Event) -> None:
         """Inject one fault and wait until it has ended."""
         self._notes.append(
-            f"{event.at_s:.2f} {event.kind} {event.target} for {event.duration_s:.2f} s, {event.value:g}"
+            f"{event.at_s:.2f} {event.kind} {event.target} "
+            f"for {event.duration_s:.2f} s, {event.value:g}"
         )
         await self._handlers[event.kind](event)
 
--- a/testbed/soak/large_fleet.py
+++ b/testbed/soak/large_fleet.py
@@ -88,8 +88,8 @@
 
     `replaced_part` is the share of the servers in service that is replaced each time. With `drain`,
     leaving servers are listed as terminating first, otherwise they are removed at once.
-    `idle_clients` is the number of connections that carry no requests. `faults` are times in seconds
-    after the first list, with the fault of the watch.
+    `idle_clients` is the number of connections that carry no requests. `faults` are the faults of
+    the watch with their times in seconds after the first list.
     """
 
     servers: int
@@ -108,10 +108,10 @@
 class Result:
     """The result of a run; fields are keys of the JSON output.
 
-    `late_attempts` began over ATTEMPT_SLACK_MS after their clients' deadlines. `first_served_s` counts
-    from when discovery began to write the first list. `ended_s` counts from SIGTERM and is None where
-    the process had to be killed. `memory_mb` is the resident memory halfway through the run and at
-    its end. `decisions_failed` is counted in the node's log.
+    `late_attempts` began over ATTEMPT_SLACK_MS after their clients' deadlines. `first_served_s`
+    counts from when discovery began to write the first list. `ended_s` counts from SIGTERM and is
+    None where the process had to be killed. `memory_mb` is the resident memory halfway through the
+    run and at its end. `decisions_failed` is counted in the node's log.
     """
 
     scenario: Scenario
@@ -496,10 +496,14 @@
         *(f"{fault} at {at_s:g} s" for at_s, fault in scenario.faults),
     ]
     parts = [
-        f"seed {scenario.seed}: {scenario.servers} servers, {scenario.core_share:g} of a core: {state}; asked {result.asked}",
-        f"served {result.served} {result.served_by_third}, refused {result.refused}, failed {result.failed}",
-        f"unanswered {result.unanswered}, late attempts {result.late_attempts}, first served {result.first_served_s} s",
-        f"ended {result.ended_s} s, memory {result.memory_mb} MB, decisions failed {result.decisions_failed}",
+        f"seed {scenario.seed}: {scenario.servers} servers, {scenario.core_share:g} of a core: "
+        f"{state}; asked {result.asked}",
+        f"served {result.served} {result.served_by_third}, "
+        f"refused {result.refused}, failed {result.failed}",
+        f"unanswered {result.unanswered}, late attempts {result.late_attempts}, "
+        f"first served {result.first_served_s} s",
+        f"ended {result.ended_s} s, memory {result.memory_mb} MB, "
+        f"decisions failed {result.decisions_failed}",
         f"harness late {result.harness_late_ms:g} ms; {', '.join(drawn)}",
     ]
     return ", ".join(parts)
--- a/testbed/soak/shim.c
+++ b/testbed/soak/shim.c
@@ -1,7 +1,9 @@
-/* Makes system calls of one process fail or fall short, holds it up before writes, steps its wall clock, and gives it a share of a core.
+/* Makes system calls of one process fail or transfer single bytes, delays its writes, steps its
+ * wall clock, and limits it to a share of a core.
  *
- * Loaded by LD_PRELOAD into processes that the tests start, and nowhere else. It is controlled through the file that
- * GRADESHIFT_SHIM names, mapped shared: see `Control` below and testbed/soak/shim.py, which must agree on the layout. */
+ * Loaded by LD_PRELOAD into processes that the tests start, and nowhere else. It is controlled
+ * through a shared mapping of the file that GRADESHIFT_SHIM names. `Control` below and
+ * testbed/soak/shim.py must agree on the layout of that file. */
 #define _GNU_SOURCE
 #include <dlfcn.h>
 #include <errno.h>
@@ -18,18 +20,18 @@
 enum { ACCEPT, SOCKET, CONNECT, SEND, RECV, CALLS };
 
 typedef struct {
-    int32_t error;      /* errno to fail with; 0: the call goes through */
-    int32_t remaining;       /* so many more times; below 0: until it is set otherwise */
-    int32_t failures;       /* how often it failed */
-    int32_t short_io;   /* 1: a send or recv moves one byte at a time */
+    int32_t error;      /* errno to fail with; 0: the call succeeds */
+    int32_t remaining;  /* failures still to inject; below 0: no limit */
+    int32_t failures;   /* failures injected so far */
+    int32_t short_io;   /* 1: each send or recv transfers one byte */
 } Call;
 
 typedef struct {
     Call calls[CALLS];
-    int32_t stall_ms;   /* held up so long before each send */
-    int32_t stalls_remaining; /* so many more times */
-    int64_t wall_step_ms;
-    int32_t core_share_permille; /* of one core; 0: all of it */
+    int32_t stall_ms;            /* delay before each send */
+    int32_t stalls_remaining;    /* sends still to delay */
+    int64_t wall_step_ms;        /* offset of the wall clock */
+    int32_t core_share_permille; /* share of one core; 0: no limit */
 } Control;
 
 static Control *control;
@@ -65,10 +67,11 @@
     nanosleep(&span, NULL);
 }
 
-#define MIN_SLEEP_NS 1000000L /* shorter sleeps are put off to the next call */
+#define MIN_SLEEP_NS 1000000L /* shorter sleeps are deferred to a later call */
 
-/* Sleeps for as long as a process with this share of a core would have waited for it since the last call: every call that a loop makes
- * passes here, so that a long callback holds the process up by its processor time divided by the share. */
+/* Sleeps for as long as a process with this share of a core would have waited for the core since
+ * the last call. The send, recv and epoll calls of an event loop all pass here, so a long callback
+ * takes its processor time divided by the share. */
 static void throttle_to_core_share(void) {
     static __thread int64_t accounted_ns = -1, debt_ns;
     int32_t permille = control ? control->core_share_permille : 0;
@@ -77,7 +80,7 @@
     if (clock_gettime(CLOCK_THREAD_CPUTIME_ID, &used)) return;
     int64_t now_ns = used.tv_sec * 1000000000LL + used.tv_nsec;
     if (accounted_ns >= 0) debt_ns += (now_ns - accounted_ns) * (1000 - permille) / permille;
-    accounted_ns = now_ns; /* what came before the first call is the start of the program */
+    accounted_ns = now_ns; /* the program's start, before the first call, is free */
     if (debt_ns < MIN_SLEEP_NS) return;
     struct timespec span = {debt_ns / 1000000000L, debt_ns % 1000000000L};
     while (nanosleep(&span, &span) && errno == EINTR) {}
@@ -127,7 +130,8 @@
     return real(fd, events, max_events, timeout_ms);
 }
 
-int epoll_pwait(int fd, struct epoll_event *events, int max_events, int timeout_ms, const sigset_t *signals) {
+int epoll_pwait(int fd, struct epoll_event *events, int max_events, int timeout_ms,
+                const sigset_t *signals) {
     REAL(epoll_pwait);
     throttle_to_core_share();
     return real(fd, events, max_events, timeout_ms, signals);
