--- a/testbed/soak/faults.py
+++ b/testbed/soak/faults.py
@@ -118,7 +118,7 @@
     # -- servers -------------------------------------------------------------------------
 
     async def _drain_servers(self, event: Event) -> None:
-        serving = self._world.serving()
+        serving = self._world.in_service_servers()
         leaving = serving[event.target % 2 :: 4][: max(0, len(serving) - MIN_SERVING)]
         entries: list[Entry] = [
             {**self._world.discovery.servers.entries[server.name], "lifecycle": "terminating"}
@@ -128,8 +128,8 @@
             await self._world.discovery.change(entries)
 
     async def _replace_servers(self, event: Event) -> None:
-        ending = self._world.serving()[
-            : max(0, min(MAX_REPLACED, len(self._world.serving()) - MIN_SERVING))
+        ending = self._world.in_service_servers()[
+            : max(0, min(MAX_REPLACED, len(self._world.in_service_servers()) - MIN_SERVING))
         ]
         entries: list[Entry] = [
             {**self._world.discovery.servers.entries[server.name], "lifecycle": "terminated"}
--- a/testbed/soak/large_fleet.py
+++ b/testbed/soak/large_fleet.py
@@ -201,9 +201,9 @@
             self.address[1],
         )
         self._names[f"{address[0]}:{address[1]}"] = name
-        if cold and len(self.oracle.cold) < MAX_COLD_BUDGETS:
+        if cold and len(self.oracle.cold_servers) < MAX_COLD_BUDGETS:
             spec = BoxSpec()
-            self.oracle.cold[name] = ColdBox(
+            self.oracle.cold_servers[name] = ColdBox(
                 name, spec.cold_from, spec.cold_ms, float("inf"), now_ms()
             )
         return in_service_entry(name, address, cold)
@@ -293,7 +293,7 @@
             self._oracle.slow_io,
         ):
             table[NODE] = Intervals()
-        process = await self._start()
+        process = await self._start_node()
         measuring = asyncio.create_task(self._oracle.lag.measure())
         background = [measuring]
         idle_clients = await self._open_idle_clients()
@@ -310,7 +310,11 @@
             self._first_list_ms = now_ms()
             background += [
                 asyncio.create_task(task)
-                for task in (self._replace(), self._sample(process.pid), self._inject_faults())
+                for task in (
+                    self._replace_servers(),
+                    self._sample(process.pid),
+                    self._inject_faults(),
+                )
             ]
             await load
             for task in background[1:]:
@@ -337,7 +341,7 @@
                 )
         return self._make_result(ended_s)
 
-    async def _start(self) -> asyncio.subprocess.Process:
+    async def _start_node(self) -> asyncio.subprocess.Process:
         config: dict[str, Any] = {
             "name": NODE,
             "listen": f"{HOST}:{self._listen[1]}",
@@ -364,7 +368,7 @@
         self._shim.limit_core_share(self.scenario.core_share)
         return process
 
-    async def _replace(self) -> None:
+    async def _replace_servers(self) -> None:
         """Replace servers periodically; those that drain are removed one round later."""
         leaving: list[Entry] = []
         serving = list(self._server_list.entries.values())
@@ -432,7 +436,7 @@
         return round((now_ms() - begun) / 1000.0, 2)
 
     def _make_result(self, ended_s: Optional[float]) -> Result:
-        self._oracle.finish()
+        self._oracle.check_totals()
         figures, log = self._clients.figures, self._log.read_text()
         if "Traceback" in log:
             at = log.index("Traceback")
--- a/testbed/soak/nodes.py
+++ b/testbed/soak/nodes.py
@@ -194,7 +194,7 @@
             if n < len(RELOAD_INTERVALS_S):
                 await asyncio.sleep(RELOAD_INTERVALS_S[n])
 
-    async def pause(self, for_ms: float) -> None:
+    async def pause(self, duration_ms: float) -> None:
         """Stop the process with SIGSTOP for `for_ms`."""
         if self.restarting or self.process is None:
             return
@@ -202,7 +202,7 @@
         stalled.begin()
         with suppress(ProcessLookupError):
             process.send_signal(signal.SIGSTOP)
-            await asyncio.sleep(for_ms / 1000.0)
+            await asyncio.sleep(duration_ms / 1000.0)
             process.send_signal(signal.SIGCONT)
         await asyncio.sleep(0.05)
         stalled.end()
@@ -217,7 +217,7 @@
             self.oracle.exempt[self.name].add(now_ms() - 1.0, now_ms() + span_ms)
         self.shim.stall_writes(150, times)
 
-    async def fail_calls(self, selector: int, for_s: float) -> str:
+    async def fail_calls(self, selector: int, duration_s: float) -> str:
         """Let one of its system calls fail for a while; return a description.
 
         `selector` determines the call and the errno.
@@ -229,22 +229,22 @@
             SystemCall.SEND: MAX_IO_FAULT_MS,
             SystemCall.RECV: MAX_IO_FAULT_MS,
         }.get(call, 10_000.0)
-        for_s = min(for_s, max_ms / 1000.0)
+        duration_s = min(duration_s, max_ms / 1000.0)
         blocks = call in (SystemCall.CONNECT, SystemCall.SOCKET)
         if blocks:
             self.oracle.reachable(self.name, False)
         self.shim.fail(call, error)
-        await asyncio.sleep(for_s)
+        await asyncio.sleep(duration_s)
         self.shim.restore(call)
         if blocks:
             self.oracle.reachable(self.name, True)
-        return f"{self.name}: {call.name.lower()} fails with {errno.errorcode[error]} for {for_s} s"
+        return f"{self.name}: {call.name.lower()} fails with {errno.errorcode[error]} for {duration_s} s"
 
-    async def short_io(self, for_s: float) -> None:
+    async def short_io(self, duration_s: float) -> None:
         """Let each of its reads and writes move a single byte for `for_s`."""
         self.oracle.slow_io[self.name].begin()
         self.shim.move_single_bytes(True)
-        await asyncio.sleep(for_s)
+        await asyncio.sleep(duration_s)
         self.shim.move_single_bytes(False)
         await asyncio.sleep(0.3)
         self.oracle.slow_io[self.name].end()
--- a/testbed/soak/oracle.py
+++ b/testbed/soak/oracle.py
@@ -59,10 +59,10 @@
 
     at_s: float
     rule: Rule
-    what: str
+    description: str
 
     def __str__(self) -> str:
-        return f"{self.at_s:.3f} s: {self.rule}: {self.what}"
+        return f"{self.at_s:.3f} s: {self.rule}: {self.description}"
 
 
 @dataclass(slots=True)
@@ -140,7 +140,7 @@
 
     def __init__(self) -> None:
         self.worst_ms = 0.0
-        self._late: list[tuple[float, float]] = []
+        self._samples: list[tuple[float, float]] = []
 
     async def measure(self) -> None:
         """Measure until cancelled."""
@@ -150,12 +150,12 @@
             await asyncio.sleep(self.INTERVAL_S)
             late_ms = 1000.0 * (loop.time() - before - self.INTERVAL_S)
             if late_ms > 2.0:
-                self._late.append((now_ms(), late_ms))
+                self._samples.append((now_ms(), late_ms))
                 self.worst_ms = max(self.worst_ms, late_ms)
 
     def worst_since(self, at_ms: float) -> float:
         """The longest lag in ms measured since `at_ms`, plus a margin of 5 ms."""
-        return max((late for when, late in self._late if when >= at_ms), default=0.0) + 5.0
+        return max((late for when, late in self._samples if when >= at_ms), default=0.0) + 5.0
 
 
 class Oracle(Observer, Witness):
@@ -185,7 +185,7 @@
         # When the process of each node was started.
         self.started_ms: dict[str, float] = {}
         # Work that each server received since its cold start.
-        self.cold: dict[str, ColdBox] = {}
+        self.cold_servers: dict[str, ColdBox] = {}
         self._grace_ms = grace_ms
         self._started_at_ms = now_ms()
         self._records: dict[str, RequestRecord] = {}
@@ -200,9 +200,11 @@
         # Requests that the node sent again after such an answer.
         self._retried_unframed: set[str] = set()
 
-    def record_violation(self, rule: Rule, what: str) -> None:
+    def record_violation(self, rule: Rule, description: str) -> None:
         """Record a violation at the present time."""
-        self.violations.append(Violation((now_ms() - self._started_at_ms) / 1000.0, rule, what))
+        self.violations.append(
+            Violation((now_ms() - self._started_at_ms) / 1000.0, rule, description)
+        )
 
     # -- clients -------------------------------------------------------------------------
 
@@ -370,7 +372,7 @@
         self._unframed.setdefault(txn, False)
 
     def received(self, box: CacheBox, txn: str, method: str, work_ms: float) -> None:
-        cold, record = self.cold.get(box.name), self._records.get(txn)
+        cold, record = self.cold_servers.get(box.name), self._records.get(txn)
         if (
             cold is not None
             and record is not None
@@ -419,9 +421,9 @@
 
     # -- after the run -------------------------------------------------------------------------
 
-    def finish(self) -> None:
+    def check_totals(self) -> None:
         """Check the rules that need the observations of the whole run."""
-        for name, cold in self.cold.items():
+        for name, cold in self.cold_servers.items():
             if cold.worst() > 1.0:
                 self.record_violation(
                     Rule.FAILBACK,
--- a/testbed/soak/rig.py
+++ b/testbed/soak/rig.py
@@ -59,8 +59,8 @@
             await world.wait_for_restarts()
         finally:
             await self._close()
-        world.oracle.finish()
-        world.read_logs()
+        world.oracle.check_totals()
+        world.check_node_processes()
         return self._make_report(time.monotonic() - began)
 
     def _make_report(self, real_s: float) -> Report:
@@ -91,8 +91,8 @@
         await asyncio.sleep(max(0.0, self._started_ms / 1000.0 + event.at_s - now_ms() / 1000.0))
         await self._faults.inject(event)
 
-    def _spawn(self, what: Awaitable[Any]) -> None:
-        task: asyncio.Task[Any] = asyncio.ensure_future(what)
+    def _spawn(self, awaitable: Awaitable[Any]) -> None:
+        task: asyncio.Task[Any] = asyncio.ensure_future(awaitable)
         self._tasks.add(task)
         task.add_done_callback(self._on_task_done)
 
--- a/testbed/soak/world.py
+++ b/testbed/soak/world.py
@@ -102,12 +102,12 @@
         self._origin.voids.append(server.void)
         self.servers.append(server)
         if cold:
-            self.oracle.cold[name] = ColdBox(
+            self.oracle.cold_servers[name] = ColdBox(
                 name, spec.cold_from, spec.cold_ms, server.full_speed, now_ms()
             )
         return in_service_entry(name, server.address, cold)
 
-    def serving(self) -> list[SoakServer]:
+    def in_service_servers(self) -> list[SoakServer]:
         """The servers that discovery lists as in service."""
         listed = self.discovery.servers.entries
         return [
@@ -137,7 +137,7 @@
         shim = Shim(self._library, self.folder / f"{name}.shim")
         return Node(name, (HOST, listen), self.folder, shim, config, self.discovery, self.oracle)
 
-    def read_logs(self) -> None:
+    def check_node_processes(self) -> None:
         """Record defects that nodes logged, and unexpected exit codes, as violations."""
         for node in self.nodes:
             text = node.log
--- a/tests/testbed/test_soak.py
+++ b/tests/testbed/test_soak.py
@@ -18,7 +18,7 @@
 GRACE_MS = 250.0
 
 
-class World:
+class OracleHarness:
     """An oracle on a clock of the test's own, and one request of each class."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
@@ -50,10 +50,10 @@
         self.oracle.asked(ask)
         return ask
 
-    def departs(self, server: str) -> None:
+    def announce_departure(self, server: str) -> None:
         self.oracle.changed([{"instanceId": server, "lifecycle": "terminating", "startedAtMs": 0}])
 
-    def writes_departure(self, server: str) -> None:
+    def notify_node(self, server: str) -> None:
         self.oracle.notified(
             "n0", [{"instanceId": server, "lifecycle": "terminating", "startedAtMs": 0}]
         )
@@ -67,84 +67,84 @@
     return Message("", "", status, {}, body)
 
 
-def after_the_grace(world: World) -> None:
-    world.departs("s0")
-    world.writes_departure("s0")
-    world.now += GRACE_MS + 50.0 + 6.0
-    world.ask()
-    world.oracle.arrived("s0", "x1", None)
+def after_the_grace(harness: OracleHarness) -> None:
+    harness.announce_departure("s0")
+    harness.notify_node("s0")
+    harness.now += GRACE_MS + 50.0 + 6.0
+    harness.ask()
+    harness.oracle.arrived("s0", "x1", None)
 
 
-def after_six_seconds(world: World) -> None:
-    world.departs("s0")
-    world.now += 6_000.0 + GRACE_MS + 50.0 + 6.0
-    world.ask()
-    world.oracle.arrived("s0", "x1", None)
+def after_six_seconds(harness: OracleHarness) -> None:
+    harness.announce_departure("s0")
+    harness.now += 6_000.0 + GRACE_MS + 50.0 + 6.0
+    harness.ask()
+    harness.oracle.arrived("s0", "x1", None)
 
 
-def unsafe_twice(world: World) -> None:
-    world.ask("unsafe")
-    world.oracle.arrived("s0", "x1", None)
-    world.oracle.arrived("s1", "x1", None)
+def unsafe_twice(harness: OracleHarness) -> None:
+    harness.ask("unsafe")
+    harness.oracle.arrived("s0", "x1", None)
+    harness.oracle.arrived("s1", "x1", None)
 
 
-def unsafe_refused(world: World) -> None:
-    ask = world.ask("unsafe")
-    world.oracle.arrived("s0", "x1", None)
-    world.oracle.answered(ask, answer(503))
+def unsafe_refused(harness: OracleHarness) -> None:
+    ask = harness.ask("unsafe")
+    harness.oracle.arrived("s0", "x1", None)
+    harness.oracle.answered(ask, answer(503))
 
 
-def keyed_after_its_window(world: World) -> None:
-    ask = world.ask("keyed")
-    world.oracle.arrived("s0", "x1", None)
-    world.now += ask.kind.window_ms + 60.0
-    world.oracle.arrived("s1", "x1", None)
+def keyed_after_its_window(harness: OracleHarness) -> None:
+    ask = harness.ask("keyed")
+    harness.oracle.arrived("s0", "x1", None)
+    harness.now += ask.kind.window_ms + 60.0
+    harness.oracle.arrived("s1", "x1", None)
 
 
-def no_answer(world: World) -> None:
-    world.oracle.ended(world.ask(), "no answer")
+def no_answer(harness: OracleHarness) -> None:
+    harness.oracle.ended(harness.ask(), "no answer")
 
 
-def closed_after_it_was_sent_on(world: World) -> None:
-    ask = world.ask(first=False)
-    world.oracle.arrived("s0", "x1", None)
-    assert not world.oracle.ended(ask, "Ended")
+def closed_after_it_was_sent_on(harness: OracleHarness) -> None:
+    ask = harness.ask(first=False)
+    harness.oracle.arrived("s0", "x1", None)
+    assert not harness.oracle.ended(ask, "Ended")
 
 
-def closed_on_a_new_connection(world: World) -> None:
-    assert not world.oracle.ended(world.ask(first=True), "Ended")
+def closed_on_a_new_connection(harness: OracleHarness) -> None:
+    assert not harness.oracle.ended(harness.ask(first=True), "Ended")
 
 
-def sent_after_the_client_left(world: World) -> None:
-    ask = world.ask()
-    world.oracle.left(ask)
-    world.now += 106.0
-    world.oracle.arrived("s0", "x1", None)
+def sent_after_the_client_left(harness: OracleHarness) -> None:
+    ask = harness.ask()
+    harness.oracle.left(ask)
+    harness.now += 106.0
+    harness.oracle.arrived("s0", "x1", None)
 
 
-def too_long_a_deadline(world: World) -> None:
-    world.ask(budget_ms=1_000.0)
-    world.now += 500.0
-    world.oracle.arrived("s0", "x1", 656.0)
+def too_long_a_deadline(harness: OracleHarness) -> None:
+    harness.ask(budget_ms=1_000.0)
+    harness.now += 500.0
+    harness.oracle.arrived("s0", "x1", 656.0)
 
 
-def not_its_answer(world: World) -> None:
-    world.oracle.answered(world.ask(), answer(200, b"something"))
+def not_its_answer(harness: OracleHarness) -> None:
+    harness.oracle.answered(harness.ask(), answer(200, b"something"))
 
 
-def unframed_not_forwarded(world: World) -> None:
+def unframed_not_forwarded(harness: OracleHarness) -> None:
     for n in range(oracle_module.MIN_UNFRAMED_ANSWERS):
-        world.ask(txn=f"x{n}")
-        world.oracle.arrived("s0", f"x{n}", None)
-        world.oracle.completed_unframed(f"x{n}")
-    world.oracle.finish()
+        harness.ask(txn=f"x{n}")
+        harness.oracle.arrived("s0", f"x{n}", None)
+        harness.oracle.completed_unframed(f"x{n}")
+    harness.oracle.check_totals()
 
 
-def a_bad_client_without_an_end(world: World) -> None:
-    world.oracle.rude("n0", "half a head", -1, 3_200.0)
+def a_bad_client_without_an_end(harness: OracleHarness) -> None:
+    harness.oracle.rude("n0", "half a head", -1, 3_200.0)
 
 
-DEFECTS: dict[str, tuple[Callable[[World], None], Rule]] = {
+DEFECTS: dict[str, tuple[Callable[[OracleHarness], None], Rule]] = {
     "after the grace": (after_the_grace, Rule.DRAIN),
     "after six seconds": (after_six_seconds, Rule.DRAIN),
     "unsafe twice": (unsafe_twice, Rule.DUPLICATE),
@@ -163,53 +163,53 @@
 
 @pytest.mark.parametrize("name", DEFECTS)
 def test_the_oracle_finds_each_defect(name: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    world = World(monkeypatch)
+    harness = OracleHarness(monkeypatch)
     defect, rule = DEFECTS[name]
-    defect(world)
-    assert world.rules == [rule]
+    defect(harness)
+    assert harness.rules == [rule]
 
 
 def test_the_oracle_passes_what_is_allowed(monkeypatch: pytest.MonkeyPatch) -> None:
-    world = World(monkeypatch)
-    world.departs("s0")
-    world.writes_departure("s0")
-    world.now += GRACE_MS + 50.0
+    harness = OracleHarness(monkeypatch)
+    harness.announce_departure("s0")
+    harness.notify_node("s0")
+    harness.now += GRACE_MS + 50.0
     for n, repeat in enumerate(("safe", "keyed", "unsafe")):
-        ask = world.ask(repeat, txn=f"x{n}", first=False)
-        world.oracle.arrived("s0", f"x{n}", 1_995.0)
-        world.oracle.made(None, f"x{n}", b"value")  # type: ignore[arg-type]
-        world.oracle.answered(ask, answer(200, b"value"))
-    crossed = world.ask(txn="x9", first=False)
-    assert world.oracle.ended(crossed, "Ended")  # a close between requests: it is sent once more
+        ask = harness.ask(repeat, txn=f"x{n}", first=False)
+        harness.oracle.arrived("s0", f"x{n}", 1_995.0)
+        harness.oracle.made(None, f"x{n}", b"value")  # type: ignore[arg-type]
+        harness.oracle.answered(ask, answer(200, b"value"))
+    crossed = harness.ask(txn="x9", first=False)
+    assert harness.oracle.ended(crossed, "Ended")  # a close between requests: it is sent once more
     # While discovery can't be reached a change does not count as notified, and six seconds begin anew.
-    world.oracle.reachable("n0", False)
-    world.departs("s1")
-    world.now += 8_000.0
-    world.oracle.reachable("n0", True)
-    world.now += 5_900.0
-    world.ask(txn="x10")
-    world.oracle.arrived("s1", "x10", None)
+    harness.oracle.reachable("n0", False)
+    harness.announce_departure("s1")
+    harness.now += 8_000.0
+    harness.oracle.reachable("n0", True)
+    harness.now += 5_900.0
+    harness.ask(txn="x10")
+    harness.oracle.arrived("s1", "x10", None)
     # What is turned away has not run.
-    ask = world.ask("unsafe", txn="x11")
-    world.oracle.arrived("s2", "x11", None)
-    world.oracle._records["x11"].arrivals[0].turned_away = True
-    world.oracle.answered(ask, answer(503))
-    world.oracle.finish()
-    assert world.rules == []
+    ask = harness.ask("unsafe", txn="x11")
+    harness.oracle.arrived("s2", "x11", None)
+    harness.oracle._records["x11"].arrivals[0].turned_away = True
+    harness.oracle.answered(ask, answer(503))
+    harness.oracle.check_totals()
+    assert harness.rules == []
 
 
-def test_spans_of_time() -> None:
-    spans = Intervals()
-    spans.add(1_000.0, 2_000.0)
+def test_intervals_of_time() -> None:
+    intervals = Intervals()
+    intervals.add(1_000.0, 2_000.0)
     assert (
-        spans.overlaps(1_500.0, 1_600.0)
-        and spans.overlaps(0.0, 1_000.0)
-        and not spans.overlaps(2_001.0, 3_000.0)
+        intervals.overlaps(1_500.0, 1_600.0)
+        and intervals.overlaps(0.0, 1_000.0)
+        and not intervals.overlaps(2_001.0, 3_000.0)
     )
-    assert spans.end_of_first_gap(0.0, 500.0) == 500.0  # it ended before that began
-    assert spans.end_of_first_gap(0.0, 1_500.0) == 3_500.0
-    spans.add(3_000.0, inf)
-    assert spans.end_of_first_gap(1_500.0, 1_500.0) == inf
+    assert intervals.end_of_first_gap(0.0, 500.0) == 500.0  # it ended before that began
+    assert intervals.end_of_first_gap(0.0, 1_500.0) == 3_500.0
+    intervals.add(3_000.0, inf)
+    assert intervals.end_of_first_gap(1_500.0, 1_500.0) == inf
 
 
 def test_plans_are_drawn_from_their_seed_alone_and_reach_every_fault() -> None:
