--- a/testbed/soak/discovery.py
+++ b/testbed/soak/discovery.py
@@ -42,7 +42,7 @@
 
 @dataclass(slots=True)
 class ServerList:
-    """The list of servers and its history of changes."""
+    """The list of servers and its history of changes; `changed` wakes the watches."""
 
     entries: dict[str, Entry] = field(default_factory=dict)
     versions: list[Version] = field(default_factory=list)
--- a/testbed/soak/large_fleet.py
+++ b/testbed/soak/large_fleet.py
@@ -277,7 +277,7 @@
         self._shim = Shim(build(folder), folder / "node.shim")
         self._listen: Address = (HOST, self._ports.take())
         self._memory_samples_mb: list[float] = []
-        self._served_samples: list[tuple[float, int]] = []  # (s after the first list, total)
+        self._served_samples: list[tuple[float, int]] = []  # (s after first list, total)
         self._first_list_ms = 0.0
         self._log = folder / "node.log"
 
--- a/testbed/soak/nodes.py
+++ b/testbed/soak/nodes.py
@@ -81,7 +81,7 @@
     # -- lifecycle -----------------------------------------------------------------------
 
     def write_config(self) -> None:
-        """Write its configuration with the discovery address and the present list of servers."""
+        """Write its configuration with its discovery address and the current list of servers."""
         host, port = self.discovery.endpoints[self.name][self.endpoint_index].address
         self.config["discovery"] = f"{host}:{port}"
         servers = self.discovery.servers
@@ -238,7 +238,10 @@
         self.shim.restore(call)
         if blocks:
             self.oracle.reachable(self.name, True)
-        return f"{self.name}: {call.name.lower()} fails with {errno.errorcode[error]} for {duration_s} s"
+        return (
+            f"{self.name}: {call.name.lower()} fails with {errno.errorcode[error]} "
+            f"for {duration_s} s"
+        )
 
     async def short_io(self, duration_s: float) -> None:
         """Let each of its reads and writes move a single byte for `for_s`."""
--- a/testbed/soak/oracle.py
+++ b/testbed/soak/oracle.py
@@ -41,15 +41,25 @@
 class Rule(StrEnum):
     """The rules that the oracle checks; the values appear in reports."""
 
+    # A request got no answer, or more than one.
     LOST = "lost"
+    # A request was repeated, or refused after it may have run, against its idempotency.
     DUPLICATE = "duplicate"
+    # A node sent a request to a server after its departure and the grace.
     DRAIN = "drain"
+    # A cold server got more work than its budget.
     FAILBACK = "failback"
+    # An attempt began after the client had left.
     LEFT = "sent after its client left"
+    # A server was given more time than the client's deadline leaves.
     DEADLINE = "deadline told"
+    # Too few complete answers without a length reached their clients.
     UNFRAMED = "responses without a length"
+    # An invalid or incomplete request got neither an error nor a close.
     BAD_CLIENT = "bad client"
+    # A client or server received something that was not meant for it.
     WRONG_ANSWER = "wrong answer"
+    # A node logged a defect or exited unexpectedly, or the test rig failed.
     CRASH = "crash"
 
 
@@ -121,9 +131,9 @@
         return any(begin <= until and end >= since for begin, end in self._intervals)
 
     def end_of_first_gap(self, since: float, span_ms: float) -> float:
-        """When the condition first had not held for `span_ms` in a row, counted from `since`.
+        """The first moment from `since` on at which the condition had not held for `span_ms`.
 
-        The result is inf if the condition still holds.
+        inf where the last interval is still open and no such moment came before it.
         """
         start = since
         for begin, end in sorted(self._intervals):
@@ -176,7 +186,8 @@
         self.lag = EventLoopLag()
         # The node cannot reach discovery.
         self.discovery_unreachable: dict[str, Intervals] = {}
-        # The node was killed or has just been restarted, so requests may be lost.
+        # The node was killed, has just been restarted, or stalls for longer than the rules allow
+        # for, so requests may be lost.
         self.exempt: dict[str, Intervals] = {}
         # The process is stopped, or delayed before its writes.
         self.stalled: dict[str, Intervals] = {}
--- a/testbed/soak/shim.c
+++ b/testbed/soak/shim.c
@@ -108,7 +108,8 @@
 
 int connect(int fd, const struct sockaddr *address, socklen_t length) {
     REAL(connect);
-    return address->sa_family == AF_INET && inject_failure(CONNECT) ? -1 : real(fd, address, length);
+    return address->sa_family == AF_INET && inject_failure(CONNECT)
+        ? -1 : real(fd, address, length);
 }
 
 ssize_t send(int fd, const void *data, size_t size, int flags) {
--- a/tests/testbed/test_soak.py
+++ b/tests/testbed/test_soak.py
@@ -1,4 +1,4 @@
-"""The soak's oracle by defects put in on purpose, its plans, and a short run with real processes."""
+"""The soak: its oracle against planted defects, its plans, and a short run of real processes."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class OracleHarness:
-    """An oracle on a clock of the test's own, and one request of each class."""
+    """An oracle on a manual clock (`now`, in ms) and helpers that report events to it."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
         self.now = 1_000_000.0
@@ -180,8 +180,10 @@
         harness.oracle.made(None, f"x{n}", b"value")  # type: ignore[arg-type]
         harness.oracle.answered(ask, answer(200, b"value"))
     crossed = harness.ask(txn="x9", first=False)
-    assert harness.oracle.ended(crossed, "Ended")  # a close between requests: it is sent once more
-    # While discovery can't be reached a change does not count as notified, and six seconds begin anew.
+    # The node closed an idle connection while the request was on its way, so the client retries.
+    assert harness.oracle.ended(crossed, "Ended")
+    # While discovery is unreachable, a change does not count as notified. The six seconds start
+    # again once discovery is reachable.
     harness.oracle.reachable("n0", False)
     harness.announce_departure("s1")
     harness.now += 8_000.0
@@ -189,7 +191,7 @@
     harness.now += 5_900.0
     harness.ask(txn="x10")
     harness.oracle.arrived("s1", "x10", None)
-    # What is turned away has not run.
+    # A request that was turned away has not run, so it may be refused.
     ask = harness.ask("unsafe", txn="x11")
     harness.oracle.arrived("s2", "x11", None)
     harness.oracle._records["x11"].arrivals[0].turned_away = True
@@ -206,7 +208,8 @@
         and intervals.overlaps(0.0, 1_000.0)
         and not intervals.overlaps(2_001.0, 3_000.0)
     )
-    assert intervals.end_of_first_gap(0.0, 500.0) == 500.0  # it ended before that began
+    # This gap ends before the first interval begins.
+    assert intervals.end_of_first_gap(0.0, 500.0) == 500.0
     assert intervals.end_of_first_gap(0.0, 1_500.0) == 3_500.0
     intervals.add(3_000.0, inf)
     assert intervals.end_of_first_gap(1_500.0, 1_500.0) == inf
@@ -220,7 +223,7 @@
 
 
 def test_a_short_run_keeps_every_rule() -> None:
-    # Three processes, some six seconds; `python -m testbed.soak` plays the long ones.
+    # Three processes for five seconds; `python -m testbed.soak` does longer runs.
     report = run(draw(3, 3, 5.0))
     assert report.violations == []
     assert report.counts["served"] > 0.8 * report.counts["asked"] > 0
