--- a/testbed/soak/discovery.py
+++ b/testbed/soak/discovery.py
@@ -1,4 +1,8 @@
-"""Discovery as the soak needs it: one list of versions, watched by each node at two places of its own, with faults at each of them."""
+"""Emulated discovery of the soak.
+
+One versioned list of servers, which each node watches at two endpoints of its own. Faults are set
+for each endpoint.
+"""
 
 from __future__ import annotations
 
@@ -15,77 +19,81 @@
 Entry = dict[str, object]
 
 
-class Told(Protocol):
-    """Who hears what discovery has and writes."""
+class DiscoveryObserver(Protocol):
+    """Receives what discovery contains and what it writes to nodes."""
 
     def changed(self, entries: Iterable[Entry]) -> None:
-        """Discovery has a change."""
+        """A change was entered into discovery."""
 
     def notified(self, node: str, entries: Iterable[Entry]) -> None:
-        """A change has been written whole to a node."""
+        """A change was completely written to a node."""
 
     def reachable(self, node: str, now: bool) -> None:
-        """From now on a node can reach discovery, or cannot."""
+        """From now on the node can reach discovery (`now` is true) or cannot."""
 
 
 @dataclass(slots=True)
 class Version:
-    """One change of the list."""
+    """One change of the list; `entries` are those that changed."""
 
     number: int
     entries: list[Entry]
 
 
 @dataclass(slots=True)
-class ListOfServers:
-    """What discovery knows, by version."""
+class ServerList:
+    """The list of servers and its history of changes; `changed` wakes the watches."""
 
     entries: dict[str, Entry] = field(default_factory=dict)
     versions: list[Version] = field(default_factory=list)
     changed: asyncio.Condition = field(default_factory=asyncio.Condition)
 
     @property
-    def number(self) -> int:
-        """The latest version."""
+    def latest_version(self) -> int:
+        """The number of the latest version."""
         return len(self.versions)
 
     def change(self, entries: list[Entry]) -> None:
-        """Make one change."""
+        """Apply one change; entries with the lifecycle `terminated` are removed."""
         for entry in entries:
             name = str(entry["instanceId"])
             if entry["lifecycle"] == "terminated":
                 self.entries.pop(name, None)
             else:
                 self.entries[name] = entry
-        self.versions.append(Version(self.number + 1, entries))
+        self.versions.append(Version(self.latest_version + 1, entries))
 
-    async def announce(self) -> None:
-        """Wake every watch."""
+    async def notify_watches(self) -> None:
+        """Wake all watches, so that they write the change."""
         async with self.changed:
             self.changed.notify_all()
 
 
-class Place(Server):
-    """Discovery at one address, for one node."""
+class DiscoveryEndpoint(Server):
+    """Discovery at one address, for one node.
+
+    Faults: `delay_s` delays each answer, `refusals` further calls get 503, `down` refuses all
+    calls, and `cuts` further lines break off in the middle and reset their connection.
+    """
 
-    def __init__(self, node: str, servers: ListOfServers, told: Told) -> None:
+    def __init__(self, node: str, servers: ServerList, observer: DiscoveryObserver) -> None:
         super().__init__(("127.0.0.1", 0))
         self.node = node
-        self.delay_s = 0.0  # of each call's answer
-        self.refusals = 0  # further calls that are answered 503
+        self.delay_s = 0.0
+        self.refusals = 0
         self.down = False
-        self.cuts = 0  # further lines that are cut in their middle
+        self.cuts = 0
         self._servers = servers
-        self._told = told
+        self._observer = observer
         self._watches: dict[Connection, None] = {}
         self._silent: set[Connection] = set()
 
     def silence(self) -> None:
-        """Every open watch falls silent for good."""
+        """Write nothing more to the open watches, which stay open."""
         self._silent.update(self._watches)
 
     def reset(self) -> None:
-        """Every open watch is reset."""
+        """Reset all open watches."""
         for connection in list(self._watches):
             connection.stream.abort()
 
@@ -98,7 +106,9 @@
             return
         await connection.stream.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
         self._watches[connection] = None
-        writing = asyncio.create_task(self._write(connection, _after(request.target)))
+        writing = asyncio.create_task(
+            self._write_watch(connection, _requested_generation(request.target))
+        )
         try:
             while await connection.stream.read():
                 pass
@@ -106,27 +116,29 @@
             writing.cancel()
             del self._watches[connection]
             self._silent.discard(connection)
-        raise Ended("the watch")
+        raise Ended("the watch was closed by its client")
 
-    async def _write(self, connection: Connection, after: int | None) -> None:
+    async def _write_watch(self, connection: Connection, after: int | None) -> None:
         servers = self._servers
-        sent = servers.number
+        sent = servers.latest_version
         if after is None or after > sent:
-            await self._line(connection, sent, list(servers.entries.values()), whole=True)
+            await self._write_list(connection, sent, list(servers.entries.values()), whole=True)
         else:
-            await self._line(connection, sent, _latest(servers.versions[after:]), whole=False)
+            await self._write_list(
+                connection, sent, _latest_entries(servers.versions[after:]), whole=False
+            )
         while True:
             try:
                 async with asyncio.timeout(HEARTBEAT_S), servers.changed:
-                    await servers.changed.wait_for(lambda: servers.number > sent)  # noqa: B023
+                    await servers.changed.wait_for(lambda: servers.latest_version > sent)  # noqa: B023
             except TimeoutError:
-                await self._send(connection, b"\n")
+                await self._write_chunk(connection, b"\n")
                 continue
-            changes = _latest(servers.versions[sent:])
-            sent = servers.number
-            await self._line(connection, sent, changes, whole=False)
+            changes = _latest_entries(servers.versions[sent:])
+            sent = servers.latest_version
+            await self._write_list(connection, sent, changes, whole=False)
 
-    async def _line(
+    async def _write_list(
         self, connection: Connection, number: int, entries: list[Entry], whole: bool
     ) -> None:
         line = (
@@ -135,13 +147,13 @@
         )
         if self.cuts and len(line) > 200:
             self.cuts -= 1
-            await self._send(connection, line[: len(line) // 2])
+            await self._write_chunk(connection, line[: len(line) // 2])
             connection.stream.abort()
             return
-        if await self._send(connection, line):
-            self._told.notified(self.node, entries)
+        if await self._write_chunk(connection, line):
+            self._observer.notified(self.node, entries)
 
-    async def _send(self, connection: Connection, data: bytes) -> bool:
+    async def _write_chunk(self, connection: Connection, data: bytes) -> bool:
         if connection in self._silent or connection.stream.closed or connection.stream.ended:
             return False
         try:
@@ -151,70 +163,73 @@
         return True
 
 
-def _after(target: str) -> int | None:
+def _requested_generation(target: str) -> int | None:
     number = target.partition("after=")[2]
     return int(number) if number.isdigit() else None
 
 
-def _latest(versions: list[Version]) -> list[Entry]:
+def _latest_entries(versions: list[Version]) -> list[Entry]:
     last = {str(entry["instanceId"]): entry for version in versions for entry in version.entries}
     return list(last.values())
 
 
 class Discovery:
-    """All places, two for each node, and the faults that they have together."""
-
-    def __init__(self, nodes: list[str], told: Told) -> None:
-        self.servers = ListOfServers()
-        self.places = {
-            node: (Place(node, self.servers, told), Place(node, self.servers, told))
+    """All endpoints, two for each node, and their common faults."""
+
+    def __init__(self, nodes: list[str], observer: DiscoveryObserver) -> None:
+        self.servers = ServerList()
+        self.endpoints = {
+            node: (
+                DiscoveryEndpoint(node, self.servers, observer),
+                DiscoveryEndpoint(node, self.servers, observer),
+            )
             for node in nodes
         }
-        self._told = told
-        self._downs = 0
+        self._observer = observer
+        self._outages = 0
 
     def listen(self) -> None:
-        """Begin to answer at every place."""
-        for place in self.all():
-            place.listen()
+        """Accept calls at every endpoint."""
+        for endpoint in self.all_endpoints():
+            endpoint.listen()
 
     def close(self) -> None:
-        """End every place."""
-        for place in self.all():
-            place.close()
+        """Close every endpoint."""
+        for endpoint in self.all_endpoints():
+            endpoint.close()
 
-    def all(self) -> list[Place]:
-        """Every place."""
-        return [place for pair in self.places.values() for place in pair]
+    def all_endpoints(self) -> list[DiscoveryEndpoint]:
+        """The endpoints of all nodes."""
+        return [endpoint for pair in self.endpoints.values() for endpoint in pair]
 
     async def change(self, entries: list[Entry]) -> None:
-        """Make one change and write it to every watch."""
+        """Apply one change and write it to every watch."""
         self.servers.change(entries)
-        self._told.changed(entries)
-        await self.servers.announce()
+        self._observer.changed(entries)
+        await self.servers.notify_watches()
 
     def go_down(self) -> None:
-        """Watches end and calls fail, until it is back as often as it went down."""
-        self._downs += 1
-        for place in self.all():
-            place.down = True
-            place.reset()
-        for node in self.places:
-            self._told.reachable(node, False)
-
-    def come_back(self) -> None:
-        """See `go_down`."""
-        self._downs -= 1
-        if self._downs:
+        """Reset watches and refuse calls until `recover` was called as often as this method."""
+        self._outages += 1
+        for endpoint in self.all_endpoints():
+            endpoint.down = True
+            endpoint.reset()
+        for node in self.endpoints:
+            self._observer.reachable(node, False)
+
+    def recover(self) -> None:
+        """End one outage; see `go_down`."""
+        self._outages -= 1
+        if self._outages:
             return
-        for place in self.all():
-            place.down = False
-        for node in self.places:
-            self._told.reachable(node, True)
+        for endpoint in self.all_endpoints():
+            endpoint.down = False
+        for node in self.endpoints:
+            self._observer.reachable(node, True)
 
 
-def started_entry(name: str, address: Address, cold: bool) -> Entry:
-    """A server in service as discovery lists it."""
+def in_service_entry(name: str, address: Address, cold: bool) -> Entry:
+    """The list entry of a server in service; only a cold server has a start time."""
     return {
         "instanceId": name,
         "hostPort": f"{address[0]}:{address[1]}",
--- a/testbed/soak/rig.py
+++ b/testbed/soak/rig.py
@@ -1,6 +1,6 @@
-"""One run of the soak: carries out the faults of a plan at their times under load, and reports what came of it.
+"""One run of the soak: injects the faults of a plan at their times under load and reports.
 
-Everything ends by itself: nodes die with this process, and a run is bounded in time.
+Nodes die with this process, and a run is bounded in time.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 from typing import Any, Optional
 
 from corkshift.seam import now_ms
-from testbed.soak.faults import Faults
+from testbed.soak.faults import FaultInjector
 from testbed.soak.oracle import Rule
 from testbed.soak.plan import Event, Plan
 from testbed.soak.world import World
@@ -22,7 +22,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Report:
-    """What came of a run."""
+    """The result of a run; fields are the keys of the JSON output.
+
+    `harness_late_ms` is the longest event loop lag of this process, `real_s` the run's duration.
+    """
 
     seed: int
     violations: list[str]
@@ -33,34 +36,34 @@
 
 
 class Rig:
-    """One play of a plan."""
+    """Runs one plan."""
 
     def __init__(self, plan: Plan, folder: Path) -> None:
         self.plan = plan
         self.world = World(plan, folder)
         self.notes: list[str] = []
-        self._faults = Faults(self.world, self.notes)
+        self._faults = FaultInjector(self.world, self.notes)
         self._tasks: set[asyncio.Task[Any]] = set()
-        self._began = now_ms()
+        self._started_ms = now_ms()
 
-    async def play(self) -> Report:
-        """Play it; the report."""
+    async def run_plan(self) -> Report:
+        """Run the plan and return the report."""
         began, world = time.monotonic(), self.world
         try:
             await world.open()
-            self._began = now_ms()
+            self._started_ms = now_ms()
             self._spawn(world.oracle.lag.measure())
             for event in self.plan.events:
-                self._spawn(self._at(event))
+                self._spawn(self._inject_at(event))
             await world.clients.run(self.plan.seconds)
-            await world.settle()
+            await world.wait_for_restarts()
         finally:
             await self._close()
-        world.oracle.finish()
-        world.read_logs()
-        return self._report(time.monotonic() - began)
+        world.oracle.check_totals()
+        world.check_node_processes()
+        return self._make_report(time.monotonic() - began)
 
-    def _report(self, real_s: float) -> Report:
+    def _make_report(self, real_s: float) -> Report:
         oracle, figures = self.world.oracle, self.world.clients.totals
         counts = {
             **oracle.counts,
@@ -84,25 +87,27 @@
         await asyncio.gather(*self._tasks, return_exceptions=True)
         await self.world.close()
 
-    async def _at(self, event: Event) -> None:
-        await asyncio.sleep(max(0.0, self._began / 1000.0 + event.at_s - now_ms() / 1000.0))
-        await self._faults.carry_out(event)
+    async def _inject_at(self, event: Event) -> None:
+        await asyncio.sleep(max(0.0, self._started_ms / 1000.0 + event.at_s - now_ms() / 1000.0))
+        await self._faults.inject(event)
 
-    def _spawn(self, what: Awaitable[Any]) -> None:
-        task: asyncio.Task[Any] = asyncio.ensure_future(what)
+    def _spawn(self, awaitable: Awaitable[Any]) -> None:
+        task: asyncio.Task[Any] = asyncio.ensure_future(awaitable)
         self._tasks.add(task)
-        task.add_done_callback(self._finished)
+        task.add_done_callback(self._on_task_done)
 
-    def _finished(self, task: asyncio.Task[Any]) -> None:
+    def _on_task_done(self, task: asyncio.Task[Any]) -> None:
         self._tasks.discard(task)
         if not task.cancelled() and (error := task.exception()) is not None:
-            self.world.oracle.broken(Rule.CRASH, f"the rig itself failed: {error!r}")
+            self.world.oracle.record_violation(
+                Rule.CRASH, f"a task of the test rig failed: {error!r}"
+            )
 
 
-def run(plan: Plan, keep: Optional[Path] = None) -> Report:
-    """Play a plan in a folder of its own; `keep` names one in which logs stay."""
-    if keep is not None:
-        keep.mkdir(parents=True, exist_ok=True)
-        return asyncio.run(Rig(plan, keep).play())
+def run(plan: Plan, log_folder: Optional[Path] = None) -> Report:
+    """Run a plan in `log_folder`, where its files are kept, or in a temporary folder."""
+    if log_folder is not None:
+        log_folder.mkdir(parents=True, exist_ok=True)
+        return asyncio.run(Rig(plan, log_folder).run_plan())
     with tempfile.TemporaryDirectory(prefix="gradeshift-soak-") as folder:
-        return asyncio.run(Rig(plan, Path(folder)).play())
+        return asyncio.run(Rig(plan, Path(folder)).run_plan())
--- a/testbed/soak/servers.py
+++ b/testbed/soak/servers.py
@@ -1,4 +1,7 @@
-"""Cache servers of the soak: those of `testbed.systems`, with answers that have no length and answers that break off."""
+"""Cache servers of the soak.
+
+They extend those of `testbed.systems` with answers that have no length or break off.
+"""
 
 from __future__ import annotations
 
@@ -9,23 +12,26 @@
 from testbed.systems.emulators import BoxSpec, CacheBox, ServerObserver
 from testbed.systems.http import Connection, Message
 
-UNFRAMED = "unframed"  # no length, ended by the connection's end
-BROKEN = "broken"  # a length, and a reset in the middle
-UNFRAMED_BROKEN = "unframed-broken"  # no length, and a reset in the middle
+# No length; the end of the connection ends the answer.
+UNFRAMED = "unframed"
+# A length, and a reset in the middle.
+BROKEN = "broken"
+# No length, and a reset in the middle.
+UNFRAMED_BROKEN = "unframed-broken"
 
 
-class Arrivals(Protocol):
-    """Who hears of each request in the moment in which it has come whole."""
+class ArrivalObserver(Protocol):
+    """Receives each request once it has arrived completely."""
 
-    def arrived(self, server: str, txn: str, told_ms: float | None) -> None:
-        """told_ms: what the request says of how long its node will wait."""
+    def arrived(self, server: str, txn: str, remaining_ms: float | None) -> None:
+        """A request arrived; its node states that it waits `remaining_ms` longer."""
 
     def completed_unframed(self, txn: str) -> None:
-        """An answer with no length was written whole, and its connection ended."""
+        """A complete answer with no length was written, and its connection ended."""
 
 
 class SoakServer(CacheBox):
-    """One cache server."""
+    """A cache server; given shares of its answers have no length or break off."""
 
     def __init__(
         self,
@@ -33,23 +39,25 @@
         origin: Address,
         spec: BoxSpec,
         witness: ServerObserver,
-        arrivals: Arrivals,
+        arrivals: ArrivalObserver,
         cold: bool,
         seed: int,
     ) -> None:
         super().__init__(name, ("127.0.0.1", 0), origin, spec, witness, cold)
         self.unframed_share = 0.0
         self.broken_share = 0.0
-        self._arrivals = arrivals
-        self._random = random.Random(f"server/{seed}/{name}")
+        self._arrival_observer = arrivals
+        self._rng = random.Random(f"server/{seed}/{name}")
 
     async def serve(self, connection: Connection, request: Message) -> None:
-        told = request.header(b"x-remaining-ms")
+        remaining = request.header(b"x-remaining-ms")
         txn = request.header(b"x-txn")
-        self._arrivals.arrived(self.name, txn, float(told) if told.isdigit() else None)
-        draw = self._random.random()
+        self._arrival_observer.arrived(
+            self.name, txn, float(remaining) if remaining.isdigit() else None
+        )
+        draw = self._rng.random()
         if draw < self.broken_share:
-            self.corruptions[:] = [self._random.choice((BROKEN, UNFRAMED_BROKEN))]
+            self.corruptions[:] = [self._rng.choice((BROKEN, UNFRAMED_BROKEN))]
         elif draw < self.broken_share + self.unframed_share:
             self.corruptions[:] = [UNFRAMED]
         await super().serve(connection, request)
@@ -67,6 +75,6 @@
         if how == UNFRAMED_BROKEN:
             stream.abort()
             return
-        # Its id is the body's second word: the answer that was spoilt need not be the one of the latest request.
-        self._arrivals.completed_unframed(body.split(b" ")[1].decode())
+        # The second word of the body is the request's id. Another request may have arrived since.
+        self._arrival_observer.completed_unframed(body.split(b" ")[1].decode())
         stream.close()
--- a/testbed/soak/world.py
+++ b/testbed/soak/world.py
@@ -1,4 +1,7 @@
-"""The world of one soak: node processes, cache servers, origin, discovery and clients, with the oracle that hears of all."""
+"""The systems of one soak: node processes, cache servers, origin, discovery and clients.
+
+All of them report to one oracle.
+"""
 
 from __future__ import annotations
 
@@ -9,9 +12,9 @@
 from typing import Any
 
 from corkshift.seam import now_ms
-from testbed.soak.discovery import Discovery, Entry, started_entry
-from testbed.soak.nodes import READY_S, Node
-from testbed.soak.oracle import Oracle, Rule, Spans
+from testbed.soak.discovery import Discovery, Entry, in_service_entry
+from testbed.soak.nodes import READY_TIMEOUT_S, Node
+from testbed.soak.oracle import Intervals, Oracle, Rule
 from testbed.soak.plan import Plan
 from testbed.soak.servers import SoakServer
 from testbed.soak.shim import Shim, build
@@ -20,32 +23,39 @@
 from testbed.tier.books import ColdBox
 from testbed.tier.processes import HOST, Ports
 
-ASK_WITHIN_MS = 10_000.0
-ANSWER_SLACK_MS = 500.0  # a later answer is a lost request
+# The setting `mustAskInMs` of the nodes.
+POLL_WITHIN_MS = 10_000.0
+# A request whose answer is later than this after its deadline counts as lost.
+ANSWER_SLACK_MS = 500.0
 MEMORY_MB = 64
 SOCKETS = 512
-KEYS = 400
-SIGNS_OF_A_DEFECT = ("Traceback", "too late", "had no answer by its deadline")  # in a node's log
+KEY_COUNT = 400
+# Texts in a node's log that show a defect.
+DEFECT_MARKERS = ("Traceback", "too late", "had no answer by its deadline")
 
 
 class World:
-    """Everything that a plan needs. All addresses are on 127.0.0.1."""
+    """All systems that a plan needs, on 127.0.0.1."""
 
     def __init__(self, plan: Plan, folder: Path) -> None:
+        """Prepare the systems of a plan; files and logs go into `folder`.
+
+        Raises ShimError where the library of `shim` cannot be built.
+        """
         self.plan = plan
         self.folder = folder
         self.oracle = Oracle(grace_ms=250.0)
         self.servers: list[SoakServer] = []
         self.nodes: list[Node] = []
         self.discovery = Discovery([f"n{n}" for n in range(plan.nodes)], self.oracle)
-        self.clients = Clients({}, self.oracle, plan.seed, KEYS, plan.requests_per_s)
-        self._random = random.Random(f"rig/{plan.seed}")
+        self.clients = Clients({}, self.oracle, plan.seed, KEY_COUNT, plan.requests_per_s)
+        self._rng = random.Random(f"rig/{plan.seed}")
         self._ports = Ports()
         self._origin = OrderBook((HOST, 0), 8, 15.0)
         self._library = build(folder)
 
     async def open(self) -> None:
-        """Start all of it, and wait until every node answers."""
+        """Start all systems and wait until every node answers."""
         self._origin.listen()
         self.discovery.listen()
         await self.discovery.change(
@@ -54,29 +64,32 @@
         for n in range(self.plan.nodes):
             self.nodes.append(self._make_node(n))
         await asyncio.gather(*(node.start() for node in self.nodes))
-        await asyncio.gather(*(node.ready() for node in self.nodes))
+        await asyncio.gather(*(node.wait_ready() for node in self.nodes))
         self.clients.nodes.update({node.name: node.listen for node in self.nodes})
         self.clients.is_down = lambda name: self.nodes[int(name[1:])].down
         self.clients.answer_grace_ms = ANSWER_SLACK_MS
 
-    async def settle(self) -> None:
-        """Wait for nodes that are being started, so that their exit codes are known."""
-        async with asyncio.timeout(READY_S):
-            while any(node.busy for node in self.nodes):
+    async def wait_for_restarts(self) -> None:
+        """Wait for restarts in progress, so that exit codes are known.
+
+        Raises TimeoutError after READY_TIMEOUT_S.
+        """
+        async with asyncio.timeout(READY_TIMEOUT_S):
+            while any(node.restarting for node in self.nodes):
                 await asyncio.sleep(0.05)
 
     async def close(self) -> None:
-        """End all of it."""
+        """Stop all systems."""
         self.clients.close()
         for node in self.nodes:
-            await node.bury()
+            await node.stop()
         self.discovery.close()
         for server in (*self.servers, self._origin):
             server.close()
         self._ports.close()
 
     def start_server(self, cold: bool) -> Entry:
-        """A new server, under a new name; its entry."""
+        """Start a server under a new name and return its entry in the list."""
         name = f"s{len(self.servers)}"
         spec = BoxSpec(cores=2, cache_capacity=400)
         server = SoakServer(
@@ -89,13 +102,13 @@
         self._origin.invalidations.append(server.invalidate)
         self.servers.append(server)
         if cold:
-            self.oracle.cold[name] = ColdBox(
+            self.oracle.cold_servers[name] = ColdBox(
                 name, spec.cold_share, spec.cold_ms, server.full_speed, now_ms()
             )
-        return started_entry(name, server.address, cold)
+        return in_service_entry(name, server.address, cold)
 
-    def serving(self) -> list[SoakServer]:
-        """The servers that are listed in service."""
+    def in_service_servers(self) -> list[SoakServer]:
+        """The servers that discovery lists as in service."""
         listed = self.discovery.servers.entries
         return [
             server
@@ -107,33 +120,36 @@
         name = f"n{n}"
         listen, admin = self._ports.take(), self._ports.take()
         for table in (
-            self.oracle.unreachable,
-            self.oracle.hurt,
-            self.oracle.held_up,
-            self.oracle.deaf,
+            self.oracle.discovery_unreachable,
+            self.oracle.exempt,
+            self.oracle.stalled,
+            self.oracle.slow_io,
         ):
-            table[name] = Spans()
+            table[name] = Intervals()
         config: dict[str, Any] = {
             "name": name,
             "listen": f"{HOST}:{listen}",
             "admin_addr": f"{HOST}:{admin}",
-            "seed": f"{self._random.getrandbits(48):x}",
+            "seed": f"{self._rng.getrandbits(48):x}",
             "limits": {"cores": 1.0, "memory_mb": MEMORY_MB, "sockets": SOCKETS},
-            "settings": settings(CLASSES, ASK_WITHIN_MS),
+            "settings": settings(CLASSES, POLL_WITHIN_MS),
         }
         shim = Shim(self._library, self.folder / f"{name}.shim")
         return Node(name, (HOST, listen), self.folder, shim, config, self.discovery, self.oracle)
 
-    def read_logs(self) -> None:
-        """What nodes say of themselves: exceptions, violations of the send guard, ends."""
+    def check_node_processes(self) -> None:
+        """Record defects that nodes logged, and unexpected exit codes, as violations."""
         for node in self.nodes:
             text = node.log
-            for sign in SIGNS_OF_A_DEFECT:
+            for sign in DEFECT_MARKERS:
                 if sign in text:
                     at = text.index(sign)
-                    self.oracle.broken(
-                        Rule.CRASH, f"{node.name} logs: {text[max(0, at - 200) : at + 400]}"
+                    self.oracle.record_violation(
+                        Rule.CRASH,
+                        f"{node.name} logged a defect: {text[max(0, at - 200) : at + 400]}",
                     )
-            for code in node.exits:
+            for code in node.exit_codes:
                 if code not in (0, -signal.SIGKILL):
-                    self.oracle.broken(Rule.CRASH, f"{node.name} ended with {code}")
+                    self.oracle.record_violation(
+                        Rule.CRASH, f"{node.name} ended with exit code {code}"
+                    )
