--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -10,14 +10,14 @@
 import statistics
 from concurrent.futures import ProcessPoolExecutor
 
-from testbed.nights.explore import seeds_of
-from testbed.nights.fleets import ALL, BOXES, night
+from testbed.nights.explore import parse_seed_range
+from testbed.nights.fleets import BOXES, SCENARIOS, scenario_script
 from testbed.nights.simulation import run
-from testbed.nights.traffic import Traffic, counted
+from testbed.nights.traffic import Traffic, count_traffic
 
 SIZES = (5, 20, 40)
 KINDS = {
-    "handshakes": "handshakes", "lost_dials": "dials lost", "again": "second requests and repeats", "refused": "refused",
+    "handshakes": "handshakes", "failed_dials": "dials lost", "repeated_attempts": "second requests and repeats", "refused": "refused",
     "failed": "failed",
 }  # fmt: skip
 
@@ -25,9 +25,13 @@
 def play(job: tuple[str, int, int]) -> tuple[Traffic, float, int]:
     """One night: the sums, the part of the requests that was served in time, and broken rules."""
     name, nodes, seed = job
-    result = run(seed, night(name, seed, nodes), keep=True)
+    result = run(seed, scenario_script(name, seed, nodes), keep_trace=True)
     figures = result.figures
-    return counted(result.lines), figures.in_time / max(1, figures.asked), len(result.failures)
+    return (
+        count_traffic(result.lines),
+        figures.in_time / max(1, figures.asked),
+        len(result.failures),
+    )
 
 
 def main() -> int:
@@ -35,10 +39,10 @@
     parser.add_argument("--seeds", default="1-3", metavar="A-B", help="both included")
     parser.add_argument("--jobs", type=int, default=8)
     args = parser.parse_args()
-    seeds = seeds_of(args.seeds)
+    seeds = parse_seed_range(args.seeds)
     if not seeds or args.jobs < 1:
         parser.error("--seeds wants A-B with A no greater than B, and --jobs at least 1")
-    jobs = [(name, nodes, seed) for name in ALL for nodes in SIZES for seed in seeds]
+    jobs = [(name, nodes, seed) for name in SCENARIOS for nodes in SIZES for seed in seeds]
     with ProcessPoolExecutor(args.jobs) as pool:
         done = dict(zip(jobs, pool.map(play, jobs), strict=True))
     print(
@@ -46,17 +50,21 @@
     )
     print("|---|---|---|---|---|---|---|---|---|---|---|")
     broken = 0
-    for name in ALL:
+    for name in SCENARIOS:
         for nodes in SIZES:
             nights = [done[name, nodes, seed] for seed in seeds]
             broken += sum(failures for _, _, failures in nights)
             all_ = [traffic for traffic, _, _ in nights]
             in_time = statistics.mean(part for _, part, _ in nights)
             shares = " | ".join(
-                f"{statistics.mean(t.share(getattr(t, kind)) for t in all_):.3f}" for kind in KINDS
+                f"{statistics.mean(t.per_request(getattr(t, kind)) for t in all_):.3f}"
+                for kind in KINDS
+            )
+            idle = max(t.max_idle_connections for t in all_)
+            lists, at_once = (
+                max(t.discovery_connections for t in all_),
+                max(t.max_discovery_connections_per_s for t in all_),
             )
-            idle = max(t.idle_most for t in all_)
-            lists, at_once = max(t.lists for t in all_), max(t.lists_most for t in all_)
             print(f"| {name} | {nodes} | {in_time:.3f} | {shares} | {idle} | {lists} | {at_once} |")
     print(
         f"\n{len(jobs)} nights before {BOXES} boxes, seeds {seeds[0]} to {seeds[-1]}; rules broken: {broken}"
--- a/benchmarks/overload.py
+++ b/benchmarks/overload.py
@@ -19,7 +19,7 @@
 from typing import Any
 
 from benchmarks.revision import ROOT, packages_of
-from testbed.nights.oracle import Demand, Supply, worth_at_most
+from testbed.nights.oracle import Demand, Supply, max_value
 
 STEPS = (0.5, 1.0, 1.5, 2.0, 3.0, 4.0)
 KEPT, NEAR = 0.90, 0.85
@@ -64,7 +64,7 @@
         asked[demand.lane] += round(demand.value)
     for n in good:
         served[demands[n].lane] += round(demands[n].value)
-    return served, worth_at_most(demands, Supply(*supply)).by_lane, asked, failures
+    return served, max_value(demands, Supply(*supply)).by_class, asked, failures
 
 
 def main() -> int:
--- a/benchmarks/recovery.py
+++ b/benchmarks/recovery.py
@@ -18,7 +18,7 @@
 from typing import Optional
 
 from benchmarks.overload import WORK_MS
-from testbed.nights.oracle import SLICE_MS, worth_at_most
+from testbed.nights.oracle import SLICE_MS, max_value
 from testbed.nights.script import Fault, Kind, Script, World
 from testbed.nights.simulation import run
 
@@ -124,7 +124,7 @@
 def measure(case: str, seed: int) -> Row:
     """Play one case."""
     result = run(seed, CASES[case])
-    best = worth_at_most(result.demands, result.supply).by_slice
+    best = max_value(result.demands, result.supply).by_slice
     slices = int(result.script.world.seconds * 1_000.0 / SLICE_MS) + 2
     best = (best + [0.0] * slices)[:slices]
     asked, served = [0.0] * slices, [0.0] * slices
--- a/benchmarks/simulation.py
+++ b/benchmarks/simulation.py
@@ -18,8 +18,8 @@
 from pathlib import Path
 
 from testbed.nights.defects import DEFECTS
-from testbed.nights.explore import explore, kind_of, play, shrink
-from testbed.nights.script import HARD_FROM, draw
+from testbed.nights.explore import explore, play, shrink, violated_rule
+from testbed.nights.script import HARD_FIRST_SEED, draw
 from testbed.nights.simulation import run
 
 SAME = 20  # seeds whose traces are compared
@@ -58,14 +58,21 @@
 def find(name: str) -> tuple[str, int, str, int, int, int]:
     """The first seed that shows a defect: its rule, the steps to it, and faults before and after the shrink."""
     hard = name in OF_HARD_NIGHTS
-    for seed in range(HARD_FROM, HARD_FROM + MANY) if hard else range(1, MANY + 1):
+    for seed in range(HARD_FIRST_SEED, HARD_FIRST_SEED + MANY) if hard else range(1, MANY + 1):
         summary = play(seed, name)
         if summary.failures:
-            wanted, script = kind_of(summary.failures[0]), draw(seed)
+            wanted, script = violated_rule(summary.failures[0]), draw(seed)
             small, _ = shrink(
                 seed, script, wanted, lambda s, candidate: play(s, name, candidate).failures
             )
-            return name, seed, wanted, summary.first_step, len(script.fault), len(small.fault)
+            return (
+                name,
+                seed,
+                wanted,
+                summary.first_failure_step,
+                len(script.fault),
+                len(small.fault),
+            )
     return name, 0, "", 0, 0, 0
 
 
--- a/benchmarks/tier.py
+++ b/benchmarks/tier.py
@@ -23,7 +23,7 @@
 from forkweir.tier.lending import WHOLE
 from testbed.check.lending import Scope, walk
 from testbed.nights.explore import play as play_night
-from testbed.nights.script import TIERED_FROM, draw
+from testbed.nights.script import TIER_FIRST_SEED, draw
 from testbed.nights.script import Script as NightScript
 from testbed.nights.simulation import run as play_whole
 from testbed.tier.defects import DEFECTS, planted
@@ -75,7 +75,9 @@
         began = time.monotonic()
         broken = [
             summary.seed
-            for _, summary in _over(pool, play_night, range(TIERED_FROM, TIERED_FROM + whole))
+            for _, summary in _over(
+                pool, play_night, range(TIER_FIRST_SEED, TIER_FIRST_SEED + whole)
+            )
             if summary.failures
         ]
         whole_s = time.monotonic() - began
--- a/corkshift/cli/check.py
+++ b/corkshift/cli/check.py
@@ -21,12 +21,12 @@
     if path.endswith(".json") or text.lstrip()[:1] == b"{":
         return _node(text)
     if any(line.strip() in (b"[world]", b"[[fault]]") for line in text.splitlines()):
-        from testbed.nights.script import BadScript, parse_script
+        from testbed.nights.script import InvalidScript, parse_script
 
         try:
             parse_script(text)
-        except BadScript as error:
-            return error.faults
+        except InvalidScript as error:
+            return error.errors
         return []
     try:
         parse(text, path)
--- a/corkshift/cli/tier.py
+++ b/corkshift/cli/tier.py
@@ -115,7 +115,7 @@
 
 def run(path: str, seed: int, virtual: bool, as_json: bool, logs: Optional[str]) -> int:
     """Play a script; the exit code: 0 where every rule held, 1 where one did not, 2 where there is nothing to play."""
-    from testbed.nights.script import BadScript, parse_script
+    from testbed.nights.script import InvalidScript, parse_script
     from testbed.tier.processes import Unplayable
     from testbed.tier.processes import run as play
 
@@ -130,7 +130,7 @@
             if folder is not None:
                 folder.mkdir(parents=True, exist_ok=True)
             report = play(script, seed, folder)
-    except (BadScript, Unplayable) as error:
+    except (InvalidScript, Unplayable) as error:
         print(f"gradeshift tier run: {path}: {error}", file=sys.stderr)
         return 2
     except OSError as error:
--- a/testbed/cli.py
+++ b/testbed/cli.py
@@ -11,7 +11,7 @@
 
 import click
 
-from testbed.nights.script import BadScript, Script, parse_script, written
+from testbed.nights.script import InvalidScript, Script, parse_script, to_toml
 
 if TYPE_CHECKING:
     from testbed.nights.simulation import Result
@@ -35,7 +35,7 @@
     def guarded(*args: P.args, **kwargs: P.kwargs) -> int:
         try:
             return body(*args, **kwargs)
-        except (_Unusable, BadScript) as error:
+        except (_Unusable, InvalidScript) as error:
             print(f"gradeshift sim: {error}", file=sys.stderr)
         except OSError as error:
             print(f"gradeshift sim: {error.filename}: {error.strerror}", file=sys.stderr)
@@ -92,13 +92,13 @@
     from testbed.nights.simulation import run
 
     with patched(defect):
-        result = run(seed, _script(script), keep=trace is not None)
+        result = run(seed, _script(script), keep_trace=trace is not None)
     if trace == "-":
         sys.stdout.writelines(result.lines)
     elif trace:
         Path(trace).write_text("".join(result.lines))
     if write_script:
-        Path(write_script).write_text(written(result.script))
+        Path(write_script).write_text(to_toml(result.script))
     figures = result.figures
     out = sys.stderr if trace == "-" else sys.stdout
     print(
@@ -116,18 +116,18 @@
 
 def _against_the_bound(result: Result) -> str:
     """What was served in time beside the most that could have been (testbed/nights/oracle.py)."""
-    from testbed.nights.oracle import served_at_most, worth_at_most
+    from testbed.nights.oracle import max_served, max_value
 
     figures = result.figures
     first = f"first asked {figures.first_tries}, served in time at last {figures.good_tries}"
     try:
-        most = sum(served_at_most(result.demands, result.supply).values())
-        worth = worth_at_most(result.demands, result.supply).total
+        most = sum(max_served(result.demands, result.supply).values())
+        worth = max_value(result.demands, result.supply).total
     except ImportError:
         return f"{first}; the most that could be: not known without scipy (requirements-dev.txt)"
     return (
         f"{first}, of {most:.0f} at most ({100.0 * figures.good_tries / max(1.0, most):.0f}%); "
-        f"worth for work {100.0 * result.worth / max(1e-9, worth):.0f}% of the most that could be"
+        f"worth for work {100.0 * result.served_value / max(1e-9, worth):.0f}% of the most that could be"
     )
 
 
@@ -138,9 +138,9 @@
 @_action
 def _explore(span: str, jobs: int, defect: str) -> int:
     """Many seeds; exits with 1 where one fails."""
-    from testbed.nights.explore import command_of, explore, seeds_of
+    from testbed.nights.explore import explore, parse_seed_range, replay_command
 
-    seeds = seeds_of(span)
+    seeds = parse_seed_range(span)
     if not seeds or jobs < 1:
         raise _Unusable("--seeds wants A-B with A no greater than B, and --jobs at least 1")
     began = last = time.monotonic()
@@ -152,7 +152,7 @@
         if summary.failures:
             failed += 1
             print(
-                f"seed {summary.seed}: {summary.failures[0]}\n    {command_of(summary.seed, defect)}",
+                f"seed {summary.seed}: {summary.failures[0]}\n    {replay_command(summary.seed, defect)}",
                 flush=True,
             )
         if time.monotonic() - last > 5.0:
@@ -174,7 +174,7 @@
 @_action
 def _shrink(seed: int, script: Optional[str], to: Optional[str], defect: str) -> int:
     """The smallest script that still fails, as TOML."""
-    from testbed.nights.explore import kind_of, play, shrink
+    from testbed.nights.explore import play, shrink, violated_rule
     from testbed.nights.script import draw
 
     night = _script(script) or draw(seed)
@@ -182,11 +182,11 @@
     if not failures:
         print(f"seed {seed} breaks no rule", file=sys.stderr)
         return 1
-    wanted = kind_of(failures[0])
+    wanted = violated_rule(failures[0])
     small, runs = shrink(
         seed, night, wanted, lambda seed, candidate: play(seed, defect, candidate).failures
     )
-    text = f"# seed {seed} breaks: {wanted}\n" + written(small)
+    text = f"# seed {seed} breaks: {wanted}\n" + to_toml(small)
     if to:
         Path(to).write_text(text)
     else:
--- a/testbed/nights/explore.py
+++ b/testbed/nights/explore.py
@@ -14,7 +14,7 @@
 from testbed.nights.script import Fault, Script, World
 from testbed.nights.simulation import run
 
-TRIES_MOST = 400  # runs of one shrink
+MAX_SHRINK_RUNS = 400  # runs of one shrink
 
 
 @dataclass(frozen=True, slots=True)
@@ -28,7 +28,7 @@
     real_s: float
     asked: int
     steps: int
-    first_step: int  # callbacks until the first rule was broken; 0 where none was
+    first_failure_step: int  # callbacks until the first rule was broken; 0 where none was
 
 
 def play(seed: int, defect: str = "", script: Optional[Script] = None) -> Summary:
@@ -49,7 +49,7 @@
     )
 
 
-def seeds_of(text: str) -> range:
+def parse_seed_range(text: str) -> range:
     """The seeds that A-B names, both included; none where it is not of that form."""
     match = re.fullmatch(r"(\d+)-(\d+)", text)
     return range(int(match[1]), int(match[2]) + 1) if match else range(0)
@@ -67,7 +67,7 @@
             yield future.result()
 
 
-def kind_of(failure: str) -> str:
+def violated_rule(failure: str) -> str:
     """What rule a failure is of, without its time and numbers."""
     return re.sub(r"\d+", "#", failure.split(": ", 2)[1])
 
@@ -83,23 +83,23 @@
 
     def holds(candidate: Script) -> bool:
         nonlocal runs
-        if runs >= TRIES_MOST:
+        if runs >= MAX_SHRINK_RUNS:
             return False
         runs += 1
-        return any(kind_of(failure) == wanted for failure in fails(seed, candidate))
+        return any(violated_rule(failure) == wanted for failure in fails(seed, candidate))
 
-    script = _fewer(script, holds)
+    script = _remove_faults(script, holds)
     changed = True
-    while changed and runs < TRIES_MOST:
+    while changed and runs < MAX_SHRINK_RUNS:
         changed = False
-        for candidate in _smaller(script):
+        for candidate in _simplified_scripts(script):
             if holds(candidate):
                 script, changed = candidate, True
                 break
     return script, runs
 
 
-def _fewer(script: Script, holds: Callable[[Script], bool]) -> Script:
+def _remove_faults(script: Script, holds: Callable[[Script], bool]) -> Script:
     """ddmin over the faults."""
     faults, parts = list(script.fault), 2
     if faults and holds(msgspec.structs.replace(script, fault=[])):
@@ -118,7 +118,7 @@
     return msgspec.structs.replace(script, fault=faults)
 
 
-def _smaller(script: Script) -> Iterator[Script]:
+def _simplified_scripts(script: Script) -> Iterator[Script]:
     world = script.world
     nodes = max(
         [1]
@@ -151,19 +151,19 @@
         if fresh != world:
             yield msgspec.structs.replace(script, world=fresh)
     for n, fault in enumerate(script.fault):
-        for less in _milder(fault):
+        for less in _milder_faults(fault):
             yield msgspec.structs.replace(
                 script, fault=[*script.fault[:n], less, *script.fault[n + 1 :]]
             )
 
 
-def _milder(fault: Fault) -> Iterator[Fault]:
+def _milder_faults(fault: Fault) -> Iterator[Fault]:
     if fault.for_ms > 50.0:
         yield msgspec.structs.replace(fault, for_ms=float(int(fault.for_ms / 2)))
     if fault.at_ms > 100.0:
         yield msgspec.structs.replace(fault, at_ms=float(int(fault.at_ms / 2)))
 
 
-def command_of(seed: int, defect: str = "") -> str:
+def replay_command(seed: int, defect: str = "") -> str:
     """The command that repeats a night."""
     return f"gradeshift sim run --seed {seed}" + (f" --defect {defect}" if defect else "")
--- a/testbed/nights/fleets.py
+++ b/testbed/nights/fleets.py
@@ -11,8 +11,8 @@
 from testbed.nights.script import Fault, Kind, Script, World
 
 NODES, BOXES = 40, 60
-BAD: tuple[tuple[Kind, float], ...] = (("box_slow", 8.0), ("box_errors", 60.0))
-Maker = Callable[[random.Random, int, int], list[Fault]]
+UNHEALTHY: tuple[tuple[Kind, float], ...] = (("box_slow", 8.0), ("box_errors", 60.0))
+FaultGenerator = Callable[[random.Random, int, int], list[Fault]]
 
 
 def _calm(rng: random.Random, nodes: int, boxes: int) -> list[Fault]:
@@ -37,10 +37,10 @@
     faults += [
         Fault(at_ms=1_200.0 + 250.0 * n, kind="discovery_wrong", value=float(n)) for n in range(8)
     ]
-    return faults + _replaced(rng, boxes // 10, boxes)
+    return faults + _replace_boxes(rng, boxes // 10, boxes)
 
 
-def _replaced(rng: random.Random, many: int, boxes: int) -> list[Fault]:
+def _replace_boxes(rng: random.Random, many: int, boxes: int) -> list[Fault]:
     return [
         Fault(at_ms=900.0 + rng.uniform(0.0, 3_000.0), kind="box_rename", target=n, for_ms=150.0)
         for n in rng.sample(range(boxes), many)
@@ -49,10 +49,10 @@
 
 def _join(rng: random.Random, nodes: int, boxes: int) -> list[Fault]:
     """Six in ten boxes are replaced under new ids, and one in five of the new ones is slow or fails what it is asked."""
-    faults = _replaced(rng, boxes * 6 // 10, boxes)
+    faults = _replace_boxes(rng, boxes * 6 // 10, boxes)
     for fault in list(faults):
         if rng.random() < 0.2:
-            kind, value = rng.choice(BAD)
+            kind, value = rng.choice(UNHEALTHY)
             faults.append(
                 Fault(
                     at_ms=fault.at_ms + 500.0,
@@ -93,12 +93,12 @@
     return [*_herd(rng, nodes, boxes), *_overbooked(rng, nodes, boxes), *_join(rng, nodes, boxes)]
 
 
-ALL: dict[str, Maker] = {
+SCENARIOS: dict[str, FaultGenerator] = {
     "calm": _calm, "herd": _herd, "overbooked": _overbooked, "join": _join, "zone": _zone, "half": _half, "together": _all,
 }  # fmt: skip
 
 
-def night(
+def scenario_script(
     name: str,
     seed: int,
     nodes: int = NODES,
@@ -107,7 +107,7 @@
     seconds: float = 5.0,
 ) -> Script:
     """The script of a night."""
-    faults = ALL[name](random.Random(f"fleet/{name}/{seed}"), nodes, boxes)
+    faults = SCENARIOS[name](random.Random(f"fleet/{name}/{seed}"), nodes, boxes)
     world = World(
         seconds=seconds, nodes=nodes, boxes=boxes, requests_per_s=requests_per_s, keys=2_000
     )
--- a/testbed/nights/oracle.py
+++ b/testbed/nights/oracle.py
@@ -47,7 +47,7 @@
     fetches: list[float] = field(default_factory=list)  # places of the order book a ms, likewise,
     samples: list[int] = field(default_factory=list)  # and how many there were
 
-    def note(self, at_ms: float, work: float, fetches: float) -> None:
+    def add_sample(self, at_ms: float, work: float, fetches: float) -> None:
         """Add one sample."""
         n = int(at_ms / SLICE_MS)
         while len(self.samples) <= n:
@@ -58,7 +58,7 @@
         self.fetches[n] += fetches
         self.samples[n] += 1
 
-    def of(self, n: int) -> tuple[float, float]:
+    def slice_capacity(self, n: int) -> tuple[float, float]:
         """Work in ms, and writes, that fit into a slice; one without a sample is like the last before it."""
         while n > 0 and (n >= len(self.samples) or not self.samples[n]):
             n -= 1
@@ -69,7 +69,7 @@
         ]
 
 
-def served_at_most(demands: list[Demand], supply: Supply) -> dict[str, float]:
+def max_served(demands: list[Demand], supply: Supply) -> dict[str, float]:
     """How many requests of each class an all-knowing scheduler serves in time where it maximises their worth.
 
     ImportError where scipy is not installed; RuntimeError where the program can't be solved.
@@ -96,22 +96,22 @@
                 rows.append(jobs + slices + at)
                 columns.append(column)
                 values.append(1.0)
-    fits = [supply.of(at) for at in range(slices)]
+    fits = [supply.slice_capacity(at) for at in range(slices)]
     limits = [1.0] * jobs + [work for work, _ in fits] + [writes for _, writes in fits]
     served: dict[str, float] = {}
-    for column, part in enumerate(_solved(gains, rows, columns, values, limits, 1.0)):
+    for column, part in enumerate(_solve(gains, rows, columns, values, limits, 1.0)):
         lane = demands[owner[column]].lane
         served[lane] = served.get(lane, 0.0) + part
     return served
 
 
-def _solved(
+def _solve(
     costs: list[float],
     rows: list[int],
     columns: list[int],
     values: list[float],
     limits: list[float],
-    most: Optional[float],
+    upper_bound: Optional[float],
 ) -> list[float]:
     """The variables, each from 0 to most (None: no bound), at the least cost; rows, columns and values place what the limits bound.
 
@@ -121,31 +121,31 @@
     from scipy.sparse import coo_array
 
     matrix = coo_array((values, (rows, columns)), shape=(len(limits), len(costs))).tocsr()
-    solved = linprog(costs, A_ub=matrix, b_ub=limits, bounds=(0.0, most), method="highs")
+    solved = linprog(costs, A_ub=matrix, b_ub=limits, bounds=(0.0, upper_bound), method="highs")
     if solved.status != 0:
         raise RuntimeError(f"the bound can't be found: {solved.message}")
     return [float(value) for value in solved.x]
 
 
 @dataclass(frozen=True, slots=True)
-class Best:
+class BestSchedule:
     """What an all-knowing scheduler serves in time where it maximises worth for work."""
 
-    by_lane: dict[str, float]  # worth x ms of work,
+    by_class: dict[str, float]  # worth x ms of work,
     by_slice: list[float]  # and by the slice in which clients first asked
 
     @property
     def total(self) -> float:
-        return sum(self.by_lane.values())
+        return sum(self.by_class.values())
 
 
-def worth_at_most(demands: list[Demand], supply: Supply) -> Best:
+def max_value(demands: list[Demand], supply: Supply) -> BestSchedule:
     """The most worth for work that can be served in time (worth x ms of work).
 
     ImportError where scipy is not installed; RuntimeError where the program can't be solved.
     """
     if not demands:
-        return Best({}, [])
+        return BestSchedule({}, [])
     groups: dict[tuple[int, str], list[Demand]] = {}
     for demand in demands:
         groups.setdefault((int(demand.at_ms / SLICE_MS), demand.lane), []).append(demand)
@@ -170,13 +170,13 @@
                 rows.append(len(groups) + slices + at)
                 columns.append(column)
                 values.append(1.0 / heaviest)
-    fits = [supply.of(at) for at in range(slices)]
+    fits = [supply.slice_capacity(at) for at in range(slices)]
     limits += [work for work, _ in fits] + [writes for _, writes in fits]
     by_lane: dict[str, float] = {}
     by_slice = [0.0] * slices
-    for column, work in enumerate(_solved(gains, rows, columns, values, limits, None)):
+    for column, work in enumerate(_solve(gains, rows, columns, values, limits, None)):
         first, lane = owners[column]
         value = -gains[column] * work
         by_lane[lane] = by_lane.get(lane, 0.0) + value
         by_slice[first] += value
-    return Best(by_lane, by_slice)
+    return BestSchedule(by_lane, by_slice)
--- a/testbed/nights/rules.py
+++ b/testbed/nights/rules.py
@@ -40,24 +40,26 @@
 from testbed.systems.serving import Message
 from testbed.systems.standins import CacheBox, Witness, usual_part
 
-GRACE_US = 250_000
-HEARD_US = 1_500_000  # by then an answer of DNS was lost and asked for again
-MORE_US = 50_000  # each time limit on sockets is this much longer
+DRAIN_GRACE_US = 250_000
+DNS_RETRY_US = 1_500_000  # by then an answer of DNS was lost and asked for again
+TIME_LIMIT_SLACK_US = 50_000  # each time limit on sockets is this much longer
 FALL_MULTIPLE = 4.0
-FALL_US = 2_000_000
-CHANCE = 1.3  # slack for chance in the cold budget
-STALL_US = 150_000  # a node that stood still for longer may send late to a server that drains; the grace covers any shorter stall
-TOLD_SLACK_US = 150_000  # of the deadline that a server is told
-STILL_US = 60_000  # after a request's end nothing of it is out any more
-LEFT_US = 100_000  # after this a request of a client that has left is not begun, whatever its node could know when
-CROSSED_US = (
+COLD_BUDGET_WINDOW_US = 2_000_000
+COLD_BUDGET_SLACK = 1.3  # slack for chance in the cold budget
+# a node that stood still for longer may send late to a server that drains; the grace covers any shorter stall
+MAX_EXPECTED_STALL_US = 150_000
+DEADLINE_SLACK_US = 150_000  # of the deadline that a server is told
+CLEANUP_US = 60_000  # after a request's end nothing of it is out any more
+LEAVE_NOTICE_US = 100_000  # after this a request of a client that has left is not begun, whatever its node could know when
+IN_TRANSIT_US = (
     20_000  # what is on the way while word of an end comes (over a slow link it waits its turn)
 )
 SOURCES_TIMERS = (
     2 + AT_ONCE
 )  # of further sources: the next round, the next look, and look-ups that are out
 IDLE_TIMERS = 6  # of a node that has nothing to do: two sweeps, its look at what is out, its presence, and up to two calls to come
-CALL_TIMERS = 2  # of each call to discovery, or of the watch that it has become: its patience and the call beside it, a pause and a silence
+# of each call to discovery, or of the watch that it has become: its patience and the call beside it, a pause and a silence
+DISCOVERY_CALL_TIMERS = 2
 
 
 @dataclass(frozen=True, slots=True)
@@ -66,15 +68,15 @@
 
     at_us: int
     rule: str
-    what: str
+    detail: str
     step: int = 0  # how many callbacks had run
 
     def __str__(self) -> str:
-        return f"{self.at_us / 1e6:.6f} s: {self.rule}: {self.what}"
+        return f"{self.at_us / 1e6:.6f} s: {self.rule}: {self.detail}"
 
 
 @dataclass(slots=True)
-class Sent:
+class SentAttempt:
     """One attempt as the wire showed it."""
 
     at_us: int
@@ -83,16 +85,16 @@
 
 
 @dataclass(slots=True)
-class Life:
+class RequestRecord:
     """All that is known of one request."""
 
     ask: Optional[Ask] = None
-    asked_us: int = -1
+    requested_us: int = -1
     answer: Optional[Message] = None
     answered_us: int = -1
     left_us: int = -1
-    sends: list[Sent] = field(default_factory=list)  # first byte left a node
-    begun: list[Sent] = field(default_factory=list)  # last byte reached a box
+    sent: list[SentAttempt] = field(default_factory=list)  # first byte left a node
+    received: list[SentAttempt] = field(default_factory=list)  # last byte reached a box
     sender: Optional[Owner] = None  # of the latest of sends
     bodies: list[bytes] = field(default_factory=list)
 
@@ -104,16 +106,18 @@
         self, now_us: Callable[[], int], note: Callable[[str], None], later: Callable[..., object]
     ) -> None:
         self.failures: list[Failure] = []
-        self.lives: dict[str, Life] = {}
+        self.records: dict[str, RequestRecord] = {}
         self.nodes: dict[str, Owner] = {}  # by host: the process that runs there now
         self.services: dict[Owner, Service] = {}
         self.boxes: dict[str, str] = {}  # host of a box to its name, for the trace
-        self.excused: Callable[[Ask], bool] = lambda ask: False  # the network or a kill is to blame
+        self.is_excused: Callable[[Ask], bool] = lambda ask: (
+            False
+        )  # the network or a kill is to blame
         self.steps: Callable[[], int] = lambda: 0
         self._now = now_us
-        self._note = note
-        self._later = later  # calls back after so many us
-        self._left_out: dict[
+        self._trace = note
+        self._call_after_us = later  # calls back after so many us
+        self._excluded_since: dict[
             tuple[Owner, str], int
         ] = {}  # (node, address): since when it may get nothing new
         self._listed: dict[
@@ -122,73 +126,73 @@
         self._started: set[tuple[Owner, str]] = (
             set()
         )  # (node, host of a server): the node was told that it started lately
-        self._ever: dict[
+        self._ever_listed: dict[
             Owner, set[str]
         ] = {}  # of a node: the addresses that its list ever named in service
-        self._named: set[str] = set()  # and those that DNS did,
-        self._heard: dict[
+        self._dns_named: set[str] = set()  # and those that DNS did,
+        self._dns_answered: dict[
             Owner, dict[str, int]
         ] = {}  # and those that it gave to a node, first when
-        self._empty: dict[
+        self._empty_since: dict[
             Owner, int
         ] = {}  # nodes with no server in service, since when one could be (a line may be on its way)
-        self._heads: dict[VirtualSocket, bytearray] = {}
-        self._work: dict[str, deque[tuple[int, float, bool]]] = {}
+        self._request_heads: dict[VirtualSocket, bytearray] = {}
+        self._recent_work: dict[str, deque[tuple[int, float, bool]]] = {}
         self._dialed: dict[Owner, int] = {}
         self._accepted: dict[Owner, int] = {}
-        self._seen: set[tuple[str, str]] = set()
+        self._reported: set[tuple[str, str]] = set()
         self.reads: dict[str, Counter[str]] = defaultdict(Counter)  # by key and box
         self.leases = 0  # that were taken,
-        self.most_held: dict[
+        self.max_held: dict[
             int, int
         ] = {}  # and the most parts of each bound that were held at once
 
-    def broken(self, rule: str, what: str) -> None:
+    def report(self, rule: str, what: str) -> None:
         """Note a broken rule, once for each thing it is about."""
-        if (rule, what) not in self._seen:
-            self._seen.add((rule, what))
+        if (rule, what) not in self._reported:
+            self._reported.add((rule, what))
             self.failures.append(Failure(self._now(), rule, what, self.steps()))
-            self._note(f"BROKEN {rule}: {what}")
+            self._trace(f"BROKEN {rule}: {what}")
 
-    def life(self, txn: str) -> Life:
+    def record(self, txn: str) -> RequestRecord:
         """What is known of a request."""
-        got = self.lives.get(txn)
+        got = self.records.get(txn)
         if got is None:
-            got = self.lives[txn] = Life()
+            got = self.records[txn] = RequestRecord()
         return got
 
     # -- clients -------------------------------------------------------------------------
 
     def asked(self, ask: Ask) -> None:
-        life = self.life(ask.txn)
-        life.ask, life.asked_us = ask, self._now()
-        self._note(f"client asks {ask.txn} {ask.kind.name} {ask.key} of {ask.node}")
+        life = self.record(ask.txn)
+        life.ask, life.requested_us = ask, self._now()
+        self._trace(f"client asks {ask.txn} {ask.kind.name} {ask.key} of {ask.node}")
 
     def answered(self, ask: Ask, answer: Message) -> None:
-        life = self.life(ask.txn)
-        self._note(f"client gets {ask.txn} {answer.status} {len(answer.body)}")
+        life = self.record(ask.txn)
+        self._trace(f"client gets {ask.txn} {answer.status} {len(answer.body)}")
         if life.answer is not None:
-            self.broken("one final answer", f"{ask.txn} is answered twice")
+            self.report("one final answer", f"{ask.txn} is answered twice")
         life.answer, life.answered_us = answer, self._now()
-        self._later(STILL_US, self._no_work_left, ask, life.answered_us)
+        self._call_after_us(CLEANUP_US, self._check_nothing_running, ask, life.answered_us)
         if answer.status == 200 and answer.body not in life.bodies:
-            self.broken(
+            self.report(
                 "one final answer",
                 f"{ask.txn} is served with what was not made for it: {answer.body[:40]!r}",
             )
-        may_have_run = [begun for begun in life.begun if not begun.turned_away]
+        may_have_run = [begun for begun in life.received if not begun.turned_away]
         if answer.status in (429, 503) and ask.kind.repeat == "unsafe" and may_have_run:
-            self.broken(
+            self.report(
                 "no effect twice",
                 f"{ask.txn} is refused though it may have run at {may_have_run[0].box}",
             )
 
     def left(self, ask: Ask) -> None:
-        self.life(ask.txn).left_us = self._now()
-        self._later(STILL_US, self._no_work_left, ask, self._now())
-        self._note(f"client leaves {ask.txn}")
+        self.record(ask.txn).left_us = self._now()
+        self._call_after_us(CLEANUP_US, self._check_nothing_running, ask, self._now())
+        self._trace(f"client leaves {ask.txn}")
 
-    def _no_work_left(self, ask: Ask, ended_us: int) -> None:
+    def _check_nothing_running(self, ask: Ask, ended_us: int) -> None:
         """A while after a request's end nothing of it is left in its node."""
         for process, service in self.services.items():
             if (
@@ -199,22 +203,22 @@
                 continue
             txn = ask.txn.encode()
             if any(call.txn == txn for call in service.node._calls.values()):
-                self.broken("nothing after the end", f"{process.name} still holds {ask.txn}")
+                self.report("nothing after the end", f"{process.name} still holds {ask.txn}")
             if any(attempt.request.txn == txn for attempt in service.node._running.values()):
-                self.broken(
+                self.report(
                     "nothing after the end",
                     f"an attempt of {process.name} for {ask.txn} is still out",
                 )
 
     def ended(self, ask: Ask, how: str) -> bool:
-        life = self.life(ask.txn)
-        self._note(f"client has no answer {ask.txn} {how}")
-        if self.excused(ask):
+        life = self.record(ask.txn)
+        self._trace(f"client has no answer {ask.txn} {how}")
+        if self.is_excused(ask):
             return False
         if how == "no answer":
-            self.broken("one final answer", f"{ask.txn} has none when its time is up")
-        elif life.sends:
-            self.broken(
+            self.report("one final answer", f"{ask.txn} has none when its time is up")
+        elif life.sent:
+            self.report(
                 "one final answer", f"{ask.txn} was sent on, and its connection ended: {how}"
             )
         elif not ask.first:
@@ -224,59 +228,61 @@
         return False
 
     def unasked(self, node: str) -> None:
-        self.broken("one final answer", f"{node} writes on a connection on which nothing is asked")
+        self.report("one final answer", f"{node} writes on a connection on which nothing is asked")
 
     def rude(self, node: str, name: str, status: int, waited_ms: float) -> None:
-        self._note(f"rude client {name} {status} of {node}")
+        self._trace(f"rude client {name} {status} of {node}")
         since = self._now() - int(waited_ms * 1000)
         here = [process for process in self.services if process.name == node]
         if any(process.hindered(since, self._now()) or not process.alive for process in here):
             return
         if status == -1:
-            self.broken(
+            self.report(
                 "bad clients", f"{name} got neither an error nor a close in {waited_ms:.0f} ms"
             )
         elif 200 <= status < 400:
-            self.broken("bad clients", f"{name} was served with {status}")
+            self.report("bad clients", f"{name} was served with {status}")
 
     # -- boxes ---------------------------------------------------------------------------
 
     def received(self, box: CacheBox, txn: str, method: str, work_ms: float) -> None:
-        life, now = self.life(txn), self._now()
-        self._note(f"{box.name} receives {txn}")
-        earlier = [begun for begun in life.begun if not begun.turned_away]
-        life.begun.append(Sent(now, box.name))
+        life, now = self.record(txn), self._now()
+        self._trace(f"{box.name} receives {txn}")
+        earlier = [begun for begun in life.received if not begun.turned_away]
+        life.received.append(SentAttempt(now, box.name))
         kind = life.ask.kind if life.ask is not None else None
         if earlier and kind is not None and kind.repeat == "unsafe":
-            self.broken(
+            self.report(
                 "no effect twice",
                 f"{txn} may have run at {earlier[0].box} and is sent to {box.name}",
             )
         if earlier and kind is not None and kind.repeat == "keyed":
-            if now - earlier[0].at_us > 1000 * kind.window_ms + MORE_US:
-                self.broken("no effect twice", f"{txn} is sent to {box.name} after the window")
+            if now - earlier[0].at_us > 1000 * kind.window_ms + TIME_LIMIT_SLACK_US:
+                self.report("no effect twice", f"{txn} is sent to {box.name} after the window")
         if method == "PUT" and life.ask is None and txn == "hidden":
-            self.broken("no effect twice", "a hidden request was passed on")
+            self.report("no effect twice", "a hidden request was passed on")
         if method == "GET" and life.ask is not None:
             self.reads[life.ask.key][box.name] += 1
-        self._cold(box, work_ms, now, life.sender)
+        self._check_cold_budget(box, work_ms, now, life.sender)
 
-    def usual(self) -> float:
+    def primary_box_share(self) -> float:
         """The part of the reads that went to the box to which most of their key's went."""
         return usual_part(self.reads)
 
     def turned_away(self, box: CacheBox, txn: str) -> None:
-        self.life(txn).begun[-1].turned_away = True
-        self._note(f"{box.name} turns away {txn}")
+        self.record(txn).received[-1].turned_away = True
+        self._trace(f"{box.name} turns away {txn}")
 
     def made(self, box: CacheBox, txn: str, body: bytes) -> None:
-        self.life(txn).bodies.append(body)
-        self._note(f"{box.name} answers {txn}")
+        self.record(txn).bodies.append(body)
+        self._trace(f"{box.name} answers {txn}")
 
     def fetched(self, box: str, key: str) -> None:
-        self._note(f"{box} fetches {key}")
+        self._trace(f"{box} fetches {key}")
 
-    def _cold(self, box: CacheBox, work_ms: float, now: int, sender: Optional[Owner]) -> None:
+    def _check_cold_budget(
+        self, box: CacheBox, work_ms: float, now: int, sender: Optional[Owner]
+    ) -> None:
         """Hold what a cold box gets against its budget, where those that knew of its start sent the most of it.
 
         A node that was not told (discovery was silent, or lies) can't know, nor can one whose wall clock is further ahead than a
@@ -285,27 +291,34 @@
         capacity = box.capacity()
         if capacity >= 1.0:
             return
-        sent = self._work.setdefault(box.name, deque())
+        sent = self._recent_work.setdefault(box.name, deque())
         ahead = sender is not None and sender.wall_offset_ms >= box.spec.cold_ms
         told = sender is not None and (sender, box.address[0]) in self._started and not ahead
         sent.append((now, work_ms, told))
-        while sent[0][0] < now - FALL_US:
+        while sent[0][0] < now - COLD_BUDGET_WINDOW_US:
             sent.popleft()
         total = sum(work for _, work, _ in sent)
         by_told = sum(work for _, work, knew in sent if knew)
-        budget = FALL_MULTIPLE * capacity * box.full_speed * FALL_US / 1000.0 * CHANCE
+        budget = (
+            FALL_MULTIPLE
+            * capacity
+            * box.full_speed
+            * COLD_BUDGET_WINDOW_US
+            / 1000.0
+            * COLD_BUDGET_SLACK
+        )
         if total > budget and by_told * 3 >= total * 2:
-            self.broken("no cold server pushed over", f"{box.name} got more work than its budget")
+            self.report("no cold server pushed over", f"{box.name} got more work than its budget")
 
     # -- discovery -----------------------------------------------------------------------
 
-    def starts(self, process: Owner, known: list[dict[str, object]]) -> None:
+    def on_node_start(self, process: Owner, known: list[dict[str, object]]) -> None:
         """A node starts with the list as it last was."""
         self.nodes[process.host] = process
         self._listed[process] = {
             str(entry["hostPort"]) for entry in known if entry["lifecycle"] == "in_service"
         }
-        self._ever[process] = set(self._listed[process])
+        self._ever_listed[process] = set(self._listed[process])
 
     def told(
         self, node: str, entries: list[dict[str, object]], full: bool, sound: bool = True
@@ -321,10 +334,10 @@
         for entry in entries:
             address = str(entry["hostPort"])
             if entry["lifecycle"] == "in_service":
-                self._left_out.pop((process, address), None)
+                self._excluded_since.pop((process, address), None)
                 there.add(address)
                 listed.add(address)
-                self._ever[process].add(address)
+                self._ever_listed[process].add(address)
                 known = process, address.partition(":")[0]
                 if not sound:
                     continue  # whoever reads such a line must not build on it, and may
@@ -338,77 +351,81 @@
                 if not sound and listed <= {address}:
                     continue  # a line that can't be read may not take the last server
                 listed.discard(address)
-                self._left_out.setdefault((process, address), now)
-                self._note(
+                self._excluded_since.setdefault((process, address), now)
+                self._trace(
                     f"{process.name} is told that {entry['instanceId']} is {entry['lifecycle']}"
                 )
 
     # -- further sources -----------------------------------------------------------------
 
-    def named(self, addresses: Iterable[str]) -> None:
+    def on_dns_change(self, addresses: Iterable[str]) -> None:
         """DNS names these from now on."""
-        self._named.update(addresses)
+        self._dns_named.update(addresses)
 
-    def given(self, host: str, addresses: Iterable[str]) -> None:
+    def on_dns_answer(self, host: str, addresses: Iterable[str]) -> None:
         """DNS gave a node records of these."""
         process = self.nodes.get(host)
         if process is not None:
-            heard = self._heard.setdefault(process, {})
+            heard = self._dns_answered.setdefault(process, {})
             for address in addresses:
                 heard.setdefault(address, self._now())
 
-    def never_empty(self) -> None:
+    def check_never_empty(self) -> None:
         """Rule 7, of every node that has further sources and has begun."""
         for process, service in self.services.items():
             if service.sources is None or not process.running or not service.node.servers_known:
                 continue
             if any(server.leaving_ms is None for server in service.node.servers.values()):
-                self._empty.pop(process, None)
+                self._empty_since.pop(process, None)
                 continue
             heard = {
-                a for a, at in self._heard.get(process, {}).items() if self._now() - at > HEARD_US
+                a
+                for a, at in self._dns_answered.get(process, {}).items()
+                if self._now() - at > DNS_RETRY_US
             }
             left = [
                 address
-                for address in self._ever[process] | heard
-                if (process, address) not in self._left_out
+                for address in self._ever_listed[process] | heard
+                if (process, address) not in self._excluded_since
             ]
-            since = self._empty.setdefault(process, self._now())
+            since = self._empty_since.setdefault(process, self._now())
             if not left:
-                self._empty[process] = self._now()
-            elif self._now() - since > GRACE_US and not process.stood_still(since, self._now()):
-                self.broken(
+                self._empty_since[process] = self._now()
+            elif self._now() - since > DRAIN_GRACE_US and not process.stood_still(
+                since, self._now()
+            ):
+                self.report(
                     "never empty",
                     f"{process.name} has no server in service though {min(left)} was never taken away",
                 )
 
     # -- the tier ------------------------------------------------------------------------
 
-    def joins(self, process: Owner, carrier: Carrier) -> None:
+    def on_tier_join(self, process: Owner, carrier: Carrier) -> None:
         """A node takes part in the tier: rule 9 is looked at whenever it takes a lease, as a sum can rise at no other moment."""
         holdings, told = carrier.tier.dealer.holdings, carrier.tier.dealer.holdings.on_take
 
         def took(bound: int, lease: Lease, now: float) -> None:
             told(bound, lease, now)
             self.leases += 1
-            self._shares(bound)
+            self._check_shares(bound)
 
         holdings.on_take = took
 
-    def _shares(self, bound: int) -> None:
+    def _check_shares(self, bound: int) -> None:
         held = {}
         for process, service in self.services.items():
             if process.alive and service.tier is not None:
                 lease = service.tier.tier.dealer.holdings.lease(bound, process.now_ms())
                 if lease is not None:
                     held[process.name] = lease.parts
-        self.most_held[bound] = max(self.most_held.get(bound, 0), sum(held.values()))
+        self.max_held[bound] = max(self.max_held.get(bound, 0), sum(held.values()))
         if sum(held.values()) > WHOLE:
-            self.broken("shares add up", f"of bound {bound} {held} are held, {WHOLE} in all")
+            self.report("shares add up", f"of bound {bound} {held} are held, {WHOLE} in all")
 
     # -- the wire ------------------------------------------------------------------------
 
-    def wire(self, sock: VirtualSocket, piece: bytes, asked: int) -> None:
+    def on_bytes_sent(self, sock: VirtualSocket, piece: bytes, asked: int) -> None:
         """Bytes left a program. Called by the network for every send."""
         if (
             sock.remote[0] not in self.boxes
@@ -416,79 +433,79 @@
             or sock.process not in self.services
         ):
             return
-        head = self._heads.get(sock)
+        head = self._request_heads.get(sock)
         if head is None:
             if not piece.startswith((b"GET ", b"PUT ")):
                 return
             head = bytearray()
         head += piece
         if b"\r\n\r\n" not in head:
-            self._heads[sock] = head
+            self._request_heads[sock] = head
             return
-        self._heads.pop(sock, None)
+        self._request_heads.pop(sock, None)
         at = head.find(b"\r\nX-Txn: ")
         txn = head[at + 9 : head.index(b"\r\n", at + 9)].decode("latin-1")
         told = head.find(b"\r\nX-Remaining-Ms: ")
-        self._sent(
+        self._on_attempt_sent(
             sock,
             txn,
             1000 * int(head[told + 18 : head.index(b"\r\n", told + 18)]) if told >= 0 else 0,
         )
 
-    def _sent(self, sock: VirtualSocket, txn: str, told_us: int) -> None:
+    def _on_attempt_sent(self, sock: VirtualSocket, txn: str, told_us: int) -> None:
         now, process = self._now(), sock.process
         assert process is not None
-        life = self.life(txn)
+        life = self.record(txn)
         box = self.boxes[sock.remote[0]]
-        life.sends.append(Sent(now, box))
+        life.sent.append(SentAttempt(now, box))
         life.sender = process
-        self._note(f"{process.name} sends {txn} to {box} #{len(life.sends)}")
+        self._trace(f"{process.name} sends {txn} to {box} #{len(life.sent)}")
         for ended_us, what in (
             (life.answered_us, "its final answer"),
             (life.left_us, "its client had left"),
         ):
-            if 0 <= ended_us < now - CROSSED_US and not process.hindered(ended_us, now):
-                self.broken(
+            if 0 <= ended_us < now - IN_TRANSIT_US and not process.hindered(ended_us, now):
+                self.report(
                     "nothing after the end", f"{process.name} sends {txn} to {box} after {what}"
                 )
-        if 0 <= life.left_us <= now - LEFT_US:
+        if 0 <= life.left_us <= now - LEAVE_NOTICE_US:
             late_ms = (now - life.left_us) / 1000
-            self.broken(
+            self.report(
                 "left while it waited",
                 f"{process.name} sends {txn} to {box} {late_ms:.0f} ms after its client left",
             )
-        if life.ask is not None and life.ask.budget_ms and life.asked_us >= 0:
-            left_us = life.asked_us + int(1000 * life.ask.budget_ms) - now
-            if told_us > max(1_000, left_us) + TOLD_SLACK_US and not process.stood_still(
-                life.asked_us, now
+        if life.ask is not None and life.ask.budget_ms and life.requested_us >= 0:
+            left_us = life.requested_us + int(1000 * life.ask.budget_ms) - now
+            if told_us > max(1_000, left_us) + DEADLINE_SLACK_US and not process.stood_still(
+                life.requested_us, now
             ):
-                self.broken(
+                self.report(
                     "deadline told",
                     f"{process.name} tells {box} {told_us // 1000} ms for {txn}, {left_us // 1000} are left",
                 )
         address = f"{sock.remote[0]}:{sock.remote[1]}"
-        since = self._left_out.get((process, address))
+        since = self._excluded_since.get((process, address))
         if (
             since is not None
-            and now - since > GRACE_US + MORE_US
-            and not process.stood_still(since, now, STALL_US)
+            and now - since > DRAIN_GRACE_US + TIME_LIMIT_SLACK_US
+            and not process.stood_still(since, now, MAX_EXPECTED_STALL_US)
         ):
-            self.broken(
+            self.report(
                 "drains kept",
                 f"{process.name} sends {txn} to {box} {(now - since) / 1000:.0f} ms after it was told",
             )
 
     # -- the node's books ----------------------------------------------------------------
 
-    def socket(self, what: str, sock: VirtualSocket) -> None:
+    def on_socket_event(self, what: str, sock: VirtualSocket) -> None:
         """A socket was dialed, accepted or closed. Called by the network."""
         process = sock.process
         if process is None or process not in self.services:
             return
         if what == "dial" and not sock.remote[0].startswith(("127.4.", "127.6.")):
             address = f"{sock.remote[0]}:{sock.remote[1]}"
-            if address not in self._named and address not in self._ever[process]:
-                self.broken("only who is named", f"{process.name} dials {address}")
+            if address not in self._dns_named and address not in self._ever_listed[process]:
+                self.report("only who is named", f"{process.name} dials {address}")
         if what == "dial" and sock.remote[0] in self.boxes:
             self._dialed[process] = self._dialed.get(process, 0) + 1
         elif what in ("close", "abort") and sock.dialed and sock.remote[0] in self.boxes:
@@ -505,31 +522,31 @@
             return
         dialed, accepted = self._dialed.get(process, 0), self._accepted.get(process, 0)
         if service.pool.open != dialed:
-            self.broken(
+            self.report(
                 "books",
                 f"{process.name} counts {service.pool.open} connections to servers and has {dialed}",
             )
         if accepted > len(service.frontend._connections):
-            self.broken(
+            self.report(
                 "books", f"{process.name} has {accepted} client connections and counts fewer"
             )
 
-    def timers_at_rest(self, timers: dict[Owner, int]) -> None:
+    def check_idle_timers(self, timers: dict[Owner, int]) -> None:
         """Shortly after the last answer no timer of a request is left. timers: how many each process has."""
         for process in self.services:
             discovery = self.services[process].discovery
             most = IDLE_TIMERS + (
                 SOURCES_TIMERS if self.services[process].sources is not None else 0
             )
-            most += CALL_TIMERS * (len(discovery._calls) + len(discovery._fading))
+            most += DISCOVERY_CALL_TIMERS * (len(discovery._calls) + len(discovery._fading))
             most += (discovery.book._lapsing is not None) + bool(discovery.book._overruled)
             most += self.services[process].tier is not None  # its tick
             if process.state == "running" and timers.get(process, 0) > most:
-                self.broken("books", f"{process.name} at rest holds {timers[process]} timers")
+                self.report("books", f"{process.name} at rest holds {timers[process]} timers")
 
-    def at_rest(self, timers: dict[Owner, int]) -> None:
+    def check_idle(self, timers: dict[Owner, int]) -> None:
         """Nobody asks and nothing is owed: all books are empty."""
-        self.timers_at_rest(timers)
+        self.check_idle_timers(timers)
         for process, service in self.services.items():
             if process.state != "running":
                 continue
@@ -554,8 +571,8 @@
             }
             for what, count in left.items():
                 if count:
-                    self.broken("books", f"{process.name} at rest holds {count} {what}")
+                    self.report("books", f"{process.name} at rest holds {count} {what}")
 
-    def exceptional(self, process: str, message: str) -> None:
+    def report_exception(self, process: str, message: str) -> None:
         """Code of the node ended in an exception that nothing expected."""
-        self.broken("no exception", f"{process}: {message}")
+        self.report("no exception", f"{process}: {message}")
--- a/testbed/nights/script.py
+++ b/testbed/nights/script.py
@@ -14,11 +14,11 @@
 from testbed.machine.faults import TABLE as CALL_TABLE
 from testbed.machine.faults import Call
 
-Few = Annotated[int, msgspec.Meta(ge=1, le=64)]
-Many = Annotated[int, msgspec.Meta(ge=1, le=250)]
-Place = Annotated[int, msgspec.Meta(ge=0, lt=250)]
-Share = Annotated[float, msgspec.Meta(ge=0.0, le=1.0)]
-Millis = Annotated[float, msgspec.Meta(ge=0.0, le=600_000.0)]
+SmallCount = Annotated[int, msgspec.Meta(ge=1, le=64)]
+LargeCount = Annotated[int, msgspec.Meta(ge=1, le=250)]
+Index = Annotated[int, msgspec.Meta(ge=0, lt=250)]
+Fraction = Annotated[float, msgspec.Meta(ge=0.0, le=1.0)]
+Milliseconds = Annotated[float, msgspec.Meta(ge=0.0, le=600_000.0)]
 
 Kind = Literal[
     "box_slow", "box_hang", "box_kill", "box_rename", "box_quick_restart", "box_spoil", "box_errors", "box_turn_away",
@@ -31,31 +31,36 @@
     "peer_cut", "peer_oneway", "peer_loss", "peer_late", "peer_double", "peer_junk", "node_join", "node_other",
     "node_calls",
 ]  # fmt: skip
-DRAWN: tuple[Kind, ...] = Kind.__args__[:30]  # type: ignore[attr-defined]  # of every night; the others come with hard nights alone
-MISSED: tuple[Kind, ...] = (
+BASIC_KINDS: tuple[Kind, ...] = Kind.__args__[:30]  # type: ignore[attr-defined]  # of every night; the others come with hard nights alone
+DISCOVERY_OUTAGES: tuple[Kind, ...] = (
     "discovery_refuse",
     "discovery_mute",
     "discovery_down",
     "discovery_drop",
     "discovery_silent",
 )
-HARD_FROM = 20_001  # nights drawn from this seed on are hard ones,
-TOLD_FROM = 10_000_001  # and from this one on nights on which discovery spoils what it tells,
-PAIRED_FROM = 10_100_001  # of which these lose a line while the watch has already lost something, or stands in the middle of a line
-SOURCED_FROM = 20_000_001  # and from this one on nights on which nodes ask DNS too, and sources fail and disagree,
-LEAVING_FROM = 40_000_001  # and from this one on nights on which a third of the clients leave before their answers,
-CALLS_FROM = 50_000_001  # and from this one on nights on which system calls of the nodes fail,
-TIERED_FROM = 30_000_001  # and from this one on nights of many nodes that talk to one another, over links that fail
-HALF_A_LINE, NO_LIST = 7.0, 0.0  # values of discovery_wrong
-FRAMING = 5  # of the ways to spoil a line (`standins.SPOIL_HOWS`)
-BETWEEN: tuple[Kind, ...] = (
+HARD_FIRST_SEED = 20_001  # nights drawn from this seed on are hard ones,
+CORRUPT_LIST_FIRST_SEED = (
+    10_000_001  # and from this one on nights on which discovery spoils what it tells,
+)
+# of which these lose a line while the watch has already lost something, or stands in the middle of a line
+CORRUPT_PAIR_FIRST_SEED = 10_100_001
+DNS_FIRST_SEED = 20_000_001  # and from this one on nights on which nodes ask DNS too, and sources fail and disagree,
+LEAVING_FIRST_SEED = 40_000_001  # and from this one on nights on which a third of the clients leave before their answers,
+SYSTEM_CALLS_FIRST_SEED = (
+    50_000_001  # and from this one on nights on which system calls of the nodes fail,
+)
+TIER_FIRST_SEED = 30_000_001  # and from this one on nights of many nodes that talk to one another, over links that fail
+PARTIAL_LINE, NOT_A_LIST = 7.0, 0.0  # values of discovery_wrong
+FRAMING_CORRUPTION = 5  # of the ways to spoil a line (`standins.SPOIL_HOWS`)
+NET_KINDS: tuple[Kind, ...] = (
     "peer_cut",
     "peer_oneway",
     "peer_loss",
     "peer_late",
     "peer_double",
 )  # faults of what goes from node to node
-TARGETS: dict[str, str] = {
+TARGET_TYPES: dict[str, str] = {
     kind: "node"
     if kind.startswith(("node", "clock", "rude", "trip_client", "peer_junk"))
     else "box" if kind.startswith(("box", "trip")) else "any"
@@ -63,21 +68,21 @@
 }  # fmt: skip
 
 
-class BadScript(Exception):
+class InvalidScript(Exception):
     """A script has faults."""
 
     def __init__(self, faults: list[Wrong]) -> None:
         super().__init__("\n".join(map(str, faults)))
-        self.faults = faults
+        self.errors = faults
 
 
 class World(Table, frozen=True, kw_only=True):
     """`[world]`: sizes, load and network."""
 
     seconds: Annotated[float, msgspec.Meta(gt=0.0, le=3_600.0)] = 4.0
-    nodes: Many = 2
-    boxes: Many = 5
-    cores: Few = 2  # of a box
+    nodes: LargeCount = 2
+    boxes: LargeCount = 5
+    cores: SmallCount = 2  # of a box
     requests_per_s: Annotated[float, msgspec.Meta(gt=0.0, le=5_000.0)] = 60.0
     keys: Annotated[int, msgspec.Meta(ge=1, le=100_000)] = 120
     latency_us: Annotated[int, msgspec.Meta(ge=0, le=1_000_000)] = 250
@@ -95,12 +100,14 @@
     )
     # Whether nodes may send one another datagrams, and if so for which part alone.
     tier: Literal["off", "on", "shares", "fetches", "line", "signals"] = "off"
-    leaving: Share = 0.03  # of the requests, whose clients leave before the answer,
-    leave_ms: Millis = 60.0  # after up to so long,
+    leaving: Fraction = 0.03  # of the requests, whose clients leave before the answer,
+    leave_ms: Milliseconds = 60.0  # after up to so long,
     leave_oddly: bool = (
         False  # some of them by a reset, or behind the beginning of a further request,
     )
-    leave_together_ms: Millis = 0.0  # and all at the next multiple of this, where it is over 0
+    leave_together_ms: Milliseconds = (
+        0.0  # and all at the next multiple of this, where it is over 0
+    )
     tier_period_ms: Annotated[float, msgspec.Meta(ge=50.0, le=10_000.0)] = (
         500.0  # `period_ms` of their operator's file
     )
@@ -109,19 +116,19 @@
 class Fault(Table, frozen=True, kw_only=True):
     """`[[fault]]`: what happens when, to whom, for how long and how much."""
 
-    at_ms: Millis
+    at_ms: Milliseconds
     kind: Kind
-    target: Place = 0  # which box or node
+    target: Index = 0  # which box or node
     nodes: list[
-        Place
+        Index
     ] = []  # in its place, for faults of nodes: all of these; of what goes between nodes: one side, none for all
-    for_ms: Millis = 0.0  # 0: for good, where it lasts at all
+    for_ms: Milliseconds = 0.0  # 0: for good, where it lasts at all
     value: float = 0.0  # a share, a factor, a count or a byte, by kind
 
     def contradictions(self) -> Iterator[Wrong]:
         if self.kind in ("link_loss", "link_cut") and not self.for_ms:
             yield Wrong("for_ms", f"a {self.kind} must end, or what is on the way is never settled")
-        if self.kind in BETWEEN and not self.for_ms:
+        if self.kind in NET_KINDS and not self.for_ms:
             yield Wrong("for_ms", f"a {self.kind} must end")
         if self.kind in ("peer_cut", "peer_oneway") and not self.nodes:
             yield Wrong("nodes", f"a {self.kind} needs the nodes of one side")
@@ -139,7 +146,9 @@
 
     def contradictions(self) -> Iterator[Wrong]:
         for n, fault in enumerate(self.fault):
-            limit = {"node": self.world.nodes, "box": self.world.boxes}.get(TARGETS[fault.kind], 64)
+            limit = {"node": self.world.nodes, "box": self.world.boxes}.get(
+                TARGET_TYPES[fault.kind], 64
+            )
             if fault.target >= limit:
                 yield Wrong(
                     f"fault[{n}].target",
@@ -152,7 +161,7 @@
                         f"the world has only {self.world.nodes} of them, from 0, got {node}",
                     )
             if (
-                fault.kind in BETWEEN or fault.kind in ("peer_junk", "node_other")
+                fault.kind in NET_KINDS or fault.kind in ("peer_junk", "node_other")
             ) and self.world.tier == "off":
                 yield Wrong(f"fault[{n}].kind", f'a {fault.kind} needs tier = "on" in [world]')
 
@@ -162,34 +171,35 @@
     try:
         data = tomllib.loads(text.decode())
     except (tomllib.TOMLDecodeError, UnicodeDecodeError) as error:
-        raise BadScript([Wrong("", f"not TOML: {error}")]) from None
+        raise InvalidScript([Wrong("", f"not TOML: {error}")]) from None
     if faults := examine(Script, data):
-        raise BadScript(faults)
+        raise InvalidScript(faults)
     return msgspec.convert(data, Script)
 
 
-def each(fault: Fault) -> list[Fault]:
+def split_by_node(fault: Fault) -> list[Fault]:
     """A fault of many nodes as one of each; all others as they are."""
-    if not fault.nodes or TARGETS[fault.kind] != "node":
+    if not fault.nodes or TARGET_TYPES[fault.kind] != "node":
         return [fault]
     return [msgspec.structs.replace(fault, target=node, nodes=[]) for node in fault.nodes]
 
 
-def written(script: Script) -> str:
+def to_toml(script: Script) -> str:
     """A script as TOML, which `parse_script` reads back to the same."""
     lines = ["[world]"]
     lines += [
-        f"{key} = {_plain(value)}" for key, value in msgspec.structs.asdict(script.world).items()
+        f"{key} = {_toml_value(value)}"
+        for key, value in msgspec.structs.asdict(script.world).items()
     ]
     for fault in script.fault:
         lines += ["", "[[fault]]"]
         lines += [
-            f"{key} = {_plain(value)}" for key, value in msgspec.structs.asdict(fault).items()
+            f"{key} = {_toml_value(value)}" for key, value in msgspec.structs.asdict(fault).items()
         ]
     return "\n".join(lines) + "\n"
 
 
-def _plain(value: object) -> str:
+def _toml_value(value: object) -> str:
     if isinstance(value, bool):
         return str(value).lower()
     return f'"{value}"' if isinstance(value, str) else repr(value)
@@ -198,20 +208,20 @@
 def draw(seed: int) -> Script:
     """The script of a seed: a small world with up to seven faults that overlap; others from HARD_FROM and TOLD_FROM on."""
     kinds = (
-        (CALLS_FROM, _draw_calls),
-        (LEAVING_FROM, _draw_leaving),
-        (TIERED_FROM, _draw_tiered),
-        (SOURCED_FROM, _draw_sourced),
-        (TOLD_FROM, _draw_told),
-        (HARD_FROM, _draw_hard),
+        (SYSTEM_CALLS_FIRST_SEED, _draw_system_calls),
+        (LEAVING_FIRST_SEED, _draw_leaving_clients),
+        (TIER_FIRST_SEED, _draw_tier),
+        (DNS_FIRST_SEED, _draw_dns),
+        (CORRUPT_LIST_FIRST_SEED, _draw_corrupt_lists),
+        (HARD_FIRST_SEED, _draw_hard),
     )
-    return next((kind for first, kind in kinds if seed >= first), _draw_night)(seed)
+    return next((kind for first, kind in kinds if seed >= first), _draw_basic)(seed)
 
 
-def _draw_calls(seed: int) -> Script:
+def _draw_system_calls(seed: int) -> Script:
     """A night of an ordinary kind on which system calls of the nodes fail: once, for 50 ms, for 0.4 s or for 2 s, also while they end."""
     rng = random.Random(f"calls/{seed}")
-    base = rng.choice((_draw_night, _draw_night, _draw_leaving))(seed)
+    base = rng.choice((_draw_basic, _draw_basic, _draw_leaving_clients))(seed)
     world = msgspec.structs.replace(base.world, seconds=max(3.0, base.world.seconds))
     faults = list(base.fault)[: rng.choice((0, 2, 4))]
     for _ in range(rng.choice((1, 2, 3))):
@@ -234,7 +244,7 @@
     return Script(world=world, fault=sorted(faults, key=lambda fault: fault.at_ms))
 
 
-def _draw_leaving(seed: int) -> Script:
+def _draw_leaving_clients(seed: int) -> Script:
     """A night on which many clients leave before their answers, while nodes stand still or can't accept, dials are slow, and boxes hang."""
     rng = random.Random(f"leaving/{seed}")
     world = World(
@@ -265,7 +275,7 @@
                 "node_term",
             )
         )
-        of = TARGETS[kind]
+        of = TARGET_TYPES[kind]
         target = rng.randrange(world.nodes if of == "node" else world.boxes)
         value = {"link_slow": rng.choice((40_000.0, 150_000.0)), "box_slow": 20.0}.get(kind, 0.0)
         for_ms = float(rng.choice((200, 450, 700, 1_200)))
@@ -282,7 +292,7 @@
     return Script(world=world, fault=sorted(faults, key=lambda fault: fault.at_ms))
 
 
-def _draw_tiered(seed: int) -> Script:
+def _draw_tier(seed: int) -> Script:
     """Six to twelve nodes that share bounds, many boxes cold, and faults of nodes and of what goes between them.
 
     All of them can be carried out on real processes too. The tier's period is a fifth of the usual, so that a night sees many leases.
@@ -315,7 +325,7 @@
         at, for_ms = rng.uniform(200.0, last), float(rng.choice((100, 400, 900, 2_000)))
         some = sorted(rng.sample(range(world.nodes), rng.randint(1, world.nodes // 2)))
         kind: Kind = rng.choice(
-            (*BETWEEN, "peer_junk", "node_kill", "node_pause", "node_term", "node_other")
+            (*NET_KINDS, "peer_junk", "node_kill", "node_pause", "node_term", "node_other")
         )
         value = 0.0
         if kind in ("peer_loss", "peer_double"):
@@ -345,10 +355,10 @@
     return Script(world=world, fault=sorted(faults, key=lambda fault: fault.at_ms))
 
 
-def _draw_sourced(seed: int) -> Script:
+def _draw_dns(seed: int) -> Script:
     """A night of any other kind on which nodes ask DNS too: its servers fail, it names what is gone, and not what is there."""
     rng = random.Random(f"sourced/{seed}")
-    base = rng.choice((_draw_night, _draw_told, _draw_told, _draw_hard))(seed)
+    base = rng.choice((_draw_basic, _draw_corrupt_lists, _draw_corrupt_lists, _draw_hard))(seed)
     world = msgspec.structs.replace(base.world, sources="dns", seconds=max(3.0, base.world.seconds))
     faults = list(base.fault)
     for _ in range(rng.choice((1, 2, 3, 4))):
@@ -398,7 +408,7 @@
     return Script(world=world, fault=sorted(faults, key=lambda fault: fault.at_ms))
 
 
-def _draw_told(seed: int) -> Script:
+def _draw_corrupt_lists(seed: int) -> Script:
     """A night on which discovery spoils or loses what it tells, while servers drain, go and come back."""
     rng = random.Random(f"told/{seed}")
     world = World(
@@ -432,13 +442,13 @@
         faults.append(
             Fault(at_ms=round(at - early, 3), kind="discovery_spoil", target=how, value=byte)
         )
-    if seed >= PAIRED_FROM:
-        faults += _draw_pair(rng, at)
+    if seed >= CORRUPT_PAIR_FIRST_SEED:
+        faults += _draw_earlier_corruption(rng, at)
     elif rng.random() < 0.3:
         faults.append(
             Fault(at_ms=round(at - 0.5, 3), kind="discovery_wrong", value=float(rng.randrange(8)))
         )
-    for kind in rng.sample(MISSED, rng.choice((0, 1, 1, 2))):
+    for kind in rng.sample(DISCOVERY_OUTAGES, rng.choice((0, 1, 1, 2))):
         after = rng.choice((-0.2, 0.2, rng.uniform(0.0, 10.0), rng.uniform(0.0, 300.0)))
         faults.append(
             Fault(
@@ -459,7 +469,7 @@
     return Script(world=world, fault=sorted(faults, key=lambda fault: fault.at_ms))
 
 
-def _draw_pair(rng: random.Random, at: float) -> list[Fault]:
+def _draw_earlier_corruption(rng: random.Random, at: float) -> list[Fault]:
     """What a watch has already been through when the line that is told at a time is lost: half a line, a line that is no list, or both.
 
     Half a line is drawn over every state that it puts a watch in: just read, in its pause (0.1 s), after it, and given up (1 s). Nights
@@ -477,10 +487,10 @@
     gap = min(gap, at - 100.0)
     values = rng.choice(
         (
-            (HALF_A_LINE,),
-            (HALF_A_LINE,),
-            (NO_LIST,),
-            (NO_LIST, HALF_A_LINE),
+            (PARTIAL_LINE,),
+            (PARTIAL_LINE,),
+            (NOT_A_LIST,),
+            (NOT_A_LIST, PARTIAL_LINE),
             (float(rng.randrange(8)),),
         )
     )
@@ -494,7 +504,7 @@
             Fault(
                 at_ms=round(max(0.0, at - gap - 1.0), 3),
                 kind="discovery_spoil",
-                target=FRAMING + 6 * noise,
+                target=FRAMING_CORRUPTION + 6 * noise,
                 value=20.0,
             )
         )
@@ -584,7 +594,7 @@
     return Script(world=world, fault=sorted(faults, key=lambda fault: fault.at_ms))
 
 
-def _draw_night(seed: int) -> Script:
+def _draw_basic(seed: int) -> Script:
     rng = random.Random(f"script/{seed}")
     world = World(
         seconds=rng.choice((2.0, 3.0, 4.0)),
@@ -608,8 +618,8 @@
 
 
 def _draw_fault(rng: random.Random, world: World) -> Fault:
-    kind = rng.choice(DRAWN)
-    of = TARGETS[kind]
+    kind = rng.choice(BASIC_KINDS)
+    of = TARGET_TYPES[kind]
     target = rng.randrange(world.nodes if of == "node" else world.boxes if of == "box" else 2)
     for_ms = float(rng.choice((1, 40, 200, 600, 1_500)))
     value = 0.0
--- a/testbed/nights/simulation.py
+++ b/testbed/nights/simulation.py
@@ -26,7 +26,7 @@
 from testbed.machine.process import EPOCH_MS, Process
 from testbed.nights.oracle import Demand, Supply
 from testbed.nights.rules import Failure, Rules
-from testbed.nights.script import Fault, Script, draw, each
+from testbed.nights.script import Fault, Script, draw, split_by_node
 from testbed.nights.script import World as WorldTable
 from testbed.systems.clients import (
     CLASSES,
@@ -53,22 +53,22 @@
     work_of,
 )
 
-SOON_S = 0.3  # after the last answer, before timers are counted (those of deadlines have not come due by then),
-QUIET_S = 2.7  # and before all books are read
-NOTICE_S = 0.9  # until discovery knows that a process has died,
-ADD_S = 0.5  # or that one has started
-FRONT_S = 0.8  # until the front knows that a node has died
-SAMPLE_US = 10_000  # between two looks at what boxes and order book can do, for the oracle
-DNS_S = 1.2  # until DNS has heard of either
+TIMER_CHECK_DELAY_S = 0.3  # after the last answer, before timers are counted (those of deadlines have not come due by then),
+FINAL_CHECK_DELAY_S = 2.7  # and before all books are read
+DEATH_NOTICE_S = 0.9  # until discovery knows that a process has died,
+START_NOTICE_S = 0.5  # or that one has started
+CLIENT_NOTICE_S = 0.8  # until the front knows that a node has died
+SAMPLE_INTERVAL_US = 10_000  # between two looks at what boxes and order book can do, for the oracle
+DNS_UPDATE_DELAY_S = 1.2  # until DNS has heard of either
 NODE_PORT, BOX_PORT, PEER_PORT = 8000, 8001, 7946
-JUNK = (
+MALFORMED_DATAGRAMS = (
     b"",
     b"\x00",
     b"\xc1" * 300,
     b"\x96\x01\x01\x01",
     bytes(range(256)),
 )  # datagrams that are none
-ODD = "127.2.0.99"  # where no box is
+UNUSED_BOX_HOST = "127.2.0.99"  # where no box is
 RESOLVERS = (("127.6.0.1", 53), ("127.6.0.2", 53))
 
 
@@ -90,13 +90,13 @@
     good: set[int]  # which demands were served in time
     lines: list[str] = field(default_factory=list)
     leases: int = 0  # of bounds of the tier, that nodes took,
-    most_held: dict[int, int] = field(
+    max_held: dict[int, int] = field(
         default_factory=dict
     )  # and the most parts of each that all held at once
     members: dict[str, list[int]] = field(
         default_factory=dict
     )  # whom each node had in the tier at the end
-    keepers: list[str] = field(default_factory=list)
+    leaders: list[str] = field(default_factory=list)
     usual: float = 0.0  # of the reads, that went to the box to which most of their key's went
     fetches: int = 0  # that the order book was asked for
 
@@ -105,7 +105,7 @@
         return bool(self.failures)
 
     @property
-    def worth(self) -> float:
+    def served_value(self) -> float:
         """Worth for work that was served in time (worth x ms of work), as `oracle.worth_at_most` bounds it."""
         return sum(self.demands[n].value for n in self.good)
 
@@ -119,14 +119,14 @@
 class Trace:
     """One line an event, canonical: time in us, who, what. The digest covers every line, also those that are not kept."""
 
-    def __init__(self, loop: VirtualLoop, keep: bool) -> None:
+    def __init__(self, loop: VirtualLoop, keep_lines: bool) -> None:
         self.lines: list[str] = []
         self.events = 0
         self._loop = loop
-        self._keep = keep
+        self._keep = keep_lines
         self._hash = blake2b(digest_size=16)
 
-    def note(self, what: str) -> None:
+    def add(self, what: str) -> None:
         """Add one event."""
         line = f"{self._loop.now_us:010d} {what}\n"
         self.events += 1
@@ -139,7 +139,7 @@
         return self._hash.hexdigest()
 
 
-class _Log(logging.Handler):
+class _TraceLogHandler(logging.Handler):
     """What the node logs is part of the trace; an exception in it is a failure."""
 
     def __init__(self, world: World) -> None:
@@ -150,16 +150,16 @@
         side = seam.SIDE.get()
         name = side.name if isinstance(side, Process) else "world"
         text = record.getMessage()
-        self._world.trace.note(f"{name} logs {record.levelname} {text}")
+        self._world.trace.add(f"{name} logs {record.levelname} {text}")
         if record.exc_info:
             error = record.exc_info[1]
-            self._world.rules.exceptional(name, f"{text}: {type(error).__name__}: {error}")
+            self._world.rules.report_exception(name, f"{text}: {type(error).__name__}: {error}")
 
 
 class World:
     """All processes of a night on one virtual loop."""
 
-    def __init__(self, script: Script, seed: int, loop: VirtualLoop, keep: bool) -> None:
+    def __init__(self, script: Script, seed: int, loop: VirtualLoop, keep_trace: bool) -> None:
         w = script.world
         self.script = script
         self.classes = SITE_CLASSES if w.worths == "site" else CLASSES
@@ -168,12 +168,12 @@
         self.net = Network(loop, seed)
         self.net.default.latency_us, self.net.default.jitter_us = w.latency_us, w.jitter_us
         self.net.default.bandwidth = w.bandwidth
-        self.trace = Trace(loop, keep)
-        self.rules = Rules(lambda: loop.now_us, self.trace.note, loop.after_us)
-        self.rules.excused = self._excused
+        self.trace = Trace(loop, keep_trace)
+        self.rules = Rules(lambda: loop.now_us, self.trace.add, loop.after_us)
+        self.rules.is_excused = self._is_excused
         self.rules.steps = lambda: loop.steps
-        self.net.on_send = self.rules.wire
-        self.net.observers += [self.rules.socket, self._trace_socket]
+        self.net.on_send = self.rules.on_bytes_sent
+        self.net.observers += [self.rules.on_socket_event, self._trace_socket]
         loop.after_step = self._after_step
         self.processes: list[Process] = []
         self.nodes: dict[str, Process] = {}
@@ -181,11 +181,11 @@
         self.box_processes: dict[int, Process] = {}
         self.registries: list[Registry] = []
         self.entries: dict[str, dict[str, object]] = {}
-        self._ids = w.boxes
-        self._names = {n: f"s{n}" for n in range(w.boxes)}
-        self._dead_us: dict[str, int] = {}  # of a node: when it was last killed
-        self._gone_us: dict[str, int] = {}  # or ended in order, which excuses nothing
-        self._hurt_us: dict[
+        self._last_box_id = w.boxes
+        self._box_names = {n: f"s{n}" for n in range(w.boxes)}
+        self._killed_us: dict[str, int] = {}  # of a node: when it was last killed
+        self._ended_us: dict[str, int] = {}  # or ended in order, which excuses nothing
+        self._connections_broken_us: dict[
             str, list[int]
         ] = {}  # of a node: when client connections of its were broken by the network
         self.clients = Clients(
@@ -201,27 +201,27 @@
             w.leave_oddly,
             w.leave_together_ms,
         )
-        self.clients.down = self._noticed_down
-        self.clients.wanted = self._wanted
-        self.good: set[int] = set()
-        self.clients.got = self.good.add
+        self.clients.down = self._is_known_down
+        self.clients.wanted = self._on_demand
+        self.served_in_time: set[int] = set()
+        self.clients.got = self.served_in_time.add
         self.demands: list[Demand] = []
         self.supply = Supply()
         self.tier_at_end: tuple[dict[str, list[int]], list[str]] = (
             {},
             [],
         )  # of each node whom it has in the tier, and who is keeper
-        self._sample_us = 0
+        self._next_sample_us = 0
         self.zone = Zone()
         self.resolvers = [NameServer(address, self.zone) for address in RESOLVERS]
         self._zone_stale = False
-        self.front = self._process("clients", "127.5.0.1")
+        self.client_process = self._new_process("clients", "127.5.0.1")
         self.book = OrderBook(("127.3.0.1", 8002), 8, 15.0)
-        loop.set_exception_handler(self._exception)
+        loop.set_exception_handler(self._on_exception)
 
     # -- what the oracle is told ---------------------------------------------------------
 
-    def _wanted(self, kind: Class, key: str) -> int:
+    def _on_demand(self, kind: Class, key: str) -> int:
         work, at_ms = work_of(key, kind.method), self.loop.now_us / 1000.0
         self.demands.append(
             Demand(at_ms, kind.name, work, kind.aim_ms, kind.worth, kind.method == "PUT")
@@ -230,10 +230,10 @@
 
     def _after_step(self, process: Owner) -> None:
         self.rules.after_step(process)
-        if self.loop.now_us >= self._sample_us:
-            self._sample_us = self.loop.now_us + SAMPLE_US
+        if self.loop.now_us >= self._next_sample_us:
+            self._next_sample_us = self.loop.now_us + SAMPLE_INTERVAL_US
             self._sample()
-            self.rules.never_empty()
+            self.rules.check_never_empty()
 
     def _sample(self) -> None:
         work, now_ms = 0.0, EPOCH_MS + self.loop.now_us / 1000.0
@@ -242,7 +242,7 @@
             if there and not (box.draining or box.full or box.hang is not None):
                 work += box.capacity_at(now_ms) * box.full_speed / box.slow
         fetches = 0.0 if self.book.down else self.book.places / self.book.service_ms
-        self.supply.note(self.loop.now_us / 1000.0, work, fetches)
+        self.supply.add_sample(self.loop.now_us / 1000.0, work, fetches)
 
     # -- parts ---------------------------------------------------------------------------
 
@@ -254,20 +254,20 @@
     def _box_host(n: int) -> str:
         return f"127.2.0.{n + 1}"
 
-    def _process(self, name: str, host: str) -> Process:
+    def _new_process(self, name: str, host: str) -> Process:
         process = Process(name, self.net, host)
         self.processes.append(process)
         return process
 
     def start_node(
-        self, n: int, wall_offset_ms: float = 0.0, blank: bool = False, others: int = 0
+        self, n: int, wall_offset_ms: float = 0.0, without_list: bool = False, extra_peers: int = 0
     ) -> None:
         """Start a node, or start it again with the list as it last was (blank: with none); others: so many more peers than there are."""
         w, name = self.script.world, f"n{n}"
-        process = self._process(name, self._node_host(n))
+        process = self._new_process(name, self._node_host(n))
         process.descriptors = w.descriptors
         process.wall_offset_ms = wall_offset_ms
-        entries = [] if blank else list(self.entries.values())
+        entries = [] if without_list else list(self.entries.values())
         known = {"generation": 1, "reset": True, "instances": entries}
         config: dict[str, Any] = {
             "name": name,
@@ -282,7 +282,7 @@
             config |= neighbours(
                 config["settings"],
                 n,
-                [f"{self._node_host(m)}:{PEER_PORT}" for m in range(w.nodes + others)],
+                [f"{self._node_host(m)}:{PEER_PORT}" for m in range(w.nodes + extra_peers)],
             )
         process.files["config.json"] = json.dumps(config).encode()
         process.variables["PROXY_CONFIG"] = "config.json"
@@ -298,25 +298,25 @@
             service = Service(load(seam.environ()), sources, tier=tier_table(w))
             self.rules.services[process] = service
             if service.tier is not None:
-                self.rules.joins(process, service.tier)
+                self.rules.on_tier_join(process, service.tier)
             await service.run()
 
         self.nodes[name] = process
-        self.rules.starts(process, entries)
+        self.rules.on_node_start(process, entries)
         process.on_end = lambda: self._node_ended(process)
         process.start(program)
-        self.trace.note(f"{name} starts")
+        self.trace.add(f"{name} starts")
 
     def _node_ended(self, process: Process) -> None:
-        self.trace.note(f"{process.name} ends {type(process.exit).__name__}")
-        self._gone_us[process.name] = self.loop.now_us
+        self.trace.add(f"{process.name} ends {type(process.exit).__name__}")
+        self._ended_us[process.name] = self.loop.now_us
         if process.exit is not None:
-            self.rules.exceptional(process.name, f"the process ended: {process.exit!r}")
+            self.rules.report_exception(process.name, f"the process ended: {process.exit!r}")
 
     def start_box(self, n: int, name: str, cold: bool) -> None:
         """Start a cache box at its place."""
         address = (self._box_host(n), BOX_PORT)
-        process = self._process(name, address[0])
+        process = self._new_process(name, address[0])
         box = CacheBox(
             name,
             address,
@@ -329,52 +329,52 @@
             box._since_ms = EPOCH_MS + self.loop.now_us / 1000.0
         else:
             box.warm(self.clients.keys())
-        self.boxes[n], self.box_processes[n], self._names[n] = box, process, name
+        self.boxes[n], self.box_processes[n], self._box_names[n] = box, process, name
         self.rules.boxes[address[0]] = name
         self.book.voids.append(box.void)
         process.start(box.run)
-        self._dns_later()
-        self.trace.note(f"{name} starts at {address[0]}{' cold' if cold else ''}")
+        self._schedule_dns_update()
+        self.trace.add(f"{name} starts at {address[0]}{' cold' if cold else ''}")
 
-    def _serve(self, name: str, server: Server) -> Process:
-        process = self._process(name, server.address[0])
+    def _start_server(self, name: str, server: Server) -> Process:
+        process = self._new_process(name, server.address[0])
         process.start(server.run)
         return process
 
-    def _excused(self, ask: Ask) -> bool:
+    def _is_excused(self, ask: Ask) -> bool:
         """Whether a request may go without answer: its node was killed or stood still, or the network broke its connection."""
-        life = self.rules.life(ask.txn)
-        since, now = life.asked_us - 2_000, self.loop.now_us
-        died = self._dead_us.get(ask.node, -1)
+        life = self.rules.record(ask.txn)
+        since, now = life.requested_us - 2_000, self.loop.now_us
+        died = self._killed_us.get(ask.node, -1)
         if died >= since:
             return True
         process = self.nodes.get(ask.node)
         if process is None or process.stood_still(since, now):
             return True
-        if process.hindered(since, life.sends[0].at_us if life.sends else now):
+        if process.hindered(since, life.sent[0].at_us if life.sent else now):
             return True  # it stood in the backlog, where its time ran and nobody could know
-        return any(at >= since for at in self._hurt_us.get(ask.node, ()))
+        return any(at >= since for at in self._connections_broken_us.get(ask.node, ()))
 
-    def _noticed_down(self, node: str) -> bool:
+    def _is_known_down(self, node: str) -> bool:
         process = self.nodes.get(node)
         if process is None:
             return True  # it joins later
         if process.alive:
             return False
         return (
-            self.loop.now_us - max(self._dead_us.get(node, 0), self._gone_us.get(node, 0))
-            > FRONT_S * 1e6
+            self.loop.now_us - max(self._killed_us.get(node, 0), self._ended_us.get(node, 0))
+            > CLIENT_NOTICE_S * 1e6
         )
 
-    def _exception(self, loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
+    def _on_exception(self, loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
         error = context.get("exception")
         side = seam.SIDE.get()
         name = side.name if isinstance(side, Process) else "world"
-        self.rules.exceptional(name, f"{context.get('message')}: {error!r}")
+        self.rules.report_exception(name, f"{context.get('message')}: {error!r}")
 
     def _trace_socket(self, what: str, sock: VirtualSocket) -> None:
         owner = sock.process.name if sock.process is not None else sock.host
-        self.trace.note(
+        self.trace.add(
             f"{owner} {what} {sock.local[0]}:{sock.local[1]} {sock.remote[0]}:{sock.remote[1]}"
         )
 
@@ -383,19 +383,19 @@
     async def play(self) -> None:
         """Start everything, let clients ask while faults come, and read the books at the end."""
         w = self.script.world
-        self._serve("book", self.book)
+        self._start_server("book", self.book)
         for n in range(w.boxes):
             self.start_box(n, f"s{n}", False)
             self.entries[f"s{n}"] = Registry.entry(f"s{n}", (self._box_host(n), BOX_PORT))
         for n in range(2):
-            registry = _Registry((f"127.4.0.{n + 1}", 8500), self.rules, self.entries)
+            registry = _HostRegistry((f"127.4.0.{n + 1}", 8500), self.rules, self.entries)
             self.registries.append(registry)
-            self._serve(f"discovery{n}", registry)
+            self._start_server(f"discovery{n}", registry)
         if w.sources == "dns":
-            self._name_boxes()
+            self._update_dns()
             for server in self.resolvers:
-                server.told = self._given
-                process = self._process(f"dns-{server.address[0]}", server.address[0])
+                server.told = self._on_dns_answer
+                process = self._new_process(f"dns-{server.address[0]}", server.address[0])
                 process.start(server.run)
         late = {
             n
@@ -408,27 +408,27 @@
                 self.start_node(n)
         await asyncio.sleep(0.05)
         for fault in self.script.fault:
-            for one in each(fault):
-                self.loop.after_us(int(one.at_ms * 1000), self._fault, one)
-        self.front.start(self._ask)
-        assert self.front.task is not None
-        await self.front.task
+            for one in split_by_node(fault):
+                self.loop.after_us(int(one.at_ms * 1000), self._apply_fault, one)
+        self.client_process.start(self._run_clients)
+        assert self.client_process.task is not None
+        await self.client_process.task
         for owner, service in self.rules.services.items():
             if service.tier is not None and owner.running:
                 self.tier_at_end[0][owner.name] = service.tier.tier.members.there()
                 if service.tier.tier.keeps(owner.now_ms()):
                     self.tier_at_end[1].append(owner.name)
-        await asyncio.sleep(SOON_S)
-        self._read_books(self.rules.timers_at_rest)
-        await asyncio.sleep(QUIET_S)
+        await asyncio.sleep(TIMER_CHECK_DELAY_S)
+        self._run_idle_check(self.rules.check_idle_timers)
+        await asyncio.sleep(FINAL_CHECK_DELAY_S)
         self.clients.close()
         await asyncio.sleep(0.1)
         for process in self.processes:
             process.resume()
         await asyncio.sleep(0.5)
-        self._read_books(self.rules.at_rest)
+        self._run_idle_check(self.rules.check_idle)
 
-    def _read_books(self, read: Callable[[dict[Owner, int]], None]) -> None:
+    def _run_idle_check(self, read: Callable[[dict[Owner, int]], None]) -> None:
         timers: dict[Owner, int] = {}
         for handle in self.loop.timers():
             owner = owner_of(handle._context)  # type: ignore[attr-defined]
@@ -436,47 +436,47 @@
                 timers[owner] = timers.get(owner, 0) + 1
         read(timers)
 
-    async def _ask(self) -> None:
+    async def _run_clients(self) -> None:
         await self.clients.run(self.script.world.seconds)
 
     # -- DNS -----------------------------------------------------------------------------
 
-    def _dns_later(self) -> None:
+    def _schedule_dns_update(self) -> None:
         """DNS hears of what changed a while later, if it is asked at all."""
         if self.script.world.sources == "dns" and self.loop.now_us:
-            self.loop.after_us(int(DNS_S * 1e6), self._name_boxes)
+            self.loop.after_us(int(DNS_UPDATE_DELAY_S * 1e6), self._update_dns)
 
-    def _name_boxes(self, odd: Optional[str] = None) -> None:
+    def _update_dns(self, extra_host: Optional[str] = None) -> None:
         """Let DNS name the boxes that run now; odd: and this host, where nobody listens."""
         if self._zone_stale:
             return
         alive = {
-            self._names[n]: (self._box_host(n), BOX_PORT)
+            self._box_names[n]: (self._box_host(n), BOX_PORT)
             for n in self.boxes
             if self.box_processes[n].alive
         }
-        if odd is not None:
-            alive["odd"] = (odd, BOX_PORT)
+        if extra_host is not None:
+            alive["odd"] = (extra_host, BOX_PORT)
         self.zone.serve(alive, ttl=1)
-        self.rules.named(f"{host}:{port}" for host, port in alive.values())
-        self.trace.note(f"DNS names {' '.join(alive)}")
+        self.rules.on_dns_change(f"{host}:{port}" for host, port in alive.values())
+        self.trace.add(f"DNS names {' '.join(alive)}")
 
     def _do_node_blank(self, fault: Fault) -> None:
         """A node dies and comes back without a list."""
         process = self.nodes[f"n{fault.target}"]
         if process.alive:
             process.kill()
-            self._dead_us[process.name] = self.loop.now_us
+            self._killed_us[process.name] = self.loop.now_us
             self.loop.after_us(50_000, self._restart_node, fault.target, 0.0, True)
 
     def _do_dns_how(self, fault: Fault) -> None:
         """One name server, or both, are wrong in one of the ways of `HOWS`."""
         for server in self.resolvers if fault.target == 2 else [self.resolvers[fault.target % 2]]:
             server.how = HOWS[int(fault.value) % len(HOWS)]
-            self._later(fault, setattr, server, "how", "good")
+            self._after_fault(fault, setattr, server, "how", "good")
 
-    def _given(self, host: str, targets: list[str]) -> None:
-        self.rules.given(
+    def _on_dns_answer(self, host: str, targets: list[str]) -> None:
+        self.rules.on_dns_answer(
             host,
             [
                 f"{address}:{BOX_PORT}"
@@ -490,31 +490,31 @@
 
         def hear() -> None:
             self._zone_stale = False
-            self._name_boxes()
+            self._update_dns()
 
         self._zone_stale = True
-        self._later(fault, hear)
+        self._after_fault(fault, hear)
 
     def _do_dns_odd(self, fault: Fault) -> None:
         """DNS names a box that is none."""
-        self.rules.boxes[ODD] = "odd"
-        self._name_boxes(ODD)
-        self._later(fault, self._name_boxes)
+        self.rules.boxes[UNUSED_BOX_HOST] = "odd"
+        self._update_dns(UNUSED_BOX_HOST)
+        self._after_fault(fault, self._update_dns)
 
     # -- faults --------------------------------------------------------------------------
 
-    def _fault(self, fault: Fault) -> None:
-        self.trace.note(f"fault {fault.kind} {fault.target} {fault.for_ms:g} {fault.value:g}")
+    def _apply_fault(self, fault: Fault) -> None:
+        self.trace.add(f"fault {fault.kind} {fault.target} {fault.for_ms:g} {fault.value:g}")
         getattr(self, f"_do_{fault.kind}")(fault)
 
-    def _later(self, fault: Fault, action: Callable[..., object], *args: Any) -> None:
+    def _after_fault(self, fault: Fault, action: Callable[..., object], *args: Any) -> None:
         if fault.for_ms:
             self.loop.after_us(int(fault.for_ms * 1000), action, *args)
 
     def _do_box_slow(self, fault: Fault) -> None:
         box = self.boxes[fault.target]
         box.slow = fault.value or 5.0
-        self._later(fault, setattr, box, "slow", 1.0)
+        self._after_fault(fault, setattr, box, "slow", 1.0)
 
     def _do_box_hang(self, fault: Fault) -> None:
         box, event = self.boxes[fault.target], asyncio.Event()
@@ -524,54 +524,56 @@
             box.hang = None
             event.set()
 
-        self._later(fault, go_on)
+        self._after_fault(fault, go_on)
 
     def _kill_box(self, n: int) -> None:
         process, box = self.box_processes[n], self.boxes[n]
         if not process.alive:
             return
         process.kill()
-        self._dns_later()
-        self.trace.note(f"{box.name} dies")
-        self.loop.after_us(int(NOTICE_S * 1e6), self._tell_death, n, box.name, process)
+        self._schedule_dns_update()
+        self.trace.add(f"{box.name} dies")
+        self.loop.after_us(int(DEATH_NOTICE_S * 1e6), self._notify_death, n, box.name, process)
 
-    def _tell_death(self, n: int, name: str, process: Process) -> None:
+    def _notify_death(self, n: int, name: str, process: Process) -> None:
         if self.box_processes[n] is process and name in self.entries:
-            self._change(self.entries[name], "terminated")
+            self._change_lifecycle(self.entries[name], "terminated")
 
-    def _change(self, entry: dict[str, object], lifecycle: str) -> None:
+    def _change_lifecycle(self, entry: dict[str, object], lifecycle: str) -> None:
         for registry in self.registries:  # they share the entries; each tells its own watches
             registry.change(entry, lifecycle)
 
-    def _restart_box(self, n: int, name: str, told: bool = True) -> None:
+    def _restart_box(self, n: int, name: str, report_start: bool = True) -> None:
         """Start a box cold; told: whether discovery says so, or that it has run for long."""
         if self.box_processes[n].alive:
             return
         self.start_box(n, name, True)
-        started = EPOCH_MS + self.loop.now_us / 1000.0 if told else 0.0
-        self.loop.after_us(int(ADD_S * 1e6), self._tell_start, n, name, started)
+        started = EPOCH_MS + self.loop.now_us / 1000.0 if report_start else 0.0
+        self.loop.after_us(int(START_NOTICE_S * 1e6), self._notify_start, n, name, started)
 
-    def _tell_start(self, n: int, name: str, started: float) -> None:
-        if self._names[n] == name and self.box_processes[n].alive:
-            self._change(Registry.entry(name, (self._box_host(n), BOX_PORT), started), "in_service")
+    def _notify_start(self, n: int, name: str, started: float) -> None:
+        if self._box_names[n] == name and self.box_processes[n].alive:
+            self._change_lifecycle(
+                Registry.entry(name, (self._box_host(n), BOX_PORT), started), "in_service"
+            )
 
     def _do_box_kill(self, fault: Fault) -> None:
         self._kill_box(fault.target)
-        self._later(fault, self._restart_box, fault.target, self._names[fault.target])
+        self._after_fault(fault, self._restart_box, fault.target, self._box_names[fault.target])
 
     def _do_box_rename(self, fault: Fault) -> None:
         self._kill_box(fault.target)
-        self._ids += 1
-        self._later(fault, self._restart_box, fault.target, f"s{self._ids}")
+        self._last_box_id += 1
+        self._after_fault(fault, self._restart_box, fault.target, f"s{self._last_box_id}")
 
     def _do_box_quick_restart(self, fault: Fault) -> None:
-        name = self._names[fault.target]
+        name = self._box_names[fault.target]
         self._kill_box(fault.target)
         self.loop.after_us(1_000, self._restart_box, fault.target, name)
 
     def _do_box_lie(self, fault: Fault) -> None:
         """A quick restart of which discovery says nothing: the box is listed as one that has run for long."""
-        name = self._names[fault.target]
+        name = self._box_names[fault.target]
         self._kill_box(fault.target)
         self.loop.after_us(1_000, self._restart_box, fault.target, name, False)
 
@@ -586,7 +588,7 @@
     def _do_load_step(self, fault: Fault) -> None:
         """Clients ask so many times as often."""
         self.clients.rate = self.script.world.requests_per_s * (fault.value or 2.0)
-        self._later(fault, setattr, self.clients, "rate", self.script.world.requests_per_s)
+        self._after_fault(fault, setattr, self.clients, "rate", self.script.world.requests_per_s)
 
     def _do_box_spoil(self, fault: Fault) -> None:
         self.boxes[fault.target].spoil += [
@@ -599,7 +601,7 @@
     def _do_box_turn_away(self, fault: Fault) -> None:
         box = self.boxes[fault.target]
         box.full = True
-        self._later(fault, setattr, box, "full", False)
+        self._after_fault(fault, setattr, box, "full", False)
 
     def _do_box_vanish(self, fault: Fault) -> None:
         host = self.net.host(self._box_host(fault.target))
@@ -610,11 +612,11 @@
         n, box, process = fault.target, self.boxes[fault.target], self.box_processes[fault.target]
         if box.name not in self.entries:
             return
-        self._change(self.entries[box.name], "terminating")
+        self._change_lifecycle(self.entries[box.name], "terminating")
         self.loop.after_us(600_000, setattr, box, "draining", True)
-        self.loop.after_us(3_000_000, self._retire, n, process)
+        self.loop.after_us(3_000_000, self._kill_drained_box, n, process)
 
-    def _retire(self, n: int, process: Process) -> None:
+    def _kill_drained_box(self, n: int, process: Process) -> None:
         if self.box_processes[n] is process:
             self._kill_box(n)
 
@@ -622,13 +624,13 @@
         process = self.nodes.get(f"n{fault.target}")
         if process is not None and process.alive:
             self._kill_node(fault.target)
-            self._later(fault, self._restart_node, fault.target)
+            self._after_fault(fault, self._restart_node, fault.target)
 
     def _restart_node(
-        self, n: int, wall_offset_ms: float = 0.0, blank: bool = False, others: int = 0
+        self, n: int, wall_offset_ms: float = 0.0, without_list: bool = False, extra_peers: int = 0
     ) -> None:
         if not self.nodes[f"n{n}"].alive:
-            self.start_node(n, wall_offset_ms, blank, others)
+            self.start_node(n, wall_offset_ms, without_list, extra_peers)
 
     def _do_node_pause(self, fault: Fault) -> None:
         process = self.nodes.get(f"n{fault.target}")
@@ -646,7 +648,7 @@
 
     def _end_node(self, process: Process, n: int) -> None:
         if process.state == "running":
-            self.rules.broken(
+            self.rules.report(
                 "one final answer", f"{process.name} has not ended 3.7 s after SIGTERM"
             )
         process.kill()
@@ -686,28 +688,28 @@
         if call is Call.ACCEPT:
             process.starved_us.append((self.loop.now_us, self.loop.now_us + for_us + 200_000))
 
-    def _links(self, target: int) -> list[tuple[str, str]]:
+    def _node_box_links(self, target: int) -> list[tuple[str, str]]:
         """Between all nodes and one box; with target 1 the other way too."""
         box = self._box_host(target % self.script.world.boxes)
         return [(self._node_host(n), box) for n in range(self.script.world.nodes)]
 
     def _do_link_loss(self, fault: Fault) -> None:
-        for a, b in self._links(fault.target):
+        for a, b in self._node_box_links(fault.target):
             for link in (self.net.link(a, b), self.net.link(b, a)):
                 link.loss = fault.value or 0.05
-                self._later(fault, setattr, link, "loss", 0.0)
+                self._after_fault(fault, setattr, link, "loss", 0.0)
 
     def _do_link_cut(self, fault: Fault) -> None:
-        for a, b in self._links(fault.target):
+        for a, b in self._node_box_links(fault.target):
             link = self.net.link(b, a) if fault.target % 2 else self.net.link(a, b)
             link.cut = True
-            self._later(fault, setattr, link, "cut", False)
+            self._after_fault(fault, setattr, link, "cut", False)
 
     def _do_link_slow(self, fault: Fault) -> None:
-        for a, b in self._links(fault.target):
+        for a, b in self._node_box_links(fault.target):
             for link in (self.net.link(a, b), self.net.link(b, a)):
                 before, link.latency_us = link.latency_us, int(fault.value or 20_000)
-                self._later(fault, setattr, link, "latency_us", before)
+                self._after_fault(fault, setattr, link, "latency_us", before)
 
     def _do_reset(self, fault: Fault) -> None:
         """Break open connections between nodes and boxes, or between clients and a node."""
@@ -723,10 +725,12 @@
             chosen = [sock for sock in sockets if sock.remote[0] == "127.5.0.1"]
         for sock in self.rng.sample(chosen, min(len(chosen), int(fault.value) or 1)):
             if sock.remote[0] == "127.5.0.1" and sock.process is not None:
-                self._hurt_us.setdefault(sock.process.name, []).append(self.loop.now_us)
+                self._connections_broken_us.setdefault(sock.process.name, []).append(
+                    self.loop.now_us
+                )
             sock.hurt()
 
-    def _trip(
+    def _arm_trip(
         self, source: str, target: str, fault: Fault, action: Callable[[VirtualSocket], None]
     ) -> None:
         """Arm a fault for the next new connection and for one that is open."""
@@ -740,7 +744,7 @@
                         sock.trip = Trip(source, target, sock.sent + trip.after, action, 0)
                         return
 
-    def _breaking(self, fault: Fault) -> Callable[[VirtualSocket], None]:
+    def _break_action(self, fault: Fault) -> Callable[[VirtualSocket], None]:
         """What a trip does: the box dies where for_ms is odd, else the connection breaks."""
 
         def act(sock: VirtualSocket) -> None:
@@ -753,29 +757,33 @@
 
     def _do_trip_request(self, fault: Fault) -> None:
         """After so many bytes of a request."""
-        self._trip(self._node_host(0), self._box_host(fault.target), fault, self._breaking(fault))
+        self._arm_trip(
+            self._node_host(0), self._box_host(fault.target), fault, self._break_action(fault)
+        )
 
     def _do_trip_answer(self, fault: Fault) -> None:
         """After so many bytes of an answer."""
-        self._trip(self._box_host(fault.target), self._node_host(0), fault, self._breaking(fault))
+        self._arm_trip(
+            self._box_host(fault.target), self._node_host(0), fault, self._break_action(fault)
+        )
 
     def _do_trip_client(self, fault: Fault) -> None:
         """A client's connection breaks after so many bytes that the node writes to it."""
 
         def act(sock: VirtualSocket) -> None:
-            self._hurt_us.setdefault(f"n{fault.target}", []).append(self.loop.now_us)
+            self._connections_broken_us.setdefault(f"n{fault.target}", []).append(self.loop.now_us)
             sock.hurt()
 
-        self._trip(self._node_host(fault.target), "127.5.0.1", fault, act)
+        self._arm_trip(self._node_host(fault.target), "127.5.0.1", fault, act)
 
-    def _discovery_is(self, fault: Fault, state: str) -> None:
+    def _set_discovery_state(self, fault: Fault, state: str) -> None:
         """Put both places of discovery into a state, until the fault is over."""
         for registry in self.registries:
             setattr(registry, state, True)
-            self._later(fault, setattr, registry, state, False)
+            self._after_fault(fault, setattr, registry, state, False)
 
     def _do_discovery_silent(self, fault: Fault) -> None:
-        self._discovery_is(fault, "silent")
+        self._set_discovery_state(fault, "silent")
 
     def _do_discovery_late(self, fault: Fault) -> None:
         for registry in self.registries:
@@ -806,10 +814,10 @@
             registry.spoils.append(Spoil(how, int(fault.value), noise))
 
     def _do_discovery_refuse(self, fault: Fault) -> None:
-        self._discovery_is(fault, "refusing")
+        self._set_discovery_state(fault, "refusing")
 
     def _do_discovery_mute(self, fault: Fault) -> None:
-        self._discovery_is(fault, "mute")
+        self._set_discovery_state(fault, "mute")
 
     def _do_discovery_drop(self, fault: Fault) -> None:
         for registry in self.registries:
@@ -819,15 +827,15 @@
         for registry in self.registries:
             registry.down = True
             registry.drop()
-            self._later(fault, setattr, registry, "down", False)
+            self._after_fault(fault, setattr, registry, "down", False)
 
     def _do_book_slow(self, fault: Fault) -> None:
         self.book.service_ms = 15.0 * (fault.value or 5.0)
-        self._later(fault, setattr, self.book, "service_ms", 15.0)
+        self._after_fault(fault, setattr, self.book, "service_ms", 15.0)
 
     def _do_book_down(self, fault: Fault) -> None:
         self.book.down = True
-        self._later(fault, setattr, self.book, "down", False)
+        self._after_fault(fault, setattr, self.book, "down", False)
 
     def _do_node_join(self, fault: Fault) -> None:
         """A node that was not there begins."""
@@ -840,7 +848,7 @@
             return
         self._kill_node(fault.target)
         self.loop.after_us(50_000, self._restart_node, fault.target, 0.0, False, 1)
-        self._later(fault, self._kill_node, fault.target)
+        self._after_fault(fault, self._kill_node, fault.target)
         if fault.for_ms:
             self.loop.after_us(int(fault.for_ms * 1000) + 50_000, self._restart_node, fault.target)
 
@@ -848,10 +856,10 @@
         process = self.nodes[f"n{n}"]
         if process.alive:
             process.kill()
-            self._dead_us[process.name] = self.loop.now_us
-            self.trace.note(f"{process.name} is killed")
+            self._killed_us[process.name] = self.loop.now_us
+            self.trace.add(f"{process.name} is killed")
 
-    def _peer_links(self, fault: Fault, both: bool = True) -> list[Link]:
+    def _peer_links(self, fault: Fault, both_directions: bool = True) -> list[Link]:
         """From the nodes of one side to all others, and back; without a side between all."""
         hosts = {self._node_host(n) for n in range(self.script.world.nodes)}
         side = {self._node_host(n) for n in fault.nodes}
@@ -861,38 +869,38 @@
             for b in sorted(hosts)
             if a != b and ((a in side) != (b in side) or not side)
         ]
-        return [self.net.link(a, b) for a, b in pairs if both or a in side]
+        return [self.net.link(a, b) for a, b in pairs if both_directions or a in side]
 
     def _do_peer_cut(self, fault: Fault) -> None:
         for link in self._peer_links(fault):
             link.cut = True
-            self._later(fault, setattr, link, "cut", False)
+            self._after_fault(fault, setattr, link, "cut", False)
 
     def _do_peer_oneway(self, fault: Fault) -> None:
-        for link in self._peer_links(fault, both=False):
+        for link in self._peer_links(fault, both_directions=False):
             link.cut = True
-            self._later(fault, setattr, link, "cut", False)
+            self._after_fault(fault, setattr, link, "cut", False)
 
     def _do_peer_loss(self, fault: Fault) -> None:
         for link in self._peer_links(fault):
             link.loss = fault.value
-            self._later(fault, setattr, link, "loss", 0.0)
+            self._after_fault(fault, setattr, link, "loss", 0.0)
 
     def _do_peer_late(self, fault: Fault) -> None:
         """A third of the datagrams is late, by up to so many ms, and so comes in another order."""
         for link in self._peer_links(fault):
             link.late, link.late_us = 0.33, int(1000 * (fault.value or 500.0))
-            self._later(fault, setattr, link, "late", 0.0)
+            self._after_fault(fault, setattr, link, "late", 0.0)
 
     def _do_peer_double(self, fault: Fault) -> None:
         for link in self._peer_links(fault):
             link.double = fault.value
-            self._later(fault, setattr, link, "double", 0.0)
+            self._after_fault(fault, setattr, link, "double", 0.0)
 
     def _do_peer_junk(self, fault: Fault) -> None:
         """A node gets datagrams that are none, from an address of a peer and from a stranger."""
         to = self._node_host(fault.target), PEER_PORT
-        for data in JUNK:
+        for data in MALFORMED_DATAGRAMS:
             for host in (
                 self._node_host((fault.target + 1) % self.script.world.nodes),
                 "127.9.9.9",
@@ -904,17 +912,19 @@
         process = self.nodes[f"n{fault.target}"]
         if process.alive:
             process.kill()
-            self._dead_us[process.name] = self.loop.now_us
+            self._killed_us[process.name] = self.loop.now_us
             self.loop.after_us(50_000, self._restart_node, fault.target, fault.value)
 
     def _do_rude(self, fault: Fault) -> None:
         names = list(RUDE)
         name = names[int(fault.value) % len(names)]
         for _ in range(3):
-            self.front.context.run(self.clients.be_rude, f"n{fault.target}", name, RUDE[name])
+            self.client_process.context.run(
+                self.clients.be_rude, f"n{fault.target}", name, RUDE[name]
+            )
 
 
-class _Registry(Registry):
+class _HostRegistry(Registry):
     """Discovery that knows its watchers by their hosts."""
 
     def node_of(self, connection: Connection) -> str:
@@ -923,13 +933,13 @@
         return sock.remote[0]
 
 
-def run(seed: int, script: Optional[Script] = None, keep: bool = False) -> Result:
+def run(seed: int, script: Optional[Script] = None, keep_trace: bool = False) -> Result:
     """Play one night. The same seed and script bring the same trace, byte for byte."""
     script = script if script is not None else draw(seed)
     began = time.perf_counter()
     loop = VirtualLoop(seed)
-    world = World(script, seed, loop, keep)
-    log = _Log(world)
+    world = World(script, seed, loop, keep_trace)
+    log = _TraceLogHandler(world)
     root = logging.getLogger("corkshift")
     level, root.propagate = root.level, False
     root.setLevel(logging.INFO)
@@ -939,11 +949,11 @@
         main = loop.create_task(world.play())
         loop.run_until_complete(main)
     except (Deadlock, Livelock) as error:
-        world.rules.broken("no standstill", str(error))
+        world.rules.report("no standstill", str(error))
     except (
         Exception
     ) as error:  # the world itself: told as a failure of its seed, so that the others go on
-        world.rules.exceptional("world", f"{type(error).__name__}: {error}")
+        world.rules.report_exception("world", f"{type(error).__name__}: {error}")
     finally:
         root.removeHandler(log)
         root.setLevel(level)
@@ -969,11 +979,11 @@
         loop.steps,
         world.demands,
         world.supply,
-        world.good,
+        world.served_in_time,
         world.trace.lines,
         world.rules.leases,
-        world.rules.most_held,
+        world.rules.max_held,
         *world.tier_at_end,
-        world.rules.usual(),
+        world.rules.primary_box_share(),
         world.book.fetches,
     )
--- a/testbed/nights/traffic.py
+++ b/testbed/nights/traffic.py
@@ -19,21 +19,23 @@
 
     requests: int = 0  # of clients, repeats of theirs counted anew
     attempts: int = 0
-    again: int = 0  # attempts beyond a request's first, second requests and repeats together
+    repeated_attempts: int = (
+        0  # attempts beyond a request's first, second requests and repeats together
+    )
     handshakes: int = 0  # connections that nodes opened to boxes
-    lost_dials: int = 0  # and began in vain
-    idle_most: int = 0  # the most that were open at once to boxes and carried no request
-    lists: int = 0  # connections to discovery, one for each call or watch
-    lists_most: int = 0  # the most of them within one second
+    failed_dials: int = 0  # and began in vain
+    max_idle_connections: int = 0  # the most that were open at once to boxes and carried no request
+    discovery_connections: int = 0  # connections to discovery, one for each call or watch
+    max_discovery_connections_per_s: int = 0  # the most of them within one second
     refused: int = 0
     failed: int = 0
 
-    def share(self, count: int) -> float:
+    def per_request(self, count: int) -> float:
         """A count for each request of a client."""
         return count / max(1, self.requests)
 
 
-def counted(lines: Iterable[str]) -> Traffic:
+def count_traffic(lines: Iterable[str]) -> Traffic:
     """Go through the lines of a trace (testbed/nights/simulation.py) once."""
     t = Traffic()
     open_at: set[tuple[str, str]] = set()  # node's end, box's end
@@ -57,7 +59,7 @@
                 carrying -= out.pop(words[3], 0)
         elif who[0] == "n" and what == "sends":
             t.attempts += 1
-            t.again += words[3] in sent
+            t.repeated_attempts += words[3] in sent
             sent.add(words[3])
             out[words[3]] += 1
             carrying += 1
@@ -69,23 +71,23 @@
         elif who[0] == "n" and len(words) == 5 and words[4].startswith(BOX_HOSTS):
             end = words[3], words[4]
             if what == "dial":
-                t.lost_dials += 1
+                t.failed_dials += 1
             elif what == "open":
                 t.handshakes += 1
-                t.lost_dials -= 1
+                t.failed_dials -= 1
                 open_at.add(end)
             elif what in ("close", "abort", "reset"):
                 open_at.discard(end)
-            t.idle_most = max(t.idle_most, len(open_at) - max(0, carrying))
+            t.max_idle_connections = max(t.max_idle_connections, len(open_at) - max(0, carrying))
         elif (
             who[0] == "n"
             and what == "dial"
             and len(words) == 5
             and words[4].startswith(DISCOVERY_HOSTS)
         ):
-            t.lists += 1
+            t.discovery_connections += 1
             calls.append(at_us)
             while calls[0] < at_us - 1_000_000:
                 calls.popleft()
-            t.lists_most = max(t.lists_most, len(calls))
+            t.max_discovery_connections_per_s = max(t.max_discovery_connections_per_s, len(calls))
     return t
--- a/testbed/tier/books.py
+++ b/testbed/tier/books.py
@@ -10,9 +10,9 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from testbed.nights.rules import CHANCE, FALL_MULTIPLE, FALL_US
+from testbed.nights.rules import COLD_BUDGET_SLACK, COLD_BUDGET_WINDOW_US, FALL_MULTIPLE
 
-FALL_MS = FALL_US / 1000.0
+FALL_MS = COLD_BUDGET_WINDOW_US / 1000.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -99,7 +99,7 @@
             while self.got[first][0] < at - FALL_MS:
                 total -= self.got[first][1]
                 first += 1
-            budget = FALL_MULTIPLE * self.capacity(at) * self.speed * FALL_MS * CHANCE
+            budget = FALL_MULTIPLE * self.capacity(at) * self.speed * FALL_MS * COLD_BUDGET_SLACK
             worst = max(worst, total / budget)
         return worst
 
--- a/testbed/tier/processes.py
+++ b/testbed/tier/processes.py
@@ -30,8 +30,8 @@
 
 from corkshift.seam import Address, now_ms
 from forkweir.tier.lending import WHOLE
-from testbed.nights.script import BETWEEN, Fault, Script, each
-from testbed.nights.simulation import JUNK as SMALL_JUNK
+from testbed.nights.script import NET_KINDS, Fault, Script, split_by_node
+from testbed.nights.simulation import MALFORMED_DATAGRAMS as SMALL_JUNK
 from testbed.nights.simulation import tier_table
 from testbed.systems.clients import (
     CLASSES,
@@ -59,7 +59,7 @@
 PR_SET_PDEATHSIG = 1
 MOST_TOLD = 20_000  # leases that the report lists: from when, until when (s), who, bound, parts
 PLAYED = {
-    *BETWEEN, "peer_junk", "node_kill", "node_pause", "node_term", "node_hup", "node_join", "node_other", "box_quick_restart", "box_kill",
+    *NET_KINDS, "peer_junk", "node_kill", "node_pause", "node_term", "node_hup", "node_join", "node_other", "box_quick_restart", "box_kill",
     "box_slow", "box_errors", "box_turn_away", "book_slow", "book_down", "load_step", "flush", "discovery_silent", "discovery_down",
 }  # fmt: skip
 
@@ -414,7 +414,7 @@
             if w.tier != "off":
                 self._spawn(self._look())
             for fault in self.script.fault:
-                for one in each(fault):
+                for one in split_by_node(fault):
                     self._spawn(self._at(one.at_ms, self._fault, one))
             assert self.clients is not None
             await self.clients.run(w.seconds)
--- a/testbed/tier/virtual.py
+++ b/testbed/tier/virtual.py
@@ -25,11 +25,11 @@
         "usual": round(result.usual, 4),
         "fetches": result.fetches,
         "leases": result.leases,
-        "most_held": {str(bound): parts for bound, parts in sorted(result.most_held.items())},
+        "most_held": {str(bound): parts for bound, parts in sorted(result.max_held.items())},
         "whole": WHOLE,
         "trace": result.digest,
         "cold": {},
         "members": result.members,
-        "keepers": result.keepers,
+        "keepers": result.leaders,
         "notes": [(round(fault.at_ms / 1000.0, 3), f"{fault.kind} {fault.nodes or fault.target}") for fault in script.fault],
     }  # fmt: skip
--- a/tests/test_lost_lines.py
+++ b/tests/test_lost_lines.py
@@ -205,7 +205,7 @@
     world = World(
         seconds=3.0, nodes=1, boxes=3, requests_per_s=150.0, keys=20, latency_us=50, jitter_us=0
     )
-    result = simulation.run(7, Script(world=world, fault=[refused, *faults]), keep=True)
+    result = simulation.run(7, Script(world=world, fault=[refused, *faults]), keep_trace=True)
     assert not result.failures
     assert any("held back until a whole list comes: s1" in line for line in result.lines)
 
--- a/tests/testbed/test_call_faults.py
+++ b/tests/testbed/test_call_faults.py
@@ -8,7 +8,7 @@
 
 from testbed.machine.faults import TABLE, Call, CallFaults
 from testbed.nights import simulation
-from testbed.nights.script import CALLS_FROM, draw
+from testbed.nights.script import SYSTEM_CALLS_FIRST_SEED, draw
 
 # Accepting that went on without a pause while each accept failed with ECONNABORTED, and calls of every other kind.
 ONCE_FAILED = (3, 4, 22, 56, 76, 121, 138)
@@ -34,7 +34,7 @@
     drawn = {
         int(fault.value)
         for n in range(400)
-        for fault in draw(CALLS_FROM + n).fault
+        for fault in draw(SYSTEM_CALLS_FIRST_SEED + n).fault
         if fault.kind == "node_calls"
     }
     assert drawn == set(range(len(TABLE)))
@@ -42,4 +42,9 @@
 
 @pytest.mark.parametrize("n", ONCE_FAILED)
 def test_a_night_on_which_calls_fail_keeps_every_rule(n: int) -> None:
-    assert simulation.run(CALLS_FROM - 1 + n, draw(CALLS_FROM - 1 + n)).failures == []
+    assert (
+        simulation.run(
+            SYSTEM_CALLS_FIRST_SEED - 1 + n, draw(SYSTEM_CALLS_FIRST_SEED - 1 + n)
+        ).failures
+        == []
+    )
--- a/tests/testbed/test_fleet.py
+++ b/tests/testbed/test_fleet.py
@@ -7,9 +7,9 @@
 import pytest
 
 from forkweir.limits.savings import BANK, ERRORS, REPEATS
-from testbed.nights.fleets import ALL, BOXES, NODES, night
+from testbed.nights.fleets import BOXES, NODES, SCENARIOS, scenario_script
 from testbed.nights.simulation import Result, run
-from testbed.nights.traffic import Traffic, counted
+from testbed.nights.traffic import Traffic, count_traffic
 
 SEED = 7  # not one that `python -m benchmarks.fleet` plays
 IN_TIME = {
@@ -25,11 +25,13 @@
 
 @cache
 def play(name: str) -> tuple[Result, Traffic]:
-    result = run(SEED, night(name, SEED, requests_per_s=240.0, seconds=4.5), keep=True)
-    return result, counted(result.lines)
+    result = run(
+        SEED, scenario_script(name, SEED, requests_per_s=240.0, seconds=4.5), keep_trace=True
+    )
+    return result, count_traffic(result.lines)
 
 
-@pytest.mark.parametrize("name", ALL)
+@pytest.mark.parametrize("name", SCENARIOS)
 def test_a_fleet_bears_what_fails_at_once(name: str) -> None:
     result, traffic = play(name)
     figures = result.figures
@@ -39,10 +41,10 @@
     lives = NODES * (
         2 if name in ("herd", "together") else 1
     )  # a node that starts anew has savings anew
-    assert traffic.again <= (REPEATS + ERRORS) * traffic.requests + 2.0 * BANK * lives
+    assert traffic.repeated_attempts <= (REPEATS + ERRORS) * traffic.requests + 2.0 * BANK * lives
     # Nobody calls discovery in step: in no second more often than each node once, and a node that was killed once more.
-    assert traffic.lists_most <= NODES * 1.1
-    assert traffic.idle_most <= NODES * BOXES / 2
+    assert traffic.max_discovery_connections_per_s <= NODES * 1.1
+    assert traffic.max_idle_connections <= NODES * BOXES / 2
 
 
 def test_the_list_is_kept_and_bad_lists_are_logged_at_a_bounded_rate() -> None:
@@ -67,13 +69,25 @@
 0001300100 client gets x2 502 9
 0003000000 n0 dial 127.1.0.1:4 127.4.0.2:8500
 """.splitlines()
-    got = counted(lines)
-    assert (got.requests, got.attempts, got.again, got.refused, got.failed) == (2, 2, 1, 1, 1)
-    assert (got.handshakes, got.lost_dials, got.idle_most, got.lists, got.lists_most) == (
+    got = count_traffic(lines)
+    assert (got.requests, got.attempts, got.repeated_attempts, got.refused, got.failed) == (
+        2,
+        2,
+        1,
+        1,
+        1,
+    )
+    assert (
+        got.handshakes,
+        got.failed_dials,
+        got.max_idle_connections,
+        got.discovery_connections,
+        got.max_discovery_connections_per_s,
+    ) == (
         1,
         1,
         1,
         3,
         2,
     )
-    assert got.share(got.again) == 0.5
+    assert got.per_request(got.repeated_attempts) == 0.5
--- a/tests/testbed/test_hard_cases.py
+++ b/tests/testbed/test_hard_cases.py
@@ -30,7 +30,7 @@
 
 def good(script: Script, seed: int = 1) -> Result:
     """Play a script that breaks no rule."""
-    result = run(seed, script, keep=True)
+    result = run(seed, script, keep_trace=True)
     assert result.failures == []
     return result
 
@@ -235,7 +235,7 @@
             Script(
                 world=World(seconds=1.5, nodes=1, boxes=3, requests_per_s=150.0, latency_us=2_000)
             ),
-            keep=True,
+            keep_trace=True,
         )
         assert result.failures == []
         left = {line.split()[-1] for line in result.lines if " client leaves " in line}
--- a/tests/testbed/test_oracle.py
+++ b/tests/testbed/test_oracle.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from testbed.nights.oracle import SLICE_MS, Demand, Supply, served_at_most, worth_at_most
+from testbed.nights.oracle import SLICE_MS, Demand, Supply, max_served, max_value
 from testbed.nights.script import Fault, Script, World
 from testbed.nights.simulation import run
 
@@ -12,7 +12,7 @@
 def steady(work: float, slices: int, fetches: float = 1.0) -> Supply:
     supply = Supply()
     for n in range(slices):
-        supply.note(n * SLICE_MS, work, fetches)
+        supply.add_sample(n * SLICE_MS, work, fetches)
     return supply
 
 
@@ -21,24 +21,24 @@
 
 
 def test_what_fits_is_all_served_and_what_does_not_is_cut_to_the_capacity() -> None:
-    assert served_at_most(reads(15), steady(1.0, 5)) == pytest.approx({"read": 15.0})
-    assert served_at_most(reads(100), steady(1.0, 5)) == pytest.approx({"read": 20.0})
-    assert served_at_most([], steady(1.0, 5)) == {}
+    assert max_served(reads(15), steady(1.0, 5)) == pytest.approx({"read": 15.0})
+    assert max_served(reads(100), steady(1.0, 5)) == pytest.approx({"read": 20.0})
+    assert max_served([], steady(1.0, 5)) == {}
 
 
 def test_what_is_worth_more_comes_first_and_writes_need_places_of_the_order_book() -> None:
-    served = served_at_most(reads(50) + reads(50, 8.0, "order", True), steady(1.0, 5, 0.05))
+    served = max_served(reads(50) + reads(50, 8.0, "order", True), steady(1.0, 5, 0.05))
     assert served == pytest.approx({"order": 10.0, "read": 10.0})
 
 
 def test_a_slice_without_a_sample_is_like_the_one_before() -> None:
     supply = steady(2.0, 1)
-    assert supply.of(7) == (200.0, 100.0) and Supply().of(3) == (0.0, 0.0)
+    assert supply.slice_capacity(7) == (200.0, 100.0) and Supply().slice_capacity(3) == (0.0, 0.0)
 
 
 def test_no_night_serves_more_than_its_bound_and_a_calm_one_serves_nearly_that() -> None:
     calm = run(3, Script(world=World(seconds=2.0)))
-    most = sum(served_at_most(calm.demands, calm.supply).values())
+    most = sum(max_served(calm.demands, calm.supply).values())
     assert most == pytest.approx(calm.figures.first_tries)
     assert calm.figures.good_tries > 0.93 * most  # some clients leave
     cold = [Fault(at_ms=300.0, kind="box_quick_restart", target=n) for n in range(2)]
@@ -48,28 +48,28 @@
             world=World(seconds=4.0, nodes=1, boxes=2, cores=1, requests_per_s=150.0), fault=cold
         ),
     )
-    most = sum(served_at_most(hard.demands, hard.supply).values())
+    most = sum(max_served(hard.demands, hard.supply).values())
     assert 0.3 * most < hard.figures.good_tries < most < 0.6 * hard.figures.first_tries
 
 
 def test_worth_for_work_prefers_no_cheap_requests_and_knows_the_order_book() -> None:
     heavy = [Demand(0.0, "read", 40.0, 199.0, 3.0, False) for _ in range(10)]
-    best = worth_at_most(
+    best = max_value(
         heavy + reads(40), steady(1.0, 5)
     )  # 200 ms of work fit, whichever requests they are
-    assert best.total == pytest.approx(3.0 * 200.0) and best.by_lane == pytest.approx(
+    assert best.total == pytest.approx(3.0 * 200.0) and best.by_class == pytest.approx(
         {"read": 600.0}
     )
     orders = reads(50, 8.0, "order", True)
-    best = worth_at_most(reads(50) + orders, steady(1.0, 5, 0.05))  # ten places of the order book
-    assert best.by_lane == pytest.approx({"order": 8.0 * 100.0, "read": 3.0 * 100.0})
+    best = max_value(reads(50) + orders, steady(1.0, 5, 0.05))  # ten places of the order book
+    assert best.by_class == pytest.approx({"order": 8.0 * 100.0, "read": 3.0 * 100.0})
     late = [Demand(300.0, "read", 10.0, 99.0, 3.0, False)]
-    assert worth_at_most(late, steady(1.0, 5)).by_slice == pytest.approx([0.0, 0.0, 0.0, 30.0])
-    assert worth_at_most([], steady(1.0, 5)).total == 0.0
+    assert max_value(late, steady(1.0, 5)).by_slice == pytest.approx([0.0, 0.0, 0.0, 30.0])
+    assert max_value([], steady(1.0, 5)).total == 0.0
 
 
 def test_no_night_has_more_worth_than_its_bound() -> None:
     night = run(5, Script(world=World(seconds=3.0, boxes=2, cores=1, requests_per_s=300.0)))
-    best = worth_at_most(night.demands, night.supply)
-    assert 0.3 * best.total < night.worth < best.total < sum(d.value for d in night.demands)
+    best = max_value(night.demands, night.supply)
+    assert 0.3 * best.total < night.served_value < best.total < sum(d.value for d in night.demands)
     assert sum(best.by_slice) == pytest.approx(best.total)
--- a/tests/testbed/test_simulation.py
+++ b/tests/testbed/test_simulation.py
@@ -10,8 +10,8 @@
 import pytest
 
 from testbed.nights.defects import DEFECTS
-from testbed.nights.explore import explore, kind_of, play, shrink
-from testbed.nights.script import BadScript, Fault, Script, World, draw, parse_script, written
+from testbed.nights.explore import explore, play, shrink, violated_rule
+from testbed.nights.script import Fault, InvalidScript, Script, World, draw, parse_script, to_toml
 from testbed.nights.show import timeline
 from testbed.nights.simulation import run
 
@@ -113,10 +113,10 @@
 
 
 def test_the_same_seed_is_the_same_text_with_other_work_beside_it() -> None:
-    alone = run(7, keep=True).lines
+    alone = run(7, keep_trace=True).lines
     assert len(alone) > 100
     busy = [summary.digest for summary in explore([7] * (2 * JOBS), JOBS)]
-    assert set(busy) == {run(7).digest} and run(7, keep=True).lines == alone
+    assert set(busy) == {run(7).digest} and run(7, keep_trace=True).lines == alone
 
 
 def test_no_seed_breaks_a_rule() -> None:
@@ -140,7 +140,7 @@
     seed, rule = FOUND[name]
     assert any(seed in seeds for seeds in (MANY, HARD, TOLD, SOURCED, LEAVING))
     summary = play(seed, name, SCRIPTS.get(name))
-    assert rule in {kind_of(failure) for failure in summary.failures}
+    assert rule in {violated_rule(failure) for failure in summary.failures}
     assert play(seed, script=SCRIPTS.get(name)).failures == ()  # the night is a good one without it
 
 
@@ -169,35 +169,35 @@
         ],
     )
     name = "drops-what-is-held-at-a-drain"
-    wanted = kind_of(play(5, name, script).failures[0])
+    wanted = violated_rule(play(5, name, script).failures[0])
     small, runs = shrink(
         5, script, wanted, lambda seed, candidate: play(seed, name, candidate).failures
     )
     assert [fault.kind for fault in small.fault] == ["node_term"] and runs > 3
-    assert wanted in {kind_of(failure) for failure in play(5, name, small).failures}
+    assert wanted in {violated_rule(failure) for failure in play(5, name, small).failures}
 
 
 def test_a_script_is_read_back_as_it_was_written() -> None:
     for seed in range(50):
-        assert parse_script(written(draw(seed)).encode()) == draw(seed)
+        assert parse_script(to_toml(draw(seed)).encode()) == draw(seed)
 
 
 def test_faults_of_a_script_are_all_named() -> None:
     text = b'[world]\nnodes = 1\nseconds = 0\n[[fault]]\nat_ms = 5\nkind = "box_melt"\n[[fault]]\nkind = "node_kill"\ntarget = 1\nx = 1\n'
-    with pytest.raises(BadScript) as caught:
+    with pytest.raises(InvalidScript) as caught:
         parse_script(text)
-    assert [fault.path for fault in caught.value.faults] == [
+    assert [fault.path for fault in caught.value.errors] == [
         "world.seconds",
         "fault[0].kind",
         "fault[1].x",
         "fault[1].at_ms",
     ]
-    with pytest.raises(BadScript, match=r"fault\[0\].target: the world has only 1 of them"):
+    with pytest.raises(InvalidScript, match=r"fault\[0\].target: the world has only 1 of them"):
         parse_script(b'[world]\nnodes = 1\n[[fault]]\nat_ms = 1\nkind = "node_kill"\ntarget = 1\n')
 
 
 def test_a_timeline_names_one_request() -> None:
-    lines = run(3, Script(world=World(seconds=0.5)), keep=True).lines
+    lines = run(3, Script(world=World(seconds=0.5)), keep_trace=True).lines
     shown = list(timeline(lines, "x2"))
     assert shown and all(" x2" in line for line in shown) and len(shown) < len(lines)
     assert len(list(timeline(lines))) == len(lines)
--- a/tests/tier/test_processes.py
+++ b/tests/tier/test_processes.py
@@ -16,7 +16,7 @@
 
 from forkweir.tier.lending import WHOLE
 from testbed.nights.rules import Rules
-from testbed.nights.script import BadScript, Script, parse_script
+from testbed.nights.script import InvalidScript, Script, parse_script
 from testbed.tier.books import ColdBox, Span, at_time, most_held, spans_of
 from testbed.tier.defects import planted
 from testbed.tier.processes import Rig, Unplayable, run
@@ -102,13 +102,13 @@
     night = NIGHT.replace(b'tier = "on"', b'tier = "on"\ntier_period_ms = 100.0') % (CROWD + other)
     world = parse_script(night)
     taken: list[float] = []
-    usual = Rules._shares
+    usual = Rules._check_shares
 
     def shares(self: Rules, bound: int) -> None:
         taken.append(self._now() / 1e6)
         usual(self, bound)
 
-    with patch.object(Rules, "_shares", shares):
+    with patch.object(Rules, "_check_shares", shares):
         report = run_virtual(world, 2)
     assert report["failures"] == [] and len(report["keepers"]) == 1
     assert [at for at in taken if at < 3.0] and [at for at in taken if at > 7.5]
@@ -128,7 +128,7 @@
     ],
 )
 def test_a_script_that_makes_no_sense_is_told_so(fault: bytes, what: str) -> None:
-    with pytest.raises(BadScript, match=what.replace("[", r"\[")):
+    with pytest.raises(InvalidScript, match=what.replace("[", r"\[")):
         script(fault)
 
 
