--- a/testbed/cli.py
+++ b/testbed/cli.py
@@ -24,7 +24,7 @@
     """Whole nights on a virtual clock and network, the same every time."""
 
 
-class _Unusable(Exception):
+class _InvalidArguments(Exception):
     """The arguments are of no use."""
 
 
@@ -35,7 +35,7 @@
     def guarded(*args: P.args, **kwargs: P.kwargs) -> int:
         try:
             return body(*args, **kwargs)
-        except (_Unusable, InvalidScript) as error:
+        except (_InvalidArguments, InvalidScript) as error:
             print(f"gradeshift sim: {error}", file=sys.stderr)
         except OSError as error:
             print(f"gradeshift sim: {error.filename}: {error.strerror}", file=sys.stderr)
@@ -44,7 +44,7 @@
     return guarded
 
 
-def _known(context: click.Context, parameter: click.Parameter, name: str) -> str:
+def _check_defect_name(context: click.Context, parameter: click.Parameter, name: str) -> str:
     """The name of a deliberate defect, or none."""
     if name:
         from testbed.nights.defects import DEFECTS
@@ -68,7 +68,7 @@
     "--defect",
     default="",
     metavar="NAME",
-    callback=_known,
+    callback=_check_defect_name,
     help="Put a deliberate defect into the node (testbed/nights/defects.py).",
 )
 
@@ -108,13 +108,13 @@
         f"failed {figures.failed}, no answer {figures.unanswered}, left {figures.left}",
         file=out,
     )
-    print(_against_the_bound(result), file=out)
+    print(_compare_with_bound(result), file=out)
     for failure in result.failures:
         print(f"BROKEN {failure}", file=out)
     return 1 if result.failed else 0
 
 
-def _against_the_bound(result: Result) -> str:
+def _compare_with_bound(result: Result) -> str:
     """What was served in time beside the most that could have been (testbed/nights/oracle.py)."""
     from testbed.nights.oracle import max_served, max_value
 
@@ -132,17 +132,17 @@
 
 
 @sim.command("explore")
-@click.option("--seeds", "span", required=True, metavar="A-B", help="Both included.")
+@click.option("--seeds", "seed_range", required=True, metavar="A-B", help="Both included.")
 @click.option("--jobs", type=int, default=1, metavar="J")
 @_defect
 @_action
-def _explore(span: str, jobs: int, defect: str) -> int:
+def _explore(seed_range: str, jobs: int, defect: str) -> int:
     """Many seeds; exits with 1 where one fails."""
     from testbed.nights.explore import explore, parse_seed_range, replay_command
 
-    seeds = parse_seed_range(span)
+    seeds = parse_seed_range(seed_range)
     if not seeds or jobs < 1:
-        raise _Unusable("--seeds wants A-B with A no greater than B, and --jobs at least 1")
+        raise _InvalidArguments("--seeds wants A-B with A no greater than B, and --jobs at least 1")
     began = last = time.monotonic()
     failed = asked = 0
     virtual = 0.0
@@ -177,22 +177,23 @@
     from testbed.nights.explore import play, shrink, violated_rule
     from testbed.nights.script import draw
 
-    night = _script(script) or draw(seed)
-    failures = play(seed, defect, night).failures
+    scenario = _script(script) or draw(seed)
+    failures = play(seed, defect, scenario).failures
     if not failures:
         print(f"seed {seed} breaks no rule", file=sys.stderr)
         return 1
     wanted = violated_rule(failures[0])
-    small, runs = shrink(
-        seed, night, wanted, lambda seed, candidate: play(seed, defect, candidate).failures
+    smallest, runs = shrink(
+        seed, scenario, wanted, lambda seed, candidate: play(seed, defect, candidate).failures
     )
-    text = f"# seed {seed} breaks: {wanted}\n" + to_toml(small)
+    text = f"# seed {seed} breaks: {wanted}\n" + to_toml(smallest)
     if to:
         Path(to).write_text(text)
     else:
         print(text, end="")
     print(
-        f"{len(night.fault)} faults before, {len(small.fault)} after {runs} runs", file=sys.stderr
+        f"{len(scenario.fault)} faults before, {len(smallest.fault)} after {runs} runs",
+        file=sys.stderr,
     )
     return 0
 
--- a/testbed/nights/defects.py
+++ b/testbed/nights/defects.py
@@ -28,14 +28,14 @@
 DEFECTS: dict[str, tuple[str, Callable[[], list[Patch]]]] = {}
 
 
-def defect(what: str) -> Callable[[Callable[[], list[Patch]]], Callable[[], list[Patch]]]:
+def defect(description: str) -> Callable[[Callable[[], list[Patch]]], Callable[[], list[Patch]]]:
     """Register a defect under its function's name."""
 
-    def take(function: Callable[[], list[Patch]]) -> Callable[[], list[Patch]]:
-        DEFECTS[function.__name__.replace("_", "-")] = (what, function)
+    def register(function: Callable[[], list[Patch]]) -> Callable[[], list[Patch]]:
+        DEFECTS[function.__name__.replace("_", "-")] = (description, function)
         return function
 
-    return take
+    return register
 
 
 def _ignores_bounds(self: SendGuard, state: SendState, now: float) -> Denial | None:
@@ -75,11 +75,11 @@
 def ignores_a_drain() -> list[Patch]:
     take = Fleet.take
 
-    def deaf(self: Any, now: float, entries: Any, full: bool, whole: bool = True) -> None:
+    def without_drains(self: Any, now: float, entries: Any, full: bool, whole: bool = True) -> None:
         take(self, now, [entry for entry in entries if entry.state == "in"], False, whole)
 
     return [
-        (Fleet, "take", deaf),
+        (Fleet, "take", without_drains),
         (AddressBook, "_leave", lambda self, name, gone: None),
         (SendGuard, "check", _ignores_bounds),
     ]
@@ -300,10 +300,10 @@
     "what a cold server is allowed is not looked at for a repeat or a second request, nor paid for it"
 )
 def forgets_the_allowance_of_a_repeat() -> list[Patch]:
-    room, send = Balancer._has_room, Balancer._send
+    has_capacity, send = Balancer._has_room, Balancer._send
 
     def has_room(self: Any, member: Any, request: Any, now: float) -> bool:
-        return request.tries > 0 or room(self, member, request, now)
+        return request.tries > 0 or has_capacity(self, member, request, now)
 
     def sends(self: Any, request: Any, member: Any, now: float) -> Any:
         account = member.account
@@ -319,7 +319,7 @@
 
 @defect("after a node has stood still, what it held back goes to a cold server as if it were warm")
 def lets_out_what_a_pause_held() -> list[Patch]:
-    room = Balancer._has_room
+    has_capacity = Balancer._has_room
 
     def has_room(self: Any, member: Any, request: Any, now: float) -> bool:
         account = member.account
@@ -327,7 +327,7 @@
             account.level += (
                 self.allowances.reference(self.fleet.weight) * 2_000.0
             )  # ms: the time of the rule
-        return room(self, member, request, now)
+        return has_capacity(self, member, request, now)
 
     def has(
         self: Allowances, account: Account, rate: float, cost: float, worth: float, now: float
@@ -360,7 +360,9 @@
 def asks_dns_about_a_drain() -> list[Patch]:
     box = Membership._box
 
-    def deaf(self: Any, address: Any, names: Any, now: float, last: bool, taken: Any) -> Any:
+    def without_drains(
+        self: Any, address: Any, names: Any, now: float, last: bool, taken: Any
+    ) -> Any:
         found = box(self, address, names, now, last, taken)
         if (
             found is not None
@@ -370,4 +372,4 @@
             return replace(found, server=replace(found.server, state="in"))
         return found
 
-    return [(Membership, "_box", deaf)]
+    return [(Membership, "_box", without_drains)]
--- a/testbed/nights/explore.py
+++ b/testbed/nights/explore.py
@@ -73,7 +73,7 @@
 
 
 def shrink(
-    seed: int, script: Script, wanted: str, fails: Callable[[int, Script], tuple[str, ...]]
+    seed: int, script: Script, rule: str, play_script: Callable[[int, Script], tuple[str, ...]]
 ) -> tuple[Script, int]:
     """The smallest script that still breaks the wanted rule (delta debugging, Zeller and Hildebrandt 2002), and how many runs it took.
 
@@ -81,35 +81,35 @@
     """
     runs = 0
 
-    def holds(candidate: Script) -> bool:
+    def still_fails(candidate: Script) -> bool:
         nonlocal runs
         if runs >= MAX_SHRINK_RUNS:
             return False
         runs += 1
-        return any(violated_rule(failure) == wanted for failure in fails(seed, candidate))
+        return any(violated_rule(failure) == rule for failure in play_script(seed, candidate))
 
-    script = _remove_faults(script, holds)
+    script = _remove_faults(script, still_fails)
     changed = True
     while changed and runs < MAX_SHRINK_RUNS:
         changed = False
         for candidate in _simplified_scripts(script):
-            if holds(candidate):
+            if still_fails(candidate):
                 script, changed = candidate, True
                 break
     return script, runs
 
 
-def _remove_faults(script: Script, holds: Callable[[Script], bool]) -> Script:
+def _remove_faults(script: Script, still_fails: Callable[[Script], bool]) -> Script:
     """ddmin over the faults."""
     faults, parts = list(script.fault), 2
-    if faults and holds(msgspec.structs.replace(script, fault=[])):
+    if faults and still_fails(msgspec.structs.replace(script, fault=[])):
         return msgspec.structs.replace(script, fault=[])
     while len(faults) >= 2:
         size = max(1, len(faults) // parts)
         for at in range(0, len(faults), size):
-            rest = faults[:at] + faults[at + size :]
-            if rest and holds(msgspec.structs.replace(script, fault=rest)):
-                faults, parts = rest, max(2, parts - 1)
+            remaining = faults[:at] + faults[at + size :]
+            if remaining and still_fails(msgspec.structs.replace(script, fault=remaining)):
+                faults, parts = remaining, max(2, parts - 1)
                 break
         else:
             if size == 1:
@@ -147,13 +147,13 @@
         {"bandwidth": 0},
         {"keys": max(1, world.keys // 4)},
     ):
-        fresh: World = msgspec.structs.replace(world, **change)
-        if fresh != world:
-            yield msgspec.structs.replace(script, world=fresh)
+        smaller: World = msgspec.structs.replace(world, **change)
+        if smaller != world:
+            yield msgspec.structs.replace(script, world=smaller)
     for n, fault in enumerate(script.fault):
-        for less in _milder_faults(fault):
+        for milder in _milder_faults(fault):
             yield msgspec.structs.replace(
-                script, fault=[*script.fault[:n], less, *script.fault[n + 1 :]]
+                script, fault=[*script.fault[:n], milder, *script.fault[n + 1 :]]
             )
 
 
--- a/testbed/nights/oracle.py
+++ b/testbed/nights/oracle.py
@@ -99,9 +99,9 @@
     fits = [supply.slice_capacity(at) for at in range(slices)]
     limits = [1.0] * jobs + [work for work, _ in fits] + [writes for _, writes in fits]
     served: dict[str, float] = {}
-    for column, part in enumerate(_solve(gains, rows, columns, values, limits, 1.0)):
-        lane = demands[owner[column]].lane
-        served[lane] = served.get(lane, 0.0) + part
+    for column, fraction in enumerate(_solve(gains, rows, columns, values, limits, 1.0)):
+        class_name = demands[owner[column]].lane
+        served[class_name] = served.get(class_name, 0.0) + fraction
     return served
 
 
@@ -156,13 +156,13 @@
     gains: list[float] = []
     owners: list[tuple[int, str]] = []
     limits = [sum(d.work_ms for d in group) for group in groups.values()]
-    for n, ((first, lane), group) in enumerate(groups.items()):
+    for n, ((first, class_name), group) in enumerate(groups.items()):
         last = max(int((d.at_ms + d.aim_ms) / SLICE_MS) for d in group)
         heaviest = max(d.work_ms for d in group)  # the fewest writes for so much work
         for at in range(first, last + 1):
             column = len(gains)
             gains.append(-group[0].worth)
-            owners.append((first, lane))
+            owners.append((first, class_name))
             rows += (n, len(groups) + at)
             columns += (column, column)
             values += (1.0, 1.0)
@@ -172,11 +172,11 @@
                 values.append(1.0 / heaviest)
     fits = [supply.slice_capacity(at) for at in range(slices)]
     limits += [work for work, _ in fits] + [writes for _, writes in fits]
-    by_lane: dict[str, float] = {}
+    by_class: dict[str, float] = {}
     by_slice = [0.0] * slices
     for column, work in enumerate(_solve(gains, rows, columns, values, limits, None)):
-        first, lane = owners[column]
+        first, class_name = owners[column]
         value = -gains[column] * work
-        by_lane[lane] = by_lane.get(lane, 0.0) + value
+        by_class[class_name] = by_class.get(class_name, 0.0) + value
         by_slice[first] += value
-    return BestSchedule(by_lane, by_slice)
+    return BestSchedule(by_class, by_slice)
--- a/testbed/nights/rules.py
+++ b/testbed/nights/rules.py
@@ -156,31 +156,31 @@
 
     def record(self, txn: str) -> RequestRecord:
         """What is known of a request."""
-        got = self.records.get(txn)
-        if got is None:
-            got = self.records[txn] = RequestRecord()
-        return got
+        record = self.records.get(txn)
+        if record is None:
+            record = self.records[txn] = RequestRecord()
+        return record
 
     # -- clients -------------------------------------------------------------------------
 
     def asked(self, ask: Ask) -> None:
-        life = self.record(ask.txn)
-        life.ask, life.requested_us = ask, self._now()
+        record = self.record(ask.txn)
+        record.ask, record.requested_us = ask, self._now()
         self._trace(f"client asks {ask.txn} {ask.kind.name} {ask.key} of {ask.node}")
 
     def answered(self, ask: Ask, answer: Message) -> None:
-        life = self.record(ask.txn)
+        record = self.record(ask.txn)
         self._trace(f"client gets {ask.txn} {answer.status} {len(answer.body)}")
-        if life.answer is not None:
+        if record.answer is not None:
             self.report("one final answer", f"{ask.txn} is answered twice")
-        life.answer, life.answered_us = answer, self._now()
-        self._call_after_us(CLEANUP_US, self._check_nothing_running, ask, life.answered_us)
-        if answer.status == 200 and answer.body not in life.bodies:
+        record.answer, record.answered_us = answer, self._now()
+        self._call_after_us(CLEANUP_US, self._check_nothing_running, ask, record.answered_us)
+        if answer.status == 200 and answer.body not in record.bodies:
             self.report(
                 "one final answer",
                 f"{ask.txn} is served with what was not made for it: {answer.body[:40]!r}",
             )
-        may_have_run = [begun for begun in life.received if not begun.turned_away]
+        may_have_run = [begun for begun in record.received if not begun.turned_away]
         if answer.status in (429, 503) and ask.kind.repeat == "unsafe" and may_have_run:
             self.report(
                 "no effect twice",
@@ -211,13 +211,13 @@
                 )
 
     def ended(self, ask: Ask, how: str) -> bool:
-        life = self.record(ask.txn)
+        record = self.record(ask.txn)
         self._trace(f"client has no answer {ask.txn} {how}")
         if self.is_excused(ask):
             return False
         if how == "no answer":
             self.report("one final answer", f"{ask.txn} has none when its time is up")
-        elif life.sent:
+        elif record.sent:
             self.report(
                 "one final answer", f"{ask.txn} was sent on, and its connection ended: {how}"
             )
@@ -246,11 +246,11 @@
     # -- boxes ---------------------------------------------------------------------------
 
     def received(self, box: CacheBox, txn: str, method: str, work_ms: float) -> None:
-        life, now = self.record(txn), self._now()
+        record, now = self.record(txn), self._now()
         self._trace(f"{box.name} receives {txn}")
-        earlier = [begun for begun in life.received if not begun.turned_away]
-        life.received.append(SentAttempt(now, box.name))
-        kind = life.ask.kind if life.ask is not None else None
+        earlier = [begun for begun in record.received if not begun.turned_away]
+        record.received.append(SentAttempt(now, box.name))
+        kind = record.ask.kind if record.ask is not None else None
         if earlier and kind is not None and kind.repeat == "unsafe":
             self.report(
                 "no effect twice",
@@ -259,11 +259,11 @@
         if earlier and kind is not None and kind.repeat == "keyed":
             if now - earlier[0].at_us > 1000 * kind.window_ms + TIME_LIMIT_SLACK_US:
                 self.report("no effect twice", f"{txn} is sent to {box.name} after the window")
-        if method == "PUT" and life.ask is None and txn == "hidden":
+        if method == "PUT" and record.ask is None and txn == "hidden":
             self.report("no effect twice", "a hidden request was passed on")
-        if method == "GET" and life.ask is not None:
-            self.reads[life.ask.key][box.name] += 1
-        self._check_cold_budget(box, work_ms, now, life.sender)
+        if method == "GET" and record.ask is not None:
+            self.reads[record.ask.key][box.name] += 1
+        self._check_cold_budget(box, work_ms, now, record.sender)
 
     def primary_box_share(self) -> float:
         """The part of the reads that went to the box to which most of their key's went."""
@@ -327,7 +327,7 @@
         process = self.nodes.get(node)
         if process is None or not process.alive:
             return
-        there = set()
+        in_service = set()
         listed = self._listed[process]
         if full:
             listed.clear()
@@ -335,19 +335,19 @@
             address = str(entry["hostPort"])
             if entry["lifecycle"] == "in_service":
                 self._excluded_since.pop((process, address), None)
-                there.add(address)
+                in_service.add(address)
                 listed.add(address)
                 self._ever_listed[process].add(address)
-                known = process, address.partition(":")[0]
+                instance = process, address.partition(":")[0]
                 if not sound:
                     continue  # whoever reads such a line must not build on it, and may
                 if entry.get("startedAtMs"):
-                    self._started.add(known)
+                    self._started.add(instance)
                 else:
-                    self._started.discard(known)
+                    self._started.discard(instance)
         for entry in entries:
             address = str(entry["hostPort"])
-            if entry["lifecycle"] != "in_service" and address not in there:
+            if entry["lifecycle"] != "in_service" and address not in in_service:
                 if not sound and listed <= {address}:
                     continue  # a line that can't be read may not take the last server
                 listed.discard(address)
@@ -366,9 +366,9 @@
         """DNS gave a node records of these."""
         process = self.nodes.get(host)
         if process is not None:
-            heard = self._dns_answered.setdefault(process, {})
+            answered = self._dns_answered.setdefault(process, {})
             for address in addresses:
-                heard.setdefault(address, self._now())
+                answered.setdefault(address, self._now())
 
     def check_never_empty(self) -> None:
         """Rule 7, of every node that has further sources and has begun."""
@@ -378,25 +378,25 @@
             if any(server.leaving_ms is None for server in service.node.servers.values()):
                 self._empty_since.pop(process, None)
                 continue
-            heard = {
+            answered = {
                 a
                 for a, at in self._dns_answered.get(process, {}).items()
                 if self._now() - at > DNS_RETRY_US
             }
-            left = [
+            candidates = [
                 address
-                for address in self._ever_listed[process] | heard
+                for address in self._ever_listed[process] | answered
                 if (process, address) not in self._excluded_since
             ]
             since = self._empty_since.setdefault(process, self._now())
-            if not left:
+            if not candidates:
                 self._empty_since[process] = self._now()
             elif self._now() - since > DRAIN_GRACE_US and not process.stood_still(
                 since, self._now()
             ):
                 self.report(
                     "never empty",
-                    f"{process.name} has no server in service though {min(left)} was never taken away",
+                    f"{process.name} has no server in service though {min(candidates)} was never taken away",
                 )
 
     # -- the tier ------------------------------------------------------------------------
@@ -455,29 +455,29 @@
     def _on_attempt_sent(self, sock: VirtualSocket, txn: str, told_us: int) -> None:
         now, process = self._now(), sock.process
         assert process is not None
-        life = self.record(txn)
+        record = self.record(txn)
         box = self.boxes[sock.remote[0]]
-        life.sent.append(SentAttempt(now, box))
-        life.sender = process
-        self._trace(f"{process.name} sends {txn} to {box} #{len(life.sent)}")
+        record.sent.append(SentAttempt(now, box))
+        record.sender = process
+        self._trace(f"{process.name} sends {txn} to {box} #{len(record.sent)}")
         for ended_us, what in (
-            (life.answered_us, "its final answer"),
-            (life.left_us, "its client had left"),
+            (record.answered_us, "its final answer"),
+            (record.left_us, "its client had left"),
         ):
             if 0 <= ended_us < now - IN_TRANSIT_US and not process.hindered(ended_us, now):
                 self.report(
                     "nothing after the end", f"{process.name} sends {txn} to {box} after {what}"
                 )
-        if 0 <= life.left_us <= now - LEAVE_NOTICE_US:
-            late_ms = (now - life.left_us) / 1000
+        if 0 <= record.left_us <= now - LEAVE_NOTICE_US:
+            late_ms = (now - record.left_us) / 1000
             self.report(
                 "left while it waited",
                 f"{process.name} sends {txn} to {box} {late_ms:.0f} ms after its client left",
             )
-        if life.ask is not None and life.ask.budget_ms and life.requested_us >= 0:
-            left_us = life.requested_us + int(1000 * life.ask.budget_ms) - now
+        if record.ask is not None and record.ask.budget_ms and record.requested_us >= 0:
+            left_us = record.requested_us + int(1000 * record.ask.budget_ms) - now
             if told_us > max(1_000, left_us) + DEADLINE_SLACK_US and not process.stood_still(
-                life.requested_us, now
+                record.requested_us, now
             ):
                 self.report(
                     "deadline told",
@@ -535,13 +535,13 @@
         """Shortly after the last answer no timer of a request is left. timers: how many each process has."""
         for process in self.services:
             discovery = self.services[process].discovery
-            most = IDLE_TIMERS + (
+            allowed = IDLE_TIMERS + (
                 SOURCES_TIMERS if self.services[process].sources is not None else 0
             )
-            most += DISCOVERY_CALL_TIMERS * (len(discovery._calls) + len(discovery._fading))
-            most += (discovery.book._lapsing is not None) + bool(discovery.book._overruled)
-            most += self.services[process].tier is not None  # its tick
-            if process.state == "running" and timers.get(process, 0) > most:
+            allowed += DISCOVERY_CALL_TIMERS * (len(discovery._calls) + len(discovery._fading))
+            allowed += (discovery.book._lapsing is not None) + bool(discovery.book._overruled)
+            allowed += self.services[process].tier is not None  # its tick
+            if process.state == "running" and timers.get(process, 0) > allowed:
                 self.report("books", f"{process.name} at rest holds {timers[process]} timers")
 
     def check_idle(self, timers: dict[Owner, int]) -> None:
@@ -551,8 +551,8 @@
             if process.state != "running":
                 continue
             node = service.node
-            more = 0 if service.sources is None else 1 + AT_ONCE
-            left = {
+            extra_tasks = 0 if service.sources is None else 1 + AT_ONCE
+            remaining = {
                 "requests": len(node._calls),
                 "tries": len(node._tries),
                 "attempts": len(node._attempts) + len(node._running),
@@ -565,11 +565,11 @@
                     len(process.pending())
                     - 2
                     - min(FADING_MOST, len(service.discovery._fading))
-                    - more,
+                    - extra_tasks,
                 ),
                 "connections in use": service.pool.open - len(service.pool._idle),
             }
-            for what, count in left.items():
+            for what, count in remaining.items():
                 if count:
                     self.report("books", f"{process.name} at rest holds {count} {what}")
 
--- a/testbed/nights/simulation.py
+++ b/testbed/nights/simulation.py
@@ -160,14 +160,14 @@
     """All processes of a night on one virtual loop."""
 
     def __init__(self, script: Script, seed: int, loop: VirtualLoop, keep_trace: bool) -> None:
-        w = script.world
+        table = script.world
         self.script = script
-        self.classes = SITE_CLASSES if w.worths == "site" else CLASSES
+        self.classes = SITE_CLASSES if table.worths == "site" else CLASSES
         self.loop = loop
         self.rng = random.Random(f"world/{seed}")
         self.net = Network(loop, seed)
-        self.net.default.latency_us, self.net.default.jitter_us = w.latency_us, w.jitter_us
-        self.net.default.bandwidth = w.bandwidth
+        self.net.default.latency_us, self.net.default.jitter_us = table.latency_us, table.jitter_us
+        self.net.default.bandwidth = table.bandwidth
         self.trace = Trace(loop, keep_trace)
         self.rules = Rules(lambda: loop.now_us, self.trace.add, loop.after_us)
         self.rules.is_excused = self._is_excused
@@ -181,25 +181,25 @@
         self.box_processes: dict[int, Process] = {}
         self.registries: list[Registry] = []
         self.entries: dict[str, dict[str, object]] = {}
-        self._last_box_id = w.boxes
-        self._box_names = {n: f"s{n}" for n in range(w.boxes)}
+        self._last_box_id = table.boxes
+        self._box_names = {n: f"s{n}" for n in range(table.boxes)}
         self._killed_us: dict[str, int] = {}  # of a node: when it was last killed
         self._ended_us: dict[str, int] = {}  # or ended in order, which excuses nothing
         self._connections_broken_us: dict[
             str, list[int]
         ] = {}  # of a node: when client connections of its were broken by the network
         self.clients = Clients(
-            {f"n{n}": (self._node_host(n), NODE_PORT) for n in range(w.nodes)},
+            {f"n{n}": (self._node_host(n), NODE_PORT) for n in range(table.nodes)},
             self.rules,
             seed,
-            w.keys,
-            w.requests_per_s,
+            table.keys,
+            table.requests_per_s,
             classes=self.classes,
         )
-        self.clients.left_share, self.clients.leave_ms = w.leaving, w.leave_ms
+        self.clients.left_share, self.clients.leave_ms = table.leaving, table.leave_ms
         self.clients.leave_oddly, self.clients.leave_together_ms = (
-            w.leave_oddly,
-            w.leave_together_ms,
+            table.leave_oddly,
+            table.leave_together_ms,
         )
         self.clients.down = self._is_known_down
         self.clients.wanted = self._on_demand
@@ -263,9 +263,9 @@
         self, n: int, wall_offset_ms: float = 0.0, without_list: bool = False, extra_peers: int = 0
     ) -> None:
         """Start a node, or start it again with the list as it last was (blank: with none); others: so many more peers than there are."""
-        w, name = self.script.world, f"n{n}"
+        table, name = self.script.world, f"n{n}"
         process = self._new_process(name, self._node_host(n))
-        process.descriptors = w.descriptors
+        process.descriptors = table.descriptors
         process.wall_offset_ms = wall_offset_ms
         entries = [] if without_list else list(self.entries.values())
         known = {"generation": 1, "reset": True, "instances": entries}
@@ -274,28 +274,28 @@
             "listen": f"{process.host}:{NODE_PORT}",
             "discovery": "127.4.0.1:8500",
             "seed": f"{self.rng.getrandbits(48):x}",
-            "limits": {"cores": 1.0, "memory_mb": 64, "sockets": w.descriptors - 16},
+            "limits": {"cores": 1.0, "memory_mb": 64, "sockets": table.descriptors - 16},
             "known": known,
-            "settings": settings(self.classes, w.ask_within_ms),
+            "settings": settings(self.classes, table.ask_within_ms),
         }
-        if w.tier != "off":
+        if table.tier != "off":
             config |= neighbours(
                 config["settings"],
                 n,
-                [f"{self._node_host(m)}:{PEER_PORT}" for m in range(w.nodes + extra_peers)],
+                [f"{self._node_host(m)}:{PEER_PORT}" for m in range(table.nodes + extra_peers)],
             )
         process.files["config.json"] = json.dumps(config).encode()
         process.variables["PROXY_CONFIG"] = "config.json"
 
         sources: Optional[SourcesTable] = None
-        if w.sources == "dns":
+        if table.sources == "dns":
             names = [f"{host}:{port}" for host, port in RESOLVERS]
             sources = SourcesTable(
                 dns=DnsTable(service=SERVICE, resolvers=names, floor_s=0.3, ceiling_s=2.0)
             )
 
         async def program() -> None:
-            service = Service(load(seam.environ()), sources, tier=tier_table(w))
+            service = Service(load(seam.environ()), sources, tier=tier_table(table))
             self.rules.services[process] = service
             if service.tier is not None:
                 self.rules.on_tier_join(process, service.tier)
@@ -343,15 +343,15 @@
 
     def _is_excused(self, ask: Ask) -> bool:
         """Whether a request may go without answer: its node was killed or stood still, or the network broke its connection."""
-        life = self.rules.record(ask.txn)
-        since, now = life.requested_us - 2_000, self.loop.now_us
+        record = self.rules.record(ask.txn)
+        since, now = record.requested_us - 2_000, self.loop.now_us
         died = self._killed_us.get(ask.node, -1)
         if died >= since:
             return True
         process = self.nodes.get(ask.node)
         if process is None or process.stood_still(since, now):
             return True
-        if process.hindered(since, life.sent[0].at_us if life.sent else now):
+        if process.hindered(since, record.sent[0].at_us if record.sent else now):
             return True  # it stood in the backlog, where its time ran and nobody could know
         return any(at >= since for at in self._connections_broken_us.get(ask.node, ()))
 
@@ -382,34 +382,34 @@
 
     async def play(self) -> None:
         """Start everything, let clients ask while faults come, and read the books at the end."""
-        w = self.script.world
+        table = self.script.world
         self._start_server("book", self.book)
-        for n in range(w.boxes):
+        for n in range(table.boxes):
             self.start_box(n, f"s{n}", False)
             self.entries[f"s{n}"] = Registry.entry(f"s{n}", (self._box_host(n), BOX_PORT))
         for n in range(2):
             registry = _HostRegistry((f"127.4.0.{n + 1}", 8500), self.rules, self.entries)
             self.registries.append(registry)
             self._start_server(f"discovery{n}", registry)
-        if w.sources == "dns":
+        if table.sources == "dns":
             self._update_dns()
             for server in self.resolvers:
                 server.told = self._on_dns_answer
                 process = self._new_process(f"dns-{server.address[0]}", server.address[0])
                 process.start(server.run)
-        late = {
+        joining = {
             n
             for fault in self.script.fault
             if fault.kind == "node_join"
             for n in fault.nodes or [fault.target]
         }
-        for n in range(w.nodes):
-            if n not in late:
+        for n in range(table.nodes):
+            if n not in joining:
                 self.start_node(n)
         await asyncio.sleep(0.05)
         for fault in self.script.fault:
-            for one in split_by_node(fault):
-                self.loop.after_us(int(one.at_ms * 1000), self._apply_fault, one)
+            for part in split_by_node(fault):
+                self.loop.after_us(int(part.at_ms * 1000), self._apply_fault, part)
         self.client_process.start(self._run_clients)
         assert self.client_process.task is not None
         await self.client_process.task
@@ -936,7 +936,7 @@
 def run(seed: int, script: Optional[Script] = None, keep_trace: bool = False) -> Result:
     """Play one night. The same seed and script bring the same trace, byte for byte."""
     script = script if script is not None else draw(seed)
-    began = time.perf_counter()
+    started = time.perf_counter()
     loop = VirtualLoop(seed)
     world = World(script, seed, loop, keep_trace)
     log = _TraceLogHandler(world)
@@ -974,7 +974,7 @@
         digest,
         events,
         loop.now_us / 1e6,
-        time.perf_counter() - began,
+        time.perf_counter() - started,
         world.clients.figures,
         loop.steps,
         world.demands,
--- a/tests/testbed/test_oracle.py
+++ b/tests/testbed/test_oracle.py
@@ -16,8 +16,10 @@
     return supply
 
 
-def reads(count: int, worth: float = 3.0, lane: str = "read", write: bool = False) -> list[Demand]:
-    return [Demand(0.0, lane, 10.0, 199.0, worth, write) for _ in range(count)]
+def reads(
+    count: int, worth: float = 3.0, class_name: str = "read", write: bool = False
+) -> list[Demand]:
+    return [Demand(0.0, class_name, 10.0, 199.0, worth, write) for _ in range(count)]
 
 
 def test_what_fits_is_all_served_and_what_does_not_is_cut_to_the_capacity() -> None:
@@ -69,7 +71,12 @@
 
 
 def test_no_night_has_more_worth_than_its_bound() -> None:
-    night = run(5, Script(world=World(seconds=3.0, boxes=2, cores=1, requests_per_s=300.0)))
-    best = max_value(night.demands, night.supply)
-    assert 0.3 * best.total < night.served_value < best.total < sum(d.value for d in night.demands)
+    overload = run(5, Script(world=World(seconds=3.0, boxes=2, cores=1, requests_per_s=300.0)))
+    best = max_value(overload.demands, overload.supply)
+    assert (
+        0.3 * best.total
+        < overload.served_value
+        < best.total
+        < sum(d.value for d in overload.demands)
+    )
     assert sum(best.by_slice) == pytest.approx(best.total)
