--- a/testbed/nights/simulation.py
+++ b/testbed/nights/simulation.py
@@ -126,7 +126,7 @@
         self._keep = keep_lines
         self._hash = blake2b(digest_size=16)
 
-    def add(self, what: str) -> None:
+    def add_event(self, what: str) -> None:
         """Add one event."""
         line = f"{self._loop.now_us:010d} {what}\n"
         self.events += 1
@@ -150,7 +150,7 @@
         side = seam.SIDE.get()
         name = side.name if isinstance(side, Process) else "world"
         text = record.getMessage()
-        self._world.trace.add(f"{name} logs {record.levelname} {text}")
+        self._world.trace.add_event(f"{name} logs {record.levelname} {text}")
         if record.exc_info:
             error = record.exc_info[1]
             self._world.rules.report_exception(name, f"{text}: {type(error).__name__}: {error}")
@@ -169,7 +169,7 @@
         self.net.default.latency_us, self.net.default.jitter_us = table.latency_us, table.jitter_us
         self.net.default.bandwidth = table.bandwidth
         self.trace = Trace(loop, keep_trace)
-        self.rules = Rules(lambda: loop.now_us, self.trace.add, loop.after_us)
+        self.rules = Rules(lambda: loop.now_us, self.trace.add_event, loop.after_us)
         self.rules.is_excused = self._is_excused
         self.rules.steps = lambda: loop.steps
         self.net.on_send = self.rules.on_bytes_sent
@@ -305,10 +305,10 @@
         self.rules.on_node_start(process, entries)
         process.on_end = lambda: self._node_ended(process)
         process.start(program)
-        self.trace.add(f"{name} starts")
+        self.trace.add_event(f"{name} starts")
 
     def _node_ended(self, process: Process) -> None:
-        self.trace.add(f"{process.name} ends {type(process.exit).__name__}")
+        self.trace.add_event(f"{process.name} ends {type(process.exit).__name__}")
         self._ended_us[process.name] = self.loop.now_us
         if process.exit is not None:
             self.rules.report_exception(process.name, f"the process ended: {process.exit!r}")
@@ -334,7 +334,7 @@
         self.book.voids.append(box.void)
         process.start(box.run)
         self._schedule_dns_update()
-        self.trace.add(f"{name} starts at {address[0]}{' cold' if cold else ''}")
+        self.trace.add_event(f"{name} starts at {address[0]}{' cold' if cold else ''}")
 
     def _start_server(self, name: str, server: Server) -> Process:
         process = self._new_process(name, server.address[0])
@@ -374,7 +374,7 @@
 
     def _trace_socket(self, what: str, sock: VirtualSocket) -> None:
         owner = sock.process.name if sock.process is not None else sock.host
-        self.trace.add(
+        self.trace.add_event(
             f"{owner} {what} {sock.local[0]}:{sock.local[1]} {sock.remote[0]}:{sock.remote[1]}"
         )
 
@@ -459,7 +459,7 @@
             alive["odd"] = (extra_host, BOX_PORT)
         self.zone.serve(alive, ttl=1)
         self.rules.on_dns_change(f"{host}:{port}" for host, port in alive.values())
-        self.trace.add(f"DNS names {' '.join(alive)}")
+        self.trace.add_event(f"DNS names {' '.join(alive)}")
 
     def _do_node_blank(self, fault: Fault) -> None:
         """A node dies and comes back without a list."""
@@ -504,7 +504,7 @@
     # -- faults --------------------------------------------------------------------------
 
     def _apply_fault(self, fault: Fault) -> None:
-        self.trace.add(f"fault {fault.kind} {fault.target} {fault.for_ms:g} {fault.value:g}")
+        self.trace.add_event(f"fault {fault.kind} {fault.target} {fault.for_ms:g} {fault.value:g}")
         getattr(self, f"_do_{fault.kind}")(fault)
 
     def _after_fault(self, fault: Fault, action: Callable[..., object], *args: Any) -> None:
@@ -532,7 +532,7 @@
             return
         process.kill()
         self._schedule_dns_update()
-        self.trace.add(f"{box.name} dies")
+        self.trace.add_event(f"{box.name} dies")
         self.loop.after_us(int(DEATH_NOTICE_S * 1e6), self._notify_death, n, box.name, process)
 
     def _notify_death(self, n: int, name: str, process: Process) -> None:
@@ -857,7 +857,7 @@
         if process.alive:
             process.kill()
             self._killed_us[process.name] = self.loop.now_us
-            self.trace.add(f"{process.name} is killed")
+            self.trace.add_event(f"{process.name} is killed")
 
     def _peer_links(self, fault: Fault, both_directions: bool = True) -> list[Link]:
         """From the nodes of one side to all others, and back; without a side between all."""
