--- a/testbed/nights/__init__.py
+++ b/testbed/nights/__init__.py
@@ -1,1 +1,5 @@
-"""Nights: scripts and their draws, the world that plays them, its rules, what is planted in it, and exploration."""
+"""Fault scenarios on a virtual clock.
+
+The modules hold scripts and their drawing, the simulated system that plays them, the rules checked
+on it, planted defects, and exploration over many seeds.
+"""
--- a/testbed/nights/script.py
+++ b/testbed/nights/script.py
@@ -1,4 +1,8 @@
-"""The script of a night: the world's size and the faults in it, as TOML or drawn from a seed (docs/simulation.md)."""
+"""Scenario scripts: the size of the simulated system and the faults injected into it.
+
+A script is read from TOML or drawn from a seed (docs/simulation.md). The kind of a drawn
+scenario follows from the range that its seed lies in.
+"""
 
 from __future__ import annotations
 
@@ -9,7 +13,7 @@
 
 import msgspec
 
-from corkshift.cli.schema import Fault as Wrong
+from corkshift.cli.schema import Fault as SchemaError
 from corkshift.cli.schema import Table, examine
 from testbed.machine.faults import TABLE as CALL_TABLE
 from testbed.machine.faults import Call
@@ -31,7 +35,9 @@
     "peer_cut", "peer_oneway", "peer_loss", "peer_late", "peer_double", "peer_junk", "node_join", "node_other",
     "node_calls",
 ]  # fmt: skip
-BASIC_KINDS: tuple[Kind, ...] = Kind.__args__[:30]  # type: ignore[attr-defined]  # of every night; the others come with hard nights alone
+# Faults that every kind of drawn scenario may hold; the other kinds have their own generators.
+BASIC_KINDS: tuple[Kind, ...] = Kind.__args__[:30]  # type: ignore[attr-defined]
+# Faults of discovery during which a node misses list changes.
 DISCOVERY_OUTAGES: tuple[Kind, ...] = (
     "discovery_refuse",
     "discovery_mute",
@@ -39,27 +45,35 @@
     "discovery_drop",
     "discovery_silent",
 )
-HARD_FIRST_SEED = 20_001  # nights drawn from this seed on are hard ones,
-CORRUPT_LIST_FIRST_SEED = (
-    10_000_001  # and from this one on nights on which discovery spoils what it tells,
-)
-# of which these lose a line while the watch has already lost something, or stands in the middle of a line
+# Seeds from this one on draw hard scenarios, in which many components fail at once.
+HARD_FIRST_SEED = 20_001
+# Seeds from this one on draw scenarios in which discovery sends corrupt list lines.
+CORRUPT_LIST_FIRST_SEED = 10_000_001
+# Seeds from this one on also corrupt a list line after the watch has already lost a line, or
+# while it is in the middle of one.
 CORRUPT_PAIR_FIRST_SEED = 10_100_001
-DNS_FIRST_SEED = 20_000_001  # and from this one on nights on which nodes ask DNS too, and sources fail and disagree,
-LEAVING_FIRST_SEED = 40_000_001  # and from this one on nights on which a third of the clients leave before their answers,
-SYSTEM_CALLS_FIRST_SEED = (
-    50_000_001  # and from this one on nights on which system calls of the nodes fail,
-)
-TIER_FIRST_SEED = 30_000_001  # and from this one on nights of many nodes that talk to one another, over links that fail
-PARTIAL_LINE, NOT_A_LIST = 7.0, 0.0  # values of discovery_wrong
-FRAMING_CORRUPTION = 5  # of the ways to spoil a line (`standins.SPOIL_HOWS`)
+# Seeds from this one on draw scenarios in which nodes also use DNS, and sources fail and disagree.
+DNS_FIRST_SEED = 20_000_001
+# Seeds from this one on draw scenarios in which about a third of the clients leave before
+# their answers.
+LEAVING_FIRST_SEED = 40_000_001
+# Seeds from this one on draw scenarios in which system calls of the nodes fail.
+SYSTEM_CALLS_FIRST_SEED = 50_000_001
+# Seeds from this one on draw scenarios of many nodes that form a tier over failing links.
+TIER_FIRST_SEED = 30_000_001
+# Values of `discovery_wrong`: a line that ends early, and a line that is not a list.
+PARTIAL_LINE, NOT_A_LIST = 7.0, 0.0
+# Index of "framing" in `standins.SPOIL_HOWS`.
+FRAMING_CORRUPTION = 5
+# Faults of the links between nodes.
 NET_KINDS: tuple[Kind, ...] = (
     "peer_cut",
     "peer_oneway",
     "peer_loss",
     "peer_late",
     "peer_double",
-)  # faults of what goes from node to node
+)
+# What the target of each kind of fault is: a node, a box, or something else.
 TARGET_TYPES: dict[str, str] = {
     kind: "node"
     if kind.startswith(("node", "clock", "rude", "trip_client", "peer_junk"))
@@ -69,123 +83,130 @@
 
 
 class InvalidScript(Exception):
-    """A script has faults."""
+    """A script is not valid; `errors` holds every error with its path."""
 
-    def __init__(self, faults: list[Wrong]) -> None:
-        super().__init__("\n".join(map(str, faults)))
-        self.errors = faults
+    def __init__(self, errors: list[SchemaError]) -> None:
+        super().__init__("\n".join(map(str, errors)))
+        self.errors = errors
 
 
 class World(Table, frozen=True, kw_only=True):
-    """`[world]`: sizes, load and network."""
+    """The `[world]` table: sizes, load and network of the simulated system."""
 
     seconds: Annotated[float, msgspec.Meta(gt=0.0, le=3_600.0)] = 4.0
     nodes: LargeCount = 2
     boxes: LargeCount = 5
-    cores: SmallCount = 2  # of a box
+    # CPU cores of each box.
+    cores: SmallCount = 2
     requests_per_s: Annotated[float, msgspec.Meta(gt=0.0, le=5_000.0)] = 60.0
     keys: Annotated[int, msgspec.Meta(ge=1, le=100_000)] = 120
     latency_us: Annotated[int, msgspec.Meta(ge=0, le=1_000_000)] = 250
     jitter_us: Annotated[int, msgspec.Meta(ge=0, le=1_000_000)] = 100
+    # Bytes per second of each link; 0 means unlimited.
     bandwidth: Annotated[int, msgspec.Meta(ge=0)] = 0
     descriptors: Annotated[int, msgspec.Meta(ge=32, le=65_536)] = 256
-    worths: Literal["equal", "site"] = (
-        "equal"  # of the classes: all the same, or as the brief has them
-    )
-    ask_within_ms: Annotated[float, msgspec.Meta(gt=0.0, le=60_000.0)] = (
-        2_000.0  # how long a node may go without discovery
-    )
-    sources: Literal["list", "dns"] = (
-        "list"  # what nodes learn of boxes from: the box list alone, or DNS SRV beside it
-    )
-    # Whether nodes may send one another datagrams, and if so for which part alone.
+    # Values of the request classes: all equal, or those of the site.
+    worths: Literal["equal", "site"] = "equal"
+    # Time within which a node must poll discovery again.
+    ask_within_ms: Annotated[float, msgspec.Meta(gt=0.0, le=60_000.0)] = 2_000.0
+    # Sources of the box list: discovery alone, or discovery and DNS SRV records.
+    sources: Literal["list", "dns"] = "list"
+    # Whether nodes form a tier; "on" enables all of its functions, other values a single one.
     tier: Literal["off", "on", "shares", "fetches", "line", "signals"] = "off"
-    leaving: Fraction = 0.03  # of the requests, whose clients leave before the answer,
-    leave_ms: Milliseconds = 60.0  # after up to so long,
-    leave_oddly: bool = (
-        False  # some of them by a reset, or behind the beginning of a further request,
-    )
-    leave_together_ms: Milliseconds = (
-        0.0  # and all at the next multiple of this, where it is over 0
-    )
-    tier_period_ms: Annotated[float, msgspec.Meta(ge=50.0, le=10_000.0)] = (
-        500.0  # `period_ms` of their operator's file
-    )
+    # Fraction of requests whose clients leave before the answer.
+    leaving: Fraction = 0.03
+    # Longest time after which such a client leaves.
+    leave_ms: Milliseconds = 60.0
+    # Some of them leave by a reset, or after they have sent the start of another request.
+    leave_oddly: bool = False
+    # Clients leave together at the next multiple of this; 0 means each at its own time.
+    leave_together_ms: Milliseconds = 0.0
+    # `period_ms` of `[tier]` in the operator's file of the nodes.
+    tier_period_ms: Annotated[float, msgspec.Meta(ge=50.0, le=10_000.0)] = 500.0
 
 
 class Fault(Table, frozen=True, kw_only=True):
-    """`[[fault]]`: what happens when, to whom, for how long and how much."""
+    """One `[[fault]]`: kind, time, target, duration and size of an injected fault."""
 
     at_ms: Milliseconds
     kind: Kind
-    target: Index = 0  # which box or node
-    nodes: list[
-        Index
-    ] = []  # in its place, for faults of nodes: all of these; of what goes between nodes: one side, none for all
-    for_ms: Milliseconds = 0.0  # 0: for good, where it lasts at all
-    value: float = 0.0  # a share, a factor, a count or a byte, by kind
-
-    def contradictions(self) -> Iterator[Wrong]:
+    # Index of the box or node.
+    target: Index = 0
+    # Replaces `target` for faults of nodes: all of these nodes. For faults of the links between
+    # nodes: the nodes on one side; empty for all links.
+    nodes: list[Index] = []
+    # Duration; 0 means permanent, where the fault has a duration at all.
+    for_ms: Milliseconds = 0.0
+    # A fraction, factor, count or byte offset, depending on the kind.
+    value: float = 0.0
+
+    def contradictions(self) -> Iterator[SchemaError]:
         if self.kind in ("link_loss", "link_cut") and not self.for_ms:
-            yield Wrong("for_ms", f"a {self.kind} must end, or what is on the way is never settled")
+            yield SchemaError(
+                "for_ms", f"a {self.kind} must end, or segments in transit are never delivered"
+            )
         if self.kind in NET_KINDS and not self.for_ms:
-            yield Wrong("for_ms", f"a {self.kind} must end")
+            yield SchemaError("for_ms", f"a {self.kind} must end")
         if self.kind in ("peer_cut", "peer_oneway") and not self.nodes:
-            yield Wrong("nodes", f"a {self.kind} needs the nodes of one side")
+            yield SchemaError("nodes", f"a {self.kind} needs the nodes of one side")
         if self.kind in ("peer_loss", "peer_double") and not 0.0 < self.value <= 1.0:
-            yield Wrong("value", f"a share over 0 and up to 1, got {self.value:g}")
+            yield SchemaError("value", f"a share over 0 and up to 1, got {self.value:g}")
         if self.kind == "link_loss" and not 0.0 <= self.value <= 0.5:
-            yield Wrong("value", f"a share of lost segments from 0 to 0.5, got {self.value:g}")
+            yield SchemaError(
+                "value", f"a share of lost segments from 0 to 0.5, got {self.value:g}"
+            )
 
 
 class Script(Table, frozen=True, kw_only=True):
-    """A whole script."""
+    """A script: the system and its faults."""
 
     world: World = World()
     fault: list[Fault] = []
 
-    def contradictions(self) -> Iterator[Wrong]:
+    def contradictions(self) -> Iterator[SchemaError]:
         for n, fault in enumerate(self.fault):
             limit = {"node": self.world.nodes, "box": self.world.boxes}.get(
                 TARGET_TYPES[fault.kind], 64
             )
             if fault.target >= limit:
-                yield Wrong(
+                yield SchemaError(
                     f"fault[{n}].target",
-                    f"the world has only {limit} of them, from 0, got {fault.target}",
+                    f"the world has only {limit} of them, numbered from 0, got {fault.target}",
                 )
             for m, node in enumerate(fault.nodes):
                 if node >= self.world.nodes:
-                    yield Wrong(
+                    yield SchemaError(
                         f"fault[{n}].nodes[{m}]",
-                        f"the world has only {self.world.nodes} of them, from 0, got {node}",
+                        f"the world has only {self.world.nodes} of them, numbered from 0, got {node}",
                     )
             if (
                 fault.kind in NET_KINDS or fault.kind in ("peer_junk", "node_other")
             ) and self.world.tier == "off":
-                yield Wrong(f"fault[{n}].kind", f'a {fault.kind} needs tier = "on" in [world]')
+                yield SchemaError(
+                    f"fault[{n}].kind", f'a {fault.kind} needs tier = "on" in [world]'
+                )
 
 
 def parse_script(text: bytes) -> Script:
-    """Read a script; BadScript names every fault by its path."""
+    """Parse a script; raises InvalidScript with every error and its path."""
     try:
         data = tomllib.loads(text.decode())
     except (tomllib.TOMLDecodeError, UnicodeDecodeError) as error:
-        raise InvalidScript([Wrong("", f"not TOML: {error}")]) from None
-    if faults := examine(Script, data):
-        raise InvalidScript(faults)
+        raise InvalidScript([SchemaError("", f"not TOML: {error}")]) from None
+    if errors := examine(Script, data):
+        raise InvalidScript(errors)
     return msgspec.convert(data, Script)
 
 
 def split_by_node(fault: Fault) -> list[Fault]:
-    """A fault of many nodes as one of each; all others as they are."""
+    """Split a fault of several nodes into one fault per node; other faults are returned as is."""
     if not fault.nodes or TARGET_TYPES[fault.kind] != "node":
         return [fault]
     return [msgspec.structs.replace(fault, target=node, nodes=[]) for node in fault.nodes]
 
 
 def to_toml(script: Script) -> str:
-    """A script as TOML, which `parse_script` reads back to the same."""
+    """Write a script as TOML; `parse_script` reads an equal script back."""
     lines = ["[world]"]
     lines += [
         f"{key} = {_toml_value(value)}"
@@ -206,7 +227,11 @@
 
 
 def draw(seed: int) -> Script:
-    """The script of a seed: a small world with up to seven faults that overlap; others from HARD_FROM and TOLD_FROM on."""
+    """Draw the script of a seed.
+
+    Seeds below HARD_FIRST_SEED draw a small system with up to seven overlapping faults; the
+    `*_FIRST_SEED` constants name the other kinds.
+    """
     kinds = (
         (SYSTEM_CALLS_FIRST_SEED, _draw_system_calls),
         (LEAVING_FIRST_SEED, _draw_leaving_clients),
@@ -219,7 +244,10 @@
 
 
 def _draw_system_calls(seed: int) -> Script:
-    """A night of an ordinary kind on which system calls of the nodes fail: once, for 50 ms, for 0.4 s or for 2 s, also while they end."""
+    """Draw a basic or leaving-clients scenario in which system calls of the nodes fail.
+
+    A call fails once, or for 50 ms, 0.4 s or 2 s; some fail while the node shuts down.
+    """
     rng = random.Random(f"calls/{seed}")
     base = rng.choice((_draw_basic, _draw_basic, _draw_leaving_clients))(seed)
     world = msgspec.structs.replace(base.world, seconds=max(3.0, base.world.seconds))
@@ -245,7 +273,10 @@
 
 
 def _draw_leaving_clients(seed: int) -> Script:
-    """A night on which many clients leave before their answers, while nodes stand still or can't accept, dials are slow, and boxes hang."""
+    """Draw a scenario in which many clients leave before their answers.
+
+    Meanwhile nodes are paused or cannot accept connections, dials are slow, and boxes hang.
+    """
     rng = random.Random(f"leaving/{seed}")
     world = World(
         seconds=rng.choice((2.0, 3.0)),
@@ -293,9 +324,10 @@
 
 
 def _draw_tier(seed: int) -> Script:
-    """Six to twelve nodes that share bounds, many boxes cold, and faults of nodes and of what goes between them.
+    """Draw six to twelve nodes that share tier-wide limits, cold boxes, and node and link faults.
 
-    All of them can be carried out on real processes too. The tier's period is a fifth of the usual, so that a night sees many leases.
+    All of these faults can also be injected into real processes. The tier's period is a fifth of
+    the default, so that a scenario covers many leases.
     """
     rng = random.Random(f"tiered/{seed}")
     world = World(
@@ -312,9 +344,8 @@
     )
     last = world.seconds * 800.0
     faults = []
-    for box in rng.sample(
-        range(world.boxes), rng.randint(1, world.boxes - 1)
-    ):  # cold while leases are dealt
+    # These boxes are cold while leases are allocated.
+    for box in rng.sample(range(world.boxes), rng.randint(1, world.boxes - 1)):
         at = rng.choice((50.0, 1_500.0, rng.uniform(50.0, last)))
         faults.append(
             Fault(
@@ -356,7 +387,10 @@
 
 
 def _draw_dns(seed: int) -> Script:
-    """A night of any other kind on which nodes ask DNS too: its servers fail, it names what is gone, and not what is there."""
+    """Draw a scenario of another kind in which nodes also poll DNS.
+
+    Name servers fail, name removed boxes, and leave out running ones.
+    """
     rng = random.Random(f"sourced/{seed}")
     base = rng.choice((_draw_basic, _draw_corrupt_lists, _draw_corrupt_lists, _draw_hard))(seed)
     world = msgspec.structs.replace(base.world, sources="dns", seconds=max(3.0, base.world.seconds))
@@ -376,7 +410,8 @@
                 value=float(rng.randrange(1, 18)),
             )
         )
-    if rng.random() < 0.4:  # discovery is away while boxes die and come back
+    # Discovery is unavailable while boxes die and come back.
+    if rng.random() < 0.4:
         at, kind = (
             rng.uniform(300.0, 1_500.0),
             rng.choice(("discovery_down", "discovery_silent", "discovery_refuse")),
@@ -392,7 +427,8 @@
                     for_ms=600.0,
                 )
             )
-    if rng.random() < 0.25:  # a node that has DNS alone, and then not even that
+    # A node has only DNS as a source, and then loses that too.
+    if rng.random() < 0.25:
         at, node = rng.uniform(100.0, 600.0), rng.randrange(world.nodes)
         faults.append(Fault(at_ms=round(at, 3), kind="discovery_down", for_ms=10_000.0))
         faults.append(Fault(at_ms=round(at + 10.0, 3), kind="node_blank", target=node))
@@ -409,7 +445,7 @@
 
 
 def _draw_corrupt_lists(seed: int) -> Script:
-    """A night on which discovery spoils or loses what it tells, while servers drain, go and come back."""
+    """Draw a scenario in which discovery corrupts or loses lines while boxes drain and restart."""
     rng = random.Random(f"told/{seed}")
     world = World(
         seconds=rng.choice((2.0, 3.0)),
@@ -421,7 +457,8 @@
         jitter_us=rng.choice((0, 100)),
         ask_within_ms=rng.choice((2_000.0, 10_000.0)),
     )
-    at = rng.uniform(550.0, 1_200.0)  # by then every watch is up where nodes ask within 2 s
+    # By then every watch is open where nodes must poll within 2 s.
+    at = rng.uniform(550.0, 1_200.0)
     faults = []
     for box in rng.sample(range(world.boxes), rng.randint(1, max(1, world.boxes - 1))):
         kind: Kind = rng.choice(
@@ -470,10 +507,12 @@
 
 
 def _draw_earlier_corruption(rng: random.Random, at: float) -> list[Fault]:
-    """What a watch has already been through when the line that is told at a time is lost: half a line, a line that is no list, or both.
+    """Draw what a watch has already lost when the line sent at a time is lost.
 
-    Half a line is drawn over every state that it puts a watch in: just read, in its pause (0.1 s), after it, and given up (1 s). Nights
-    before these had half a line and lost framing together on one of a hundred, half a millisecond apart alone.
+    That is a partial line, a line that is not a list, or both. Partial lines are spread over every
+    state that they put a watch in: just read, in its pause (0.1 s), after the pause, and given up
+    (1 s). Earlier scenarios combined a partial line with lost framing in one of a hundred, and
+    only half a millisecond apart.
     """
     gap = rng.choice(
         (
@@ -512,7 +551,11 @@
 
 
 def _draw_hard(seed: int) -> Script:
-    """A night on which much fails at once: many boxes cold together, floods, flushes, an order book in trouble, and few others."""
+    """Draw a scenario in which many components fail at once.
+
+    Many boxes are cold together; load steps, flushes and a slow order book come on top, with few
+    other faults.
+    """
     rng = random.Random(f"hard/{seed}")
     world = World(
         seconds=rng.choice((3.0, 4.0, 5.0)),
@@ -595,6 +638,7 @@
 
 
 def _draw_basic(seed: int) -> Script:
+    """Draw a small system with up to seven overlapping faults."""
     rng = random.Random(f"script/{seed}")
     world = World(
         seconds=rng.choice((2.0, 3.0, 4.0)),
@@ -609,7 +653,8 @@
         descriptors=rng.choice((64, 256, 256)),
     )
     faults = [_draw_fault(rng, world) for _ in range(rng.choice((0, 1, 2, 3, 4, 5, 7)))]
-    if rng.random() < 0.05:  # a server that starts cold under a load that could push it over
+    # A box starts cold under a load that could overload it.
+    if rng.random() < 0.05:
         world = msgspec.structs.replace(world, seconds=4.0, cores=1, requests_per_s=150.0)
         faults.append(
             Fault(at_ms=200.0, kind="box_quick_restart", target=rng.randrange(world.boxes))
@@ -618,6 +663,7 @@
 
 
 def _draw_fault(rng: random.Random, world: World) -> Fault:
+    """Draw one fault of the basic kinds."""
     kind = rng.choice(BASIC_KINDS)
     of = TARGET_TYPES[kind]
     target = rng.randrange(world.nodes if of == "node" else world.boxes if of == "box" else 2)
--- a/testbed/nights/simulation.py
+++ b/testbed/nights/simulation.py
@@ -1,4 +1,7 @@
-"""One simulated night: a world put together from a script, its faults carried out, and what came of it."""
+"""Simulation of one scenario: builds the system of a script, injects its faults, and reports.
+
+All processes run on one virtual loop and network, so that a seed and a script give the same trace.
+"""
 
 from __future__ import annotations
 
@@ -53,52 +56,69 @@
     work_of,
 )
 
-TIMER_CHECK_DELAY_S = 0.3  # after the last answer, before timers are counted (those of deadlines have not come due by then),
-FINAL_CHECK_DELAY_S = 2.7  # and before all books are read
-DEATH_NOTICE_S = 0.9  # until discovery knows that a process has died,
-START_NOTICE_S = 0.5  # or that one has started
-CLIENT_NOTICE_S = 0.8  # until the front knows that a node has died
-SAMPLE_INTERVAL_US = 10_000  # between two looks at what boxes and order book can do, for the oracle
-DNS_UPDATE_DELAY_S = 1.2  # until DNS has heard of either
+# Delay from the last answer to the count of timers; deadlines have not come due by then.
+TIMER_CHECK_DELAY_S = 0.3
+# Further delay until the final check that nodes are idle.
+FINAL_CHECK_DELAY_S = 2.7
+# Delay until discovery notices that a box has died.
+DEATH_NOTICE_S = 0.9
+# Delay until discovery lists a box that has started.
+START_NOTICE_S = 0.5
+# Delay until clients notice that a node has died.
+CLIENT_NOTICE_S = 0.8
+# Interval at which the capacity of boxes and order book is sampled for the oracle.
+SAMPLE_INTERVAL_US = 10_000
+# Delay until DNS records follow the start or death of a box.
+DNS_UPDATE_DELAY_S = 1.2
 NODE_PORT, BOX_PORT, PEER_PORT = 8000, 8001, 7946
+# Datagrams that no peer sends.
 MALFORMED_DATAGRAMS = (
     b"",
     b"\x00",
     b"\xc1" * 300,
     b"\x96\x01\x01\x01",
     bytes(range(256)),
-)  # datagrams that are none
-UNUSED_BOX_HOST = "127.2.0.99"  # where no box is
+)
+# An address in the range of the boxes at which none listens.
+UNUSED_BOX_HOST = "127.2.0.99"
 RESOLVERS = (("127.6.0.1", 53), ("127.6.0.2", 53))
 
 
 @dataclass(slots=True)
 class Result:
-    """What came of a night."""
+    """The outcome of a scenario."""
 
     seed: int
     script: Script
     failures: list[Failure]
-    digest: str  # of the whole trace
+    # BLAKE2b digest of the whole trace.
+    digest: str
+    # Number of traced events.
     events: int
     virtual_s: float
     real_s: float
     figures: Figures
+    # Number of callbacks that the loop ran.
     steps: int
-    demands: list[Demand]  # with `supply` what the oracle (testbed/nights/oracle.py) wants
+    # Input of the oracle, with `supply` (testbed/nights/oracle.py).
+    demands: list[Demand]
     supply: Supply
-    good: set[int]  # which demands were served in time
+    # Indexes of the demands that were served in time.
+    good: set[int]
+    # Lines of the trace, where they are kept.
     lines: list[str] = field(default_factory=list)
-    leases: int = 0  # of bounds of the tier, that nodes took,
-    max_held: dict[int, int] = field(
-        default_factory=dict
-    )  # and the most parts of each that all held at once
-    members: dict[str, list[int]] = field(
-        default_factory=dict
-    )  # whom each node had in the tier at the end
+    # Number of leases on tier-wide limits that nodes took.
+    leases: int = 0
+    # Most shares of each limit that all nodes held at once.
+    max_held: dict[int, int] = field(default_factory=dict)
+    # Members of the tier as each node saw them at the end.
+    members: dict[str, list[int]] = field(default_factory=dict)
+    # Nodes that were leader at the end.
     leaders: list[str] = field(default_factory=list)
-    usual: float = 0.0  # of the reads, that went to the box to which most of their key's went
-    fetches: int = 0  # that the order book was asked for
+    # Fraction of reads that went to the box that got most reads of their key.
+    usual: float = 0.0
+    # Number of fetches from the order book.
+    fetches: int = 0
 
     @property
     def failed(self) -> bool:
@@ -106,18 +126,21 @@
 
     @property
     def served_value(self) -> float:
-        """Worth for work that was served in time (worth x ms of work), as `oracle.worth_at_most` bounds it."""
+        """Value of the work served in time (class value x ms of work); see `oracle.max_value`."""
         return sum(self.demands[n].value for n in self.good)
 
 
 def tier_table(world: WorldTable) -> TierTable:
-    """`[tier]` of the operator's file of a world's nodes."""
+    """Build the `[tier]` table of the operator's file for the nodes of a world."""
     on = {name: world.tier in ("on", name) for name in ("shares", "fetches", "line", "signals")}
     return TierTable(period_ms=world.tier_period_ms, **on)
 
 
 class Trace:
-    """One line an event, canonical: time in us, who, what. The digest covers every line, also those that are not kept."""
+    """Trace of a run: one line per event with its time in us, its actor and what happened.
+
+    The digest covers every line, including lines that are not kept.
+    """
 
     def __init__(self, loop: VirtualLoop, keep_lines: bool) -> None:
         self.lines: list[str] = []
@@ -127,7 +150,7 @@
         self._hash = blake2b(digest_size=16)
 
     def add_event(self, what: str) -> None:
-        """Add one event."""
+        """Append one event at the present time."""
         line = f"{self._loop.now_us:010d} {what}\n"
         self.events += 1
         self._hash.update(line.encode())
@@ -140,15 +163,15 @@
 
 
 class _TraceLogHandler(logging.Handler):
-    """What the node logs is part of the trace; an exception in it is a failure."""
+    """Adds the log lines of nodes to the trace; a logged exception is a failure."""
 
     def __init__(self, world: World) -> None:
         super().__init__(logging.INFO)
         self._world = world
 
     def emit(self, record: logging.LogRecord) -> None:
-        side = seam.SIDE.get()
-        name = side.name if isinstance(side, Process) else "world"
+        process = seam.SIDE.get()
+        name = process.name if isinstance(process, Process) else "world"
         text = record.getMessage()
         self._world.trace.add_event(f"{name} logs {record.levelname} {text}")
         if record.exc_info:
@@ -157,7 +180,7 @@
 
 
 class World:
-    """All processes of a night on one virtual loop."""
+    """All processes of a scenario on one virtual loop."""
 
     def __init__(self, script: Script, seed: int, loop: VirtualLoop, keep_trace: bool) -> None:
         table = script.world
@@ -183,11 +206,12 @@
         self.entries: dict[str, dict[str, object]] = {}
         self._last_box_id = table.boxes
         self._box_names = {n: f"s{n}" for n in range(table.boxes)}
-        self._killed_us: dict[str, int] = {}  # of a node: when it was last killed
-        self._ended_us: dict[str, int] = {}  # or ended in order, which excuses nothing
-        self._connections_broken_us: dict[
-            str, list[int]
-        ] = {}  # of a node: when client connections of its were broken by the network
+        # By node: time of the last kill, which excuses unanswered requests.
+        self._killed_us: dict[str, int] = {}
+        # By node: time of the last orderly end, which excuses nothing.
+        self._ended_us: dict[str, int] = {}
+        # By node: times at which the network broke client connections.
+        self._connections_broken_us: dict[str, list[int]] = {}
         self.clients = Clients(
             {f"n{n}": (self._node_host(n), NODE_PORT) for n in range(table.nodes)},
             self.rules,
@@ -207,10 +231,8 @@
         self.clients.got = self.served_in_time.add
         self.demands: list[Demand] = []
         self.supply = Supply()
-        self.tier_at_end: tuple[dict[str, list[int]], list[str]] = (
-            {},
-            [],
-        )  # of each node whom it has in the tier, and who is keeper
+        # Members of the tier by node, and the nodes that are leader.
+        self.tier_at_end: tuple[dict[str, list[int]], list[str]] = ({}, [])
         self._next_sample_us = 0
         self.zone = Zone()
         self.resolvers = [NameServer(address, self.zone) for address in RESOLVERS]
@@ -219,7 +241,7 @@
         self.book = OrderBook(("127.3.0.1", 8002), 8, 15.0)
         loop.set_exception_handler(self._on_exception)
 
-    # -- what the oracle is told ---------------------------------------------------------
+    # -- input of the oracle -------------------------------------------------------------
 
     def _on_demand(self, kind: Class, key: str) -> int:
         work, at_ms = work_of(key, kind.method), self.loop.now_us / 1000.0
@@ -244,7 +266,7 @@
         fetches = 0.0 if self.book.down else self.book.places / self.book.service_ms
         self.supply.add_sample(self.loop.now_us / 1000.0, work, fetches)
 
-    # -- parts ---------------------------------------------------------------------------
+    # -- processes -----------------------------------------------------------------------
 
     @staticmethod
     def _node_host(n: int) -> str:
@@ -262,7 +284,11 @@
     def start_node(
         self, n: int, wall_offset_ms: float = 0.0, without_list: bool = False, extra_peers: int = 0
     ) -> None:
-        """Start a node, or start it again with the list as it last was (blank: with none); others: so many more peers than there are."""
+        """Start or restart a node with the present list.
+
+        wall_offset_ms is the error of its wall clock. without_list starts it with no list.
+        extra_peers is the number of peers it is configured with beyond those that exist.
+        """
         table, name = self.script.world, f"n{n}"
         process = self._new_process(name, self._node_host(n))
         process.descriptors = table.descriptors
@@ -314,7 +340,7 @@
             self.rules.report_exception(process.name, f"the process ended: {process.exit!r}")
 
     def start_box(self, n: int, name: str, cold: bool) -> None:
-        """Start a cache box at its place."""
+        """Start box number n under a name at its address, cold or with its cache filled."""
         address = (self._box_host(n), BOX_PORT)
         process = self._new_process(name, address[0])
         box = CacheBox(
@@ -342,7 +368,10 @@
         return process
 
     def _is_excused(self, ask: Ask) -> bool:
-        """Whether a request may go without answer: its node was killed or stood still, or the network broke its connection."""
+        """Return whether a request may stay unanswered.
+
+        That holds where its node was killed or stalled, or the network broke its connection.
+        """
         record = self.rules.record(ask.txn)
         since, now = record.requested_us - 2_000, self.loop.now_us
         died = self._killed_us.get(ask.node, -1)
@@ -352,13 +381,15 @@
         if process is None or process.stood_still(since, now):
             return True
         if process.hindered(since, record.sent[0].at_us if record.sent else now):
-            return True  # it stood in the backlog, where its time ran and nobody could know
+            # The request waited in the backlog, where its time ran out unseen by the node.
+            return True
         return any(at >= since for at in self._connections_broken_us.get(ask.node, ()))
 
     def _is_known_down(self, node: str) -> bool:
         process = self.nodes.get(node)
         if process is None:
-            return True  # it joins later
+            # The node joins later.
+            return True
         if process.alive:
             return False
         return (
@@ -368,8 +399,8 @@
 
     def _on_exception(self, loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
         error = context.get("exception")
-        side = seam.SIDE.get()
-        name = side.name if isinstance(side, Process) else "world"
+        process = seam.SIDE.get()
+        name = process.name if isinstance(process, Process) else "world"
         self.rules.report_exception(name, f"{context.get('message')}: {error!r}")
 
     def _trace_socket(self, what: str, sock: VirtualSocket) -> None:
@@ -378,10 +409,10 @@
             f"{owner} {what} {sock.local[0]}:{sock.local[1]} {sock.remote[0]}:{sock.remote[1]}"
         )
 
-    # -- the night -----------------------------------------------------------------------
+    # -- the scenario --------------------------------------------------------------------
 
     async def play(self) -> None:
-        """Start everything, let clients ask while faults come, and read the books at the end."""
+        """Start all processes, run clients and faults, and check at the end that nodes are idle."""
         table = self.script.world
         self._start_server("book", self.book)
         for n in range(table.boxes):
@@ -428,13 +459,14 @@
         await asyncio.sleep(0.5)
         self._run_idle_check(self.rules.check_idle)
 
-    def _run_idle_check(self, read: Callable[[dict[Owner, int]], None]) -> None:
+    def _run_idle_check(self, check: Callable[[dict[Owner, int]], None]) -> None:
+        """Run a check with the number of timers that each process has set."""
         timers: dict[Owner, int] = {}
         for handle in self.loop.timers():
             owner = owner_of(handle._context)  # type: ignore[attr-defined]
             if owner is not None:
                 timers[owner] = timers.get(owner, 0) + 1
-        read(timers)
+        check(timers)
 
     async def _run_clients(self) -> None:
         await self.clients.run(self.script.world.seconds)
@@ -442,12 +474,12 @@
     # -- DNS -----------------------------------------------------------------------------
 
     def _schedule_dns_update(self) -> None:
-        """DNS hears of what changed a while later, if it is asked at all."""
+        """Update the DNS records after their delay, where nodes use DNS."""
         if self.script.world.sources == "dns" and self.loop.now_us:
             self.loop.after_us(int(DNS_UPDATE_DELAY_S * 1e6), self._update_dns)
 
     def _update_dns(self, extra_host: Optional[str] = None) -> None:
-        """Let DNS name the boxes that run now; odd: and this host, where nobody listens."""
+        """Publish DNS records for the running boxes, and for extra_host, where nothing listens."""
         if self._zone_stale:
             return
         alive = {
@@ -462,7 +494,7 @@
         self.trace.add_event(f"DNS names {' '.join(alive)}")
 
     def _do_node_blank(self, fault: Fault) -> None:
-        """A node dies and comes back without a list."""
+        """Kill a node and restart it without a list."""
         process = self.nodes[f"n{fault.target}"]
         if process.alive:
             process.kill()
@@ -470,7 +502,7 @@
             self.loop.after_us(50_000, self._restart_node, fault.target, 0.0, True)
 
     def _do_dns_how(self, fault: Fault) -> None:
-        """One name server, or both, are wrong in one of the ways of `HOWS`."""
+        """Make one name server, or both, misbehave in one of the ways of `HOWS`."""
         for server in self.resolvers if fault.target == 2 else [self.resolvers[fault.target % 2]]:
             server.how = HOWS[int(fault.value) % len(HOWS)]
             self._after_fault(fault, setattr, server, "how", "good")
@@ -486,17 +518,17 @@
         )
 
     def _do_dns_stale(self, fault: Fault) -> None:
-        """DNS hears of nothing."""
+        """Keep the DNS records from being updated."""
 
-        def hear() -> None:
+        def resume_updates() -> None:
             self._zone_stale = False
             self._update_dns()
 
         self._zone_stale = True
-        self._after_fault(fault, hear)
+        self._after_fault(fault, resume_updates)
 
     def _do_dns_odd(self, fault: Fault) -> None:
-        """DNS names a box that is none."""
+        """Add a DNS record of a host at which no box listens."""
         self.rules.boxes[UNUSED_BOX_HOST] = "odd"
         self._update_dns(UNUSED_BOX_HOST)
         self._after_fault(fault, self._update_dns)
@@ -520,11 +552,11 @@
         box, event = self.boxes[fault.target], asyncio.Event()
         box.hang = event
 
-        def go_on() -> None:
+        def resume() -> None:
             box.hang = None
             event.set()
 
-        self._after_fault(fault, go_on)
+        self._after_fault(fault, resume)
 
     def _kill_box(self, n: int) -> None:
         process, box = self.box_processes[n], self.boxes[n]
@@ -540,11 +572,12 @@
             self._change_lifecycle(self.entries[name], "terminated")
 
     def _change_lifecycle(self, entry: dict[str, object], lifecycle: str) -> None:
-        for registry in self.registries:  # they share the entries; each tells its own watches
+        # The registries share the entries; each one notifies its own watches.
+        for registry in self.registries:
             registry.change(entry, lifecycle)
 
     def _restart_box(self, n: int, name: str, report_start: bool = True) -> None:
-        """Start a box cold; told: whether discovery says so, or that it has run for long."""
+        """Start a box cold; without report_start discovery lists it as started long ago."""
         if self.box_processes[n].alive:
             return
         self.start_box(n, name, True)
@@ -572,13 +605,13 @@
         self.loop.after_us(1_000, self._restart_box, fault.target, name)
 
     def _do_box_lie(self, fault: Fault) -> None:
-        """A quick restart of which discovery says nothing: the box is listed as one that has run for long."""
+        """Restart a box quickly while discovery lists it as started long ago."""
         name = self._box_names[fault.target]
         self._kill_box(fault.target)
         self.loop.after_us(1_000, self._restart_box, fault.target, name, False)
 
     def _do_flush(self, fault: Fault) -> None:
-        """A share of all kept copies goes void at once."""
+        """Invalidate a fraction of all cached values at once."""
         for box in self.boxes.values():
             for key in self.rng.sample(
                 sorted(box._values), int(len(box._values) * (fault.value or 1.0))
@@ -586,7 +619,7 @@
                 box.void(key)
 
     def _do_load_step(self, fault: Fault) -> None:
-        """Clients ask so many times as often."""
+        """Multiply the request rate of the clients."""
         self.clients.rate = self.script.world.requests_per_s * (fault.value or 2.0)
         self._after_fault(fault, setattr, self.clients, "rate", self.script.world.requests_per_s)
 
@@ -656,7 +689,7 @@
             self._restart_node(n)
 
     def _do_node_hup(self, fault: Fault) -> None:
-        """The configuration names the other place of discovery; the old one closes its watches after 1.5 s."""
+        """Reconfigure a node to the other registry; the old one closes its watches after 1.5 s."""
         process = self.nodes[f"n{fault.target}"]
         config = json.loads(process.files["config.json"])
         old = 0 if config["discovery"].startswith("127.4.0.1:") else 1
@@ -669,7 +702,7 @@
         process = self.nodes[f"n{fault.target}"]
         process.descriptors = len(process.sockets)
         for_ms = fault.for_ms or 1_000.0
-        # What waits in the backlog is taken a moment later.
+        # Connections in the backlog are accepted a moment after the fault ends.
         process.starved_us.append(
             (self.loop.now_us, self.loop.now_us + int(for_ms * 1000) + 200_000)
         )
@@ -678,7 +711,7 @@
         )
 
     def _do_node_calls(self, fault: Fault) -> None:
-        """A system call of a node fails: once, or for a time."""
+        """Make a system call of a node fail, once or for a time."""
         process = self.nodes[f"n{fault.target}"]
         call, error = CALL_TABLE[int(fault.value) % len(CALL_TABLE)]
         for_us = int(fault.for_ms * 1000)
@@ -689,7 +722,7 @@
             process.starved_us.append((self.loop.now_us, self.loop.now_us + for_us + 200_000))
 
     def _node_box_links(self, target: int) -> list[tuple[str, str]]:
-        """Between all nodes and one box; with target 1 the other way too."""
+        """Return the pairs of hosts of all nodes and one box."""
         box = self._box_host(target % self.script.world.boxes)
         return [(self._node_host(n), box) for n in range(self.script.world.nodes)]
 
@@ -712,7 +745,7 @@
                 self._after_fault(fault, setattr, link, "latency_us", before)
 
     def _do_reset(self, fault: Fault) -> None:
-        """Break open connections between nodes and boxes, or between clients and a node."""
+        """Reset open connections of nodes to boxes (odd target) or of clients (even target)."""
         sockets = [
             sock
             for process in self.nodes.values()
@@ -733,7 +766,7 @@
     def _arm_trip(
         self, source: str, target: str, fault: Fault, action: Callable[[VirtualSocket], None]
     ) -> None:
-        """Arm a fault for the next new connection and for one that is open."""
+        """Arm an action for the next new connection and for one open connection."""
         trip = Trip(source, target, max(1, int(fault.value)), action)
         self.net.trips.append(trip)
         for process in self.processes:
@@ -745,7 +778,7 @@
                         return
 
     def _break_action(self, fault: Fault) -> Callable[[VirtualSocket], None]:
-        """What a trip does: the box dies where for_ms is odd, else the connection breaks."""
+        """Return the action of a trip: kill the box if for_ms is odd, else break the connection."""
 
         def act(sock: VirtualSocket) -> None:
             if int(fault.for_ms) % 2:
@@ -756,19 +789,19 @@
         return act
 
     def _do_trip_request(self, fault: Fault) -> None:
-        """After so many bytes of a request."""
+        """Break off after `value` bytes of a request from node 0 to a box."""
         self._arm_trip(
             self._node_host(0), self._box_host(fault.target), fault, self._break_action(fault)
         )
 
     def _do_trip_answer(self, fault: Fault) -> None:
-        """After so many bytes of an answer."""
+        """Break off after `value` bytes of an answer from a box to node 0."""
         self._arm_trip(
             self._box_host(fault.target), self._node_host(0), fault, self._break_action(fault)
         )
 
     def _do_trip_client(self, fault: Fault) -> None:
-        """A client's connection breaks after so many bytes that the node writes to it."""
+        """Break a client connection after the node has written `value` bytes to it."""
 
         def act(sock: VirtualSocket) -> None:
             self._connections_broken_us.setdefault(f"n{fault.target}", []).append(self.loop.now_us)
@@ -777,7 +810,7 @@
         self._arm_trip(self._node_host(fault.target), "127.5.0.1", fault, act)
 
     def _set_discovery_state(self, fault: Fault, state: str) -> None:
-        """Put both places of discovery into a state, until the fault is over."""
+        """Set a flag of both registries until the fault is over."""
         for registry in self.registries:
             setattr(registry, state, True)
             self._after_fault(fault, setattr, registry, state, False)
@@ -795,7 +828,8 @@
             b"no list\n",
             b'{"generation":"x","instances":5}\n',
             b'{"generation":9,"instances":[{"instanceId":5}]}\n',
-            b'{"generation":9,"instances":[{"instanceId":"z","hostPort":"nowhere","lifecycle":"in_service"}]}\n',
+            b'{"generation":9,"instances":[{"instanceId":"z","hostPort":"nowhere",'
+            b'"lifecycle":"in_service"}]}\n',
             b'{"generation":9,"instances":[]}\n',
             b"[1,2]\n",
             b"{" * 400 + b"\n",
@@ -805,7 +839,7 @@
             registry.tell_raw(bad[int(fault.value) % len(bad)])
 
     def _do_discovery_spoil(self, fault: Fault) -> None:
-        """The next line that each place tells is spoilt: how, by what noise, and at which byte."""
+        """Corrupt the next line of each registry; target and value give the way, noise and byte."""
         how, noise = (
             SPOIL_HOWS[fault.target % len(SPOIL_HOWS)],
             SPOILT_BY[fault.target // len(SPOIL_HOWS) % len(SPOILT_BY)],
@@ -838,12 +872,12 @@
         self._after_fault(fault, setattr, self.book, "down", False)
 
     def _do_node_join(self, fault: Fault) -> None:
-        """A node that was not there begins."""
+        """Start a node that has not run before."""
         if f"n{fault.target}" not in self.nodes:
             self.start_node(fault.target)
 
     def _do_node_other(self, fault: Fault) -> None:
-        """A node dies and comes back with a configuration that has other peers, until the fault is over."""
+        """Restart a node with a configuration of other peers, until the fault is over."""
         if f"n{fault.target}" not in self.nodes:
             return
         self._kill_node(fault.target)
@@ -860,7 +894,10 @@
             self.trace.add_event(f"{process.name} is killed")
 
     def _peer_links(self, fault: Fault, both_directions: bool = True) -> list[Link]:
-        """From the nodes of one side to all others, and back; without a side between all."""
+        """Return the links from the nodes of one side to all others; without a side, all links.
+
+        both_directions adds the links back.
+        """
         hosts = {self._node_host(n) for n in range(self.script.world.nodes)}
         side = {self._node_host(n) for n in fault.nodes}
         pairs = [
@@ -887,7 +924,7 @@
             self._after_fault(fault, setattr, link, "loss", 0.0)
 
     def _do_peer_late(self, fault: Fault) -> None:
-        """A third of the datagrams is late, by up to so many ms, and so comes in another order."""
+        """Delay a third of the datagrams by up to `value` ms, which also reorders them."""
         for link in self._peer_links(fault):
             link.late, link.late_us = 0.33, int(1000 * (fault.value or 500.0))
             self._after_fault(fault, setattr, link, "late", 0.0)
@@ -898,7 +935,7 @@
             self._after_fault(fault, setattr, link, "double", 0.0)
 
     def _do_peer_junk(self, fault: Fault) -> None:
-        """A node gets datagrams that are none, from an address of a peer and from a stranger."""
+        """Send malformed datagrams to a node from a peer's address and from an unknown one."""
         to = self._node_host(fault.target), PEER_PORT
         for data in MALFORMED_DATAGRAMS:
             for host in (
@@ -908,7 +945,7 @@
                 self.net.throw((host, PEER_PORT), to, data)
 
     def _do_clock_jump(self, fault: Fault) -> None:
-        """The wall clock of a node's machine is wrong from its next start on."""
+        """Restart a node whose wall clock is wrong by `value` ms."""
         process = self.nodes[f"n{fault.target}"]
         if process.alive:
             process.kill()
@@ -925,7 +962,7 @@
 
 
 class _HostRegistry(Registry):
-    """Discovery that knows its watchers by their hosts."""
+    """Registry that identifies the node behind a watch by its host."""
 
     def node_of(self, connection: Connection) -> str:
         sock = connection.stream._sock
@@ -934,7 +971,10 @@
 
 
 def run(seed: int, script: Optional[Script] = None, keep_trace: bool = False) -> Result:
-    """Play one night. The same seed and script bring the same trace, byte for byte."""
+    """Play one scenario; the same seed and script give the same trace, byte for byte.
+
+    script defaults to the one drawn from the seed. keep_trace keeps the lines of the trace.
+    """
     script = script if script is not None else draw(seed)
     started = time.perf_counter()
     loop = VirtualLoop(seed)
@@ -950,9 +990,8 @@
         loop.run_until_complete(main)
     except (Deadlock, Livelock) as error:
         world.rules.report("no standstill", str(error))
-    except (
-        Exception
-    ) as error:  # the world itself: told as a failure of its seed, so that the others go on
+    # An error in the testbed is reported as a failure of its seed, so that other seeds go on.
+    except Exception as error:
         world.rules.report_exception("world", f"{type(error).__name__}: {error}")
     finally:
         root.removeHandler(log)
