--- a/testbed/nights/rules.py
+++ b/testbed/nights/rules.py
@@ -1,25 +1,34 @@
-"""The rules, held against what the world saw, after every step.
-
-1. Each request that a running node has taken gets exactly one final answer, made for it, before its time is up.
-2. Unsafe work that may have run is not repeated and not refused; a keyed one is repeated only within its window.
-3. Nothing goes out for a request after its final answer, or after its client has left. Where a node stood still meanwhile, or had no
-   descriptor to accept with, it may learn of either late, but nothing is begun LEFT_US or longer after its client left: word of that is
-   in its kernel by then. Nor is a server told of more time than the client has left and TOLD_SLACK_US.
-4. Nothing goes to a server later than the drain grace after the node was told that it drains or is gone. An entry is told when it
-   was written whole, from brace to brace, also in a line that is cut or spoilt elsewhere; but such a line takes nobody's last server.
-5. No cold server is pushed over: the work sent to it stays within the budget of its present capacity.
-6. The node's own books agree with its sockets after every step, and all are empty at the end.
-
-Where nodes have further sources, also:
-
-7. A node's set is never empty while any source named a box that the list did not say drains or is gone.
-8. Nothing is dialed that no source ever named.
-
-Where nodes may talk to one another, also:
-
-9. The parts of a bound of the tier that its nodes believe they may spend, also those that stand still, sum to the whole at most.
-
-The witness sees only what a stand-in, a client or the network's wire shows; the books are read in the node itself.
+"""The rules of a scenario, checked against what the testbed observes after every step.
+
+1. Each request that a running node has accepted gets exactly one final answer, made for it, before
+   its deadline.
+2. Unsafe work that may have run is neither repeated nor refused. A keyed request is repeated only
+   within its window.
+3. No attempt is sent for a request after its final answer, or after its client has left. A node
+   that stalled meanwhile, or had no descriptor to accept with, may learn of either late; but
+   nothing is started LEAVE_NOTICE_US or longer after the client left, as the node's kernel knows by
+   then. A server is told at most the time that the client has left and DEADLINE_SLACK_US.
+4. No attempt goes to a server later than the drain grace after the node was notified that the
+   server drains or was removed. A list entry counts as received when it was written whole, from
+   brace to brace, also in a line that is cut or corrupt elsewhere; but such a line may not take a
+   node's last server.
+5. No cold server is overloaded: the work sent to it stays within the budget of its present
+   capacity.
+6. The node's own accounts agree with its sockets after every step, and all are empty at the end.
+
+Where nodes use further sources, also:
+
+7. A node's server set is never empty while any source named a box that the list did not report as
+   draining or removed.
+8. No address is dialed that no source ever named.
+
+Where nodes form a tier, also:
+
+9. The shares of a tier-wide limit that its nodes hold, stalled ones included, sum to at most the
+   whole.
+
+The witness sees only what a stand-in, a client or the network's wire shows; the accounts are read
+in the node itself.
 """
 
 from __future__ import annotations
@@ -41,35 +50,45 @@
 from testbed.systems.standins import CacheBox, Witness, usual_part
 
 DRAIN_GRACE_US = 250_000
-DNS_RETRY_US = 1_500_000  # by then an answer of DNS was lost and asked for again
-TIME_LIMIT_SLACK_US = 50_000  # each time limit on sockets is this much longer
+# A node has repeated a lost DNS query and received the answer by then.
+DNS_RETRY_US = 1_500_000
+# Added to each time limit that is checked at sockets.
+TIME_LIMIT_SLACK_US = 50_000
+# Work that a cold box may get, as a multiple of its capacity in the window.
 FALL_MULTIPLE = 4.0
 COLD_BUDGET_WINDOW_US = 2_000_000
-COLD_BUDGET_SLACK = 1.3  # slack for chance in the cold budget
-# a node that stood still for longer may send late to a server that drains; the grace covers any shorter stall
+# Factor on the cold budget for random variation.
+COLD_BUDGET_SLACK = 1.3
+# A node that stalled for longer may send late to a draining server; the grace covers any shorter
+# stall.
 MAX_EXPECTED_STALL_US = 150_000
-DEADLINE_SLACK_US = 150_000  # of the deadline that a server is told
-CLEANUP_US = 60_000  # after a request's end nothing of it is out any more
-LEAVE_NOTICE_US = 100_000  # after this a request of a client that has left is not begun, whatever its node could know when
-IN_TRANSIT_US = (
-    20_000  # what is on the way while word of an end comes (over a slow link it waits its turn)
-)
-SOURCES_TIMERS = (
-    2 + AT_ONCE
-)  # of further sources: the next round, the next look, and look-ups that are out
-IDLE_TIMERS = 6  # of a node that has nothing to do: two sweeps, its look at what is out, its presence, and up to two calls to come
-# of each call to discovery, or of the watch that it has become: its patience and the call beside it, a pause and a silence
+# Added to the remaining time that a server may be told.
+DEADLINE_SLACK_US = 150_000
+# This long after a request's end none of its attempts is running any more.
+CLEANUP_US = 60_000
+# From then on no attempt is started for a client that has left, whatever its node could know when.
+LEAVE_NOTICE_US = 100_000
+# Covers attempts in transit while the end of their request is notified; on a slow link they queue.
+IN_TRANSIT_US = 20_000
+# Timers of further sources: the next round, the next check, and running DNS queries.
+SOURCES_TIMERS = 2 + AT_ONCE
+# Timers of an idle node: two sweeps, the check of what is running, the event loop lag, and up to
+# two scheduled calls.
+IDLE_TIMERS = 6
+# Timers of each call to discovery or of the watch that it became: its time limit and that of the
+# call beside it, or a pause and an idle limit.
 DISCOVERY_CALL_TIMERS = 2
 
 
 @dataclass(frozen=True, slots=True)
 class Failure:
-    """A rule that was broken."""
+    """One violation of a rule."""
 
     at_us: int
     rule: str
     detail: str
-    step: int = 0  # how many callbacks had run
+    # Number of callbacks that the loop had run.
+    step: int = 0
 
     def __str__(self) -> str:
         return f"{self.at_us / 1e6:.6f} s: {self.rule}: {self.detail}"
@@ -77,7 +96,7 @@
 
 @dataclass(slots=True)
 class SentAttempt:
-    """One attempt as the wire showed it."""
+    """One attempt as seen on the wire."""
 
     at_us: int
     box: str
@@ -86,76 +105,78 @@
 
 @dataclass(slots=True)
 class RequestRecord:
-    """All that is known of one request."""
+    """Everything known about one request; times are -1 until they happen."""
 
     ask: Optional[Ask] = None
     requested_us: int = -1
     answer: Optional[Message] = None
     answered_us: int = -1
     left_us: int = -1
-    sent: list[SentAttempt] = field(default_factory=list)  # first byte left a node
-    received: list[SentAttempt] = field(default_factory=list)  # last byte reached a box
-    sender: Optional[Owner] = None  # of the latest of sends
+    # Attempts whose head has left a node.
+    sent: list[SentAttempt] = field(default_factory=list)
+    # Attempts whose last byte has reached a box.
+    received: list[SentAttempt] = field(default_factory=list)
+    # Node that sent the latest attempt.
+    sender: Optional[Owner] = None
+    # Bodies of the answers that boxes made.
     bodies: list[bytes] = field(default_factory=list)
 
 
 class Rules(Witness, Observer):
-    """Collects what happened, and what of it breaks a rule."""
+    """Records the events of a scenario and reports violations of the rules."""
 
     def __init__(
         self, now_us: Callable[[], int], note: Callable[[str], None], later: Callable[..., object]
     ) -> None:
         self.failures: list[Failure] = []
         self.records: dict[str, RequestRecord] = {}
-        self.nodes: dict[str, Owner] = {}  # by host: the process that runs there now
+        # By host: the process that runs there now.
+        self.nodes: dict[str, Owner] = {}
         self.services: dict[Owner, Service] = {}
-        self.boxes: dict[str, str] = {}  # host of a box to its name, for the trace
-        self.is_excused: Callable[[Ask], bool] = lambda ask: (
-            False
-        )  # the network or a kill is to blame
+        # Names of the boxes by host, for the trace.
+        self.boxes: dict[str, str] = {}
+        # Whether a request may stay unanswered, due to the network or a killed node.
+        self.is_excused: Callable[[Ask], bool] = lambda ask: False
         self.steps: Callable[[], int] = lambda: 0
         self._now = now_us
         self._trace = note
-        self._call_after_us = later  # calls back after so many us
-        self._excluded_since: dict[
-            tuple[Owner, str], int
-        ] = {}  # (node, address): since when it may get nothing new
-        self._listed: dict[
-            Owner, set[str]
-        ] = {}  # of a node: the addresses that it was told are in service
-        self._started: set[tuple[Owner, str]] = (
-            set()
-        )  # (node, host of a server): the node was told that it started lately
-        self._ever_listed: dict[
-            Owner, set[str]
-        ] = {}  # of a node: the addresses that its list ever named in service
-        self._dns_named: set[str] = set()  # and those that DNS did,
-        self._dns_answered: dict[
-            Owner, dict[str, int]
-        ] = {}  # and those that it gave to a node, first when
-        self._empty_since: dict[
-            Owner, int
-        ] = {}  # nodes with no server in service, since when one could be (a line may be on its way)
+        self._call_after_us = later
+        # By node and address: time from which the node may start nothing new there.
+        self._excluded_since: dict[tuple[Owner, str], int] = {}
+        # By node: addresses that its list reported as in service.
+        self._listed: dict[Owner, set[str]] = {}
+        # Node and host of each server that the node was notified started lately.
+        self._started: set[tuple[Owner, str]] = set()
+        # By node: addresses that its list ever reported as in service.
+        self._ever_listed: dict[Owner, set[str]] = {}
+        # Addresses that DNS ever named.
+        self._dns_named: set[str] = set()
+        # By node: addresses in the DNS answers to it, with the time of the first.
+        self._dns_answered: dict[Owner, dict[str, int]] = {}
+        # Nodes without a server in service, with the time since which they could have one; a list
+        # line may still be in transit.
+        self._empty_since: dict[Owner, int] = {}
         self._request_heads: dict[VirtualSocket, bytearray] = {}
         self._recent_work: dict[str, deque[tuple[int, float, bool]]] = {}
         self._dialed: dict[Owner, int] = {}
         self._accepted: dict[Owner, int] = {}
         self._reported: set[tuple[str, str]] = set()
-        self.reads: dict[str, Counter[str]] = defaultdict(Counter)  # by key and box
-        self.leases = 0  # that were taken,
-        self.max_held: dict[
-            int, int
-        ] = {}  # and the most parts of each bound that were held at once
+        # Number of reads by key and box.
+        self.reads: dict[str, Counter[str]] = defaultdict(Counter)
+        # Number of leases that nodes took.
+        self.leases = 0
+        # Most shares of each limit that all nodes held at once.
+        self.max_held: dict[int, int] = {}
 
     def report(self, rule: str, what: str) -> None:
-        """Note a broken rule, once for each thing it is about."""
+        """Record and trace a violation, once per rule and detail."""
         if (rule, what) not in self._reported:
             self._reported.add((rule, what))
             self.failures.append(Failure(self._now(), rule, what, self.steps()))
             self._trace(f"BROKEN {rule}: {what}")
 
     def record(self, txn: str) -> RequestRecord:
-        """What is known of a request."""
+        """Return the record of a request, created at its first use."""
         record = self.records.get(txn)
         if record is None:
             record = self.records[txn] = RequestRecord()
@@ -178,7 +199,7 @@
         if answer.status == 200 and answer.body not in record.bodies:
             self.report(
                 "one final answer",
-                f"{ask.txn} is served with what was not made for it: {answer.body[:40]!r}",
+                f"{ask.txn} got a body that no box made for it: {answer.body[:40]!r}",
             )
         may_have_run = [begun for begun in record.received if not begun.turned_away]
         if answer.status in (429, 503) and ask.kind.repeat == "unsafe" and may_have_run:
@@ -193,7 +214,7 @@
         self._trace(f"client leaves {ask.txn}")
 
     def _check_nothing_running(self, ask: Ask, ended_us: int) -> None:
-        """A while after a request's end nothing of it is left in its node."""
+        """Check that nothing of an ended request is left in its node."""
         for process, service in self.services.items():
             if (
                 process.name != ask.node
@@ -207,7 +228,7 @@
             if any(attempt.request.txn == txn for attempt in service.node._running.values()):
                 self.report(
                     "nothing after the end",
-                    f"an attempt of {process.name} for {ask.txn} is still out",
+                    f"an attempt of {process.name} for {ask.txn} still runs",
                 )
 
     def ended(self, ask: Ask, how: str) -> bool:
@@ -216,19 +237,18 @@
         if self.is_excused(ask):
             return False
         if how == "no answer":
-            self.report("one final answer", f"{ask.txn} has none when its time is up")
+            self.report("one final answer", f"{ask.txn} has no answer at its deadline")
         elif record.sent:
             self.report(
-                "one final answer", f"{ask.txn} was sent on, and its connection ended: {how}"
+                "one final answer", f"{ask.txn} was sent to a box, but its connection ended: {how}"
             )
         elif not ask.first:
-            return (
-                True  # a close that crossed the request: it is sent once more on a new connection
-            )
+            # A close crossed the request, which is sent once more on a new connection.
+            return True
         return False
 
     def unasked(self, node: str) -> None:
-        self.report("one final answer", f"{node} writes on a connection on which nothing is asked")
+        self.report("one final answer", f"{node} writes on a connection without a request")
 
     def rude(self, node: str, name: str, status: int, waited_ms: float) -> None:
         self._trace(f"rude client {name} {status} of {node}")
@@ -260,13 +280,13 @@
             if now - earlier[0].at_us > 1000 * kind.window_ms + TIME_LIMIT_SLACK_US:
                 self.report("no effect twice", f"{txn} is sent to {box.name} after the window")
         if method == "PUT" and record.ask is None and txn == "hidden":
-            self.report("no effect twice", "a hidden request was passed on")
+            self.report("no effect twice", "a smuggled request was forwarded")
         if method == "GET" and record.ask is not None:
             self.reads[record.ask.key][box.name] += 1
         self._check_cold_budget(box, work_ms, now, record.sender)
 
     def primary_box_share(self) -> float:
-        """The part of the reads that went to the box to which most of their key's went."""
+        """Return the fraction of reads that went to the box with most reads of their key."""
         return usual_part(self.reads)
 
     def turned_away(self, box: CacheBox, txn: str) -> None:
@@ -283,10 +303,11 @@
     def _check_cold_budget(
         self, box: CacheBox, work_ms: float, now: int, sender: Optional[Owner]
     ) -> None:
-        """Hold what a cold box gets against its budget, where those that knew of its start sent the most of it.
+        """Check the work sent to a cold box against its budget.
 
-        A node that was not told (discovery was silent, or lies) can't know, nor can one whose wall clock is further ahead than a
-        start takes: there is no other clock to hold it against.
+        The rule holds only where nodes that knew of the start sent most of the work. A node that
+        was not notified (discovery was unresponsive or wrong) cannot know, nor can one whose wall
+        clock is ahead by more than a start takes, as it has no other clock to compare with.
         """
         capacity = box.capacity()
         if capacity >= 1.0:
@@ -313,7 +334,7 @@
     # -- discovery -----------------------------------------------------------------------
 
     def on_node_start(self, process: Owner, known: list[dict[str, object]]) -> None:
-        """A node starts with the list as it last was."""
+        """Record that a node starts with the list as it last was."""
         self.nodes[process.host] = process
         self._listed[process] = {
             str(entry["hostPort"]) for entry in known if entry["lifecycle"] == "in_service"
@@ -340,7 +361,8 @@
                 self._ever_listed[process].add(address)
                 instance = process, address.partition(":")[0]
                 if not sound:
-                    continue  # whoever reads such a line must not build on it, and may
+                    # A node may use the start times of a corrupt line but need not.
+                    continue
                 if entry.get("startedAtMs"):
                     self._started.add(instance)
                 else:
@@ -349,21 +371,22 @@
             address = str(entry["hostPort"])
             if entry["lifecycle"] != "in_service" and address not in in_service:
                 if not sound and listed <= {address}:
-                    continue  # a line that can't be read may not take the last server
+                    # A corrupt line may not remove the last server.
+                    continue
                 listed.discard(address)
                 self._excluded_since.setdefault((process, address), now)
                 self._trace(
-                    f"{process.name} is told that {entry['instanceId']} is {entry['lifecycle']}"
+                    f"{process.name} is notified that {entry['instanceId']} is {entry['lifecycle']}"
                 )
 
     # -- further sources -----------------------------------------------------------------
 
     def on_dns_change(self, addresses: Iterable[str]) -> None:
-        """DNS names these from now on."""
+        """Record addresses that DNS names from now on."""
         self._dns_named.update(addresses)
 
     def on_dns_answer(self, host: str, addresses: Iterable[str]) -> None:
-        """DNS gave a node records of these."""
+        """Record addresses in a DNS answer to a node."""
         process = self.nodes.get(host)
         if process is not None:
             answered = self._dns_answered.setdefault(process, {})
@@ -371,7 +394,7 @@
                 answered.setdefault(address, self._now())
 
     def check_never_empty(self) -> None:
-        """Rule 7, of every node that has further sources and has begun."""
+        """Check rule 7 for every node that uses further sources and knows its servers."""
         for process, service in self.services.items():
             if service.sources is None or not process.running or not service.node.servers_known:
                 continue
@@ -396,13 +419,14 @@
             ):
                 self.report(
                     "never empty",
-                    f"{process.name} has no server in service though {min(candidates)} was never taken away",
+                    f"{process.name} has no server in service "
+                    f"though {min(candidates)} was never removed",
                 )
 
     # -- the tier ------------------------------------------------------------------------
 
     def on_tier_join(self, process: Owner, carrier: Carrier) -> None:
-        """A node takes part in the tier: rule 9 is looked at whenever it takes a lease, as a sum can rise at no other moment."""
+        """Check rule 9 whenever a node takes a lease, the only moment at which a sum can grow."""
         holdings, told = carrier.tier.dealer.holdings, carrier.tier.dealer.holdings.on_take
 
         def took(bound: int, lease: Lease, now: float) -> None:
@@ -421,12 +445,12 @@
                     held[process.name] = lease.parts
         self.max_held[bound] = max(self.max_held.get(bound, 0), sum(held.values()))
         if sum(held.values()) > WHOLE:
-            self.report("shares add up", f"of bound {bound} {held} are held, {WHOLE} in all")
+            self.report("shares add up", f"of limit {bound} {held} are held, of {WHOLE} in all")
 
-    # -- the wire ------------------------------------------------------------------------
+    # -- bytes on the wire ---------------------------------------------------------------
 
     def on_bytes_sent(self, sock: VirtualSocket, piece: bytes, asked: int) -> None:
-        """Bytes left a program. Called by the network for every send."""
+        """Handle bytes that a process sends; called by the network for every send."""
         if (
             sock.remote[0] not in self.boxes
             or sock.process is None
@@ -481,7 +505,8 @@
             ):
                 self.report(
                     "deadline told",
-                    f"{process.name} tells {box} {told_us // 1000} ms for {txn}, {left_us // 1000} are left",
+                    f"{process.name} tells {box} {told_us // 1000} ms for {txn}, "
+                    f"but {left_us // 1000} ms remain",
                 )
         address = f"{sock.remote[0]}:{sock.remote[1]}"
         since = self._excluded_since.get((process, address))
@@ -492,13 +517,14 @@
         ):
             self.report(
                 "drains kept",
-                f"{process.name} sends {txn} to {box} {(now - since) / 1000:.0f} ms after it was told",
+                f"{process.name} sends {txn} to {box} {(now - since) / 1000:.0f} ms after the "
+                f"notification",
             )
 
-    # -- the node's books ----------------------------------------------------------------
+    # -- accounts of the node ------------------------------------------------------------
 
     def on_socket_event(self, what: str, sock: VirtualSocket) -> None:
-        """A socket was dialed, accepted or closed. Called by the network."""
+        """Count a socket that was dialed, accepted or closed; called by the network."""
         process = sock.process
         if process is None or process not in self.services:
             return
@@ -516,7 +542,7 @@
             self._accepted[process] -= 1
 
     def after_step(self, process: Owner) -> None:
-        """Hold a node's books against its sockets."""
+        """Check a node's connection counts against its sockets."""
         service = self.services.get(process)
         if service is None or not process.alive:
             return
@@ -524,7 +550,8 @@
         if service.pool.open != dialed:
             self.report(
                 "books",
-                f"{process.name} counts {service.pool.open} connections to servers and has {dialed}",
+                f"{process.name} counts {service.pool.open} connections to servers "
+                f"and has {dialed}",
             )
         if accepted > len(service.frontend._connections):
             self.report(
@@ -532,7 +559,10 @@
             )
 
     def check_idle_timers(self, timers: dict[Owner, int]) -> None:
-        """Shortly after the last answer no timer of a request is left. timers: how many each process has."""
+        """Check shortly after the last answer that no timer of a request is left.
+
+        timers is the number of timers by process.
+        """
         for process in self.services:
             discovery = self.services[process].discovery
             allowed = IDLE_TIMERS + (
@@ -540,12 +570,12 @@
             )
             allowed += DISCOVERY_CALL_TIMERS * (len(discovery._calls) + len(discovery._fading))
             allowed += (discovery.book._lapsing is not None) + bool(discovery.book._overruled)
-            allowed += self.services[process].tier is not None  # its tick
+            allowed += self.services[process].tier is not None  # its periodic timer
             if process.state == "running" and timers.get(process, 0) > allowed:
-                self.report("books", f"{process.name} at rest holds {timers[process]} timers")
+                self.report("books", f"{process.name} holds {timers[process]} timers while idle")
 
     def check_idle(self, timers: dict[Owner, int]) -> None:
-        """Nobody asks and nothing is owed: all books are empty."""
+        """Check that a node without requests has released everything."""
         self.check_idle_timers(timers)
         for process, service in self.services.items():
             if process.state != "running":
@@ -559,8 +589,9 @@
                 "requests of the module": len(node._balancer.held),
                 "bytes of bodies": service.frontend.budget.used,
                 "client connections": len(service.frontend._connections),
-                # A watch that lost something is read on until another has told a line: its next call may be due after the end (10101004).
-                "tasks over the usual": max(
+                # A watch that lost a line is read on until another has received one, whose call
+                # may be due only after the end (seed 10101004).
+                "tasks over the expected number": max(
                     0,
                     len(process.pending())
                     - 2
@@ -571,8 +602,8 @@
             }
             for what, count in remaining.items():
                 if count:
-                    self.report("books", f"{process.name} at rest holds {count} {what}")
+                    self.report("books", f"{process.name} holds {count} {what} while idle")
 
     def report_exception(self, process: str, message: str) -> None:
-        """Code of the node ended in an exception that nothing expected."""
+        """Report an unexpected exception."""
         self.report("no exception", f"{process}: {message}")
--- a/tests/testbed/test_hard_cases.py
+++ b/tests/testbed/test_hard_cases.py
@@ -279,7 +279,7 @@
     world = World(seconds=2.0, nodes=1, boxes=3, jitter_us=0)
     result = good(Script(world=world, fault=faults))
     assert logged(result, "reload: discovery is at 127.4.0.2:8500")
-    assert logged(result, "n0 is told that s1 is terminating")  # the new place is heard
+    assert logged(result, "n0 is notified that s1 is terminating")  # by the new registry
 
 
 def test_no_descriptors_left() -> None:
