--- a/testbed/nights/explore.py
+++ b/testbed/nights/explore.py
@@ -1,4 +1,4 @@
-"""Many seeds at once, and the smallest script that still fails."""
+"""Exploration of many seeds, and reduction of a failing script."""
 
 from __future__ import annotations
 
@@ -14,12 +14,13 @@
 from testbed.nights.script import Fault, Script, World
 from testbed.nights.simulation import run
 
-MAX_SHRINK_RUNS = 400  # runs of one shrink
+# Limit of runs while one script is reduced.
+MAX_SHRINK_RUNS = 400
 
 
 @dataclass(frozen=True, slots=True)
 class Summary:
-    """One seed's night in a few words."""
+    """Summary of the scenario of one seed."""
 
     seed: int
     failures: tuple[str, ...]
@@ -28,11 +29,12 @@
     real_s: float
     asked: int
     steps: int
-    first_failure_step: int  # callbacks until the first rule was broken; 0 where none was
+    # Callbacks until the first violation; 0 without one.
+    first_failure_step: int
 
 
 def play(seed: int, defect: str = "", script: Optional[Script] = None) -> Summary:
-    """Play one seed, with a deliberate defect in the node where one is named."""
+    """Play one seed, with a planted defect in the node if one is named."""
     with patched(defect):
         result = run(seed, script)
     first = result.failures[0].step if result.failures else 0
@@ -50,13 +52,13 @@
 
 
 def parse_seed_range(text: str) -> range:
-    """The seeds that A-B names, both included; none where it is not of that form."""
+    """Return the seeds from A to B of a text "A-B"; empty if it has another form."""
     match = re.fullmatch(r"(\d+)-(\d+)", text)
     return range(int(match[1]), int(match[2]) + 1) if match else range(0)
 
 
 def explore(seeds: Iterable[int], jobs: int, defect: str = "") -> Iterator[Summary]:
-    """Play seeds on several processes; the summaries come in the seeds' order."""
+    """Play seeds on several processes and yield their summaries in the order of the seeds."""
     if jobs <= 1:
         for seed in seeds:
             yield play(seed, defect)
@@ -68,16 +70,17 @@
 
 
 def violated_rule(failure: str) -> str:
-    """What rule a failure is of, without its time and numbers."""
+    """Return the rule that a failure names, without time and numbers."""
     return re.sub(r"\d+", "#", failure.split(": ", 2)[1])
 
 
 def shrink(
     seed: int, script: Script, rule: str, play_script: Callable[[int, Script], tuple[str, ...]]
 ) -> tuple[Script, int]:
-    """The smallest script that still breaks the wanted rule (delta debugging, Zeller and Hildebrandt 2002), and how many runs it took.
+    """Reduce a script while it still breaks a rule; return it and the number of runs.
 
-    fails plays a script and gives its failures. First fewer faults, then a smaller and shorter world, then milder faults.
+    Delta debugging (Zeller and Hildebrandt 2002): first fewer faults, then a smaller and shorter
+    system, then milder faults. play_script plays a script and returns its failures.
     """
     runs = 0
 
@@ -100,7 +103,7 @@
 
 
 def _remove_faults(script: Script, still_fails: Callable[[Script], bool]) -> Script:
-    """ddmin over the faults."""
+    """Remove faults that the failure does not need (ddmin)."""
     faults, parts = list(script.fault), 2
     if faults and still_fails(msgspec.structs.replace(script, fault=[])):
         return msgspec.structs.replace(script, fault=[])
@@ -119,6 +122,7 @@
 
 
 def _simplified_scripts(script: Script) -> Iterator[Script]:
+    """Yield scripts with a smaller system or one milder fault."""
     world = script.world
     nodes = max(
         [1]
@@ -158,6 +162,7 @@
 
 
 def _milder_faults(fault: Fault) -> Iterator[Fault]:
+    """Yield the fault with a shorter duration, or earlier."""
     if fault.for_ms > 50.0:
         yield msgspec.structs.replace(fault, for_ms=float(int(fault.for_ms / 2)))
     if fault.at_ms > 100.0:
@@ -165,5 +170,5 @@
 
 
 def replay_command(seed: int, defect: str = "") -> str:
-    """The command that repeats a night."""
+    """Return the command line that plays the scenario of a seed again."""
     return f"gradeshift sim run --seed {seed}" + (f" --defect {defect}" if defect else "")
--- a/testbed/nights/oracle.py
+++ b/testbed/nights/oracle.py
@@ -1,15 +1,18 @@
-"""An upper bound for a night: what a scheduler that knows everything could have served in time.
+"""Upper bound of a scenario: what an all-knowing scheduler could have served in time.
 
-A fluid linear program over slices of SLICE_MS. Each request that a client first asks for may be worked on, in any parts, in
-the slices that its wanted time touches, by boxes that are taken together as one machine of their summed capacity (cold,
-slow, hanging, dead and draining ones as they were), and each write needs a place of the order book. What it leaves out makes
-the bound higher and never lower: fetches of reads, queues, the way of keys to boxes, nodes that are down, the network.
+A fluid linear program over slices of SLICE_MS. Each request that a client makes for the first time
+may be worked on, in any fractions, in the slices between its arrival and its aim. The boxes count
+as one machine with their summed capacity (cold, slow, hanging, dead and draining boxes as they
+were), and each write needs a place of the order book. The model leaves out fetches of reads,
+queues, the placement of keys, nodes that are down, and the network; leaving them out can only raise
+the bound.
 
-Two bounds: in requests (`served_at_most`), which under overload takes the cheapest, and in worth for work
-(`worth_at_most`), as the site counts it: a request is worth its class's worth times its work. The second takes what
-comes in one slice of one class together, so that it is solved for nights of any size.
+There are two bounds. `max_served` counts requests, which under overload favors the cheapest.
+`max_value` counts value for work, as the site does: a request has its class's value times its work.
+It groups the requests of one class in one slice, so that it can be solved for scenarios of any
+size.
 
-scipy (HiGHS) solves them; it is among the development requirements and imported only here.
+The solver is HiGHS in scipy, a development requirement that is imported only here.
 """
 
 from __future__ import annotations
@@ -17,38 +20,44 @@
 from dataclasses import dataclass, field
 from typing import Optional
 
+# Length of a time slice.
 SLICE_MS = 100.0
 
 
 @dataclass(frozen=True, slots=True)
 class Demand:
-    """One request that a client first asked for."""
+    """One request that a client makes for the first time."""
 
-    at_ms: float  # of virtual time
+    # Virtual time of the request.
+    at_ms: float
+    # Class of the request.
     lane: str
     work_ms: float
+    # Time from the request within which an answer counts as in time.
     aim_ms: float
+    # Value of the class per ms of work.
     worth: float
     write: bool
 
     @property
     def value(self) -> float:
-        """What an answer in time is worth: the worth of its class for each ms of work."""
+        """Value of an answer in time: the value of its class for each ms of work."""
         return self.worth * self.work_ms
 
 
 @dataclass(slots=True)
 class Supply:
-    """What the boxes and the order book could do, sampled as the night goes."""
+    """Capacity of the boxes and the order book, sampled during the scenario."""
 
-    work: list[float] = field(
-        default_factory=list
-    )  # by slice: ms of work in a ms, summed over samples,
-    fetches: list[float] = field(default_factory=list)  # places of the order book a ms, likewise,
-    samples: list[int] = field(default_factory=list)  # and how many there were
+    # By slice: capacity in ms of work per ms, summed over samples.
+    work: list[float] = field(default_factory=list)
+    # By slice: fetches that the order book completes per ms, summed over samples.
+    fetches: list[float] = field(default_factory=list)
+    # By slice: number of samples.
+    samples: list[int] = field(default_factory=list)
 
     def add_sample(self, at_ms: float, work: float, fetches: float) -> None:
-        """Add one sample."""
+        """Add one sample to the slice of a time."""
         n = int(at_ms / SLICE_MS)
         while len(self.samples) <= n:
             self.work.append(0.0)
@@ -59,7 +68,10 @@
         self.samples[n] += 1
 
     def slice_capacity(self, n: int) -> tuple[float, float]:
-        """Work in ms, and writes, that fit into a slice; one without a sample is like the last before it."""
+        """Return the ms of work and the writes that fit into a slice.
+
+        A slice without a sample has the capacity of the last sampled slice before it.
+        """
         while n > 0 and (n >= len(self.samples) or not self.samples[n]):
             n -= 1
         if n >= len(self.samples) or not self.samples[n]:
@@ -70,9 +82,9 @@
 
 
 def max_served(demands: list[Demand], supply: Supply) -> dict[str, float]:
-    """How many requests of each class an all-knowing scheduler serves in time where it maximises their worth.
+    """Return the requests of each class served in time by a schedule of the highest total value.
 
-    ImportError where scipy is not installed; RuntimeError where the program can't be solved.
+    Raises ImportError without scipy, RuntimeError if the program cannot be solved.
     """
     if not demands:
         return {}
@@ -113,9 +125,11 @@
     limits: list[float],
     upper_bound: Optional[float],
 ) -> list[float]:
-    """The variables, each from 0 to most (None: no bound), at the least cost; rows, columns and values place what the limits bound.
+    """Minimize the cost over variables from 0 to upper_bound (None: unbounded).
+
+    rows, columns and values give the matrix of the constraints, and limits their upper bounds.
 
-    ImportError where scipy is not installed; RuntimeError where the program can't be solved.
+    Raises ImportError without scipy, RuntimeError if the program cannot be solved.
     """
     from scipy.optimize import linprog
     from scipy.sparse import coo_array
@@ -123,16 +137,18 @@
     matrix = coo_array((values, (rows, columns)), shape=(len(limits), len(costs))).tocsr()
     solved = linprog(costs, A_ub=matrix, b_ub=limits, bounds=(0.0, upper_bound), method="highs")
     if solved.status != 0:
-        raise RuntimeError(f"the bound can't be found: {solved.message}")
+        raise RuntimeError(f"the linear program of the bound cannot be solved: {solved.message}")
     return [float(value) for value in solved.x]
 
 
 @dataclass(frozen=True, slots=True)
 class BestSchedule:
-    """What an all-knowing scheduler serves in time where it maximises worth for work."""
+    """Schedule of an all-knowing scheduler that maximizes the value of work served in time."""
 
-    by_class: dict[str, float]  # worth x ms of work,
-    by_slice: list[float]  # and by the slice in which clients first asked
+    # Value (class value x ms of work) by class.
+    by_class: dict[str, float]
+    # Value by the slice in which clients made the requests.
+    by_slice: list[float]
 
     @property
     def total(self) -> float:
@@ -140,9 +156,9 @@
 
 
 def max_value(demands: list[Demand], supply: Supply) -> BestSchedule:
-    """The most worth for work that can be served in time (worth x ms of work).
+    """Return the highest value of work that can be served in time (class value x ms of work).
 
-    ImportError where scipy is not installed; RuntimeError where the program can't be solved.
+    Raises ImportError without scipy, RuntimeError if the program cannot be solved.
     """
     if not demands:
         return BestSchedule({}, [])
@@ -158,7 +174,8 @@
     limits = [sum(d.work_ms for d in group) for group in groups.values()]
     for n, ((first, class_name), group) in enumerate(groups.items()):
         last = max(int((d.at_ms + d.aim_ms) / SLICE_MS) for d in group)
-        heaviest = max(d.work_ms for d in group)  # the fewest writes for so much work
+        # Writes are counted as if all were the heaviest, the fewest for the work.
+        heaviest = max(d.work_ms for d in group)
         for at in range(first, last + 1):
             column = len(gains)
             gains.append(-group[0].worth)
--- a/testbed/nights/traffic.py
+++ b/testbed/nights/traffic.py
@@ -1,7 +1,7 @@
-"""What the nodes of a whole fleet send, by kind: counted from the trace of a night.
+"""Traffic of the nodes of a fleet by kind, counted from the trace of a scenario.
 
-A kind is a share of the clients' requests, so that fleets of different sizes compare. What one node does that is harmless alone shows
-here as a sum over all of them.
+Counts are divided by the clients' requests, so that fleets of different sizes compare. Behavior
+that is harmless at a single node shows here as a sum over all nodes.
 """
 
 from __future__ import annotations
@@ -10,36 +10,44 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
+# Prefixes of the addresses of boxes and of discovery.
 BOX_HOSTS, DISCOVERY_HOSTS = "127.2.", "127.4."
 
 
 @dataclass(slots=True)
 class Traffic:
-    """Sums over all nodes of one night."""
+    """Sums over all nodes of one scenario."""
 
-    requests: int = 0  # of clients, repeats of theirs counted anew
+    # Requests of clients; a client's repeat counts again.
+    requests: int = 0
     attempts: int = 0
-    repeated_attempts: int = (
-        0  # attempts beyond a request's first, second requests and repeats together
-    )
-    handshakes: int = 0  # connections that nodes opened to boxes
-    failed_dials: int = 0  # and began in vain
-    max_idle_connections: int = 0  # the most that were open at once to boxes and carried no request
-    discovery_connections: int = 0  # connections to discovery, one for each call or watch
-    max_discovery_connections_per_s: int = 0  # the most of them within one second
+    # Attempts beyond a request's first: hedged requests and retries.
+    repeated_attempts: int = 0
+    # Connections that nodes opened to boxes.
+    handshakes: int = 0
+    # Dials to boxes that did not open a connection.
+    failed_dials: int = 0
+    # Most connections to boxes that were open at once without a request.
+    max_idle_connections: int = 0
+    # Connections to discovery, one for each call or watch.
+    discovery_connections: int = 0
+    # Most connections to discovery opened within one second.
+    max_discovery_connections_per_s: int = 0
     refused: int = 0
     failed: int = 0
 
     def per_request(self, count: int) -> float:
-        """A count for each request of a client."""
+        """Return a count divided by the number of client requests."""
         return count / max(1, self.requests)
 
 
 def count_traffic(lines: Iterable[str]) -> Traffic:
-    """Go through the lines of a trace (testbed/nights/simulation.py) once."""
-    t = Traffic()
-    open_at: set[tuple[str, str]] = set()  # node's end, box's end
-    out: Counter[str] = Counter()  # attempts that boxes have not answered yet, by request
+    """Count the traffic in the lines of a trace (testbed/nights/simulation.py) in one pass."""
+    traffic = Traffic()
+    # Open connections: address of the node's end and of the box's end.
+    open_connections: set[tuple[str, str]] = set()
+    # By request: attempts that boxes have not answered yet.
+    running: Counter[str] = Counter()
     sent: set[str] = set()
     carrying = 0
     calls: deque[int] = deque()
@@ -50,44 +58,48 @@
         at_us, who, what = int(words[0]), words[1], words[2]
         if who == "client":
             if what == "asks":
-                t.requests += 1
+                traffic.requests += 1
             elif what == "gets":
-                t.refused += words[4] in ("429", "503")
-                t.failed += words[4] not in ("200", "429", "503")
-                carrying -= out.pop(words[3], 0)
+                traffic.refused += words[4] in ("429", "503")
+                traffic.failed += words[4] not in ("200", "429", "503")
+                carrying -= running.pop(words[3], 0)
             elif what == "leaves":
-                carrying -= out.pop(words[3], 0)
+                carrying -= running.pop(words[3], 0)
         elif who[0] == "n" and what == "sends":
-            t.attempts += 1
-            t.repeated_attempts += words[3] in sent
+            traffic.attempts += 1
+            traffic.repeated_attempts += words[3] in sent
             sent.add(words[3])
-            out[words[3]] += 1
+            running[words[3]] += 1
             carrying += 1
         elif who[0] == "s" and what in ("answers", "turns"):
             request = words[4] if what == "turns" else words[3]
-            if out[request] > 0:
-                out[request] -= 1
+            if running[request] > 0:
+                running[request] -= 1
                 carrying -= 1
         elif who[0] == "n" and len(words) == 5 and words[4].startswith(BOX_HOSTS):
             end = words[3], words[4]
             if what == "dial":
-                t.failed_dials += 1
+                traffic.failed_dials += 1
             elif what == "open":
-                t.handshakes += 1
-                t.failed_dials -= 1
-                open_at.add(end)
+                traffic.handshakes += 1
+                traffic.failed_dials -= 1
+                open_connections.add(end)
             elif what in ("close", "abort", "reset"):
-                open_at.discard(end)
-            t.max_idle_connections = max(t.max_idle_connections, len(open_at) - max(0, carrying))
+                open_connections.discard(end)
+            traffic.max_idle_connections = max(
+                traffic.max_idle_connections, len(open_connections) - max(0, carrying)
+            )
         elif (
             who[0] == "n"
             and what == "dial"
             and len(words) == 5
             and words[4].startswith(DISCOVERY_HOSTS)
         ):
-            t.discovery_connections += 1
+            traffic.discovery_connections += 1
             calls.append(at_us)
             while calls[0] < at_us - 1_000_000:
                 calls.popleft()
-            t.max_discovery_connections_per_s = max(t.max_discovery_connections_per_s, len(calls))
-    return t
+            traffic.max_discovery_connections_per_s = max(
+                traffic.max_discovery_connections_per_s, len(calls)
+            )
+    return traffic
