--- a/testbed/__init__.py
+++ b/testbed/__init__.py
@@ -1,1 +1,4 @@
-"""The virtual world: clock, network, stand-ins, faults, rules and explorer (docs/simulation.md). The node never imports it."""
+"""The simulated environment of the node: clock, network, stand-ins, faults, rules and exploration.
+
+docs/simulation.md describes it. The node never imports it.
+"""
--- a/testbed/cli.py
+++ b/testbed/cli.py
@@ -1,4 +1,4 @@
-"""`sim run`, `sim explore`, `sim shrink`, `sim show`."""
+"""Commands `sim run`, `sim explore`, `sim shrink` and `sim show`."""
 
 from __future__ import annotations
 
@@ -21,15 +21,15 @@
 
 @click.group()
 def sim() -> None:
-    """Whole nights on a virtual clock and network, the same every time."""
+    """Play scenarios on a virtual clock and network, the same every time."""
 
 
 class _InvalidArguments(Exception):
-    """The arguments are of no use."""
+    """The arguments are not valid."""
 
 
 def _action(body: Callable[P, int]) -> Callable[P, int]:
-    """An action of `sim`: the exit code is what it gives, or 2 where its arguments are of no use."""
+    """Wrap a command of `sim`: the exit code is its result, or 2 for invalid arguments."""
 
     @functools.wraps(body)
     def guarded(*args: P.args, **kwargs: P.kwargs) -> int:
@@ -45,13 +45,13 @@
 
 
 def _check_defect_name(context: click.Context, parameter: click.Parameter, name: str) -> str:
-    """The name of a deliberate defect, or none."""
+    """Check the name of a planted defect; exits with 2 for an unknown name."""
     if name:
         from testbed.nights.defects import DEFECTS
 
         if name not in DEFECTS:
             print(
-                f"gradeshift sim: no defect of this name; there are {', '.join(DEFECTS)}",
+                f"gradeshift sim: unknown defect {name!r}; the defects are {', '.join(DEFECTS)}",
                 file=sys.stderr,
             )
             context.exit(2)
@@ -62,14 +62,14 @@
 _script_file = click.option(
     "--script",
     metavar="FILE",
-    help="The world and its faults, instead of those that the seed draws.",
+    help="The script to play, instead of the one drawn from the seed.",
 )
 _defect = click.option(
     "--defect",
     default="",
     metavar="NAME",
     callback=_check_defect_name,
-    help="Put a deliberate defect into the node (testbed/nights/defects.py).",
+    help="Plant a defect in the node (testbed/nights/defects.py).",
 )
 
 
@@ -80,14 +80,16 @@
 @sim.command("run")
 @_seed
 @_script_file
-@click.option("--trace", metavar="FILE", help="Write every event (- for standard output).")
-@click.option("--write-script", metavar="FILE", help="Write the script that was played.")
+@click.option(
+    "--trace", metavar="FILE", help="Write every event to this file (- for standard output)."
+)
+@click.option("--write-script", metavar="FILE", help="Write the played script to this file.")
 @_defect
 @_action
 def _run(
     seed: int, script: Optional[str], trace: Optional[str], write_script: Optional[str], defect: str
 ) -> int:
-    """One night; exits with 1 where a rule is broken."""
+    """Play one scenario; exits with 1 if a rule is broken."""
     from testbed.nights.defects import patched
     from testbed.nights.simulation import run
 
@@ -102,9 +104,11 @@
     figures = result.figures
     out = sys.stderr if trace == "-" else sys.stdout
     print(
-        f"seed {seed}: {result.virtual_s:.1f} virtual s in {result.real_s:.2f} s, {len(result.script.fault)} faults, "
+        f"seed {seed}: {result.virtual_s:.1f} virtual s in {result.real_s:.2f} s, "
+        f"{len(result.script.fault)} faults, "
         f"{result.events} events, trace {result.digest}\n"
-        f"asked {figures.asked}, served {figures.served} ({figures.in_time} in time), refused {figures.refused}, "
+        f"asked {figures.asked}, served {figures.served} ({figures.in_time} in time), "
+        f"refused {figures.refused}, "
         f"failed {figures.failed}, no answer {figures.unanswered}, left {figures.left}",
         file=out,
     )
@@ -115,34 +119,42 @@
 
 
 def _compare_with_bound(result: Result) -> str:
-    """What was served in time beside the most that could have been (testbed/nights/oracle.py)."""
+    """Compare what was served in time with its upper bound (testbed/nights/oracle.py)."""
     from testbed.nights.oracle import max_served, max_value
 
     figures = result.figures
-    first = f"first asked {figures.first_tries}, served in time at last {figures.good_tries}"
+    first = f"first requests {figures.first_tries}, served in time {figures.good_tries}"
     try:
         most = sum(max_served(result.demands, result.supply).values())
-        worth = max_value(result.demands, result.supply).total
+        value = max_value(result.demands, result.supply).total
     except ImportError:
-        return f"{first}; the most that could be: not known without scipy (requirements-dev.txt)"
+        return f"{first}; the upper bound needs scipy (requirements-dev.txt)"
     return (
         f"{first}, of {most:.0f} at most ({100.0 * figures.good_tries / max(1.0, most):.0f}%); "
-        f"worth for work {100.0 * result.served_value / max(1e-9, worth):.0f}% of the most that could be"
+        f"value of work {100.0 * result.served_value / max(1e-9, value):.0f}% of its upper bound"
     )
 
 
 @sim.command("explore")
-@click.option("--seeds", "seed_range", required=True, metavar="A-B", help="Both included.")
+@click.option(
+    "--seeds",
+    "seed_range",
+    required=True,
+    metavar="A-B",
+    help="Range of seeds, both ends included.",
+)
 @click.option("--jobs", type=int, default=1, metavar="J")
 @_defect
 @_action
 def _explore(seed_range: str, jobs: int, defect: str) -> int:
-    """Many seeds; exits with 1 where one fails."""
+    """Play many seeds; exits with 1 if one fails."""
     from testbed.nights.explore import explore, parse_seed_range, replay_command
 
     seeds = parse_seed_range(seed_range)
     if not seeds or jobs < 1:
-        raise _InvalidArguments("--seeds wants A-B with A no greater than B, and --jobs at least 1")
+        raise _InvalidArguments(
+            "--seeds must be A-B with A no greater than B, and --jobs at least 1"
+        )
     began = last = time.monotonic()
     failed = asked = 0
     virtual = 0.0
@@ -152,7 +164,8 @@
         if summary.failures:
             failed += 1
             print(
-                f"seed {summary.seed}: {summary.failures[0]}\n    {replay_command(summary.seed, defect)}",
+                f"seed {summary.seed}: {summary.failures[0]}\n"
+                f"    {replay_command(summary.seed, defect)}",
                 flush=True,
             )
         if time.monotonic() - last > 5.0:
@@ -161,7 +174,7 @@
     real = time.monotonic() - began
     print(
         f"{len(seeds)} seeds in {real:.1f} s on {jobs} processes: {failed} failed; "
-        f"{virtual / real:.0f} virtual s and {asked / real:.0f} requests in a second"
+        f"{virtual / real:.0f} virtual s and {asked / real:.0f} requests per second"
     )
     return 1 if failed else 0
 
@@ -169,11 +182,13 @@
 @sim.command("shrink")
 @_seed
 @_script_file
-@click.option("--to", metavar="FILE", help="Write it here instead of to standard output.")
+@click.option(
+    "--to", metavar="FILE", help="Write the script to this file instead of to standard output."
+)
 @_defect
 @_action
 def _shrink(seed: int, script: Optional[str], to: Optional[str], defect: str) -> int:
-    """The smallest script that still fails, as TOML."""
+    """Reduce a script to the smallest that still fails, as TOML."""
     from testbed.nights.explore import play, shrink, violated_rule
     from testbed.nights.script import draw
 
@@ -208,7 +223,7 @@
 )
 @_action
 def _show(trace: str, about: str) -> int:
-    """A readable timeline out of a trace."""
+    """Print a readable timeline of a trace."""
     from testbed.nights.show import timeline
 
     found = False
--- a/testbed/nights/defects.py
+++ b/testbed/nights/defects.py
@@ -1,4 +1,4 @@
-"""Deliberate defects of the node, patched in one at a time, to see whether the rules find them (the checker is checked)."""
+"""Planted defects of the node, patched in one at a time, to test that the rules find them."""
 
 from __future__ import annotations
 
@@ -24,12 +24,14 @@
 from forkweir.limits.allowance import Account, Allowances
 from forkweir.send_guard import Denial, SendGuard, SendState
 
+# Owner, attribute and value of a patch.
 Patch = tuple[Any, str, Any]
+# By name: description, and the function that returns the patches.
 DEFECTS: dict[str, tuple[str, Callable[[], list[Patch]]]] = {}
 
 
 def defect(description: str) -> Callable[[Callable[[], list[Patch]]], Callable[[], list[Patch]]]:
-    """Register a defect under its function's name."""
+    """Register a defect under its function's name, with hyphens for underscores."""
 
     def register(function: Callable[[], list[Patch]]) -> Callable[[], list[Patch]]:
         DEFECTS[function.__name__.replace("_", "-")] = (description, function)
@@ -39,13 +41,16 @@
 
 
 def _ignores_bounds(self: SendGuard, state: SendState, now: float) -> Denial | None:
-    """Stands in for `SendGuard.check`: only the client's presence is looked at."""
+    """Replace `SendGuard.check`; only checks that the client is present."""
     return None if state.wanted else Denial.CLIENT_GONE
 
 
 @contextmanager
 def patched(name: str) -> Iterator[None]:
-    """Put a defect into the node for a while; KeyError where there is none of this name."""
+    """Plant a defect during a `with` block, or none for an empty name.
+
+    Raises KeyError for an unknown name.
+    """
     patches = DEFECTS[name][1]() if name else []
     before = [(owner, key, getattr(owner, key)) for owner, key, _ in patches]
     for owner, key, value in patches:
@@ -71,7 +76,7 @@
     return [(Balancer, "_end", end)]
 
 
-@defect("a drain or an end in the list is not heeded")
+@defect("a drain or a removal in the list is not applied")
 def ignores_a_drain() -> list[Patch]:
     take = Fleet.take
 
@@ -85,12 +90,12 @@
     ]
 
 
-@defect("a line of the list that can't be read whole is thrown away")
+@defect("a list line that is corrupt in part is discarded whole")
 def forgets_a_spoilt_line() -> list[Patch]:
     return [(AddressBook, "heed", lambda self, claims, generation: None)]
 
 
-@defect("a watch that lost something is hung up on before another has told a line")
+@defect("a watch that lost a line is closed before another has received one")
 def hangs_up_before_another_answers() -> list[Patch]:
     def fade(self: Any, watch: Any) -> None:
         self._calls.pop(watch).cancel()
@@ -99,26 +104,27 @@
 
 
 @defect(
-    "word of a client's end reaches its request a turn of the loop later, and a request that stood unread passes for a new one"
+    "the end of a client reaches its request one loop iteration late, and a request that waited "
+    "unread counts as new"
 )
 def hears_of_an_end_late() -> list[Patch]:
     def noticed(self: Any) -> None:
         if self._stream.ended:
             self._task.cancel()
 
-    # Either guard alone is enough: what stood unread is looked at once more before it is sent on.
+    # Either guard alone is enough: a request that waited unread is checked again before it is sent.
     return [
         (ClientConnection, "_on_input", noticed),
         (ClientConnection, "_waited_ms", lambda self: 0.0),
     ]
 
 
-@defect("what has waited is not looked at again before it is sent on")
+@defect("a request that waited is not checked again before it is sent")
 def never_looks_again() -> list[Patch]:
     return [(ClientConnection, "check_departure", lambda self: None)]
 
 
-@defect("the grace after a drain is not looked at before the last byte")
+@defect("the grace after a drain is not checked before the last byte")
 def sends_after_the_grace() -> list[Patch]:
     return [
         (Fleet, "usable", lambda self, member, now: True),
@@ -147,7 +153,7 @@
     return [(Pool, "_dial", dial)]
 
 
-@defect("a connection that is dropped is counted twice")
+@defect("the close of a dropped connection is counted twice")
 def counts_a_connection_twice() -> list[Patch]:
     def drop(self: Any, stream: Stream) -> None:
         self._open -= 1
@@ -164,7 +170,7 @@
     return [(Node, "cancel_request", depart)]
 
 
-@defect("attempts that are out are not ended with their request")
+@defect("running attempts are not ended with their request")
 def forgets_what_is_out() -> list[Patch]:
     return [(Node, "_end_attempt", lambda self, which: None)]
 
@@ -178,7 +184,7 @@
     return [(Node, "_close", close)]
 
 
-@defect("the room of a body is not given back")
+@defect("the memory of a body is not released")
 def keeps_a_bodys_room() -> list[Patch]:
     return [(BodyBudget, "release", lambda self, held: None)]
 
@@ -196,7 +202,7 @@
     return [(ClientConnection, "_send", twice)]
 
 
-@defect("a broken connection is taken for one on which nothing was sent")
+@defect("a broken connection is treated as one on which nothing was sent")
 def takes_a_reset_for_no_connection() -> list[Patch]:
     run = Attempt.run
 
@@ -211,7 +217,7 @@
     return [(Attempt, "run", wrong)]
 
 
-@defect("what comes behind an answer is left on a kept connection")
+@defect("surplus bytes after an answer stay on a connection that is kept")
 def keeps_a_dirty_connection() -> list[Patch]:
     def release(self: Any) -> None:
         if self._stream is not None and not self._stream.closed:
@@ -224,7 +230,7 @@
     ]
 
 
-@defect("a body that is too short is served as whole")
+@defect("a body that is too short is served as complete")
 def serves_a_short_answer() -> list[Patch]:
     receive = Attempt._receive
 
@@ -239,7 +245,7 @@
     return [(Attempt, "_receive", short)]
 
 
-@defect("a planned restart ends connections at once")
+@defect("a planned restart closes connections at once")
 def drops_what_is_held_at_a_drain() -> list[Patch]:
     async def drain(self: Any) -> None:
         self.duty.end(seam.now_ms())
@@ -250,12 +256,12 @@
     return [(Frontend, "drain", drain)]
 
 
-@defect("a silent connection is never closed")
+@defect("an idle connection is never closed")
 def never_sweeps() -> list[Patch]:
     return [(Frontend, "_sweep", lambda self: None)]
 
 
-@defect("an attempt that has given its connection back may still abort it")
+@defect("an attempt that has released its connection may still abort it")
 def aborts_a_kept_connection() -> list[Patch]:
     release = Attempt._release
 
@@ -283,7 +289,7 @@
 
 
 @defect(
-    "a server that starts cold is taken for a warm one and gets all writes and reads of its neighbours"
+    "a server that starts cold is treated as warm and gets all writes and reads of its neighbours"
 )
 def pushes_a_cold_server_over() -> list[Patch]:
     def pick(self: Any, request: Any, now: float) -> Any:
@@ -296,9 +302,7 @@
     return [(Balancer, "_pick", pick)]
 
 
-@defect(
-    "what a cold server is allowed is not looked at for a repeat or a second request, nor paid for it"
-)
+@defect("retries and hedged requests neither check nor use up the allowance of a cold server")
 def forgets_the_allowance_of_a_repeat() -> list[Patch]:
     has_capacity, send = Balancer._has_room, Balancer._send
 
@@ -317,16 +321,15 @@
     return [(Balancer, "_has_room", has_room), (Balancer, "_send", sends)]
 
 
-@defect("after a node has stood still, what it held back goes to a cold server as if it were warm")
+@defect("after a node has stalled, the requests it held go to a cold server as if it were warm")
 def lets_out_what_a_pause_held() -> list[Patch]:
     has_capacity = Balancer._has_room
 
     def has_room(self: Any, member: Any, request: Any, now: float) -> bool:
         account = member.account
         if account is not None and now - account.at > 150.0:
-            account.level += (
-                self.allowances.reference(self.fleet.weight) * 2_000.0
-            )  # ms: the time of the rule
+            # 2,000 ms is the window of the rule on cold servers.
+            account.level += self.allowances.reference(self.fleet.weight) * 2_000.0
         return has_capacity(self, member, request, now)
 
     def has(
@@ -339,7 +342,7 @@
     return [(Balancer, "_has_room", has_room), (Allowances, "has", has)]
 
 
-@defect("a source that names nobody any more empties the set")
+@defect("a source that names no server any more empties the set")
 def believes_an_emptied_source() -> list[Patch]:
     def fall(self: Any, source: str, view: Any, missing: Any, moved: Any, now: float) -> None:
         for address in missing:
@@ -348,7 +351,7 @@
     return [(Membership, "_fall", fall)]
 
 
-@defect("an answer of DNS is taken whoever it is for")
+@defect("a DNS answer is accepted whichever query it is for")
 def takes_a_forged_answer() -> list[Patch]:
     def read(wire: bytes, asked: Any, stream: bool = False) -> Any:
         return message.read(asked.id.to_bytes(2, "big") + wire[2:], asked, stream)
@@ -356,7 +359,7 @@
     return [(resolver, "read", read)]
 
 
-@defect("a box that one source says drains is kept in service while another names it")
+@defect("a box that one source reports as draining stays in service while another names it")
 def asks_dns_about_a_drain() -> list[Patch]:
     box = Membership._box
 
--- a/testbed/nights/show.py
+++ b/testbed/nights/show.py
@@ -1,4 +1,4 @@
-"""A readable timeline of one request, connection, box or node out of a trace."""
+"""Readable timeline of one request, connection, box or node from a trace."""
 
 from __future__ import annotations
 
@@ -7,7 +7,10 @@
 
 
 def timeline(lines: Iterable[str], about: str = "") -> Iterator[str]:
-    """The events that name something (as a word), with times in ms and the gap before each; all of them for an empty name."""
+    """Yield the events that name something as a word, with their times and the gaps in ms.
+
+    An empty name yields all events.
+    """
     word = re.compile(rf"(?<![\w.]){re.escape(about)}(?![\w.])") if about else None
     last = None
     for line in lines:
