--- a/testbed/nights/rules.py
+++ b/testbed/nights/rules.py
@@ -572,7 +572,7 @@
             allowed += (discovery.book._lapsing is not None) + bool(discovery.book._overruled)
             allowed += self.services[process].tier is not None  # its periodic timer
             if process.state == "running" and timers.get(process, 0) > allowed:
-                self.report("books", f"{process.name} holds {timers[process]} timers while idle")
+                self.report("books", f"{process.name} though idle holds {timers[process]} timers")
 
     def check_idle(self, timers: dict[Owner, int]) -> None:
         """Check that a node without requests has released everything."""
@@ -602,7 +602,7 @@
             }
             for what, count in remaining.items():
                 if count:
-                    self.report("books", f"{process.name} holds {count} {what} while idle")
+                    self.report("books", f"{process.name} though idle holds {count} {what}")
 
     def report_exception(self, process: str, message: str) -> None:
         """Report an unexpected exception."""
--- a/tests/testbed/test_fleet.py
+++ b/tests/testbed/test_fleet.py
@@ -1,4 +1,7 @@
-"""Forty nodes before sixty boxes, and everything fails at once: no rule is broken, and no kind of traffic grows out of its share."""
+"""Forty nodes and sixty boxes of which many fail at once.
+
+No rule is broken, and every kind of traffic stays within its bound.
+"""
 
 from __future__ import annotations
 
@@ -11,7 +14,9 @@
 from testbed.nights.simulation import Result, run
 from testbed.nights.traffic import Traffic, count_traffic
 
-SEED = 7  # not one that `python -m benchmarks.fleet` plays
+# Not among the seeds of `python -m benchmarks.fleet`.
+SEED = 7
+# Least fraction of requests served in time.
 IN_TIME = {
     "calm": 0.97,
     "herd": 0.95,
@@ -37,20 +42,20 @@
     figures = result.figures
     assert result.failures == []
     assert figures.in_time >= IN_TIME[name] * figures.asked, figures
-    # What is asked again is bounded by what clients ask, over the fleet as at one node.
-    lives = NODES * (
-        2 if name in ("herd", "together") else 1
-    )  # a node that starts anew has savings anew
+    # Repeated attempts are bounded by the clients' requests, over the fleet as at one node.
+    # A restarted node has a full retry budget again.
+    lives = NODES * (2 if name in ("herd", "together") else 1)
     assert traffic.repeated_attempts <= (REPEATS + ERRORS) * traffic.requests + 2.0 * BANK * lives
-    # Nobody calls discovery in step: in no second more often than each node once, and a node that was killed once more.
+    # Nodes do not call discovery in step: at most one call per node and second, and one more for
+    # a node that was killed.
     assert traffic.max_discovery_connections_per_s <= NODES * 1.1
     assert traffic.max_idle_connections <= NODES * BOXES / 2
 
 
 def test_the_list_is_kept_and_bad_lists_are_logged_at_a_bounded_rate() -> None:
     result, _ = play("overbooked")
-    told = sum("BadList" in line for line in result.lines)
-    assert NODES <= told <= 8 * NODES  # eight bad lists were told to each that listened
+    bad_lists = sum("BadList" in line for line in result.lines)
+    assert NODES <= bad_lists <= 8 * NODES  # each watching node was sent eight bad lists
     assert result.figures.refused < 0.02 * result.figures.asked
 
 
--- a/tests/testbed/test_hard_cases.py
+++ b/tests/testbed/test_hard_cases.py
@@ -1,4 +1,4 @@
-"""The hard cases, each caused on purpose: what the seeds might meet is met here for certain."""
+"""Hard cases, each caused on purpose, as drawn scenarios meet them only by chance."""
 
 from __future__ import annotations
 
@@ -29,13 +29,14 @@
 
 
 def good(script: Script, seed: int = 1) -> Result:
-    """Play a script that breaks no rule."""
+    """Play a script and require that no rule is broken."""
     result = run(seed, script, keep_trace=True)
     assert result.failures == []
     return result
 
 
 def logged(result: Result, *words: str) -> bool:
+    """Return whether one line of the trace holds all words."""
     return any(all(word in line for word in words) for line in result.lines)
 
 
@@ -101,7 +102,7 @@
 
 
 class Exact(Server):
-    """A box that answers so many us after a request has come."""
+    """A box that answers `after_us` after a request has arrived."""
 
     after_us = 0
 
@@ -111,7 +112,7 @@
 
 
 class Bystander:
-    """Who has an attempt made and need not hear of it."""
+    """Observer of an attempt that allows everything and ignores its events."""
 
     def may_send(self, call: ClientRequest, server: CacheServer, told_ms: int) -> Denial | None:
         return None
@@ -138,7 +139,7 @@
     program: Callable[[], Coroutine[Any, Any, None]],
     after_us: int,
 ) -> None:
-    """Run a program to its end in a node's process, beside a box that answers so many us after a request has come."""
+    """Run a program in a node's process to its end, with a box that answers after `after_us`."""
     box, server = Process("box", net, BOX), Exact((BOX, 8001))
     server.after_us = after_us
 
@@ -156,7 +157,10 @@
 
 
 def exchange(seed: int, within_ms: float, after_us: int) -> tuple[Outcome, int, int]:
-    """One attempt at a box over a link of 250 us; its outcome, the sockets left at the node, and what its pool counts."""
+    """Run one attempt at a box over a link of 250 us.
+
+    Returns its outcome, the sockets left at the node, and the connections its pool counts.
+    """
     loop = VirtualLoop(seed)
     net = Network(loop, seed)
     node = Process("node", net, NODE)
@@ -175,18 +179,20 @@
 
 
 def test_the_deadline_and_the_answer_in_the_same_instant() -> None:
-    # SYN, its answer, the request and the answer take 250 us each: with 19 ms of work the answer comes at 20 ms sharp.
+    # SYN, SYN-ACK, request and answer take 250 us each: with 19 ms of work the answer arrives at
+    # exactly 20 ms.
     early = {exchange(seed, 20.0, 18_999)[0].status for seed in SEEDS}
     late = {exchange(seed, 20.0, 19_001)[0].status for seed in SEEDS}
     both = [exchange(seed, 20.0, 19_000) for seed in SEEDS]
     assert early == {"success"} and late == {"timed_out"}
-    # In one instant the deadline wins, whichever of the two is looked at first, and nothing stays behind.
+    # At the same instant the deadline wins, whichever runs first, and nothing is left open.
     assert {outcome.status for outcome, _, _ in both} == {"timed_out"}
     assert {(sockets, counted) for _, sockets, counted in both} == {(0, 0)}
 
 
 def test_an_abort_after_the_connection_was_given_back_ends_nothing() -> None:
-    # Guards against an attempt that is over, but not yet noticed to be, resetting what another has taken meanwhile.
+    # Guards against an attempt that has ended unnoticed resetting a connection that another attempt
+    # has taken from the pool meanwhile.
     loop = VirtualLoop(1)
     net = Network(loop, 1)
     node = Process("node", net, NODE)
@@ -214,7 +220,7 @@
 @pytest.mark.parametrize("kind", TRIPS)
 @pytest.mark.parametrize("for_ms", [0.0, 1.0])
 def test_a_fault_in_the_middle_of_a_write(kind: Kind, for_ms: float) -> None:
-    # After every few bytes of what is written: the connection breaks, or the box dies.
+    # The connection breaks, or the box dies, at each of these byte offsets.
     hurt = 0
     for byte in [1, 2, 3, 17, 40, 64, 65, 80, 100, 101, 110, 120, 130, 150, 200, 300, 1_000]:
         faults = [
@@ -227,7 +233,7 @@
 
 
 def test_a_cancel_that_crosses_the_answer() -> None:
-    # Clients that leave after a time drawn from 0 to 60 ms, while answers take 10 to 30 ms: all orders are met.
+    # Clients leave within 60 ms and answers take 10 to 30 ms, so that both orders occur.
     crossed = 0
     for seed in range(1, 9):
         result = run(
@@ -253,14 +259,13 @@
     result = good(Script(world=world, fault=faults))
     broken = [line.split()[3] for line in result.lines if " receives " in line]
     twice = {txn for txn in broken if broken.count(txn) > 1}
-    assert (
-        twice
-    )  # some that were lost with the old process were asked again, where their class allows it
+    # Some requests lost with the old process were retried, where their class allows it.
+    assert twice
 
 
 @pytest.mark.parametrize("at_ms", [120.0, 125.0, 130.0, 135.0, 149.9])
 def test_sigterm_while_an_accept_is_in_the_backlog(at_ms: float) -> None:
-    # The node stands still, connections come, SIGTERM comes, and then it goes on.
+    # The node is paused; connections and SIGTERM arrive before it resumes.
     world = World(seconds=0.5, nodes=1, boxes=2, requests_per_s=150.0)
     faults = [Fault(at_ms=100, kind="node_pause", for_ms=50), Fault(at_ms=at_ms, kind="node_term")]
     for seed in range(1, 6):
--- a/tests/testbed/test_oracle.py
+++ b/tests/testbed/test_oracle.py
@@ -1,4 +1,4 @@
-"""The upper bound of a night, on nights whose bound is known."""
+"""The upper bound of a scenario, on scenarios whose bound is known."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
     assert supply.slice_capacity(7) == (200.0, 100.0) and Supply().slice_capacity(3) == (0.0, 0.0)
 
 
-def test_no_night_serves_more_than_its_bound_and_a_calm_one_serves_nearly_that() -> None:
+def test_no_scenario_serves_more_than_its_bound_and_a_calm_one_serves_nearly_that() -> None:
     calm = run(3, Script(world=World(seconds=2.0)))
     most = sum(max_served(calm.demands, calm.supply).values())
     assert most == pytest.approx(calm.figures.first_tries)
@@ -54,11 +54,10 @@
     assert 0.3 * most < hard.figures.good_tries < most < 0.6 * hard.figures.first_tries
 
 
-def test_worth_for_work_prefers_no_cheap_requests_and_knows_the_order_book() -> None:
+def test_value_for_work_prefers_no_cheap_requests_and_knows_the_order_book() -> None:
     heavy = [Demand(0.0, "read", 40.0, 199.0, 3.0, False) for _ in range(10)]
-    best = max_value(
-        heavy + reads(40), steady(1.0, 5)
-    )  # 200 ms of work fit, whichever requests they are
+    # 200 ms of work fit, whichever requests they are.
+    best = max_value(heavy + reads(40), steady(1.0, 5))
     assert best.total == pytest.approx(3.0 * 200.0) and best.by_class == pytest.approx(
         {"read": 600.0}
     )
@@ -70,7 +69,7 @@
     assert max_value([], steady(1.0, 5)).total == 0.0
 
 
-def test_no_night_has_more_worth_than_its_bound() -> None:
+def test_no_scenario_has_more_value_than_its_bound() -> None:
     overload = run(5, Script(world=World(seconds=3.0, boxes=2, cores=1, requests_per_s=300.0)))
     best = max_value(overload.demands, overload.supply)
     assert (
--- a/tests/testbed/test_simulation.py
+++ b/tests/testbed/test_simulation.py
@@ -1,4 +1,8 @@
-"""Whole nights: the same every time, no rule broken, every deliberate defect found, and nights that once failed."""
+"""Whole scenarios on the virtual clock.
+
+A seed gives the same trace every time, no rule is broken, every planted defect is found, and
+scenarios that once failed pass.
+"""
 
 from __future__ import annotations
 
@@ -18,22 +22,28 @@
 ROOT = Path(__file__).parent.parent.parent
 REGRESSIONS = sorted((ROOT / "tests" / "regressions").glob("*.toml"))
 JOBS = min(8, os.cpu_count() or 1)
+# Seeds whose traces are compared between processes.
 SAME = range(1, 21)
-MANY = range(1, 201)
+# Basic scenarios.
+BASIC = range(1, 201)
+# Number of seeds of each other kind that are played.
 HARD_PLAYED = 40
-LEAVING = range(40_000_001, 40_000_201)  # and on which many clients leave while their requests wait
-ONCE_FAILED = (
-    10_060_276,
-    10_060_282,
-)  # two calls to discovery and a replaced watch at rest: more timers than were counted on
-HARD = range(20_001, 20_201)  # hard nights, of which the first are played,
-TOLD = range(
-    10_000_001, 10_000_201
-)  # and nights on which discovery spoils what it tells, likewise,
-PAIRED = range(10_100_001, 10_100_021)  # also on watches that had already lost something
-SOURCED = range(20_000_001, 20_000_031)  # and on which nodes ask DNS too
-
-# A seed of the drawn nights that shows each defect, and the rule that it breaks there (docs/simulation.md has the table).
+# Many clients leave while their requests wait.
+LEAVING = range(40_000_001, 40_000_201)
+# An idle node with two calls to discovery and a replaced watch had more timers than the rule
+# allowed.
+ONCE_FAILED = (10_060_276, 10_060_282)
+# Hard scenarios.
+HARD = range(20_001, 20_201)
+# Discovery sends corrupt list lines.
+CORRUPT_LIST = range(10_000_001, 10_000_201)
+# Discovery sends corrupt list lines to watches that have already lost one.
+CORRUPT_PAIR = range(10_100_001, 10_100_021)
+# Nodes also use DNS.
+WITH_DNS = range(20_000_001, 20_000_031)
+
+# By defect: a seed whose scenario shows it, and the rule that it breaks there
+# (docs/simulation.md has the table).
 FOUND: dict[str, tuple[int, str]] = {
     "repeats-unsafe-work": (5, "no effect twice"),
     "refuses-what-may-have-run": (5, "no effect twice"),
@@ -55,10 +65,8 @@
     "serves-a-short-answer": (21, "one final answer"),
     "drops-what-is-held-at-a-drain": (5, "one final answer"),
     "never-sweeps": (19, "bad clients"),
-    "aborts-a-kept-connection": (
-        40_000_108,
-        "books",
-    ),  # two events in one instant: no ordinary night below 1,200 shows it any more
+    # Needs two events in one instant; no basic scenario with a seed below 1,200 shows it any more.
+    "aborts-a-kept-connection": (40_000_108, "books"),
     "has-no-deadline": (91, "one final answer"),
     "pushes-a-cold-server-over": (61, "no cold server pushed over"),
     "forgets-the-allowance-of-a-repeat": (20_004, "no cold server pushed over"),
@@ -68,7 +76,8 @@
     "lets-out-what-a-pause-held": (3, "no cold server pushed over"),
 }
 
-# A fleet that is cold as a whole, before nodes that stand still again and again and are then handed what has queued up.
+# All boxes are cold, and the nodes are paused again and again, each time resuming with a queue of
+# requests.
 PAUSES = Script(
     world=World(seconds=5.0, nodes=3, boxes=3, cores=1, requests_per_s=200.0, keys=120),
     fault=[
@@ -88,14 +97,17 @@
         ),
     ],
 )
-SCRIPTS = {
-    "lets-out-what-a-pause-held": PAUSES
-}  # nights of defects that no drawn one shows (20,112 did, until strain faded in 5 s)
+# Scripts for defects that no drawn scenario shows. Seed 20,112 showed this one until the strain of
+# a server faded within 5 s.
+SCRIPTS = {"lets-out-what-a-pause-held": PAUSES}
 
 
 def start(seeds: range, hash_seed: str) -> subprocess.Popen[str]:
-    """A process of its own that prints the digests of seeds' traces, under a value of PYTHONHASHSEED."""
-    code = f"from testbed.nights.simulation import run\nfor seed in range({seeds.start}, {seeds.stop}): print(run(seed).digest)"
+    """Start a process that prints the digests of seeds' traces under a value of PYTHONHASHSEED."""
+    code = (
+        "from testbed.nights.simulation import run\n"
+        f"for seed in range({seeds.start}, {seeds.stop}): print(run(seed).digest)"
+    )
     environ = {**os.environ, "PYTHONHASHSEED": hash_seed}
     command = [sys.executable, "-c", code]
     return subprocess.Popen(
@@ -121,11 +133,11 @@
 
 def test_no_seed_breaks_a_rule() -> None:
     seeds = [
-        *MANY,
+        *BASIC,
         *HARD[:HARD_PLAYED],
-        *TOLD[:HARD_PLAYED],
-        *PAIRED,
-        *SOURCED,
+        *CORRUPT_LIST[:HARD_PLAYED],
+        *CORRUPT_PAIR,
+        *WITH_DNS,
         *LEAVING[:HARD_PLAYED],
         *ONCE_FAILED,
     ]
@@ -136,22 +148,23 @@
 
 
 @pytest.mark.parametrize("name", DEFECTS)
-def test_every_deliberate_defect_is_found(name: str) -> None:
+def test_every_planted_defect_is_found(name: str) -> None:
     seed, rule = FOUND[name]
-    assert any(seed in seeds for seeds in (MANY, HARD, TOLD, SOURCED, LEAVING))
+    assert any(seed in seeds for seeds in (BASIC, HARD, CORRUPT_LIST, WITH_DNS, LEAVING))
     summary = play(seed, name, SCRIPTS.get(name))
     assert rule in {violated_rule(failure) for failure in summary.failures}
-    assert play(seed, script=SCRIPTS.get(name)).failures == ()  # the night is a good one without it
+    # Without the defect the scenario breaks no rule.
+    assert play(seed, script=SCRIPTS.get(name)).failures == ()
 
 
 @pytest.mark.parametrize("path", REGRESSIONS, ids=lambda path: path.stem)
-def test_nights_that_once_failed_are_good(path: Path) -> None:
+def test_scenarios_that_once_failed_pass(path: Path) -> None:
     text = path.read_text()
     seed = int(text.split("seed ")[1].split(" ")[0])
     assert play(seed, script=parse_script(text.encode())).failures == ()
 
 
-def test_a_night_without_faults_serves_everybody() -> None:
+def test_a_scenario_without_faults_serves_everybody() -> None:
     figures = run(3, Script(world=World(seconds=2.0))).figures
     assert (
         figures.asked > 80
@@ -183,7 +196,10 @@
 
 
 def test_faults_of_a_script_are_all_named() -> None:
-    text = b'[world]\nnodes = 1\nseconds = 0\n[[fault]]\nat_ms = 5\nkind = "box_melt"\n[[fault]]\nkind = "node_kill"\ntarget = 1\nx = 1\n'
+    text = (
+        b'[world]\nnodes = 1\nseconds = 0\n[[fault]]\nat_ms = 5\nkind = "box_melt"\n'
+        b'[[fault]]\nkind = "node_kill"\ntarget = 1\nx = 1\n'
+    )
     with pytest.raises(InvalidScript) as caught:
         parse_script(text)
     assert [fault.path for fault in caught.value.errors] == [
