--- a/testbed/nights/rules.py
+++ b/testbed/nights/rules.py
@@ -126,7 +126,10 @@
     """Records the events of a scenario and reports violations of the rules."""
 
     def __init__(
-        self, now_us: Callable[[], int], note: Callable[[str], None], later: Callable[..., object]
+        self,
+        now_us: Callable[[], int],
+        trace: Callable[[str], None],
+        call_after_us: Callable[..., object],
     ) -> None:
         self.failures: list[Failure] = []
         self.records: dict[str, RequestRecord] = {}
@@ -139,8 +142,8 @@
         self.is_excused: Callable[[Ask], bool] = lambda ask: False
         self.steps: Callable[[], int] = lambda: 0
         self._now = now_us
-        self._trace = note
-        self._call_after_us = later
+        self._trace = trace
+        self._call_after_us = call_after_us
         # By node and address: time from which the node may start nothing new there.
         self._excluded_since: dict[tuple[Owner, str], int] = {}
         # By node: addresses that its list reported as in service.
@@ -168,12 +171,12 @@
         # Most shares of each limit that all nodes held at once.
         self.max_held: dict[int, int] = {}
 
-    def report(self, rule: str, what: str) -> None:
+    def report(self, rule: str, detail: str) -> None:
         """Record and trace a violation, once per rule and detail."""
-        if (rule, what) not in self._reported:
-            self._reported.add((rule, what))
-            self.failures.append(Failure(self._now(), rule, what, self.steps()))
-            self._trace(f"BROKEN {rule}: {what}")
+        if (rule, detail) not in self._reported:
+            self._reported.add((rule, detail))
+            self.failures.append(Failure(self._now(), rule, detail, self.steps()))
+            self._trace(f"BROKEN {rule}: {detail}")
 
     def record(self, txn: str) -> RequestRecord:
         """Return the record of a request, created at its first use."""
@@ -314,12 +317,12 @@
             return
         sent = self._recent_work.setdefault(box.name, deque())
         ahead = sender is not None and sender.wall_offset_ms >= box.spec.cold_ms
-        told = sender is not None and (sender, box.address[0]) in self._started and not ahead
-        sent.append((now, work_ms, told))
+        notified = sender is not None and (sender, box.address[0]) in self._started and not ahead
+        sent.append((now, work_ms, notified))
         while sent[0][0] < now - COLD_BUDGET_WINDOW_US:
             sent.popleft()
         total = sum(work for _, work, _ in sent)
-        by_told = sum(work for _, work, knew in sent if knew)
+        by_notified = sum(work for _, work, knew in sent if knew)
         budget = (
             FALL_MULTIPLE
             * capacity
@@ -328,7 +331,7 @@
             / 1000.0
             * COLD_BUDGET_SLACK
         )
-        if total > budget and by_told * 3 >= total * 2:
+        if total > budget and by_notified * 3 >= total * 2:
             self.report("no cold server pushed over", f"{box.name} got more work than its budget")
 
     # -- discovery -----------------------------------------------------------------------
@@ -427,16 +430,17 @@
 
     def on_tier_join(self, process: Owner, carrier: Carrier) -> None:
         """Check rule 9 whenever a node takes a lease, the only moment at which a sum can grow."""
-        holdings, told = carrier.tier.dealer.holdings, carrier.tier.dealer.holdings.on_take
+        holdings, on_take = carrier.tier.dealer.holdings, carrier.tier.dealer.holdings.on_take
 
         def took(bound: int, lease: Lease, now: float) -> None:
-            told(bound, lease, now)
+            on_take(bound, lease, now)
             self.leases += 1
             self._check_shares(bound)
 
         holdings.on_take = took
 
     def _check_shares(self, bound: int) -> None:
+        """Check that the shares of a limit that running nodes hold sum to at most the whole."""
         held = {}
         for process, service in self.services.items():
             if process.alive and service.tier is not None:
@@ -469,14 +473,17 @@
         self._request_heads.pop(sock, None)
         at = head.find(b"\r\nX-Txn: ")
         txn = head[at + 9 : head.index(b"\r\n", at + 9)].decode("latin-1")
-        told = head.find(b"\r\nX-Remaining-Ms: ")
+        deadline_at = head.find(b"\r\nX-Remaining-Ms: ")
         self._on_attempt_sent(
             sock,
             txn,
-            1000 * int(head[told + 18 : head.index(b"\r\n", told + 18)]) if told >= 0 else 0,
+            1000 * int(head[deadline_at + 18 : head.index(b"\r\n", deadline_at + 18)])
+            if deadline_at >= 0
+            else 0,
         )
 
-    def _on_attempt_sent(self, sock: VirtualSocket, txn: str, told_us: int) -> None:
+    def _on_attempt_sent(self, sock: VirtualSocket, txn: str, announced_us: int) -> None:
+        """Check an attempt whose head leaves a node; announced_us is the time it tells the box."""
         now, process = self._now(), sock.process
         assert process is not None
         record = self.record(txn)
@@ -500,12 +507,12 @@
             )
         if record.ask is not None and record.ask.budget_ms and record.requested_us >= 0:
             left_us = record.requested_us + int(1000 * record.ask.budget_ms) - now
-            if told_us > max(1_000, left_us) + DEADLINE_SLACK_US and not process.stood_still(
+            if announced_us > max(1_000, left_us) + DEADLINE_SLACK_US and not process.stood_still(
                 record.requested_us, now
             ):
                 self.report(
                     "deadline told",
-                    f"{process.name} tells {box} {told_us // 1000} ms for {txn}, "
+                    f"{process.name} tells {box} {announced_us // 1000} ms for {txn}, "
                     f"but {left_us // 1000} ms remain",
                 )
         address = f"{sock.remote[0]}:{sock.remote[1]}"
--- a/testbed/nights/simulation.py
+++ b/testbed/nights/simulation.py
@@ -122,6 +122,7 @@
 
     @property
     def failed(self) -> bool:
+        """Whether a rule was broken."""
         return bool(self.failures)
 
     @property
@@ -159,6 +160,7 @@
 
     @property
     def digest(self) -> str:
+        """BLAKE2b digest of all events so far, in hexadecimal."""
         return self._hash.hexdigest()
 
 
@@ -170,6 +172,7 @@
         self._world = world
 
     def emit(self, record: logging.LogRecord) -> None:
+        """Trace a log line; report its exception, if any."""
         process = seam.SIDE.get()
         name = process.name if isinstance(process, Process) else "world"
         text = record.getMessage()
@@ -244,6 +247,7 @@
     # -- input of the oracle -------------------------------------------------------------
 
     def _on_demand(self, kind: Class, key: str) -> int:
+        """Record a first request as a demand and return its index."""
         work, at_ms = work_of(key, kind.method), self.loop.now_us / 1000.0
         self.demands.append(
             Demand(at_ms, kind.name, work, kind.aim_ms, kind.worth, kind.method == "PUT")
@@ -251,6 +255,7 @@
         return len(self.demands) - 1
 
     def _after_step(self, process: Owner) -> None:
+        """Check the rules after a step of a process, and sample the capacity at its interval."""
         self.rules.after_step(process)
         if self.loop.now_us >= self._next_sample_us:
             self._next_sample_us = self.loop.now_us + SAMPLE_INTERVAL_US
@@ -258,10 +263,11 @@
             self.rules.check_never_empty()
 
     def _sample(self) -> None:
+        """Record the present capacity of boxes and order book for the oracle."""
         work, now_ms = 0.0, EPOCH_MS + self.loop.now_us / 1000.0
         for n, box in self.boxes.items():
-            there = self.box_processes[n].running and self.net.host(box.address[0]).up
-            if there and not (box.draining or box.full or box.hang is not None):
+            available = self.box_processes[n].running and self.net.host(box.address[0]).up
+            if available and not (box.draining or box.full or box.hang is not None):
                 work += box.capacity_at(now_ms) * box.full_speed / box.slow
         fetches = 0.0 if self.book.down else self.book.places / self.book.service_ms
         self.supply.add_sample(self.loop.now_us / 1000.0, work, fetches)
@@ -277,6 +283,7 @@
         return f"127.2.0.{n + 1}"
 
     def _new_process(self, name: str, host: str) -> Process:
+        """Create a process and register it."""
         process = Process(name, self.net, host)
         self.processes.append(process)
         return process
@@ -334,6 +341,7 @@
         self.trace.add_event(f"{name} starts")
 
     def _node_ended(self, process: Process) -> None:
+        """Record that a node has ended by itself."""
         self.trace.add_event(f"{process.name} ends {type(process.exit).__name__}")
         self._ended_us[process.name] = self.loop.now_us
         if process.exit is not None:
@@ -363,6 +371,7 @@
         self.trace.add_event(f"{name} starts at {address[0]}{' cold' if cold else ''}")
 
     def _start_server(self, name: str, server: Server) -> Process:
+        """Start a stand-in server in a process of its own."""
         process = self._new_process(name, server.address[0])
         process.start(server.run)
         return process
@@ -386,6 +395,7 @@
         return any(at >= since for at in self._connections_broken_us.get(ask.node, ()))
 
     def _is_known_down(self, node: str) -> bool:
+        """Return whether clients know that a node is down."""
         process = self.nodes.get(node)
         if process is None:
             # The node joins later.
@@ -398,6 +408,7 @@
         )
 
     def _on_exception(self, loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
+        """Report an exception that reached the loop."""
         error = context.get("exception")
         process = seam.SIDE.get()
         name = process.name if isinstance(process, Process) else "world"
@@ -508,6 +519,7 @@
             self._after_fault(fault, setattr, server, "how", "good")
 
     def _on_dns_answer(self, host: str, targets: list[str]) -> None:
+        """Report the addresses in a DNS answer to the rules."""
         self.rules.on_dns_answer(
             host,
             [
@@ -536,19 +548,23 @@
     # -- faults --------------------------------------------------------------------------
 
     def _apply_fault(self, fault: Fault) -> None:
+        """Trace a fault and call the method of its kind."""
         self.trace.add_event(f"fault {fault.kind} {fault.target} {fault.for_ms:g} {fault.value:g}")
         getattr(self, f"_do_{fault.kind}")(fault)
 
     def _after_fault(self, fault: Fault, action: Callable[..., object], *args: Any) -> None:
+        """Schedule an action for the end of a fault, unless it is permanent."""
         if fault.for_ms:
             self.loop.after_us(int(fault.for_ms * 1000), action, *args)
 
     def _do_box_slow(self, fault: Fault) -> None:
+        """Slow a box down by the factor `value`."""
         box = self.boxes[fault.target]
         box.slow = fault.value or 5.0
         self._after_fault(fault, setattr, box, "slow", 1.0)
 
     def _do_box_hang(self, fault: Fault) -> None:
+        """Make a box stop answering."""
         box, event = self.boxes[fault.target], asyncio.Event()
         box.hang = event
 
@@ -559,6 +575,7 @@
         self._after_fault(fault, resume)
 
     def _kill_box(self, n: int) -> None:
+        """Kill a box; discovery notices after DEATH_NOTICE_S."""
         process, box = self.box_processes[n], self.boxes[n]
         if not process.alive:
             return
@@ -568,10 +585,12 @@
         self.loop.after_us(int(DEATH_NOTICE_S * 1e6), self._notify_death, n, box.name, process)
 
     def _notify_death(self, n: int, name: str, process: Process) -> None:
+        """Report a dead box as terminated, unless another has started in its place."""
         if self.box_processes[n] is process and name in self.entries:
             self._change_lifecycle(self.entries[name], "terminated")
 
     def _change_lifecycle(self, entry: dict[str, object], lifecycle: str) -> None:
+        """Change the lifecycle of a list entry."""
         # The registries share the entries; each one notifies its own watches.
         for registry in self.registries:
             registry.change(entry, lifecycle)
@@ -585,21 +604,25 @@
         self.loop.after_us(int(START_NOTICE_S * 1e6), self._notify_start, n, name, started)
 
     def _notify_start(self, n: int, name: str, started: float) -> None:
+        """List a box as in service, if it still runs."""
         if self._box_names[n] == name and self.box_processes[n].alive:
             self._change_lifecycle(
                 Registry.entry(name, (self._box_host(n), BOX_PORT), started), "in_service"
             )
 
     def _do_box_kill(self, fault: Fault) -> None:
+        """Kill a box and restart it under its own name."""
         self._kill_box(fault.target)
         self._after_fault(fault, self._restart_box, fault.target, self._box_names[fault.target])
 
     def _do_box_rename(self, fault: Fault) -> None:
+        """Kill a box and restart it under a new name."""
         self._kill_box(fault.target)
         self._last_box_id += 1
         self._after_fault(fault, self._restart_box, fault.target, f"s{self._last_box_id}")
 
     def _do_box_quick_restart(self, fault: Fault) -> None:
+        """Kill a box and restart it cold within 1 ms."""
         name = self._box_names[fault.target]
         self._kill_box(fault.target)
         self.loop.after_us(1_000, self._restart_box, fault.target, name)
@@ -624,24 +647,29 @@
         self._after_fault(fault, setattr, self.clients, "rate", self.script.world.requests_per_s)
 
     def _do_box_spoil(self, fault: Fault) -> None:
+        """Corrupt the next `value` answers of a box."""
         self.boxes[fault.target].spoil += [
             self.rng.choice(SPOILS) for _ in range(int(fault.value) or 1)
         ]
 
     def _do_box_errors(self, fault: Fault) -> None:
+        """Make a box answer the next `value` requests with errors."""
         self.boxes[fault.target].errors += int(fault.value) or 1
 
     def _do_box_turn_away(self, fault: Fault) -> None:
+        """Make a box turn requests away."""
         box = self.boxes[fault.target]
         box.full = True
         self._after_fault(fault, setattr, box, "full", False)
 
     def _do_box_vanish(self, fault: Fault) -> None:
+        """Take the host of a box off the network."""
         host = self.net.host(self._box_host(fault.target))
         host.up = False
         self.loop.after_us(int((fault.for_ms or 1_000.0) * 1000), setattr, host, "up", True)
 
     def _do_box_drain(self, fault: Fault) -> None:
+        """Drain a box: list it as terminating, and kill it 3 s later."""
         n, box, process = fault.target, self.boxes[fault.target], self.box_processes[fault.target]
         if box.name not in self.entries:
             return
@@ -650,10 +678,12 @@
         self.loop.after_us(3_000_000, self._kill_drained_box, n, process)
 
     def _kill_drained_box(self, n: int, process: Process) -> None:
+        """Kill a box, unless another process runs in its place."""
         if self.box_processes[n] is process:
             self._kill_box(n)
 
     def _do_node_kill(self, fault: Fault) -> None:
+        """Kill a node and restart it."""
         process = self.nodes.get(f"n{fault.target}")
         if process is not None and process.alive:
             self._kill_node(fault.target)
@@ -662,10 +692,12 @@
     def _restart_node(
         self, n: int, wall_offset_ms: float = 0.0, without_list: bool = False, extra_peers: int = 0
     ) -> None:
+        """Start a node unless it runs."""
         if not self.nodes[f"n{n}"].alive:
             self.start_node(n, wall_offset_ms, without_list, extra_peers)
 
     def _do_node_pause(self, fault: Fault) -> None:
+        """Pause a node."""
         process = self.nodes.get(f"n{fault.target}")
         if process is None:
             return
@@ -673,6 +705,7 @@
         self.loop.after_us(int((fault.for_ms or 200.0) * 1000), process.resume)
 
     def _do_node_term(self, fault: Fault) -> None:
+        """Send SIGTERM to a node; 3.7 s later it must have ended and is restarted."""
         process = self.nodes.get(f"n{fault.target}")
         if process is None:
             return
@@ -680,6 +713,7 @@
         self.loop.after_us(3_700_000, self._end_node, process, fault.target)
 
     def _end_node(self, process: Process, n: int) -> None:
+        """Report a node that has not ended after SIGTERM, and restart it."""
         if process.state == "running":
             self.rules.report(
                 "one final answer", f"{process.name} has not ended 3.7 s after SIGTERM"
@@ -699,6 +733,7 @@
         self.loop.after_us(1_500_000, self.registries[old].drop)
 
     def _do_node_descriptors(self, fault: Fault) -> None:
+        """Leave a node no free descriptors."""
         process = self.nodes[f"n{fault.target}"]
         process.descriptors = len(process.sockets)
         for_ms = fault.for_ms or 1_000.0
@@ -727,18 +762,21 @@
         return [(self._node_host(n), box) for n in range(self.script.world.nodes)]
 
     def _do_link_loss(self, fault: Fault) -> None:
+        """Lose segments between all nodes and a box."""
         for a, b in self._node_box_links(fault.target):
             for link in (self.net.link(a, b), self.net.link(b, a)):
                 link.loss = fault.value or 0.05
                 self._after_fault(fault, setattr, link, "loss", 0.0)
 
     def _do_link_cut(self, fault: Fault) -> None:
+        """Cut one direction between all nodes and a box."""
         for a, b in self._node_box_links(fault.target):
             link = self.net.link(b, a) if fault.target % 2 else self.net.link(a, b)
             link.cut = True
             self._after_fault(fault, setattr, link, "cut", False)
 
     def _do_link_slow(self, fault: Fault) -> None:
+        """Raise the latency between all nodes and a box to `value` us."""
         for a, b in self._node_box_links(fault.target):
             for link in (self.net.link(a, b), self.net.link(b, a)):
                 before, link.latency_us = link.latency_us, int(fault.value or 20_000)
@@ -816,14 +854,17 @@
             self._after_fault(fault, setattr, registry, state, False)
 
     def _do_discovery_silent(self, fault: Fault) -> None:
+        """Make both registries unresponsive."""
         self._set_discovery_state(fault, "silent")
 
     def _do_discovery_late(self, fault: Fault) -> None:
+        """Delay the answers of both registries by the duration, for 2 s."""
         for registry in self.registries:
             registry.late_s = fault.for_ms / 1000.0
             self.loop.after_us(2_000_000, setattr, registry, "late_s", 0.0)
 
     def _do_discovery_wrong(self, fault: Fault) -> None:
+        """Send a malformed line on all watches."""
         bad = (
             b"no list\n",
             b'{"generation":"x","instances":5}\n',
@@ -848,26 +889,32 @@
             registry.spoils.append(Spoil(how, int(fault.value), noise))
 
     def _do_discovery_refuse(self, fault: Fault) -> None:
+        """Make both registries answer calls with 503; watches go on."""
         self._set_discovery_state(fault, "refusing")
 
     def _do_discovery_mute(self, fault: Fault) -> None:
+        """Make both registries accept calls without answering them."""
         self._set_discovery_state(fault, "mute")
 
     def _do_discovery_drop(self, fault: Fault) -> None:
+        """Close all watches."""
         for registry in self.registries:
             registry.drop()
 
     def _do_discovery_down(self, fault: Fault) -> None:
+        """Close all watches and stop both registries."""
         for registry in self.registries:
             registry.down = True
             registry.drop()
             self._after_fault(fault, setattr, registry, "down", False)
 
     def _do_book_slow(self, fault: Fault) -> None:
+        """Slow the order book down by the factor `value`."""
         self.book.service_ms = 15.0 * (fault.value or 5.0)
         self._after_fault(fault, setattr, self.book, "service_ms", 15.0)
 
     def _do_book_down(self, fault: Fault) -> None:
+        """Take the order book down."""
         self.book.down = True
         self._after_fault(fault, setattr, self.book, "down", False)
 
@@ -887,6 +934,7 @@
             self.loop.after_us(int(fault.for_ms * 1000) + 50_000, self._restart_node, fault.target)
 
     def _kill_node(self, n: int) -> None:
+        """Kill a node, if it runs."""
         process = self.nodes[f"n{n}"]
         if process.alive:
             process.kill()
@@ -909,16 +957,19 @@
         return [self.net.link(a, b) for a, b in pairs if both_directions or a in side]
 
     def _do_peer_cut(self, fault: Fault) -> None:
+        """Cut the links between two sides of nodes."""
         for link in self._peer_links(fault):
             link.cut = True
             self._after_fault(fault, setattr, link, "cut", False)
 
     def _do_peer_oneway(self, fault: Fault) -> None:
+        """Cut the links from one side of nodes to the other."""
         for link in self._peer_links(fault, both_directions=False):
             link.cut = True
             self._after_fault(fault, setattr, link, "cut", False)
 
     def _do_peer_loss(self, fault: Fault) -> None:
+        """Lose a fraction of the datagrams between nodes."""
         for link in self._peer_links(fault):
             link.loss = fault.value
             self._after_fault(fault, setattr, link, "loss", 0.0)
@@ -930,6 +981,7 @@
             self._after_fault(fault, setattr, link, "late", 0.0)
 
     def _do_peer_double(self, fault: Fault) -> None:
+        """Duplicate a fraction of the datagrams between nodes."""
         for link in self._peer_links(fault):
             link.double = fault.value
             self._after_fault(fault, setattr, link, "double", 0.0)
@@ -953,6 +1005,7 @@
             self.loop.after_us(50_000, self._restart_node, fault.target, fault.value)
 
     def _do_rude(self, fault: Fault) -> None:
+        """Send three bad clients to a node."""
         names = list(RUDE)
         name = names[int(fault.value) % len(names)]
         for _ in range(3):
@@ -965,6 +1018,7 @@
     """Registry that identifies the node behind a watch by its host."""
 
     def node_of(self, connection: Connection) -> str:
+        """Return the host of the node behind a connection."""
         sock = connection.stream._sock
         assert isinstance(sock, VirtualSocket)
         return sock.remote[0]
