--- a/testbed/nights/rules.py
+++ b/testbed/nights/rules.py
@@ -1,25 +1,34 @@
-"""The rules, held against what the world saw, after every step.
-
-1. Each request that a running node has taken gets exactly one final answer, made for it, before its time is up.
-2. Unsafe work that may have run is not repeated and not refused; a keyed one is repeated only within its window.
-3. Nothing goes out for a request after its final answer, or after its client has left. Where a node stood still meanwhile, or had no
-   descriptor to accept with, it may learn of either late, but nothing is begun LEFT_US or longer after its client left: word of that is
-   in its kernel by then. Nor is a server told of more time than the client has left and TOLD_SLACK_US.
-4. Nothing goes to a server later than the drain grace after the node was told that it drains or is gone. An entry is told when it
-   was written whole, from brace to brace, also in a line that is cut or spoilt elsewhere; but such a line takes nobody's last server.
-5. No cold server is pushed over: the work sent to it stays within the budget of its present capacity.
-6. The node's own books agree with its sockets after every step, and all are empty at the end.
-
-Where nodes have further sources, also:
-
-7. A node's set is never empty while any source named a box that the list did not say drains or is gone.
-8. Nothing is dialed that no source ever named.
-
-Where nodes may talk to one another, also:
-
-9. The parts of a bound of the tier that its nodes believe they may spend, also those that stand still, sum to the whole at most.
-
-The witness sees only what a stand-in, a client or the network's wire shows; the books are read in the node itself.
+"""The rules of a scenario, checked against what the testbed observes after every step.
+
+1. Each request that a running node has accepted gets exactly one final answer, made for it, before
+   its deadline.
+2. Unsafe work that may have run is neither repeated nor refused. A keyed request is repeated only
+   within its window.
+3. No attempt is sent for a request after its final answer, or after its client has left. A node
+   that stalled meanwhile, or had no descriptor to accept with, may learn of either late; but
+   nothing is started LEAVE_NOTICE_US or longer after the client left, as the node's kernel knows by
+   then. A server is told at most the time that the client has left and DEADLINE_SLACK_US.
+4. No attempt goes to a server later than the drain grace after the node was notified that the
+   server drains or was removed. A list entry counts as received when it was written whole, from
+   brace to brace, also in a line that is cut or corrupt elsewhere; but such a line may not take a
+   node's last server.
+5. No cold server is overloaded: the work sent to it stays within the budget of its present
+   capacity.
+6. The node's own accounts agree with its sockets after every step, and all are empty at the end.
+
+Where nodes use further sources, also:
+
+7. A node's server set is never empty while any source named a box that the list did not report as
+   draining or removed.
+8. No address is dialed that no source ever named.
+
+Where nodes form a tier, also:
+
+9. The shares of a tier-wide limit that its nodes hold, stalled ones included, sum to at most the
+   whole.
+
+The witness sees only what a stand-in, a client or the network's wire shows; the accounts are read
+in the node itself.
 """
 
 from __future__ import annotations
@@ -40,42 +49,54 @@
 from testbed.systems.emulators import CacheBox, ServerObserver, majority_box_share
 from testbed.systems.http import Message
 
-GRACE_US = 250_000
-HEARD_US = 1_500_000  # by then an answer of DNS was lost and asked for again
-MORE_US = 50_000  # each time limit on sockets is this much longer
+DRAIN_GRACE_US = 250_000
+# A node has repeated a lost DNS query and received the answer by then.
+DNS_RETRY_US = 1_500_000
+# Added to each time limit that is checked at sockets.
+TIME_LIMIT_SLACK_US = 50_000
+# Work that a cold box may get, as a multiple of its capacity in the window.
 FALL_MULTIPLE = 4.0
-FALL_US = 2_000_000
-CHANCE = 1.3  # slack for chance in the cold budget
-STALL_US = 150_000  # a node that stood still for longer may send late to a server that drains; the grace covers any shorter stall
-TOLD_SLACK_US = 150_000  # of the deadline that a server is told
-STILL_US = 60_000  # after a request's end nothing of it is out any more
-LEFT_US = 100_000  # after this a request of a client that has left is not begun, whatever its node could know when
-CROSSED_US = (
-    20_000  # what is on the way while word of an end comes (over a slow link it waits its turn)
-)
-SOURCES_TIMERS = (
-    2 + MAX_CONCURRENT_LOOKUPS
-)  # of further sources: the next round, the next look, and look-ups that are out
-IDLE_TIMERS = 6  # of a node that has nothing to do: two sweeps, its look at what is out, its presence, and up to two calls to come
-CALL_TIMERS = 2  # of each call to discovery, or of the watch that it has become: its patience and the call beside it, a pause and a silence
+COLD_BUDGET_WINDOW_US = 2_000_000
+# Factor on the cold budget for random variation.
+COLD_BUDGET_SLACK = 1.3
+# A node that stalled for longer may send late to a draining server; the grace covers any shorter
+# stall.
+MAX_EXPECTED_STALL_US = 150_000
+# Added to the remaining time that a server may be told.
+DEADLINE_SLACK_US = 150_000
+# This long after a request's end none of its attempts is running any more.
+CLEANUP_US = 60_000
+# From then on no attempt is started for a client that has left, whatever its node could know when.
+LEAVE_NOTICE_US = 100_000
+# Covers attempts in transit while the end of their request is notified; on a slow link they queue.
+IN_TRANSIT_US = 20_000
+# Timers of further sources: the next round, the next check, and running DNS queries.
+SOURCES_TIMERS = 2 + MAX_CONCURRENT_LOOKUPS
+# Timers of an idle node: two sweeps, the check of what is running, the event loop lag, and up to
+# two scheduled calls.
+IDLE_TIMERS = 6
+# Timers of each call to discovery or of the watch that it became: its time limit and that of the
+# call beside it, or a pause and an idle limit.
+DISCOVERY_CALL_TIMERS = 2
 
 
 @dataclass(frozen=True, slots=True)
 class Failure:
-    """A rule that was broken."""
+    """One violation of a rule."""
 
     at_us: int
     rule: str
-    what: str
-    step: int = 0  # how many callbacks had run
+    detail: str
+    # Number of callbacks that the loop had run.
+    step: int = 0
 
     def __str__(self) -> str:
-        return f"{self.at_us / 1e6:.6f} s: {self.rule}: {self.what}"
+        return f"{self.at_us / 1e6:.6f} s: {self.rule}: {self.detail}"
 
 
 @dataclass(slots=True)
-class Sent:
-    """One attempt as the wire showed it."""
+class SentAttempt:
+    """One attempt as seen on the wire."""
 
     at_us: int
     box: str
@@ -83,119 +104,124 @@
 
 
 @dataclass(slots=True)
-class Life:
-    """All that is known of one request."""
+class RequestRecord:
+    """Everything known about one request; times are -1 until they happen."""
 
     ask: Optional[ClientRequest] = None
-    asked_us: int = -1
+    requested_us: int = -1
     answer: Optional[Message] = None
     answered_us: int = -1
     left_us: int = -1
-    sends: list[Sent] = field(default_factory=list)  # first byte left a node
-    begun: list[Sent] = field(default_factory=list)  # last byte reached a box
-    sender: Optional[ProcessProtocol] = None  # of the latest of sends
+    # Attempts whose head has left a node.
+    sent: list[SentAttempt] = field(default_factory=list)
+    # Attempts whose last byte has reached a box.
+    received: list[SentAttempt] = field(default_factory=list)
+    # Node that sent the latest attempt.
+    sender: Optional[ProcessProtocol] = None
+    # Bodies of the answers that boxes made.
     bodies: list[bytes] = field(default_factory=list)
 
 
 class Rules(ServerObserver, ClientObserver):
-    """Collects what happened, and what of it breaks a rule."""
+    """Records the events of a scenario and reports violations of the rules."""
 
     def __init__(
-        self, now_us: Callable[[], int], note: Callable[[str], None], later: Callable[..., object]
+        self,
+        now_us: Callable[[], int],
+        trace: Callable[[str], None],
+        call_after_us: Callable[..., object],
     ) -> None:
         self.failures: list[Failure] = []
-        self.lives: dict[str, Life] = {}
-        self.nodes: dict[str, ProcessProtocol] = {}  # by host: the process that runs there now
+        self.records: dict[str, RequestRecord] = {}
+        # By host: the process that runs there now.
+        self.nodes: dict[str, ProcessProtocol] = {}
         self.services: dict[ProcessProtocol, Service] = {}
-        self.boxes: dict[str, str] = {}  # host of a box to its name, for the trace
-        self.excused: Callable[[ClientRequest], bool] = lambda ask: (
-            False
-        )  # the network or a kill is to blame
+        # Names of the boxes by host, for the trace.
+        self.boxes: dict[str, str] = {}
+        # Whether a request may stay unanswered, due to the network or a killed node.
+        self.is_excused: Callable[[ClientRequest], bool] = lambda ask: False
         self.steps: Callable[[], int] = lambda: 0
         self._now = now_us
-        self._note = note
-        self._later = later  # calls back after so many us
-        self._left_out: dict[
-            tuple[ProcessProtocol, str], int
-        ] = {}  # (node, address): since when it may get nothing new
-        self._listed: dict[
-            ProcessProtocol, set[str]
-        ] = {}  # of a node: the addresses that it was told are in service
-        self._started: set[tuple[ProcessProtocol, str]] = (
-            set()
-        )  # (node, host of a server): the node was told that it started lately
-        self._ever: dict[
-            ProcessProtocol, set[str]
-        ] = {}  # of a node: the addresses that its list ever named in service
-        self._named: set[str] = set()  # and those that DNS did,
-        self._heard: dict[
-            ProcessProtocol, dict[str, int]
-        ] = {}  # and those that it gave to a node, first when
-        self._empty: dict[
-            ProcessProtocol, int
-        ] = {}  # nodes with no server in service, since when one could be (a line may be on its way)
-        self._heads: dict[VirtualSocket, bytearray] = {}
-        self._work: dict[str, deque[tuple[int, float, bool]]] = {}
+        self._trace = trace
+        self._call_after_us = call_after_us
+        # By node and address: time from which the node may start nothing new there.
+        self._excluded_since: dict[tuple[ProcessProtocol, str], int] = {}
+        # By node: addresses that its list reported as in service.
+        self._listed: dict[ProcessProtocol, set[str]] = {}
+        # Node and host of each server that the node was notified started lately.
+        self._started: set[tuple[ProcessProtocol, str]] = set()
+        # By node: addresses that its list ever reported as in service.
+        self._ever_listed: dict[ProcessProtocol, set[str]] = {}
+        # Addresses that DNS ever named.
+        self._dns_named: set[str] = set()
+        # By node: addresses in the DNS answers to it, with the time of the first.
+        self._dns_answered: dict[ProcessProtocol, dict[str, int]] = {}
+        # Nodes without a server in service, with the time since which they could have one; a list
+        # line may still be in transit.
+        self._empty_since: dict[ProcessProtocol, int] = {}
+        self._request_heads: dict[VirtualSocket, bytearray] = {}
+        self._recent_work: dict[str, deque[tuple[int, float, bool]]] = {}
         self._dialed: dict[ProcessProtocol, int] = {}
         self._accepted: dict[ProcessProtocol, int] = {}
-        self._seen: set[tuple[str, str]] = set()
-        self.reads: dict[str, Counter[str]] = defaultdict(Counter)  # by key and box
-        self.leases = 0  # that were taken,
-        self.most_held: dict[
-            int, int
-        ] = {}  # and the most parts of each bound that were held at once
-
-    def broken(self, rule: str, what: str) -> None:
-        """Note a broken rule, once for each thing it is about."""
-        if (rule, what) not in self._seen:
-            self._seen.add((rule, what))
-            self.failures.append(Failure(self._now(), rule, what, self.steps()))
-            self._note(f"BROKEN {rule}: {what}")
-
-    def life(self, txn: str) -> Life:
-        """What is known of a request."""
-        got = self.lives.get(txn)
-        if got is None:
-            got = self.lives[txn] = Life()
-        return got
+        self._reported: set[tuple[str, str]] = set()
+        # Number of reads by key and box.
+        self.reads: dict[str, Counter[str]] = defaultdict(Counter)
+        # Number of leases that nodes took.
+        self.leases = 0
+        # Most shares of each limit that all nodes held at once.
+        self.max_held: dict[int, int] = {}
+
+    def report(self, rule: str, detail: str) -> None:
+        """Record and trace a violation, once per rule and detail."""
+        if (rule, detail) not in self._reported:
+            self._reported.add((rule, detail))
+            self.failures.append(Failure(self._now(), rule, detail, self.steps()))
+            self._trace(f"BROKEN {rule}: {detail}")
+
+    def record(self, txn: str) -> RequestRecord:
+        """Return the record of a request, created at its first use."""
+        record = self.records.get(txn)
+        if record is None:
+            record = self.records[txn] = RequestRecord()
+        return record
 
     # -- clients -------------------------------------------------------------------------
 
     def request_sent(self, ask: ClientRequest) -> None:
-        life = self.life(ask.txn)
-        life.ask, life.asked_us = ask, self._now()
-        self._note(f"client asks {ask.txn} {ask.request_class.name} {ask.key} of {ask.node}")
+        record = self.record(ask.txn)
+        record.ask, record.requested_us = ask, self._now()
+        self._trace(f"client asks {ask.txn} {ask.request_class.name} {ask.key} of {ask.node}")
 
     def answer_received(self, ask: ClientRequest, answer: Message) -> None:
-        life = self.life(ask.txn)
-        self._note(f"client gets {ask.txn} {answer.status} {len(answer.body)}")
-        if life.answer is not None:
-            self.broken("one final answer", f"{ask.txn} is answered twice")
-        life.answer, life.answered_us = answer, self._now()
-        self._later(STILL_US, self._no_work_left, ask, life.answered_us)
-        if answer.status == 200 and answer.body not in life.bodies:
-            self.broken(
+        record = self.record(ask.txn)
+        self._trace(f"client gets {ask.txn} {answer.status} {len(answer.body)}")
+        if record.answer is not None:
+            self.report("one final answer", f"{ask.txn} is answered twice")
+        record.answer, record.answered_us = answer, self._now()
+        self._call_after_us(CLEANUP_US, self._check_nothing_running, ask, record.answered_us)
+        if answer.status == 200 and answer.body not in record.bodies:
+            self.report(
                 "one final answer",
-                f"{ask.txn} is served with what was not made for it: {answer.body[:40]!r}",
+                f"{ask.txn} got a body that no box made for it: {answer.body[:40]!r}",
             )
-        may_have_run = [begun for begun in life.begun if not begun.turned_away]
+        may_have_run = [begun for begun in record.received if not begun.turned_away]
         if (
             answer.status in (429, 503)
             and ask.request_class.idempotency == "unsafe"
             and may_have_run
         ):
-            self.broken(
+            self.report(
                 "no effect twice",
                 f"{ask.txn} is refused though it may have run at {may_have_run[0].box}",
             )
 
     def client_left(self, ask: ClientRequest) -> None:
-        self.life(ask.txn).left_us = self._now()
-        self._later(STILL_US, self._no_work_left, ask, self._now())
-        self._note(f"client leaves {ask.txn}")
+        self.record(ask.txn).left_us = self._now()
+        self._call_after_us(CLEANUP_US, self._check_nothing_running, ask, self._now())
+        self._trace(f"client leaves {ask.txn}")
 
-    def _no_work_left(self, ask: ClientRequest, ended_us: int) -> None:
-        """A while after a request's end nothing of it is left in its node."""
+    def _check_nothing_running(self, ask: ClientRequest, ended_us: int) -> None:
+        """Check that nothing of an ended request is left in its node."""
         for process, service in self.services.items():
             if (
                 process.name != ask.node
@@ -205,35 +231,34 @@
                 continue
             txn = ask.txn.encode()
             if any(call.txn == txn for call in service.node._calls.values()):
-                self.broken("nothing after the end", f"{process.name} still holds {ask.txn}")
+                self.report("nothing after the end", f"{process.name} still holds {ask.txn}")
             if any(attempt.request.txn == txn for attempt in service.node._running.values()):
-                self.broken(
+                self.report(
                     "nothing after the end",
-                    f"an attempt of {process.name} for {ask.txn} is still out",
+                    f"an attempt of {process.name} for {ask.txn} still runs",
                 )
 
     def no_answer(self, ask: ClientRequest, how: str) -> bool:
-        life = self.life(ask.txn)
-        self._note(f"client has no answer {ask.txn} {how}")
-        if self.excused(ask):
+        record = self.record(ask.txn)
+        self._trace(f"client has no answer {ask.txn} {how}")
+        if self.is_excused(ask):
             return False
         if how == "no answer":
-            self.broken("one final answer", f"{ask.txn} has none when its time is up")
-        elif life.sends:
-            self.broken(
-                "one final answer", f"{ask.txn} was sent on, and its connection ended: {how}"
+            self.report("one final answer", f"{ask.txn} has no answer at its deadline")
+        elif record.sent:
+            self.report(
+                "one final answer", f"{ask.txn} was sent to a box, but its connection ended: {how}"
             )
         elif not ask.first_on_connection:
-            return (
-                True  # a close that crossed the request: it is sent once more on a new connection
-            )
+            # A close crossed the request, which is sent once more on a new connection.
+            return True
         return False
 
     def unsolicited_input(self, node: str) -> None:
-        self.broken("one final answer", f"{node} writes on a connection on which nothing is asked")
+        self.report("one final answer", f"{node} writes on a connection without a request")
 
     def bad_client_result(self, node: str, name: str, status: int, waited_ms: float) -> None:
-        self._note(f"rude client {name} {status} of {node}")
+        self._trace(f"rude client {name} {status} of {node}")
         since = self._now() - int(waited_ms * 1000)
         here = [process for process in self.services if process.name == node]
         if any(
@@ -242,81 +267,89 @@
         ):
             return
         if status == -1:
-            self.broken(
+            self.report(
                 "bad clients", f"{name} got neither an error nor a close in {waited_ms:.0f} ms"
             )
         elif 200 <= status < 400:
-            self.broken("bad clients", f"{name} was served with {status}")
+            self.report("bad clients", f"{name} was served with {status}")
 
     # -- boxes ---------------------------------------------------------------------------
 
     def request_received(self, box: CacheBox, txn: str, method: str, work_ms: float) -> None:
-        life, now = self.life(txn), self._now()
-        self._note(f"{box.name} receives {txn}")
-        earlier = [begun for begun in life.begun if not begun.turned_away]
-        life.begun.append(Sent(now, box.name))
-        kind = life.ask.request_class if life.ask is not None else None
+        record, now = self.record(txn), self._now()
+        self._trace(f"{box.name} receives {txn}")
+        earlier = [begun for begun in record.received if not begun.turned_away]
+        record.received.append(SentAttempt(now, box.name))
+        kind = record.ask.request_class if record.ask is not None else None
         if earlier and kind is not None and kind.idempotency == "unsafe":
-            self.broken(
+            self.report(
                 "no effect twice",
                 f"{txn} may have run at {earlier[0].box} and is sent to {box.name}",
             )
         if earlier and kind is not None and kind.idempotency == "keyed":
-            if now - earlier[0].at_us > 1000 * kind.window_ms + MORE_US:
-                self.broken("no effect twice", f"{txn} is sent to {box.name} after the window")
-        if method == "PUT" and life.ask is None and txn == "hidden":
-            self.broken("no effect twice", "a hidden request was passed on")
-        if method == "GET" and life.ask is not None:
-            self.reads[life.ask.key][box.name] += 1
-        self._cold(box, work_ms, now, life.sender)
-
-    def usual(self) -> float:
-        """The part of the reads that went to the box to which most of their key's went."""
+            if now - earlier[0].at_us > 1000 * kind.window_ms + TIME_LIMIT_SLACK_US:
+                self.report("no effect twice", f"{txn} is sent to {box.name} after the window")
+        if method == "PUT" and record.ask is None and txn == "hidden":
+            self.report("no effect twice", "a smuggled request was forwarded")
+        if method == "GET" and record.ask is not None:
+            self.reads[record.ask.key][box.name] += 1
+        self._check_cold_budget(box, work_ms, now, record.sender)
+
+    def primary_box_share(self) -> float:
+        """Return the fraction of reads that went to the box with most reads of their key."""
         return majority_box_share(self.reads)
 
     def request_turned_away(self, box: CacheBox, txn: str) -> None:
-        self.life(txn).begun[-1].turned_away = True
-        self._note(f"{box.name} turns away {txn}")
+        self.record(txn).received[-1].turned_away = True
+        self._trace(f"{box.name} turns away {txn}")
 
     def answer_made(self, box: CacheBox, txn: str, body: bytes) -> None:
-        self.life(txn).bodies.append(body)
-        self._note(f"{box.name} answers {txn}")
+        self.record(txn).bodies.append(body)
+        self._trace(f"{box.name} answers {txn}")
 
     def origin_fetched(self, box: str, key: str) -> None:
-        self._note(f"{box} fetches {key}")
+        self._trace(f"{box} fetches {key}")
 
-    def _cold(
+    def _check_cold_budget(
         self, box: CacheBox, work_ms: float, now: int, sender: Optional[ProcessProtocol]
     ) -> None:
-        """Hold what a cold box gets against its budget, where those that knew of its start sent the most of it.
+        """Check the work sent to a cold box against its budget.
 
-        A node that was not told (discovery was silent, or lies) can't know, nor can one whose wall clock is further ahead than a
-        start takes: there is no other clock to hold it against.
+        The rule holds only where nodes that knew of the start sent most of the work. A node that
+        was not notified (discovery was unresponsive or wrong) cannot know, nor can one whose wall
+        clock is ahead by more than a start takes, as it has no other clock to compare with.
         """
         capacity = box.speed_share()
         if capacity >= 1.0:
             return
-        sent = self._work.setdefault(box.name, deque())
+        sent = self._recent_work.setdefault(box.name, deque())
         ahead = sender is not None and sender.wall_clock_offset_ms >= box.spec.cold_ms
-        told = sender is not None and (sender, box.address[0]) in self._started and not ahead
-        sent.append((now, work_ms, told))
-        while sent[0][0] < now - FALL_US:
+        notified = sender is not None and (sender, box.address[0]) in self._started and not ahead
+        sent.append((now, work_ms, notified))
+        while sent[0][0] < now - COLD_BUDGET_WINDOW_US:
             sent.popleft()
         total = sum(work for _, work, _ in sent)
-        by_told = sum(work for _, work, knew in sent if knew)
-        budget = FALL_MULTIPLE * capacity * box.full_speed * FALL_US / 1000.0 * CHANCE
-        if total > budget and by_told * 3 >= total * 2:
-            self.broken("no cold server pushed over", f"{box.name} got more work than its budget")
+        by_notified = sum(work for _, work, knew in sent if knew)
+        budget = (
+            FALL_MULTIPLE
+            * capacity
+            * box.full_speed
+            * COLD_BUDGET_WINDOW_US
+            / 1000.0
+            * COLD_BUDGET_SLACK
+        )
+        if total > budget and by_notified * 3 >= total * 2:
+            self.report("no cold server pushed over", f"{box.name} got more work than its budget")
 
     # -- discovery -----------------------------------------------------------------------
 
-    def starts(self, process: ProcessProtocol, known: list[dict[str, object]]) -> None:
-        """A node starts with the list as it last was."""
+    def on_node_start(self, process: ProcessProtocol, known: list[dict[str, object]]) -> None:
+        """Record that a node starts with the list as it last was."""
         self.nodes[process.host] = process
         self._listed[process] = {
             str(entry["hostPort"]) for entry in known if entry["lifecycle"] == "in_service"
         }
-        self._ever[process] = set(self._listed[process])
+        self._ever_listed[process] = set(self._listed[process])
 
     def list_sent(
         self, node: str, entries: list[dict[str, object]], full: bool, sound: bool = True
@@ -325,186 +358,201 @@
         process = self.nodes.get(node)
         if process is None or not process.alive:
             return
-        there = set()
+        in_service = set()
         listed = self._listed[process]
         if full:
             listed.clear()
         for entry in entries:
             address = str(entry["hostPort"])
             if entry["lifecycle"] == "in_service":
-                self._left_out.pop((process, address), None)
-                there.add(address)
+                self._excluded_since.pop((process, address), None)
+                in_service.add(address)
                 listed.add(address)
-                self._ever[process].add(address)
-                known = process, address.partition(":")[0]
+                self._ever_listed[process].add(address)
+                instance = process, address.partition(":")[0]
                 if not sound:
-                    continue  # whoever reads such a line must not build on it, and may
+                    # A node may use the start times of a corrupt line but need not.
+                    continue
                 if entry.get("startedAtMs"):
-                    self._started.add(known)
+                    self._started.add(instance)
                 else:
-                    self._started.discard(known)
+                    self._started.discard(instance)
         for entry in entries:
             address = str(entry["hostPort"])
-            if entry["lifecycle"] != "in_service" and address not in there:
+            if entry["lifecycle"] != "in_service" and address not in in_service:
                 if not sound and listed <= {address}:
-                    continue  # a line that can't be read may not take the last server
+                    # A corrupt line may not remove the last server.
+                    continue
                 listed.discard(address)
-                self._left_out.setdefault((process, address), now)
-                self._note(
-                    f"{process.name} is told that {entry['instanceId']} is {entry['lifecycle']}"
+                self._excluded_since.setdefault((process, address), now)
+                self._trace(
+                    f"{process.name} is notified that {entry['instanceId']} is {entry['lifecycle']}"
                 )
 
     # -- further sources -----------------------------------------------------------------
 
-    def named(self, addresses: Iterable[str]) -> None:
-        """DNS names these from now on."""
-        self._named.update(addresses)
+    def on_dns_change(self, addresses: Iterable[str]) -> None:
+        """Record addresses that DNS names from now on."""
+        self._dns_named.update(addresses)
 
-    def given(self, host: str, addresses: Iterable[str]) -> None:
-        """DNS gave a node records of these."""
+    def on_dns_answer(self, host: str, addresses: Iterable[str]) -> None:
+        """Record addresses in a DNS answer to a node."""
         process = self.nodes.get(host)
         if process is not None:
-            heard = self._heard.setdefault(process, {})
+            answered = self._dns_answered.setdefault(process, {})
             for address in addresses:
-                heard.setdefault(address, self._now())
+                answered.setdefault(address, self._now())
 
-    def never_empty(self) -> None:
-        """Rule 7, of every node that has further sources and has begun."""
+    def check_never_empty(self) -> None:
+        """Check rule 7 for every node that uses further sources and knows its servers."""
         for process, service in self.services.items():
             if service.sources is None or not process.running or not service.node.servers_known:
                 continue
             if any(server.leaving_ms is None for server in service.node.servers.values()):
-                self._empty.pop(process, None)
+                self._empty_since.pop(process, None)
                 continue
-            heard = {
-                a for a, at in self._heard.get(process, {}).items() if self._now() - at > HEARD_US
+            answered = {
+                a
+                for a, at in self._dns_answered.get(process, {}).items()
+                if self._now() - at > DNS_RETRY_US
             }
-            left = [
+            candidates = [
                 address
-                for address in self._ever[process] | heard
-                if (process, address) not in self._left_out
+                for address in self._ever_listed[process] | answered
+                if (process, address) not in self._excluded_since
             ]
-            since = self._empty.setdefault(process, self._now())
-            if not left:
-                self._empty[process] = self._now()
-            elif self._now() - since > GRACE_US and not process.was_paused(since, self._now()):
-                self.broken(
+            since = self._empty_since.setdefault(process, self._now())
+            if not candidates:
+                self._empty_since[process] = self._now()
+            elif self._now() - since > DRAIN_GRACE_US and not process.was_paused(
+                since, self._now()
+            ):
+                self.report(
                     "never empty",
-                    f"{process.name} has no server in service though {min(left)} was never taken away",
+                    f"{process.name} has no server in service "
+                    f"though {min(candidates)} was never removed",
                 )
 
     # -- the tier ------------------------------------------------------------------------
 
-    def joins(self, process: ProcessProtocol, carrier: UdpTransport) -> None:
-        """A node takes part in the tier: rule 9 is looked at whenever it takes a lease, as a sum can rise at no other moment."""
-        holdings, told = (
+    def on_tier_join(self, process: ProcessProtocol, carrier: UdpTransport) -> None:
+        """Check rule 9 whenever a node takes a lease, the only moment at which a sum can grow."""
+        holdings, on_take = (
             carrier.tier.allocator.held_leases,
             carrier.tier.allocator.held_leases.on_lease,
         )
 
         def took(bound: int, lease: Lease, now: float) -> None:
-            told(bound, lease, now)
+            on_take(bound, lease, now)
             self.leases += 1
-            self._shares(bound)
+            self._check_shares(bound)
 
         holdings.on_lease = took
 
-    def _shares(self, bound: int) -> None:
+    def _check_shares(self, bound: int) -> None:
+        """Check that the shares of a limit that running nodes hold sum to at most the whole."""
         held = {}
         for process, service in self.services.items():
             if process.alive and service.tier is not None:
                 lease = service.tier.tier.allocator.held_leases.lease(bound, process.now_ms())
                 if lease is not None:
                     held[process.name] = lease.shares
-        self.most_held[bound] = max(self.most_held.get(bound, 0), sum(held.values()))
+        self.max_held[bound] = max(self.max_held.get(bound, 0), sum(held.values()))
         if sum(held.values()) > TOTAL_SHARES:
-            self.broken("shares add up", f"of bound {bound} {held} are held, {TOTAL_SHARES} in all")
+            self.report(
+                "shares add up", f"of limit {bound} {held} are held, of {TOTAL_SHARES} in all"
+            )
 
-    # -- the wire ------------------------------------------------------------------------
+    # -- bytes on the wire ---------------------------------------------------------------
 
-    def wire(self, sock: VirtualSocket, piece: bytes, asked: int) -> None:
-        """Bytes left a program. Called by the network for every send."""
+    def on_bytes_sent(self, sock: VirtualSocket, piece: bytes, asked: int) -> None:
+        """Handle bytes that a process sends; called by the network for every send."""
         if (
             sock.remote[0] not in self.boxes
             or sock.process is None
             or sock.process not in self.services
         ):
             return
-        head = self._heads.get(sock)
+        head = self._request_heads.get(sock)
         if head is None:
             if not piece.startswith((b"GET ", b"PUT ")):
                 return
             head = bytearray()
         head += piece
         if b"\r\n\r\n" not in head:
-            self._heads[sock] = head
+            self._request_heads[sock] = head
             return
-        self._heads.pop(sock, None)
+        self._request_heads.pop(sock, None)
         at = head.find(b"\r\nX-Txn: ")
         txn = head[at + 9 : head.index(b"\r\n", at + 9)].decode("latin-1")
-        told = head.find(b"\r\nX-Remaining-Ms: ")
-        self._sent(
+        deadline_at = head.find(b"\r\nX-Remaining-Ms: ")
+        self._on_attempt_sent(
             sock,
             txn,
-            1000 * int(head[told + 18 : head.index(b"\r\n", told + 18)]) if told >= 0 else 0,
+            1000 * int(head[deadline_at + 18 : head.index(b"\r\n", deadline_at + 18)])
+            if deadline_at >= 0
+            else 0,
         )
 
-    def _sent(self, sock: VirtualSocket, txn: str, told_us: int) -> None:
+    def _on_attempt_sent(self, sock: VirtualSocket, txn: str, announced_us: int) -> None:
+        """Check an attempt whose head leaves a node; announced_us is the time it tells the box."""
         now, process = self._now(), sock.process
         assert process is not None
-        life = self.life(txn)
+        record = self.record(txn)
         box = self.boxes[sock.remote[0]]
-        life.sends.append(Sent(now, box))
-        life.sender = process
-        self._note(f"{process.name} sends {txn} to {box} #{len(life.sends)}")
+        record.sent.append(SentAttempt(now, box))
+        record.sender = process
+        self._trace(f"{process.name} sends {txn} to {box} #{len(record.sent)}")
         for ended_us, what in (
-            (life.answered_us, "its final answer"),
-            (life.left_us, "its client had left"),
+            (record.answered_us, "its final answer"),
+            (record.left_us, "its client had left"),
         ):
-            if 0 <= ended_us < now - CROSSED_US and not process.was_paused_or_starved(
+            if 0 <= ended_us < now - IN_TRANSIT_US and not process.was_paused_or_starved(
                 ended_us, now
             ):
-                self.broken(
+                self.report(
                     "nothing after the end", f"{process.name} sends {txn} to {box} after {what}"
                 )
-        if 0 <= life.left_us <= now - LEFT_US:
-            late_ms = (now - life.left_us) / 1000
-            self.broken(
+        if 0 <= record.left_us <= now - LEAVE_NOTICE_US:
+            late_ms = (now - record.left_us) / 1000
+            self.report(
                 "left while it waited",
                 f"{process.name} sends {txn} to {box} {late_ms:.0f} ms after its client left",
             )
-        if life.ask is not None and life.ask.client_wait_ms and life.asked_us >= 0:
-            left_us = life.asked_us + int(1000 * life.ask.client_wait_ms) - now
-            if told_us > max(1_000, left_us) + TOLD_SLACK_US and not process.was_paused(
-                life.asked_us, now
+        if record.ask is not None and record.ask.client_wait_ms and record.requested_us >= 0:
+            left_us = record.requested_us + int(1000 * record.ask.client_wait_ms) - now
+            if announced_us > max(1_000, left_us) + DEADLINE_SLACK_US and not process.was_paused(
+                record.requested_us, now
             ):
-                self.broken(
+                self.report(
                     "deadline told",
-                    f"{process.name} tells {box} {told_us // 1000} ms for {txn}, {left_us // 1000} are left",
+                    f"{process.name} tells {box} {announced_us // 1000} ms for {txn}, "
+                    f"but {left_us // 1000} ms remain",
                 )
         address = f"{sock.remote[0]}:{sock.remote[1]}"
-        since = self._left_out.get((process, address))
+        since = self._excluded_since.get((process, address))
         if (
             since is not None
-            and now - since > GRACE_US + MORE_US
-            and not process.was_paused(since, now, STALL_US)
+            and now - since > DRAIN_GRACE_US + TIME_LIMIT_SLACK_US
+            and not process.was_paused(since, now, MAX_EXPECTED_STALL_US)
         ):
-            self.broken(
+            self.report(
                 "drains kept",
-                f"{process.name} sends {txn} to {box} {(now - since) / 1000:.0f} ms after it was told",
+                f"{process.name} sends {txn} to {box} {(now - since) / 1000:.0f} ms after the "
+                f"notification",
             )
 
-    # -- the node's books ----------------------------------------------------------------
+    # -- accounts of the node ------------------------------------------------------------
 
-    def socket(self, what: str, sock: VirtualSocket) -> None:
-        """A socket was dialed, accepted or closed. Called by the network."""
+    def on_socket_event(self, what: str, sock: VirtualSocket) -> None:
+        """Count a socket that was dialed, accepted or closed; called by the network."""
         process = sock.process
         if process is None or process not in self.services:
             return
         if what == "dial" and not sock.remote[0].startswith(("127.4.", "127.6.")):
             address = f"{sock.remote[0]}:{sock.remote[1]}"
-            if address not in self._named and address not in self._ever[process]:
-                self.broken("only who is named", f"{process.name} dials {address}")
+            if address not in self._dns_named and address not in self._ever_listed[process]:
+                self.report("only who is named", f"{process.name} dials {address}")
         if what == "dial" and sock.remote[0] in self.boxes:
             self._dialed[process] = self._dialed.get(process, 0) + 1
         elif what in ("close", "abort") and sock.is_initiator and sock.remote[0] in self.boxes:
@@ -515,65 +563,70 @@
             self._accepted[process] -= 1
 
     def after_step(self, process: ProcessProtocol) -> None:
-        """Hold a node's books against its sockets."""
+        """Check a node's connection counts against its sockets."""
         service = self.services.get(process)
         if service is None or not process.alive:
             return
         dialed, accepted = self._dialed.get(process, 0), self._accepted.get(process, 0)
         if service.pool.open != dialed:
-            self.broken(
+            self.report(
                 "books",
-                f"{process.name} counts {service.pool.open} connections to servers and has {dialed}",
+                f"{process.name} counts {service.pool.open} connections to servers "
+                f"and has {dialed}",
             )
         if accepted > len(service.frontend._connections):
-            self.broken(
+            self.report(
                 "books", f"{process.name} has {accepted} client connections and counts fewer"
             )
 
-    def timers_at_rest(self, timers: dict[ProcessProtocol, int]) -> None:
-        """Shortly after the last answer no timer of a request is left. timers: how many each process has."""
+    def check_idle_timers(self, timers: dict[ProcessProtocol, int]) -> None:
+        """Check shortly after the last answer that no timer of a request is left.
+
+        timers is the number of timers by process.
+        """
         for process in self.services:
             discovery = self.services[process].discovery
-            most = IDLE_TIMERS + (
+            allowed = IDLE_TIMERS + (
                 SOURCES_TIMERS if self.services[process].sources is not None else 0
             )
-            most += CALL_TIMERS * (len(discovery._calls) + len(discovery._retiring))
-            most += (discovery.address_book._release_timer is not None) + bool(
+            allowed += DISCOVERY_CALL_TIMERS * (len(discovery._calls) + len(discovery._retiring))
+            allowed += (discovery.address_book._release_timer is not None) + bool(
                 discovery.address_book._superseded
             )
-            most += self.services[process].tier is not None  # its tick
-            if process.state == "running" and timers.get(process, 0) > most:
-                self.broken("books", f"{process.name} at rest holds {timers[process]} timers")
+            allowed += self.services[process].tier is not None  # its periodic timer
+            if process.state == "running" and timers.get(process, 0) > allowed:
+                self.report("books", f"{process.name} though idle holds {timers[process]} timers")
 
-    def at_rest(self, timers: dict[ProcessProtocol, int]) -> None:
-        """Nobody asks and nothing is owed: all books are empty."""
-        self.timers_at_rest(timers)
+    def check_idle(self, timers: dict[ProcessProtocol, int]) -> None:
+        """Check that a node without requests has released everything."""
+        self.check_idle_timers(timers)
         for process, service in self.services.items():
             if process.state != "running":
                 continue
             node = service.node
-            more = 0 if service.sources is None else 1 + MAX_CONCURRENT_LOOKUPS
-            left = {
+            extra_tasks = 0 if service.sources is None else 1 + MAX_CONCURRENT_LOOKUPS
+            remaining = {
                 "requests": len(node._calls),
                 "tries": len(node._tries),
                 "attempts": len(node._attempts) + len(node._running),
                 "requests of the module": len(node._balancer.held),
                 "bytes of bodies": service.frontend.budget.used,
                 "client connections": len(service.frontend._connections),
-                # A watch that lost something is read on until another has told a line: its next call may be due after the end (10101004).
-                "tasks over the usual": max(
+                # A watch that lost a line is read on until another has received one, whose call
+                # may be due only after the end (seed 10101004).
+                "tasks over the expected number": max(
                     0,
                     len(process.pending_tasks())
                     - 2
                     - min(MAX_RETIRING, len(service.discovery._retiring))
-                    - more,
+                    - extra_tasks,
                 ),
                 "connections in use": service.pool.open - len(service.pool._idle),
             }
-            for what, count in left.items():
+            for what, count in remaining.items():
                 if count:
-                    self.broken("books", f"{process.name} at rest holds {count} {what}")
+                    self.report("books", f"{process.name} though idle holds {count} {what}")
 
-    def exceptional(self, process: str, message: str) -> None:
-        """Code of the node ended in an exception that nothing expected."""
-        self.broken("no exception", f"{process}: {message}")
+    def report_exception(self, process: str, message: str) -> None:
+        """Report an unexpected exception."""
+        self.report("no exception", f"{process}: {message}")
--- a/tests/testbed/test_call_faults.py
+++ b/tests/testbed/test_call_faults.py
@@ -8,7 +8,7 @@
 
 from testbed.machine.faults import CALL_ERRORS, Call, CallFaults
 from testbed.nights import simulation
-from testbed.nights.script import CALLS_FROM, draw
+from testbed.nights.script import SYSTEM_CALLS_FIRST_SEED, draw
 
 # On some of these seeds the node retried accept without a pause while each call failed with
 # ECONNABORTED; the others make calls of every other kind fail.
@@ -35,7 +35,7 @@
     drawn = {
         int(fault.value)
         for n in range(400)
-        for fault in draw(CALLS_FROM + n).fault
+        for fault in draw(SYSTEM_CALLS_FIRST_SEED + n).fault
         if fault.kind == "node_calls"
     }
     assert drawn == set(range(len(CALL_ERRORS)))
@@ -43,4 +43,9 @@
 
 @pytest.mark.parametrize("n", ONCE_FAILING_SEEDS)
 def test_a_scenario_with_failing_calls_keeps_every_rule(n: int) -> None:
-    assert simulation.run(CALLS_FROM - 1 + n, draw(CALLS_FROM - 1 + n)).failures == []
+    assert (
+        simulation.run(
+            SYSTEM_CALLS_FIRST_SEED - 1 + n, draw(SYSTEM_CALLS_FIRST_SEED - 1 + n)
+        ).failures
+        == []
+    )
