--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -130,7 +130,7 @@
         await asyncio.sleep(0.2)
 
     async def _program(self, node: _Node) -> None:
-        pool: Any = SimpleNamespace(forget=lambda server: None)
+        pool: Any = SimpleNamespace(close_idle_of=lambda server: None)
         resolvers = [f"{host}:{port}" for host, port in (server.address for server in self.servers)]
         if not self.with_dns:
             options = SourcesTable()
--- a/tests/sources/test_sources.py
+++ b/tests/sources/test_sources.py
@@ -75,7 +75,7 @@
 
 def start_sources(fixture: DnsFixture, **more: Any) -> tuple[Node, Sources, Discovery]:
     node = Node()
-    pool: Any = SimpleNamespace(forget=lambda server: node.forgotten.append(server.name))
+    pool: Any = SimpleNamespace(close_idle_of=lambda server: node.forgotten.append(server.name))
     resolvers = [f"{host}:{port}" for host, port in fixture.addresses]
     options = SourcesTable(
         dns=DnsTable(service=SERVICE, resolvers=resolvers, floor_s=1.0, ceiling_s=4.0), **more
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -130,7 +130,7 @@
             await process.start()
             assert await process.process.wait() == 1
             await process.reading
-            assert len(process.log) == 1 and "no listening TCP socket" in process.log[0]
+            assert len(process.log) == 1 and "is not a listening TCP socket" in process.log[0]
 
     run_async(test)
 
