--- a/corkshift/address_book.py
+++ b/corkshift/address_book.py
@@ -2,7 +2,7 @@
 
 Applies whole lines, and the unconfirmed entries of corrupt or partial lines
 (`listing.unconfirmed_entries`). Departures outrank older lists (`forkweir.known.departures`), and
-start times are converted to this node's clock (`forkweir.known.starts`).
+start times are converted to this node's clock (`forkweir.known.start_times`).
 
 The cost of a line is proportional to the entries that differ from the known ones. A long list is
 applied in slices: servers that leave or change in the first one, at once, and new servers in slices
--- a/corkshift/metrics.py
+++ b/corkshift/metrics.py
@@ -9,7 +9,7 @@
 
 OK, SHED, ERRORS = range(3)  # indices of KINDS
 REFUSALS = (*REFUSAL_CAUSES, "full", "no-room", "late", "behind")
-"""Causes of refusals: those of the balancer (forkweir/advice.py), then the node's own.
+"""Causes of refusals: those of the balancer (forkweir/retry_after.py), then the node's own.
 
 full: limit of open requests reached; no-room: body budget used up; late: deadline passed before
 the request was read; behind: too little time left for the present event loop lag.
--- a/tests/test_address_book.py
+++ b/tests/test_address_book.py
@@ -70,7 +70,7 @@
 class Pool:
     """A pool without connections to close."""
 
-    def forget(self, server: CacheServer) -> None:
+    def close_idle_of(self, server: CacheServer) -> None:
         pass
 
 
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -54,9 +54,9 @@
 
 def test_a_cold_server_takes_only_a_part_of_its_keys_and_none_of_others() -> None:
     servers = [Server(f"s{i}") for i in range(10)]
-    warm = homes(make(servers, cold_from=0.2, cold_ms=10_000.0))
+    warm = homes(make(servers, cold_start_capacity=0.2, cold_ms=10_000.0))
     servers[3] = Server("s3", started_ms=1.0)
-    balancer = make(servers, cold_from=0.2, cold_ms=10_000.0)
+    balancer = make(servers, cold_start_capacity=0.2, cold_ms=10_000.0)
     # One request per ms: a cold server's allowance grows with time.
     cold = [ask(balancer, 2.0 + n, 10_000 + n, f"k{n}") for n in range(400)]
     assert 0 < cold.count("s3") < 0.5 * warm.count("s3")
