--- a/corkshift/frontend.py
+++ b/corkshift/frontend.py
@@ -539,8 +539,8 @@
     async def drain(self) -> None:
         """Drain: accept for a while longer, finish the open requests, then close all connections.
 
-        The phases end at the times of `Leave`. Requests that are still open at its `answer` time
-        get an error response, and connections that remain at its `exit` time are reset.
+        The phases end at the times of `ShutdownSchedule`. Requests that are still open at its
+        `answer_ms` get an error response, and connections that remain at its `exit_ms` are reset.
         """
         started_s, leave = asyncio.get_running_loop().time(), self._leave
         self.duty.end(now_ms())
--- a/corkshift/sources/boxlist.py
+++ b/corkshift/sources/boxlist.py
@@ -59,7 +59,7 @@
     def on_unlisted_departures(self, addresses: list[Address], whole: bool) -> None:
         """Receive addresses of servers that drain or are removed but that the list never named.
 
-        Another source may name them (see `corkshift.address_book.Listener`). whole: whether the
+        Another source may name them (see `corkshift.address_book.ListObserver`). whole: whether the
         line was read completely. Entries of a partial line never drain the last server in service.
         """
         if whole:
--- a/forkweir/choice.py
+++ b/forkweir/choice.py
@@ -586,7 +586,7 @@
     ) -> list[Action]:
         """Handle the end of an attempt: retry, refuse, fail, or close the request.
 
-        finished: the request is over. status: a key of `WORDS`. note: 0 nothing,
+        finished: the request is over. status: a key of `OUTCOME_TYPES`. note: 0 nothing,
         1 hit, 2 or 3 missed (as the wire says). load: a load report, if one came.
         """
         member = self.fleet.members.get(server)
--- a/forkweir/known/discovery_polling.py
+++ b/forkweir/known/discovery_polling.py
@@ -25,7 +25,7 @@
 2026-12-02). No wait is shorter than MIN_WAIT_MS, which covers settings that give no interval at
 all. A fleet of N nodes whose calls are all refused makes N / (0.8 * MAX_WAIT_MS) calls a second; a
 refused call costs the service little. `corkshift.discovery` makes further calls beside one that
-waits for its turn (BESIDE_S).
+waits for its turn (PARALLEL_CALL_DELAY_S).
 """
 
 from __future__ import annotations
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -383,7 +383,7 @@
 def test_a_time_out_of_a_likely_miss_strains_no_server_and_one_of_a_likely_hit_does() -> None:
     def strain(known: bool) -> float:
         balancer = make([Server(f"s{i}", zone="a") for i in range(10)])
-        # Misses are served slowly; for quick ones see forkweir/test_gate.py.
+        # Misses are served slowly; for quick ones see tests/forkweir/test_gate.py.
         balancer.gate.origin_slowness = 0.95 * ORIGIN_SLOW_LEVEL
         server = ask(balancer, 1000.0, 1, "k")
         if known:
