--- a/forkweir/choice.py
+++ b/forkweir/choice.py
@@ -27,10 +27,10 @@
 from forkweir.known.outcomes import OUTCOME_TYPES, AttemptOutcome
 from forkweir.limits.client_wait import ClientWaits
 from forkweir.limits.fetch_budget import EXEMPT_COST, FetchBudget
+from forkweir.limits.limit_shares import TierShares
 from forkweir.limits.request_cost import Costs
 from forkweir.limits.retry_budget import QUICK_ERROR_SHARE, RETRY_SHARE, RetryBudget
 from forkweir.limits.slow_start import SlowStart
-from forkweir.limits.tier_shares import TierShares
 from forkweir.line import Line, position_of
 from forkweir.request import Request
 from forkweir.retry_after import RefusalCause, RetryAfter
