--- a/corkshift/cli/members.py
+++ b/corkshift/cli/members.py
@@ -1,4 +1,4 @@
-"""`members` and `sources check`: the merged set of boxes of a node, or of its sources without a node."""
+"""`members` and `sources check`: the merged boxes of a node, or of its sources without a node."""
 
 from __future__ import annotations
 
--- a/corkshift/listener.py
+++ b/corkshift/listener.py
@@ -24,7 +24,7 @@
 class Listener:
     """A listening socket on the running event loop.
 
-    `has_capacity` tells whether one more connection may be accepted; `on_accept` gets its socket.
+    `has_capacity` returns whether one more connection may be accepted; `on_accept` gets its socket.
     """
 
     def __init__(
--- a/corkshift/listing.py
+++ b/corkshift/listing.py
@@ -285,7 +285,9 @@
 
 
 def _unix_ms(stated: Any) -> float:
-    """A time in ms by discovery's clock; `forkweir.known.start_times` converts it to this node's clock.
+    """A time in ms by discovery's clock.
+
+    `forkweir.known.start_times` converts it to this node's clock.
 
     Raises ValueError if it is not finite.
     """
--- a/corkshift/node.py
+++ b/corkshift/node.py
@@ -120,7 +120,7 @@
         """Whether a request with this id is open or arrived recently.
 
         Clients use a new id for every request. Responses and retries of two requests with the
-        same id could not be told apart.
+        same id could not be distinguished.
         """
         before = now_ms() - self._id_memory_ms
         while self._recent_ids and (
--- a/forkweir/gate.py
+++ b/forkweir/gate.py
@@ -61,7 +61,7 @@
     def evaluate(
         self, member: Member, seen: AttemptOutcome, fault_likelihood: float, now: float
     ) -> None:
-        """Update the gate by an outcome: hits and misses tell a slow server from a slow origin.
+        """Update the gate by an outcome: hits and misses separate slow servers from a slow origin.
 
         fault_likelihood: likelihood that the server is faulty, 0 to 1.
         """
--- a/forkweir/known/health.py
+++ b/forkweir/known/health.py
@@ -100,7 +100,7 @@
         self.suspicion = Suspicion()
 
     def state(self, now: float, cold: bool) -> State:
-        """Return the state; cold tells whether the server may still be in its warm-up."""
+        """Return the state; cold: whether the server may still be in its warm-up."""
         if not self.present:
             return "draining" if self.draining else "gone"
         if self.on_probation:
@@ -192,7 +192,7 @@
         self.detector = OutlierDetector(seed)
 
     def record_outcome(self, server: Health, outcome: AttemptOutcome, now: float) -> bool:
-        """Record what an outcome tells of a server's reachability and capacity.
+        """Record what an outcome shows of a server's reachability and capacity.
 
         Returns whether the server may have restarted unannounced (see `Health.record_answer`).
         """
--- a/forkweir/known/outcomes.py
+++ b/forkweir/known/outcomes.py
@@ -155,7 +155,7 @@
     def missed(self, servers_slow: bool) -> Optional[bool]:
         """Return whether a read missed; None where unknown.
 
-        servers_slow: servers are slow by themselves, so that a time-out doesn't tell.
+        servers_slow: servers are slow by themselves, so that a time-out proves no miss.
         """
         if self.write or not (self.served or (self.timed_out and not servers_slow)):
             return None
--- a/forkweir/limits/fetch_budget.py
+++ b/forkweir/limits/fetch_budget.py
@@ -85,7 +85,7 @@
     def __init__(self, max_value: float) -> None:
         """max_value: the value of the class that is worth most."""
         self.limit = MAX_LIMIT  # of fetches in flight, while the budget limits them
-        # This node's share of a limit for all nodes, where one is allocated (`limits/limit_shares`).
+        # This node's share of a tier-wide limit, where one is allocated (`limits/limit_shares`).
         self.allocated: Optional[float] = None
         self.in_flight = 0.0  # expected
         self.known_miss_rate = INITIAL_KNOWN_MISS_RATE
--- a/forkweir/limits/lifecycle.py
+++ b/forkweir/limits/lifecycle.py
@@ -26,7 +26,7 @@
 
 
 class ShutdownSchedule:
-    """When a node that was told to end does what, in ms after SIGTERM.
+    """When a node does what after SIGTERM, in ms.
 
     The schedule follows from the longest deadline of the settings. A request that came by
     `accept_ms` has its whole deadline: accept_ms + longest_ms is before `answer_ms`, except for
--- a/forkweir/limits/limit_shares.py
+++ b/forkweir/limits/limit_shares.py
@@ -1,6 +1,6 @@
 """Interface by which the balancer gets its shares of tier-wide limits and the common line.
 
-`forkweir/tier/claims` implements it. Pure: no I/O, no clock.
+`forkweir/tier/demand` implements it. Pure: no I/O, no clock.
 """
 
 from __future__ import annotations
--- a/forkweir/limits/slow_start.py
+++ b/forkweir/limits/slow_start.py
@@ -2,7 +2,7 @@
 
 A server that has just started has only a part of its capacity (`contract.coldFrom`, rising to all
 of it within `coldMs`). It fails for good when all nodes together send it more than `fallMultiple`
-times that within `overloadForMs`. No node is told its capacity, and nodes need not talk to one
+times that within `overloadForMs`. No node knows its capacity, and nodes need not talk to one
 another. Each node follows one rule: **of what a warm server gets from this node, a cold one gets
 at most the fraction that its capacity is of a warm server's.** Where every node does so, all nodes
 together send a cold server at most the same fraction of what all send a warm one, which it is
--- a/forkweir/tier/demand.py
+++ b/forkweir/tier/demand.py
@@ -1,7 +1,7 @@
 """The tier as the decision module sees it: own limits turned into shares of tier-wide ones. Pure.
 
-There are two kinds of limits: the work that each cold server may get (`limits/allowance`), and the
-fetches in flight while the origin is under pressure (`limits/fetches`). Of each a node has
+There are two kinds of limits: the work that each cold server may get (`limits/slow_start`), and the
+fetches in flight while the origin is under pressure (`limits/fetch_budget`). Of each a node has
 
     floor x own + (1 - floor) x (shares that it holds / TOTAL_SHARES) x size
 
--- a/forkweir/tier/leases.py
+++ b/forkweir/tier/leases.py
@@ -31,7 +31,7 @@
 | free | nobody | granted | the leader grants it |
 | granted | its holder, until its lease ends | granted | granted again, as much or less |
 | | | free | lease_ms after the last grant that included it, on the leader's clock |
-| lost | nobody | free | the same: a lost grant can't be told from one that arrived |
+| lost | nobody | free | the same: a lost grant looks like one that arrived |
 
 `CLOCK_SAFETY_FACTOR = (1 - MAX_CLOCK_DRIFT) / (1 + MAX_CLOCK_DRIFT)`: a span of this times t on a
 slow clock is no longer than t on a fast one. It starts earlier (a reply is sent before the grant
--- a/forkweir/tier/signals.py
+++ b/forkweir/tier/signals.py
@@ -4,11 +4,11 @@
 a node observed itself weighs more than what it receives; and a drain or a removal is never among
 what is received (a node sends only to boxes that its own list names).
 
-A report holds the state of a node's own test of a box (`known/doubt`: the log odds that it is bad),
-not a change of it, so that a datagram that comes twice, late or never does no harm: of each member
-the latest report counts, by its number, and it expires REPORT_TTL_MS after it came. Only boxes that
-a node considers bad are reported, and for RECOVERY_REPORT_MS those that it considered bad and that
-have answered well.
+A report holds the state of a node's own test of a box (`known/outlier_detection`: the log odds that
+it is bad), not a change of it, so that a datagram that comes twice, late or never does no harm: of
+each member the latest report counts, by its number, and it expires REPORT_TTL_MS after it came.
+Only boxes that a node considers bad are reported, and for RECOVERY_REPORT_MS those that it
+considered bad and that have answered well.
 
 A node adds up what others report against a box, as log odds of independent tests add up, except the
 highest report (one member may lie or be faulty), each as at most MAX_ODDS_PER_PEER over the prior,
