--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -1,7 +1,10 @@
-"""What the nodes of a fleet send, by kind and for each request of a client: `python -m benchmarks.fleet [--seeds 1-3] [--jobs 8]`.
+"""What the nodes of a fleet send, by kind and for each request of a client.
 
-Each trouble of testbed/nights/fleets.py is played at 5, 20 and 40 nodes before 60 boxes, on the virtual clock, under the same load. A kind
-that grows with the number of nodes shows as a share that does.
+    python -m benchmarks.fleet [--seeds 1-3] [--jobs 8]
+
+Each scenario of testbed/nights/fleets.py is played at 5, 20 and 40 nodes before 60 boxes, on the
+virtual clock, under the same load. A kind that grows with the number of nodes shows as a share that
+does.
 """
 
 from __future__ import annotations
@@ -23,7 +26,7 @@
 
 
 def play(job: tuple[str, int, int]) -> tuple[Traffic, float, int]:
-    """One night: the sums, the part of the requests that was served in time, and broken rules."""
+    """One scenario: the traffic, the part of requests served in time, and broken rules."""
     name, nodes, seed = job
     result = run(seed, scenario_script(name, seed, nodes), keep_trace=True)
     figures = result.figures
--- a/benchmarks/growth.py
+++ b/benchmarks/growth.py
@@ -1,9 +1,10 @@
-"""What one node needs beside ever more cache servers, at the same traffic, on real processes; the bounds are those of STANDING.md.
+"""What a node needs beside ever more cache servers, at the same traffic, on real processes.
 
     python -m benchmarks.growth [--sizes 200,800,3200] [--seconds 20] [--json FILE]
 
-One process a size, each with servers, discovery and clients of its own on loopback. Discovery tells one change a second. Exits with 1 where
-a figure is over its bound, counted from the smallest size.
+One process a size, each with servers, discovery and clients of its own on loopback. Discovery sends
+one change a second. Exits with 1 where a figure is over its bound of STANDING.md, counted from
+the smallest size.
 """
 
 from __future__ import annotations
--- a/benchmarks/list_events.py
+++ b/benchmarks/list_events.py
@@ -1,11 +1,13 @@
-"""What one event of the server list costs a node, by the number of servers, against another revision.
+"""What one event of the server list costs a node, by the number of servers and by revision.
 
     python -m benchmarks.list_events [--sizes 200,800,3200] [--against REV] [--json FILE]
 
-For each size one process of either revision, at a whole core, with discovery here and no cache server to answer. Printed for each event:
-the node's processor time until it is at rest again (ms, from the kernel's accounting, less what it needs at rest), and in brackets the
-longest that one of the requests waited which came meanwhile (ms): as long as the node was held up. No cache server answers, so that each
-is refused after its attempts' dials, which are refused at once. Exits with 1 where an aim is missed.
+For each size one process of either revision, at a whole core, with discovery here and no cache
+server to answer. Printed for each event: the node's processor time until it is idle again (ms, from
+the kernel's accounting, less what it needs while idle), and in brackets the longest that one of the
+requests waited which came meanwhile (ms): as long as the node was held up. No cache server answers,
+so that each is refused after its attempts' dials, which are refused at once. Exits with 1 where an
+aim is missed.
 """
 
 from __future__ import annotations
@@ -30,17 +32,18 @@
 from testbed.tier.processes import HOST, Ports, die_with_parent
 
 PROBE_S = 0.04
-REST_S = 0.4  # with no more processor time than at rest: the event is over
-OVER_REST = 1.5  # times its processor time at rest, and OVER_REST_MS_PER_S more, a node that is at rest uses
+REST_S = 0.4  # with no more processor time than while idle: the event is over
+# An idle node uses at most this many times its usual processor time, and OVER_REST_MS_PER_S more.
+OVER_REST = 1.5
 OVER_REST_MS_PER_S = 30.0
 MOST_S = 8.0
-LONGEST_MS = 10.0  # that a request may wait, over what it waits at rest
+LONGEST_MS = 10.0  # that a request may wait, over what it waits at an idle node
 ONE_MORE_MS = 2.0  # that one change may cost over what it costs at the smallest size
 Found = dict[str, tuple[float, float]]  # by event: processor time, longest wait, both in ms
 
 
 class Written(Nobody):
-    """Hears when a line has been written whole to the node."""
+    """Is notified when a line has been written whole to the node."""
 
     def __init__(self) -> None:
         self.now = asyncio.Event()
@@ -83,7 +86,7 @@
 
 
 async def _rest(pid: int, rest_ms_per_s: float) -> float:
-    """Wait until the node is at rest; its processor time up to the last moment at which it was not."""
+    """Wait until the node is idle; return its processor time up to when it last was not."""
     most_ms = 0.1 * (OVER_REST * rest_ms_per_s + OVER_REST_MS_PER_S)
     before, quiet_s, over = _cpu_ms(pid), 0.0, _cpu_ms(pid)
     began = now_ms()
--- a/benchmarks/list_freshness.py
+++ b/benchmarks/list_freshness.py
@@ -1,10 +1,12 @@
-"""How late a node learns that a server drains, by what befalls its watch and its calls to discovery, on real processes.
+"""How late a node is notified of a drain, by faults of its watch and calls, on real processes.
 
     python -m benchmarks.list_freshness [--json FILE]
 
-In each case one node process asks two servers under a steady load; its watch falls silent or is reset, and in the same moment one server
-begins to drain. Printed is when the last request came to that server, in seconds after the moment, beside the page's clock: 6 s after
-discovery had the change and could be reached, and the grace of 0.3 s. Exits with 1 where a case that a node can keep is over it.
+In each case one node process asks two servers under a steady load; its watch falls silent or is
+reset, and in the same moment one server begins to drain. Printed is when the last request came to
+that server, in seconds after the moment, beside the page's clock: 6 s after discovery had the
+change and could be reached, and the grace of 0.3 s. Exits with 1 where a case that a node can keep
+is over it.
 """
 
 from __future__ import annotations
@@ -67,16 +69,16 @@
 
 
 class Nobody:
-    """Hears what discovery writes and keeps none of it."""
+    """A `DiscoveryObserver` that ignores what discovery writes."""
 
     def changed(self, entries: Iterable[Entry]) -> None:
-        """See `discovery.Told`."""
+        """See `DiscoveryObserver`."""
 
     def notified(self, node: str, entries: Iterable[Entry]) -> None:
-        """See `discovery.Told`."""
+        """See `DiscoveryObserver`."""
 
     def reachable(self, node: str, now: bool) -> None:
-        """See `discovery.Told`."""
+        """See `DiscoveryObserver`."""
 
 
 async def measure(case: Case, folder: Path, ports: Ports) -> float:
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -1,11 +1,13 @@
-"""How soon a node acts on a box's death or arrival, by source, and what asking DNS costs a fleet; exits non-zero where an aim is missed.
+"""How soon a node acts on a box's death or arrival, by source, and what polling DNS costs a fleet.
+
+Exits non-zero where an aim is missed.
 
     python -m benchmarks.membership                        # both tables
-    python -m benchmarks.membership --mutations 1000000    # mutated messages against the parser, memory watched
+    python -m benchmarks.membership --mutations 1000000    # mutated messages, memory watched
 
-The nodes' sources run on the virtual clock with discovery and DNS as the testbed has them: the box list hears of a death after 0.9 s and of
-a start after 0.5 s, DNS of either after 1.2 s. "Acts" is when the address book says
-so; health meets a dead box sooner, by its refused dials.
+The nodes' sources run on the virtual clock with discovery and DNS as the testbed has them: the box
+list is notified of a death after 0.9 s and of a start after 0.5 s, DNS of either after 1.2 s.
+"Acts" is when the address book says so; health meets a dead box sooner, by its refused dials.
 """
 
 from __future__ import annotations
@@ -49,7 +51,7 @@
 from testbed.systems.dns import SERVICE, ZONE, NameServer, Zone
 from testbed.systems.emulators import DiscoveryServer, ServerObserver
 
-DEATH_S, START_S, DNS_S = 0.9, 0.5, 1.2  # until the box list, and DNS, have heard
+DEATH_S, START_S, DNS_S = 0.9, 0.5, 1.2  # until the box list, and DNS, are notified
 TRIALS = 200
 TTLS = (1, 5, 30)
 NODES, BOXES, COST_S = 37, 67, 60.0
@@ -59,7 +61,7 @@
 
 
 class _Node:
-    """What sources and discovery need of a node, with a note of when each box's standing changed."""
+    """What sources and discovery need of a node, with a note of when each box's state changed."""
 
     def __init__(self, loop: VirtualLoop) -> None:
         self.servers: dict[str, CacheServer] = {}
@@ -187,7 +189,10 @@
 
 
 def cost(ttl: int) -> dict[str, float]:
-    """What a fleet's sources ask over COST_S, with the default floor of lifetimes: queries and bytes a second of the fleet."""
+    """Queries and bytes a second that a fleet's sources send over COST_S.
+
+    The floor of lifetimes is the default.
+    """
     world = _World(1, NODES, BOXES, True, ttl, True, Limits().floor_s)
 
     def counts() -> list[int]:
@@ -212,7 +217,10 @@
 
 
 def round_ms(rounds: int = 200) -> float:
-    """CPU of one round of a node in ms: the query, reading its answer, the claims and the merge with the box list."""
+    """CPU of one round of a node in ms.
+
+    A round is the query, reading its answer, the claims and the merge with the box list.
+    """
     boxes = {f"s{n}": (f"127.2.{n >> 8}.{n & 255}", 8001) for n in range(1, BOXES + 1)}
     zone = Zone()
     zone.set_boxes(boxes, 5)
--- a/benchmarks/memory.py
+++ b/benchmarks/memory.py
@@ -1,9 +1,12 @@
-"""What of a node grows over a long day with ever new keys, clients and servers; exits non-zero where a table goes on growing.
+"""What of a node grows over a long day with ever new keys, clients and servers.
+
+Exits non-zero where a table goes on growing.
 
     python -m benchmarks.memory --seconds 240 --rate 150
 
-The node runs on the virtual clock among the testbed's systems. At each eighth of the day every container that is reachable from its
-`Service` is counted by its path of attributes, and its objects by type; allocated blocks are those of the interpreter for the whole world.
+The node runs on the virtual clock among the testbed's systems. At each eighth of the day every
+container that is reachable from its `Service` is counted by its path of attributes, and its objects
+by type; allocated blocks are those of the interpreter for the whole world.
 """
 
 from __future__ import annotations
@@ -33,7 +36,10 @@
 
 
 def tables(root: object) -> Iterator[tuple[str, int]]:
-    """Each container that is reachable from an object through attributes and containers of this project's own: its path, its length."""
+    """The path and the length of each container that is reachable from an object.
+
+    Followed are attributes and containers of this project's own.
+    """
     seen: set[int] = set()
     queue: deque[tuple[str, object]] = deque([("", root)])
     while queue:
@@ -65,7 +71,10 @@
 
 
 def script(seconds: float, rate: float, boxes: int) -> Script:
-    """A day on which every key is new, servers are replaced one after another, and nodes see bad clients and reloads."""
+    """A day on which every key is new and servers are replaced one after another.
+
+    Nodes see bad clients and reloads.
+    """
     world = World(seconds=seconds, nodes=1, boxes=boxes, requests_per_s=rate, keys=100_000, cores=4)
     faults = []
     for n in range(int(seconds / 4.0)):
--- a/benchmarks/module.py
+++ b/benchmarks/module.py
@@ -1,7 +1,10 @@
-"""CPU of the module for each request, against another revision: `python -m benchmarks.module --against REV [--quick] [--json FILE]`.
+"""CPU of the module for each request, against another revision.
 
-Both play the same drawn day (a warm fleet, popular keys, reads and writes, a few misses), in turn, each time in a process of
-its own, and the ratio of their CPU times is taken pair by pair. Exits with 1 where the median ratio is over MOST.
+    python -m benchmarks.module --against REV [--quick] [--json FILE]
+
+Both play the same drawn day (a warm fleet, popular keys, reads and writes, a few misses), in turn,
+each time in a process of its own, and the ratio of their CPU times is taken pair by pair. Exits
+with 1 where the median ratio is over MOST.
 """
 
 from __future__ import annotations
--- a/benchmarks/ordinary_path.py
+++ b/benchmarks/ordinary_path.py
@@ -1,9 +1,13 @@
-"""CPU of a node for each request, against another revision: `python -m benchmarks.ordinary_path --against REV [--most R]`.
+"""CPU of a node for each request, against another revision.
 
-Two real processes, this tree's node and the other's, take the same open-loop load in turn (menu-read on kept connections, a
-twelfth of them PUT; half of the clients open a connection for each request where --fresh is given), and the ratio of their CPU
-times, user and system, is taken pair by pair. Boxes and discovery are the testbed's and answer in this process. Exits with 1
-where the median ratio is over --most (1.05), with 2 where a request failed, as then the pairs are not alike.
+    python -m benchmarks.ordinary_path --against REV [--most R]
+
+Two real processes, this tree's node and the other's, take the same open-loop load in turn
+(menu-read on kept connections, a twelfth of them PUT; half of the clients open a connection for
+each request where --fresh is given), and the ratio of their CPU times, user and system, is taken
+pair by pair. Boxes and discovery are the testbed's and answer in this process. Exits with 1 where
+the median ratio is over --most (1.05), with 2 where a request failed, as then the pairs are not
+alike.
 """
 
 from __future__ import annotations
@@ -191,7 +195,10 @@
 
 
 async def measure(tree: Path, fresh: bool) -> float:
-    """Microseconds of CPU a request of the node in a tree. Failed where a request failed or it does not come up."""
+    """Microseconds of CPU a request of the node in a tree.
+
+    Failed where a request failed or it does not come up.
+    """
     boxes = {f"s{n}": ScriptedBox(lambda head: ANSWER) for n in range(BOXES)}
     registry = DiscoveryServer((HOST, 0), ServerObserver())
     for name, box in boxes.items():
--- a/benchmarks/overload.py
+++ b/benchmarks/overload.py
@@ -1,9 +1,12 @@
-"""Worth in time against offered load: `python -m benchmarks.overload --against REV [--quick] [--json FILE] [--jobs J]`.
+"""Value served in time against offered load.
 
-Plays a calm installation (BOXES boxes of one core, warm, and NODES nodes) on the virtual clock at parts and multiples of
-what its boxes can do, with the module of another revision, with the module as it is, and beside the bound that an
-all-knowing scheduler has (testbed/nights/oracle.py), on the same seeds. Exits with 1 where the module at four times its capacity
-serves less than KEPT of its own peak, or at any step less than NEAR of the bound, both in worth for work as the site counts.
+    python -m benchmarks.overload --against REV [--quick] [--json FILE] [--jobs J]
+
+Plays a calm installation (BOXES boxes of one core, warm, and NODES nodes) on the virtual clock at
+parts and multiples of what its boxes can do, with the module of another revision, with the module
+as it is, and beside the bound that an all-knowing scheduler has (testbed/nights/oracle.py), on the
+same seeds. Exits with 1 where the module at four times its capacity serves less than KEPT of its
+own peak, or at any step less than NEAR of the bound, both in value for work as the site counts.
 """
 
 from __future__ import annotations
@@ -43,7 +46,10 @@
 def night(
     module: Path, step: float, seed: int
 ) -> tuple[Counter[str], dict[str, float], Counter[str], list[str]]:
-    """Worth in time and worth asked, by class, the bound, and rules broken, of one night with the module that stands at a place."""
+    """Run one scenario with the module at a path.
+
+    Returns the value served in time and the value requested, by class, the bound, and broken rules.
+    """
     rate = step * BOXES * 1000.0 / WORK_MS
     code = CODE.format(
         module=str(module),
--- a/benchmarks/path_counts.py
+++ b/benchmarks/path_counts.py
@@ -1,10 +1,12 @@
-"""What a request costs a node, in counts that are the same every time: on the virtual clock, by case.
+"""What a request costs a node, by case, in counts that are the same in every run.
 
     python -m benchmarks.path_counts              # the table
-    python -m benchmarks.path_counts --write      # and into benchmarks/path_counts.json, which CI holds (tests/test_path_counts.py)
+    python -m benchmarks.path_counts --write      # and into benchmarks/path_counts.json
 
-Counted is what the node's own code does from the first byte of a batch of requests to its last answer, divided by the batch, after as
-many that are not counted: system calls by name, bytes read and written, callbacks of the loop, tasks, futures and timers made.
+Counted is what the node's own code does from the first byte of a batch of requests to its last
+answer, divided by the batch, after as many that are not counted: system calls by name, bytes read
+and written, callbacks of the loop, tasks, futures and timers made.
+tests/test_path_counts.py compares the counts with benchmarks/path_counts.json in CI.
 """
 
 from __future__ import annotations
@@ -145,10 +147,13 @@
 
 
 def measure(name: str) -> dict[str, float]:
-    """The counts of a case, each for one request. RuntimeError where a request is not answered as it should be.
+    """The counts of a case, each for one request.
 
-    Where clients ask side by side the counts are the mean of ORDERS orders in which the loop may run what is due at once: in one order
-    alone any other timer of the node, even one that is cancelled at once, moves a request to another connection.
+    RuntimeError where a request is not answered as it should be.
+
+    Where clients ask side by side the counts are the mean of ORDERS orders in which the loop may
+    run what is due at once: in one order alone any other timer of the node, even one that is
+    cancelled at once, moves a request to another connection.
     """
     case = CASES[name]()
     if case.clients == 1:
--- a/benchmarks/recovery.py
+++ b/benchmarks/recovery.py
@@ -1,9 +1,13 @@
-"""Time to recover from each hard case: `python -m benchmarks.recovery [--quick] [--case NAME] [--json FILE] [--jobs J]`.
+"""Time to recover from each hard scenario.
 
-Plays each hard case of cold fleets and full load on the virtual clock, at LOAD of what the boxes can do, and measures how long it
-takes from the fault until the worth for work served in time is back to BACK of its calm level and stays so for STAY_MS; beside it
-the same of an all-knowing scheduler (testbed/nights/oracle.py) on the same night. Exits with 1 where a rule is broken, or where the node
-takes more than WITHIN times the oracle's time (which counts as LEAST_MS at the least: the window in which it is measured).
+    python -m benchmarks.recovery [--quick] [--case NAME] [--json FILE] [--jobs J]
+
+Plays each hard case of cold fleets and full load on the virtual clock, at LOAD of what the boxes
+can do, and measures how long it takes from the fault until the value of work served in time is back
+to BACK of its calm level and stays so for STAY_MS; beside it the same of an all-knowing scheduler
+(testbed/nights/oracle.py) on the same scenario. Exits with 1 where a rule is broken, or where the
+node takes more than WITHIN times the oracle's time (which counts as LEAST_MS at the least: the
+window in which it is measured).
 """
 
 from __future__ import annotations
@@ -88,10 +92,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Row:
-    """What came of one case. Times are in ms from the fault; None where it was not back by the end."""
+    """What came of one case.
+
+    Times are in ms from the fault; None where it was not back by the end.
+    """
 
     case: str
-    calm: float  # part of the worth asked that was served before the fault
+    calm: float  # part of the value requested that was served before the fault
     after: float  # and from the fault on,
     best_after: float  # and what could have been
     node_ms: Optional[float]
@@ -106,7 +113,10 @@
 
 
 def back_after(asked: list[float], served: list[float], calm: float) -> Optional[float]:
-    """ms from the fault until windows of what is served, by the slice in which it was asked, are back and stay so."""
+    """Time in ms from the fault until what is served is back at its level and stays so.
+
+    It is counted in windows, by the slice in which it was requested.
+    """
     width, stay = int(WINDOW_MS / SLICE_MS), int(STAY_MS / SLICE_MS)
     first = int(FAULT_MS / SLICE_MS)
 
--- a/benchmarks/revision.py
+++ b/benchmarks/revision.py
@@ -13,7 +13,10 @@
 
 @contextmanager
 def packages_of(revision: str, *names: str) -> Iterator[Path]:
-    """A folder that holds these packages as they are at a revision; CalledProcessError where there is none of this name."""
+    """A folder that holds these packages as they are at a revision.
+
+    CalledProcessError where there is no revision of this name.
+    """
     with tempfile.TemporaryDirectory() as folder:
         tree = subprocess.run(
             ["git", "archive", revision, *names], cwd=ROOT, capture_output=True, check=True
--- a/benchmarks/simulation.py
+++ b/benchmarks/simulation.py
@@ -1,9 +1,12 @@
-"""Figures of the simulation: `python -m benchmarks.simulation [--quick] [--json FILE] [--defects]`.
+"""Speed of the simulation, and whether it repeats itself and finds each planted defect.
 
-Exits with 1 where a seed's trace is not the same in two runs, two processes and two values of PYTHONHASHSEED, also with
-other work on the machine, where a seed breaks a rule, or where 200 seeds take longer than 90 s. With --defects it plays
-each deliberate defect until it is found, shrinks the night, prints the table of docs/simulation.md, and exits with 1 where
-one is not found within 200 seeds.
+    python -m benchmarks.simulation [--quick] [--json FILE] [--defects]
+
+Exits with 1 where a seed's trace is not the same in two runs, two processes and two values of
+PYTHONHASHSEED, also with other work on the machine, where a seed breaks a rule, or where 200 seeds
+take longer than 90 s. With --defects it plays each deliberate defect until it is found, shrinks the
+scenario, prints the table of docs/simulation.md, and exits with 1 where one is not found within 200
+seeds.
 """
 
 from __future__ import annotations
@@ -56,7 +59,10 @@
 
 
 def find(name: str) -> tuple[str, int, str, int, int, int]:
-    """The first seed that shows a defect: its rule, the steps to it, and faults before and after the shrink."""
+    """The first seed that shows a defect.
+
+    Returned with its rule, the steps to it, and the faults before and after the shrink.
+    """
     hard = name in OF_HARD_NIGHTS
     for seed in range(HARD_FIRST_SEED, HARD_FIRST_SEED + MANY) if hard else range(1, MANY + 1):
         summary = play(seed, name)
--- a/benchmarks/tier.py
+++ b/benchmarks/tier.py
@@ -1,9 +1,13 @@
-"""Bounds of many nodes: `python -m benchmarks.tier [--quick] [--json FILE] [--jobs 8] [--part nights --part scopes ...]`.
+"""Invariant, times and costs of the limits that many nodes share.
 
-The parts: `nights` (the invariant over drawn nights, of the protocol alone and of whole nodes on the virtual clock), `scopes` (all
-interleavings of three nodes, and the planted defects), `processes` (drawn nights of 6 to 12 real processes), `times` (how soon a death is
-known, a keeper is replaced, and everybody has its part; bytes; as distributions over seeds), `line` (reads at their key's usual box, and
-fetches of the order book, with each part and with none, on the same nights). Exits with 1 where an aim is missed.
+    python -m benchmarks.tier [--quick] [--json FILE] [--jobs 8] [--part nights --part scopes ...]
+
+The parts: `nights` (the invariant over random scenarios, of the protocol alone and of whole nodes
+on the virtual clock), `scopes` (all interleavings of three nodes, and the planted defects),
+`processes` (random scenarios of 6 to 12 real processes), `times` (how soon a death is known, a
+leader is replaced, and each node has its share; bytes; as distributions over seeds), `line` (reads
+at their key's usual box, and fetches of the order book, with each part and with none, in the same
+scenarios). Exits with 1 where an aim is missed.
 """
 
 from __future__ import annotations
@@ -32,9 +36,9 @@
 from testbed.tier.processes import run as run_processes
 
 PARTS = ("nights", "scopes", "processes", "times", "line")
-FIRST = 1_001  # drawn nights: apart from those of the tests
+FIRST = 1_001  # random scenarios: apart from those of the tests
 PROCESSES_FROM = 30_050_001
-SETTLED_MS = 10_000.0  # by then a night is in its order, and the trouble that is measured comes
+SETTLED_MS = 10_000.0  # by then a scenario is steady, and the measured fault comes
 FAIR = 0.9  # of its part: a node has it
 # Aims, in s, over all seeds of a size: docs/tier.md says how they follow from the constants.
 DETECT_S = {4: 7.0, 37: 8.0, 200: 10.0}
@@ -63,7 +67,7 @@
 
 
 def nights(quick: bool, jobs: int) -> tuple[dict[str, Any], bool]:
-    """The invariant over drawn nights, and the seed at which each planted defect breaks it."""
+    """The invariant over random scenarios, and the seed at which each planted defect breaks it."""
     count = 400 if quick else 5_000
     whole = 16 if quick else 400
     with ProcessPoolExecutor(jobs) as pool:
@@ -149,7 +153,7 @@
 
 
 def processes(quick: bool, jobs: int) -> tuple[dict[str, Any], bool]:
-    """Drawn nights of real processes, two at a time."""
+    """Random scenarios of real processes, two at a time."""
     seeds = list(range(PROCESSES_FROM, PROCESSES_FROM + (2 if quick else 20)))
     good = True
     figures: dict[str, Any] = {}
@@ -223,7 +227,10 @@
 
 
 def line(quick: bool, jobs: int) -> tuple[dict[str, Any], bool]:
-    """Twelve whole nodes before twelve boxes on the virtual clock, calm, with the tier off, on, and one part of it alone."""
+    """Twelve whole nodes before twelve boxes, calm, on the virtual clock.
+
+    With the tier off, on, and with one part of it alone.
+    """
     seeds = range(1, 3 if quick else 9)
     figures: dict[str, Any] = {}
     with ProcessPoolExecutor(jobs) as pool:
@@ -275,7 +282,7 @@
 
 
 def _times(which: tuple[int, int]) -> dict[str, float]:
-    """One seed at one size: a death of one that is no keeper, of the keeper, half away, half back."""
+    """One seed at one size: the death of a follower, of the leader, half away, half back."""
     count, seed = which
     some = tuple(
         range(count - count // 2 + (count % 2 == 0 and count > 4), count)
--- a/testbed/check/lending.py
+++ b/testbed/check/lending.py
@@ -1,13 +1,15 @@
-"""Every interleaving of three nodes that lend, in a small scope: the invariant of `forkweir/tier/lending.py` by exhaustion.
-
-The nodes are real `Dealer`s. What is walked through, breadth first and each state once: in any order, time passes by a unit; a node calls
-the others; what is on the way comes, or never does (it stays on the way, so a cut and a loss are among the walks, and it may come however
-late); one datagram comes twice; one process is killed and begins anew. Each node wants all of each bound. Clocks run at their own rates,
-one slow and one fast by DRIFT.
-
-The scope: so many units of time, a vote of VOTE of them and a lease of HOLD; MOST_OUT datagrams on the way at once (what does not fit is
-lost); so many calls in all, by `callers`. What it can't show: more than three nodes, more than one restart, schedules of more calls, and
-progress. A scope that is not walked to its end has been walked breadth first up to so many states.
+"""Exhaustive check of the leases of three nodes, in a small scope (see `forkweir/tier/leases`).
+
+The nodes are real `Allocator`s. The states are visited breadth first, each once. In any order: time
+passes by a unit; a node calls the others; a datagram in flight arrives, or never does (it stays in
+flight, so partitions and losses are covered, and it may arrive however late); one datagram arrives
+twice; one process is killed and restarts. Each node demands all of each limit. Clocks run at their
+own rates, one slow and one fast by MAX_CLOCK_DRIFT.
+
+The scope: so many units of time, a vote of VOTE of them and a lease of HOLD; MOST_OUT datagrams in
+flight at once (what does not fit is lost); so many calls in all, by `callers`. What it can't show:
+more than three nodes, more than one restart, schedules of more calls, and progress. A scope that is
+not exhausted has been searched breadth first up to so many states.
 """
 
 from __future__ import annotations
@@ -27,7 +29,7 @@
 
 
 class Datagram(NamedTuple):
-    """A call with its grants (parts of each bound), a reply with its vote, or word that the sender stands no more."""
+    """A call with its grants (shares of each limit), a reply with its vote, or a step-down."""
 
     kind: str
     sender: tuple[int, int]
@@ -44,10 +46,9 @@
 
     at: int
     dealers: list[Allocator]
-    known: list[
-        dict[int, tuple[int, int]]
-    ]  # of each node: by other, its token and the number of its last reply
-    keys: list[int]  # of each node: what tells its states apart
+    # Of each node: by other node, its token and the number of its last reply.
+    known: list[dict[int, tuple[int, int]]]
+    keys: list[int]  # of each node: what distinguishes its states
     out: tuple[Datagram, ...]
     calls: int
     doubles: int
@@ -73,7 +74,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Outcome:
-    """What a walk found. trail: the fewest steps to a broken invariant; none where it holds in the whole scope."""
+    """The result of a search.
+
+    trail: the fewest steps to a broken invariant; empty where it holds in the whole scope.
+    """
 
     states: int
     trail: tuple[str, ...]
--- a/testbed/nights/rules.py
+++ b/testbed/nights/rules.py
@@ -7,7 +7,7 @@
 3. No attempt is sent for a request after its final answer, or after its client has left. A node
    that stalled meanwhile, or had no descriptor to accept with, may learn of either late; but
    nothing is started LEAVE_NOTICE_US or longer after the client left, as the node's kernel knows by
-   then. A server is told at most the time that the client has left and DEADLINE_SLACK_US.
+   then. A server gets at most the time that the client has left and DEADLINE_SLACK_US.
 4. No attempt goes to a server later than the drain grace after the node was notified that the
    server drains or was removed. A list entry counts as received when it was written whole, from
    brace to brace, also in a line that is cut or corrupt elsewhere; but such a line may not take a
@@ -62,7 +62,7 @@
 # A node that stalled for longer may send late to a draining server; the grace covers any shorter
 # stall.
 MAX_EXPECTED_STALL_US = 150_000
-# Added to the remaining time that a server may be told.
+# Added to the remaining time that may be announced to a server.
 DEADLINE_SLACK_US = 150_000
 # This long after a request's end none of its attempts is running any more.
 CLEANUP_US = 60_000
@@ -495,7 +495,7 @@
         )
 
     def _on_attempt_sent(self, sock: VirtualSocket, txn: str, announced_us: int) -> None:
-        """Check an attempt whose head leaves a node; announced_us is the time it tells the box."""
+        """Check an attempt whose head leaves a node; announced_us: the remaining time in it."""
         now, process = self._now(), sock.process
         assert process is not None
         record = self.record(txn)
--- a/testbed/nights/script.py
+++ b/testbed/nights/script.py
@@ -63,7 +63,7 @@
 TIER_FIRST_SEED = 30_000_001
 # Values of `discovery_wrong`: a line that ends early, and a line that is not a list.
 PARTIAL_LINE, NOT_A_LIST = 7.0, 0.0
-# Index of "framing" in `standins.SPOIL_HOWS`.
+# Index of "framing" in `emulators.CORRUPTION_KINDS`.
 FRAMING_CORRUPTION = 5
 # Faults of the links between nodes.
 NET_KINDS: tuple[Kind, ...] = (
--- a/testbed/nights/simulation.py
+++ b/testbed/nights/simulation.py
@@ -516,7 +516,7 @@
             self.loop.after_us(50_000, self._restart_node, fault.target, 0.0, True)
 
     def _do_dns_how(self, fault: Fault) -> None:
-        """Make one name server, or both, misbehave in one of the ways of `HOWS`."""
+        """Make one name server, or both, misbehave in one of `BEHAVIOURS`."""
         for server in self.resolvers if fault.target == 2 else [self.resolvers[fault.target % 2]]:
             server.how = BEHAVIOURS[int(fault.value) % len(BEHAVIOURS)]
             self._after_fault(fault, setattr, server, "how", "good")
--- a/testbed/soak/oracle.py
+++ b/testbed/soak/oracle.py
@@ -171,9 +171,10 @@
 class Oracle(ClientObserver, ServerObserver):
     """Collects observations and records those that break a rule.
 
-    Receives reports of clients (`Observer`), cache servers (`Witness`, `servers.ArrivalObserver`)
-    and discovery (`discovery.DiscoveryObserver`). The tables of `Intervals` are keyed by the name
-    of a node and state when a node is excused from some of the rules.
+    Receives reports of clients (`ClientObserver`), cache servers (`ServerObserver`,
+    `servers.ArrivalObserver`) and discovery (`discovery.DiscoveryObserver`). The tables of
+    `Intervals` are keyed by the name of a node and state when a node is excused from some of the
+    rules.
     """
 
     def __init__(self, grace_ms: float) -> None:
--- a/testbed/systems/dns.py
+++ b/testbed/systems/dns.py
@@ -75,7 +75,7 @@
 class NameServer(Program):
     """A DNS server of a zone.
 
-    how: its current behaviour, one of BEHAVIOURS. on_service_answer: called with the asking host
+    how: its current behaviour, one of BEHAVIOURS. on_service_answer: called with the querying host
     and the targets when it answers a query for the service over UDP. queries: for each query its
     transport, the name as it was received, and the type.
     """
--- a/testbed/tier/__init__.py
+++ b/testbed/tier/__init__.py
@@ -1,1 +1,5 @@
-"""Many nodes together: the protocol alone over a drawn network (`model`), and real processes with faults between them (`processes`)."""
+"""Many nodes together.
+
+`model` has the protocol alone over a random network; `processes` has real processes with faults
+between them.
+"""
--- a/testbed/tier/books.py
+++ b/testbed/tier/books.py
@@ -1,7 +1,9 @@
-"""What is seen of a tier from outside: leases as its nodes took them, and what boxes got of all nodes together. Pure.
+"""What is seen of a tier from outside. Pure.
 
-The leases are read from the nodes (`/admin/tier`), whose clocks are one on one machine; the boxes' counts are their own. The first is held
-against the whole, the second against what a cold box bears.
+That is: leases as its nodes took them, and what boxes got from all nodes together.
+
+The leases are read from the nodes (`/admin/tier`), whose clocks are one on one machine; the boxes'
+counts are their own. The first is held against the whole, the second against what a cold box bears.
 """
 
 from __future__ import annotations
@@ -30,7 +32,11 @@
 def spans_of(
     node: int, token: int, taken: Iterable[tuple[int, int, float, float]], ended: float
 ) -> list[Span]:
-    """The spans of one process. taken: bound, parts, from when, until when, in the order in which it took them; ended: when it died."""
+    """The spans of one process.
+
+    taken: limit, shares, from when, until when, in the order in which it took them. ended: when it
+    died.
+    """
     by_bound: dict[int, list[tuple[int, float, float]]] = defaultdict(list)
     for bound, parts, since, until in taken:
         by_bound[bound].append((parts, since, until))
@@ -92,7 +98,10 @@
         )
 
     def worst(self) -> float:
-        """The largest part of its budget that came within any span of FALL_MS; over 1 it would fall."""
+        """The largest part of its budget that came within any span of FALL_MS.
+
+        Over 1 it would fall.
+        """
         worst, first, total = 0.0, 0, 0.0
         for at, work, _ in self.got:
             total += work
--- a/testbed/tier/defects.py
+++ b/testbed/tier/defects.py
@@ -1,4 +1,7 @@
-"""Defects put into the tier's cores on purpose: the checkers of the invariant are checked by them (tests/tier, `benchmarks.tier`)."""
+"""Defects planted in the tier's cores, to check the checkers of the invariant.
+
+Used by tests/tier and `benchmarks.tier`.
+"""
 
 from __future__ import annotations
 
@@ -23,7 +26,7 @@
 
 
 def _spent_twice() -> Any:
-    """What a holder is granted less of is given to others at once, though it may not have heard of it."""
+    """Shares taken back are granted at once, though their holder may not have been notified."""
 
     def holders(self: Ledger, bound: int, now: float) -> dict[ProcessId, int]:
         return {
@@ -84,7 +87,7 @@
 
 
 def _late_word() -> Any:
-    """Word that a candidate has stood back frees whoever promised it the vote, whichever call that was for."""
+    """A step-down releases all votes for a candidate, whichever call they were for."""
 
     def release(self: Voter, who: ProcessId, number: int, now: float) -> None:
         if self.voted_for == who:
@@ -94,7 +97,7 @@
 
 
 def _outlasts_its_majority() -> Any:
-    """A keeper grants for as long as ever, however soon the votes end that it has."""
+    """A leader grants for the usual time, however soon its votes expire."""
     usual = Candidacy.majority_until
 
     def stands_until(self: Candidacy) -> float:
--- a/testbed/tier/model.py
+++ b/testbed/tier/model.py
@@ -1,10 +1,14 @@
-"""The tier's protocol alone: many `Tier`s over a network that loses, delays, doubles, reorders and cuts, on a clock of its own each.
+"""The tier's protocol alone: many `Tier`s over a faulty network, each on a clock of its own.
 
-No sockets, no requests: what is drawn here are the faults that leases must bear, at sizes and in numbers that whole nodes do not reach.
-Times in real ms; each process reads them on a clock that is off by up to an hour and runs up to `lending.DRIFT` fast or slow.
+The network loses, delays, duplicates and reorders datagrams, and is partitioned.
 
-The invariant is checked whenever a lease is taken, which is the only moment at which a sum can rise: over all processes that live or
-stand still, by their own clocks, the parts of each bound sum to WHOLE at most.
+No sockets, no requests: what is drawn here are the faults that leases must bear, at sizes and in
+numbers that whole nodes do not reach. Times in real ms; each process reads them on a clock that is
+off by up to an hour and runs up to `leases.MAX_CLOCK_DRIFT` fast or slow.
+
+The invariant is checked whenever a lease is taken, which is the only moment at which a sum can
+rise: over all processes that live or stand still, by their own clocks, the shares of each limit sum
+to TOTAL_SHARES at most.
 """
 
 from __future__ import annotations
@@ -56,7 +60,7 @@
 
 @dataclass(slots=True)
 class Script:
-    """One drawn night of the protocol."""
+    """One random scenario of the protocol."""
 
     nodes: int
     seconds: float
@@ -81,7 +85,7 @@
 
 
 class Wanted(Demand):
-    """Claims whose wants are given and not counted."""
+    """Demand that is given and not counted."""
 
     __slots__ = ("given",)
 
@@ -129,7 +133,7 @@
 
 
 class Night:
-    """A night of a script and a seed; the same to the byte each time."""
+    """A scenario of a script and a seed; the same to the byte each time."""
 
     def __init__(self, script: Script, seed: int, options: Options = USUAL) -> None:
         self.script = script
@@ -366,7 +370,11 @@
                 self.after(trouble.for_ms, self._revive, slot)
 
     def _do_stranger(self, trouble: Trouble) -> None:
-        """Datagrams that are none, of strangers, of other tiers, cut off, too long, or of another node's name."""
+        """Send invalid datagrams.
+
+        They are malformed, from unknown senders, of other tiers, truncated, too long, or in
+        another node's name.
+        """
         other = Options(floor=0.25)
         for slot in trouble.nodes:
             node = self.nodes[slot]
@@ -409,5 +417,5 @@
 
 
 def play(seed: int) -> list[str]:
-    """Play one drawn night; what broke."""
+    """Run one random scenario; return what broke."""
     return Night(draw(seed), seed).run().failures
--- a/testbed/tier/processes.py
+++ b/testbed/tier/processes.py
@@ -1,10 +1,14 @@
-"""A tier of real processes: N times `python -m corkshift`, with discovery, an order book, boxes and clients on loopback, by a script.
+"""A tier of real processes, run by a script.
 
-The script is that of a simulated night (`testbed/nights/script.py`), so that the same one plays here and on the virtual clock. Of its kinds
-of fault those in PLAYED can be carried out on real processes. Between every ordered pair of nodes stands a relay (`relay`).
+It has N times `python -m corkshift`, with discovery, an order book, boxes and clients on loopback.
 
-Everything ends by itself: the nodes die with this process, however it ends (PR_SET_PDEATHSIG), and all else runs in it. Ports are those
-that the system chooses; datagrams arrive at an address of 127.0.0.0/8 that follows from one of them, which is held as long as the rig runs.
+The script is that of a simulated scenario (`testbed/nights/script.py`), so that the same one plays
+here and on the virtual clock. Of its kinds of fault those in PLAYED can be carried out on real
+processes. Between every ordered pair of nodes stands a relay (`relay`).
+
+Everything ends by itself: the nodes die with this process, however it ends (PR_SET_PDEATHSIG), and
+all else runs in it. Ports are those that the system chooses; datagrams arrive at an address of
+127.0.0.0/8 that follows from one of them, which is held as long as the rig runs.
 """
 
 from __future__ import annotations
@@ -191,8 +195,10 @@
 
 
 class Ports:
-    """TCP ports of the system's choosing, held without listening, so that a node that reuses addresses can bind them and nobody else is
-    given them."""
+    """TCP ports of the system's choosing, held without listening.
+
+    So a node that reuses addresses can bind them, and no other process is given them.
+    """
 
     def __init__(self) -> None:
         self._held: list[socket.socket] = []
@@ -722,6 +728,9 @@
 
 
 def run(script: Script, seed: int, folder: Optional[Path] = None) -> dict[str, Any]:
-    """Play a script with real processes; the report (failures in `failures`). Unplayable where it has other faults."""
+    """Play a script with real processes; the report (failures in `failures`).
+
+    Unplayable where it has other faults.
+    """
     with tempfile.TemporaryDirectory(prefix="gradeshift-tier-") as scratch:
         return asyncio.run(Rig(script, seed, folder or Path(scratch)).play())
--- a/testbed/tier/relay.py
+++ b/testbed/tier/relay.py
@@ -1,7 +1,10 @@
-"""Datagrams between real nodes, by way of one socket for each ordered pair: lost, delayed, doubled, reordered or cut, drawn from a seed.
+"""Relay of datagrams between real nodes, with one socket for each ordered pair.
 
-Node a knows node b by the address of socket (a, b), and what it sends there comes to b from socket (b, a), by which b knows a. So each node
-sees the others under addresses of its own, as the deployment has it, and nothing goes from one to another but through here.
+Datagrams are lost, delayed, duplicated or reordered, and links are cut, drawn from a seed.
+
+Node a knows node b by the address of socket (a, b), and what it sends there comes to b from socket
+(b, a), by which b knows a. So each node sees the others under addresses of its own, as the
+deployment has it, and nothing goes from one to another but through here.
 """
 
 from __future__ import annotations
@@ -109,7 +112,7 @@
             wire.sendto(data, self.places[b])
 
     def forge(self, to: int, data: bytes, by: Optional[int]) -> None:
-        """A datagram that none of the nodes sent: as from one of them, or (None) from a stranger."""
+        """Send a forged datagram: as from one of the nodes, or (None) from an unknown sender."""
         if by is not None:
             self.deliver(by, to, data)
             return
--- a/testbed/tier/virtual.py
+++ b/testbed/tier/virtual.py
@@ -1,4 +1,7 @@
-"""A tier's script on the virtual clock: the same as `processes`, where time and order are exact, with the whole nodes and all rules."""
+"""A tier's script on the virtual clock: the same as `processes`, with exact time and order.
+
+Whole nodes are run, and all rules are checked.
+"""
 
 from __future__ import annotations
 
@@ -10,7 +13,7 @@
 
 
 def run(script: Script, seed: int) -> dict[str, Any]:
-    """Play a script; a report of the same form as that of real processes, as far as it is known here."""
+    """Play a script; return a report in the form of that of real processes, as far as known."""
     result = play(script=script, seed=seed)
     figures = result.figures
     return {
--- a/tests/test_narrow_moments.py
+++ b/tests/test_narrow_moments.py
@@ -1,6 +1,7 @@
-"""Narrow moments of one node (docs/narrow-moments.md has the list): each bad order is made to happen every time.
+"""Race conditions of one node (listed in docs/narrow-moments.md), each made to happen every time.
 
-What the kernel holds when the node next runs is arranged without giving it a turn in between (plain sockets, used between two awaits).
+What the kernel holds when the node next runs is arranged without giving it a turn in between (plain
+sockets, used between two awaits).
 """
 
 from __future__ import annotations
@@ -34,13 +35,13 @@
 
 
 def leaving(take_ms: float = 20.0) -> ShutdownSchedule:
-    """As of a node that has much time after it was told to end."""
+    """The schedule of a node that has much time after SIGTERM."""
     leave = ShutdownSchedule(1_000.0)
     leave.accept_ms, leave.answer_ms, leave.exit_ms = take_ms, 20_000.0, 25_000.0
     return leave
 
 
-# -- a client's connection that is closed, or given up -----------------------------------------------
+# -- a client's connection that is closed, or given up -------------------------------------------
 
 
 async def half_asked(made: Rig) -> tuple[Any, bytes]:
@@ -83,7 +84,8 @@
 
 
 def test_a_request_that_does_not_get_whole_is_given_up_though_it_goes_on() -> None:
-    # The other side of the above: a client that sends a byte now and then gets its 408 all the same.
+    # The other side of the above: a client that sends a byte now and then gets its 408 all the
+    # same.
     async def test() -> None:
         async with rig({"s0": CacheBox()}) as made:
             sock, rest = await half_asked(made)
@@ -112,7 +114,7 @@
     run_async(test)
 
 
-# -- told to end ---------------------------------------------------------------------------------
+# -- SIGTERM -------------------------------------------------------------------------------------
 
 
 def test_a_request_that_gets_whole_after_the_drain_began_is_answered() -> None:
@@ -160,8 +162,9 @@
 
 
 def test_what_comes_behind_the_last_answer_is_not_taken_any_more() -> None:
-    # The answer says that the connection ends, and takes a while to be written. What comes meanwhile is left unread, and its
-    # client asks again elsewhere; taken, it would be sent on and then dropped.
+    # The answer says that the connection ends, and takes a while to be written. What comes
+    # meanwhile is left unread, and its client asks again elsewhere; taken, it would be sent on and
+    # then dropped.
     async def test() -> None:
         box = CacheBox(
             lambda head: (
@@ -295,7 +298,8 @@
                     )
                 )
                 await until(lambda: bool(made.node._running))
-                # As if an earlier attempt had gone out: this one is dialed within the window, and comes up when that is over.
+                # As if an earlier attempt had gone out: this one is dialed within the window, and
+                # comes up when that is over.
                 made.node._calls[1].first_attempt_sent_ms = now_ms() - 2_100.0
                 come_up()
                 await asking
--- a/tests/test_path_counts.py
+++ b/tests/test_path_counts.py
@@ -1,4 +1,4 @@
-"""The guard on what a request costs: counts on the virtual clock, held in benchmarks/path_counts.json."""
+"""Limits of what a request costs: counts on the virtual clock (benchmarks/path_counts.json)."""
 
 from __future__ import annotations
 
--- a/tests/tier/test_model.py
+++ b/tests/tier/test_model.py
@@ -1,4 +1,4 @@
-"""Drawn nights of the protocol: the invariant holds, planted defects break it, and everybody soon has its part."""
+"""Random scenarios of the protocol: the invariant holds, and planted defects break it."""
 
 from __future__ import annotations
 
@@ -18,11 +18,12 @@
     assert held > 120  # in most of them something is dealt
 
 
+# test_leases tests the rules that the first two break; the next test but one finds the third.
 RARE = (
     "any-process",
     "late-word",
     "outlasts-its-majority",
-)  # the first two are held by test_lending, the third here below
+)
 
 
 @pytest.mark.parametrize("defect", [name for name in DEFECTS if name not in RARE])
@@ -54,7 +55,10 @@
 
 @pytest.mark.parametrize("count", [4, 12, 37])
 def test_shares_are_even_again_soon_after_half_went_and_came_back(count: int) -> None:
-    """`half` takes the first ones, the one whose vote counts twice among them: of an even number the rest has its floors alone."""
+    """`half` takes the first nodes, among them the one whose vote counts twice.
+
+    Where the number is even the others have only their floors.
+    """
     script = Script(count, 40.0, troubles=[Trouble(10_000.0, "half", (), 10_000.0)], skewed=False)
     night = Night(script, 3).run(9_000.0)
     even = [[node.holds(bound) for node in night.alive()] for bound in BOUNDS]
@@ -86,7 +90,10 @@
 
 
 def test_nodes_come_ten_at_a_time_and_go_again() -> None:
-    """Of 24 `peers` four run, then 14, then all, then 14, then four, which are no majority: floors, as at the first."""
+    """Of 24 `peers` four run, then 14, then all, then 14, then four.
+
+    Four are no majority: they have only their floors, at the end as at the start.
+    """
     tens = tuple(range(4, 14)), tuple(range(14, 24))
     script = Script(24, 90.0, skewed=False)
     night = Night(script, 5)
@@ -112,7 +119,10 @@
 
 
 def test_a_minute_and_a_half_of_a_cut_one_way_and_the_end_of_it() -> None:
-    """What n0 and n1 send reaches nobody, and they hear all: they ask and are answered in vain, and hold nothing that counts twice."""
+    """n0 and n1 receive everything, but nothing that they send arrives.
+
+    Their calls are in vain, and they hold no share that another node holds too.
+    """
     script = Script(
         5, 130.0, skewed=True, troubles=[Trouble(10_000.0, "one_way", (0, 1), 90_000.0)]
     )
--- a/tests/tier/test_processes.py
+++ b/tests/tier/test_processes.py
@@ -208,7 +208,10 @@
 
 
 def test_a_second_process_under_one_name_ends_with_one_line(tmp_path: Path) -> None:
-    """Two nodes of one configuration: the second has neither the clients' address nor that of datagrams."""
+    """Start two nodes of one configuration.
+
+    The second has neither the clients' address nor that of datagrams.
+    """
     import socket
 
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as first, socket.socket() as free:
