--- a/corkshift/address_book.py
+++ b/corkshift/address_book.py
@@ -4,9 +4,10 @@
 (`listing.unconfirmed_entries`). Departures outrank older lists (`forkweir.known.departures`), and
 start times are converted to this node's clock (`forkweir.known.start_times`).
 
-The cost of a line is proportional to the entries that differ from the known ones. A long list is
-applied in slices: servers that leave or change in the first one, at once, and new servers in slices
-of SLICE_SERVERS, between which the caller lets the loop run.
+A whole list of more than SLICE_SERVERS servers costs a few lookups for each entry, and beyond that
+in proportion to the entries that differ from the known ones. It is applied in slices: at once the
+servers that leave, change or share an address, then new servers in slices of SLICE_SERVERS, between
+which the caller lets the loop run. A shorter list, or a line of changes, is applied at once.
 """
 
 from __future__ import annotations
@@ -29,7 +30,8 @@
 
 log = logging.getLogger(__name__)
 
-REINSTATE_INTERVAL_S = 1.0  # between checks of servers that are out only by an earlier departure
+# Between checks whether a departure that is newer than its server's entry has expired.
+REINSTATE_INTERVAL_S = 1.0
 SLICE_SERVERS = 256  # added per iteration of the event loop, which takes about 2 ms
 
 Entry = tuple[Server, Address]
@@ -48,18 +50,19 @@
         ...
 
     def on_unlisted_departures(self, addresses: list[Address], whole: bool) -> None:
-        """Servers that this list never named drain or are removed.
+        """Servers that are not in the address book drain or are removed.
 
-        whole: in a line that was read whole; otherwise it holds until the next such line. Another
-        source may name these servers (guards against a drain that a node loses because its list
-        lost the addition before it).
+        whole: a line that was read whole says that they are removed. Otherwise a partial or corrupt
+        line says that they drain or are removed, and this holds until the next whole line. Another
+        source may name these servers: without this notification, a node would lose a drain if its
+        list had lost the server's addition before it.
         """
         ...
 
 
 @dataclass(frozen=True, slots=True)
 class SupersededEntry:
-    """An entry of a list that is older than the departure of its server."""
+    """An entry in state "in" of a list that is older than the departure of its server."""
 
     server: Server
     address: Address
@@ -70,19 +73,22 @@
     """The servers that discovery lists, and what overrides older or partial lists."""
 
     def __init__(self, node: ListObserver, pool: Pool) -> None:
-        self.generation: Optional[int] = None  # of the last whole line
+        self.generation: Optional[int] = None  # of the last whole line, or of the saved list
         # When the input being applied may have been written. The grace period of a departure
         # starts then.
         self.written_ms = inf
         self.has_whole_list = False  # a whole line was applied
         self._node = node
         self._pool = pool
-        self._known: dict[str, Server] = {}  # each listed server as in the last whole line
+        # The entry of each server in the address book: that of the last whole line which named it,
+        # "draining" instead of "in" if its departure is newer than the line, and with the start
+        # time of a later unconfirmed entry.
+        self._known: dict[str, Server] = {}
         self._names_at: dict[Address, dict[str, None]] = {}
         self._unconfirmed = UnconfirmedEntries()
         self._departures = Departures()
         self._starts = StartTimes()
-        # Servers in service by a list that is older than their departure.
+        # The entries that were overridden by a later departure, until it expires.
         self._superseded: dict[str, SupersededEntry] = {}
         self._release_timer: Optional[asyncio.TimerHandle] = None
         # New servers of a long list that are still to be added.
@@ -107,10 +113,11 @@
     def apply_line(
         self, generation: int, whole: bool, listed: list[Entry], complete: bool
     ) -> Iterator[None]:
-        """Apply a whole line. Yields where the loop may run before more servers are added.
+        """Apply a line that was read whole. Yields where the loop may run between slices.
 
-        complete: the line includes every change since the last one, so that servers which it does
-        not name are no longer held back.
+        whole: it is a whole list, not a line of changes. complete: it includes every change since
+        the last line, so that servers which unconfirmed entries hold back and which it does not
+        name are released.
         """
         missing = self._missing(generation, listed) if whole else {}
         large = whole and len(listed) > SLICE_SERVERS
@@ -132,6 +139,8 @@
             )
         else:
             urgent, deferred = self._split(pairs, shared)
+            # In form "changes", since "full" would remove every server that is not passed on, and
+            # unchanged servers are not. Removed servers are among `missing`.
             self._notify(
                 "part" if deferred else "changes",
                 [*self._release(released), *self._update(urgent, missing)],
@@ -140,6 +149,10 @@
         self.generation, self.has_whole_list = generation, True
 
     def _add_in_slices(self, pairs: list[Entry]) -> Iterator[None]:
+        """Add the new servers of a long list; yields before each slice.
+
+        The last slice is passed on in form "changes", which ends a series in form "part".
+        """
         self._pending_additions = {server.name: (server, address) for server, address in pairs}
         while self._pending_additions:
             yield
@@ -179,7 +192,10 @@
         return urgent, deferred
 
     def _missing(self, generation: int, listed: list[Entry]) -> dict[str, Server]:
-        """The listed servers that a whole list does not name, as entries in state "unlisted"."""
+        """Record the departure of each known server that a whole list does not name.
+
+        Returns these servers as entries in state "unlisted".
+        """
         names = {server.name for server, _ in listed}
         missing = self._unlisted(name for name in self._node.servers if name not in names)
         for name, server in missing.items():
@@ -190,7 +206,11 @@
         return {name: replace(self._known[name], state="unlisted") for name in names}
 
     def _notify(self, form: str, entries: Iterable[Server]) -> None:
-        """Pass entries on, with their start times on this node's clock."""
+        """Pass entries on, with their start times on this node's clock.
+
+        Form `hearsay` is the outward name for entries that no whole line has confirmed; they never
+        count as those of the first list.
+        """
         first, now = not self.has_whole_list and form != "hearsay", now_ms()
         self._node.on_list(form, [self._starts.localize(server, first, now) for server in entries])
 
@@ -201,9 +221,13 @@
     ) -> None:
         """Apply the entries of a partial or corrupt line.
 
-        Servers that drain, are removed or are unreadable in it get no new requests until a whole
-        line settles their state. generation: of that line; None where it cannot be read, and the
-        one after the latest is assumed.
+        Servers that drain, are removed or are unreadable in it are held back, that is, they get no
+        new requests, until a whole line names them or is complete (see `apply_line`). Those that
+        are unreadable are released after UNREADABLE_TIMEOUT_MS at the earliest (see
+        `_release_expired`). The limits of `UnconfirmedEntries` apply.
+
+        generation: that of the partial or corrupt line. If it is None, it could not be read, and
+        the generation after that of the last whole line is assumed.
         """
         book = self._node.servers
         reports: list[UnconfirmedEntry] = []
@@ -219,7 +243,8 @@
             if name not in book and entry.address is not None and state in ("draining", "gone"):
                 unknown.append(entry.address)
                 # A server that started later at an address replaces the one known there, whose
-                # removal is among the lost changes (see `_remove_replaced`; scenario 20000704).
+                # removal is among the lost changes (see `_remove_replaced`; seed 20000704,
+                # tests/regressions/drain-under-the-next-name-in-a-lost-line.toml).
                 started_ms = entry.server.started_ms
                 same_address = [
                     other for other in self._names_at.get(entry.address, ()) if other in self._known
@@ -275,7 +300,11 @@
             self._notify("hearsay", entries)
 
     def _release_expired(self) -> None:
-        """Release servers that have been held back for long enough since the last entry on any."""
+        """Release the servers whose time for an unreadable entry is over.
+
+        The timer starts again whenever servers are held back, so that a server may be released
+        later than UNREADABLE_TIMEOUT_MS after its own entry. Notifies in form `hearsay`.
+        """
         self._release_timer = None
         released = self._release(self._unconfirmed.expire(now_ms()))
         if released:
@@ -292,12 +321,13 @@
         return entries
 
     def _without_superseded(self, generation: int, pairs: list[Entry]) -> list[Entry]:
-        """The entries of a list without those that are older than their server's departure.
+        """Return the entries of a list as they apply, given the departures; update the departures.
 
-        Such a server keeps draining, or stays removed. Guards against a replica of discovery that
-        lags behind the one called before and would put draining servers back. Drawback: where
-        another service counts generations differently, a server that returned meanwhile is used
-        `departures.HOLD_MS` later.
+        An entry in state "in" that is older than its server's departure is kept for `_reinstate`.
+        For now the server drains, or stays removed if it is not in the address book. Guards against
+        a replica of discovery that lags behind the one called before and would put draining servers
+        back. Drawback: if discovery is another service by now, with lower generations, a server
+        that has returned to service is not used until `departures.HOLD_MS` after its departure.
         """
         kept: list[Entry] = []
         now = now_ms()
@@ -332,7 +362,10 @@
         return kept
 
     def _reinstate(self) -> None:
-        """Put servers back in service whose departure expired without confirmation by a list."""
+        """Put servers back in service whose departure expired without confirmation by a list.
+
+        Notifies in form `hearsay`.
+        """
         now, pairs = now_ms(), []
         for name, entry in list(self._superseded.items()):
             if not self._departures.outranks(name, entry.generation, entry.server.started_ms, now):
@@ -351,7 +384,10 @@
     ) -> list[Server]:
         """Update the address book, and return the entries for the decisions.
 
-        missing: the servers that a whole list no longer names; None for a line of changes.
+        missing: the servers that a whole list no longer names, as entries; empty for a line of
+        changes. To it are added the servers in the address book whose entries in `pairs` do not
+        count by `_remove_replaced`; all of these are removed. None: such servers are left as they
+        are (the saved list, slices of new servers and reinstated servers).
         """
         book = self._node.servers
         unknown = [
@@ -390,15 +426,17 @@
         return replaced + [server for server, _ in kept] + unlisted
 
     def _remove_replaced(self, pairs: list[Entry]) -> tuple[list[Server], list[Entry]]:
-        """Remove servers whose address another one serves now.
+        """Remove servers that another one at their address replaces.
 
-        Returns them as entries for the decisions, and the entries of `pairs` that count. Guards
-        against the keys of a server whose removal is not notified yet going to the cold one that
-        took its address. Drawback: of two servers in service at one address only the last counts.
+        That one is in service according to `pairs`, or started later and drains. Returns the
+        removed ones as entries for the decisions, and the entries of `pairs` that count. Otherwise,
+        until the removal of a server is notified, its keys would go to the cold server that took
+        its address. Drawback: of two servers in service at one address, only the last in `pairs`
+        counts.
         """
         owner_of = {address: server.name for server, address in pairs if server.state == "in"}
         address_of = {server.name: address for server, address in pairs}
-        # At each address the draining server that started last.
+        # At each address the draining server that started last, of those with a start time.
         latest_leaving: dict[Address, Server] = {}
         for server, address in pairs:
             if server.state == "draining" and server.started_ms > getattr(
@@ -407,9 +445,9 @@
                 latest_leaving[address] = server
 
         def succeeded(server: Server, address: Address) -> bool:
-            """Whether a server that started later at the address already leaves.
+            """Whether another server, which started later at the address, already drains.
 
-            Guards against requests for the earlier server that break the drain of the later one.
+            Otherwise requests for the earlier server would reach the later one during its drain.
             """
             successor = latest_leaving.get(address)
             return (
--- a/corkshift/upstream.py
+++ b/corkshift/upstream.py
@@ -32,8 +32,8 @@
 VERSION_PREFIX = b"HTTP/1."
 # A connection is not reused after this share of the servers' idle timeout.
 IDLE_TIMEOUT_SHARE = 0.7
-# Idle time before a connection is reused: surplus bytes behind a response arrive by then, and are
-# not taken for the next response.
+# Idle time before a connection is reused. Surplus bytes behind a response are assumed to arrive by
+# then: the connection is closed, and they are not taken for the next response.
 MIN_IDLE_MS = 2.0
 # Interval at which connections near the idle timeout are closed.
 SWEEP_INTERVAL_S = 0.5
@@ -43,18 +43,25 @@
 # Turns of the event loop for which an attempt lets unread bytes from discovery be read first; each
 # turn reads one chunk.
 MAX_DISCOVERY_TURNS = 8
-# Share of an attempt's time for such retries; the rest is left for another attempt.
+# Share of an attempt's time for connecting again after a shortage on this machine; the rest is left
+# for another attempt.
 LOCAL_RETRY_SHARE = 0.7
 # Values of the X-Found header, as the balancer counts them; 0 stands for unknown.
 CACHE_RESULTS = {b"hit": 1, b"miss": 2, b"pending": 3}
 
 
 class MalformedResponse(Exception):
-    """A response that violates HTTP or the node's limits. The request may have run."""
+    """A response that violates HTTP or the node's limits.
+
+    The request may have run if all of it was sent.
+    """
 
 
 class NotSent(Exception):
-    """The request was not sent, for a reason other than a fault of the cache server."""
+    """The attempt ended without an outcome of the cache server, which is not at fault.
+
+    The request was not sent completely, or its response is no longer wanted.
+    """
 
 
 @dataclass(eq=False, slots=True)
@@ -216,9 +223,9 @@
     def may_send(
         self, request: ClientRequest, server: CacheServer, announced_ms: int
     ) -> Optional[Denial]:
-        """Return why a request may not be sent to a server now, or None if it may.
+        """Return the denial if a request may not be sent to a server now, else None.
 
-        announced_ms: the remaining time that the request's head announces, 0 before it is written.
+        announced_ms: the remaining time announced in the request's head; 0 if there is none yet.
         """
 
     def list_unread(self) -> bool:
@@ -293,8 +300,8 @@
             async with self._timeout:
                 outcome, cause = await self._exchange(), ""
         except (NotSent, BodyAborted) as error:
-            # BodyAborted: the client left before the last byte of its body, so the request never
-            # ran.
+            # BodyAborted: the client left or stalled before the last byte of its body, so the
+            # request never ran.
             outcome, cause = Outcome("void"), str(error)
         except TimeoutError as error:
             # Until its last byte has been written, a request cannot have run.
@@ -303,7 +310,8 @@
                 str(error) or "timeout",
             )
         except (h11.RemoteProtocolError, MalformedResponse) as error:
-            # The server responds, which the balancer distinguishes from a broken connection.
+            # After the whole request, the server's response is malformed, which the balancer
+            # distinguishes from a broken connection. Before, the request cannot have run.
             outcome, cause = Outcome("spoilt" if self._all_sent else "unreachable"), str(error)
         except OSError as error:
             outcome, cause = (
@@ -387,14 +395,16 @@
         """Write the request; return False if the server responded before its last byte."""
         request = self.request
         size = sum(map(len, request.body))
-        # The node made or has checked all of it, so it needs no check by h11.
+        # The node made all parts of the head itself or checked them when it read the client's
+        # request, so it is written without h11's checks.
         fields = b"".join([b"%b: %b\r\n" % field for field in self._headers(size)])
         head = b"%b %b HTTP/1.1\r\n%b\r\n" % (request.method, request.target, fields)
         pieces: list[bytes | bytearray] = [head, *request.body]
         if len(head) + size <= READ_BYTES:
             pieces = [b"".join(pieces)]
         else:
-            self._check_may_send()  # for a drain, the time of the first byte counts
+            # Checked before the first byte, whose time counts for a drain, and before the last.
+            self._check_may_send()
             # The last byte is sent separately, so that it is not sent before the final check.
             pieces[-1:] = [pieces[-1][:-1], pieces[-1][-1:]]
         for piece in pieces[:-1]:
@@ -406,8 +416,10 @@
     async def _send_large(self, stream: Stream) -> bool:
         """Stream a request too large to buffer; return False as `_send` does.
 
-        Raises BodyAborted if the client leaves. The attempt's time limit runs from the last byte;
-        until then only a stall, at the server or at the client, ends it.
+        Raises BodyAborted if the client leaves or stalls. The attempt's time limit runs from the
+        last byte, and is not set again after an early response. Until the last byte, only the time
+        of each write is limited (STALL_TIMEOUT_S); a connection error or a denial
+        (`_check_may_send`) also ends the attempt.
         """
         request, body_rest = self.request, self.request.body_rest
         assert body_rest is not None
@@ -441,9 +453,10 @@
         return True
 
     def _check_may_send(self) -> None:
-        """Raise NotSent if the client has left or the server drains.
+        """Raise NotSent if the request may not be sent now (`Denial` lists the reasons).
 
-        Either may have happened during a slow connect or a long body.
+        For example, the client may have left, or the grace for a draining server or another time
+        limit may have passed, during a slow connect or a long body.
         """
         denial = self._owner.may_send(self.request, self.server, self._announced_ms)
         if denial is not None:
@@ -453,7 +466,8 @@
         """After event loop lag, let pending bytes from discovery be read first.
 
         Otherwise the request could go to a server whose drain is still unread. The number of turns
-        is bounded, as discovery may go on writing; a notification received later counts from then.
+        is bounded, as discovery may go on writing; the grace period of a drain that it writes
+        during these turns also starts later.
         """
         for _ in range(MAX_DISCOVERY_TURNS):
             if not self._owner.list_unread():
@@ -490,7 +504,7 @@
         length = _content_length(headers)
         self._until_close = length is None and b"transfer-encoding" not in headers
         if response.status_code != 200:
-            # The status alone decides; the body is read only to keep the connection.
+            # The head alone decides; the body is read only to keep the connection.
             if not self._until_close:
                 await self._read_error_body()
             return _error_outcome(response.status_code, headers)
@@ -518,7 +532,7 @@
             return None
         body, left = data[head.end :], head.length - (len(data) - head.end)
         if left > 0 and head.status != 200:
-            return None  # the status alone decides, whatever becomes of the body
+            return None  # h11 parses it: the head alone decides, even if the body is cut off
         if left > 0:
             parts = [body]
             while left > 0:
@@ -571,7 +585,7 @@
     async def _read_error_body(self) -> None:
         """Read a short error response to its end, so that the connection can be kept.
 
-        A long or incomplete one is given up: its status alone decides.
+        The head alone decides the outcome, so a long or incomplete body is given up.
         """
         with suppress(OSError, h11.RemoteProtocolError):
             for _ in range(8):
@@ -592,8 +606,9 @@
     def _release(self) -> None:
         """Keep the connection if both sides completed the exchange, else close it."""
         stream, parser = self._stream, self._parser
-        # The pool owns the connection from here on: an abort before the end of this task is
-        # noticed must not close a connection that is idle or used by another attempt.
+        # The pool owns the connection from here on. `abort` may still be called until the end of
+        # this task is noticed, and must not close a connection that is idle or that another
+        # attempt uses by then.
         self._stream = None
         if stream is None or stream.closed:
             return
@@ -612,7 +627,7 @@
 
 
 def _error_outcome(status: int, headers: dict[bytes, bytes]) -> Outcome:
-    """Return the outcome for a response other than 200."""
+    """Return the outcome for a response other than 200, from its status and X-Turned-Away."""
     away = status in (503, 504) and headers.get(b"x-turned-away", b"").strip() == b"1"
     return Outcome("overloaded" if away else "failure")
 
@@ -625,7 +640,7 @@
 def _check_version(head: bytes) -> None:
     """Raise MalformedResponse if the first bytes can't begin a response.
 
-    Otherwise the node would wait for the end of a line of random bytes.
+    Otherwise the node would read on through random bytes for the end of a status line.
     """
     if head[: len(VERSION_PREFIX)] != VERSION_PREFIX[: len(head)]:
         raise MalformedResponse("not HTTP")
--- a/forkweir/choice.py
+++ b/forkweir/choice.py
@@ -1,8 +1,10 @@
 """The balancer: every decision of forkweir. Pure, deterministic, no I/O and no clock of its own.
 
-The ordinary path is DEMB (see docs/design.md): a key is hashed to a position on a line, a
-window of recent positions is cut into ranges of equal count, each new set of cuts is blended
-into the earlier cuts, and a request goes to the home server of its position's range.
+The ordinary path is DEMB, distributed exponential moving boundaries (Lee et al., "DEMB:
+Cache-Aware Scheduling for Distributed Query Processing"; see docs/design.md): a key is hashed to a
+position on a line, a window of recent positions is cut into ranges of equal count, each new set of
+cuts is blended into the earlier cuts, and a request goes to the home server of its position's
+range.
 
 Submodules: `line` (positions and cuts), `fleet` (servers, homes, health), `gate` (admission
 control), `request` (state of one request) and `settings` (shared types). Times are in ms.
@@ -51,15 +53,17 @@
 LATE_SHARE = 0.1
 # A server at least this many times as fast as the home of a range takes the range's writes.
 WRITE_SPEED_FACTOR = 1.1
-# A request is hedged when it has been out for longer than this share of attempts take.
+# A request is hedged after this quantile of the durations of attempts, as shares of their aims, but
+# not before HEDGE_MIN nor after HEDGE_MAX.
 HEDGE_QUANTILE = 0.95
-# Earliest hedge, as a share of the request's aim.
+# Earliest hedge of an attempt at a server that is not on trial, as a share of the request's aim.
 HEDGE_MIN = 0.5
-# Latest hedge, as a share of the aim; where the quantile lies beyond it, nothing is hedged.
+# Latest hedge, as a share of the aim. While `Balancer.hedge_share` lies beyond it, only attempts on
+# trial at suspect servers are hedged.
 HEDGE_MAX = 0.7
-# Weight of one outcome in the estimate of HEDGE_QUANTILE.
+# Weight of one outcome in `Balancer.hedge_share`.
 HEDGE_LEARNING_RATE = 0.02
-# Share of the aim after which an attempt at a server on trial is hedged.
+# Share of the aim after which an attempt at a server on trial is hedged, earlier than HEDGE_MIN.
 TRIAL_HEDGE = 0.35
 # Shortest time between two checks of the hedge queue.
 HEDGE_CHECK_INTERVAL_MS = 5.0
@@ -127,7 +131,7 @@
         # Shares of tier-wide limits; None where nodes may not talk to one another.
         self.parts: Optional[TierShares] = None
         self.polling = PollSchedule(settings.poll_within_ms, self.random, not settings.poll_list)
-        # Share of their aims within which HEDGE_QUANTILE of the attempts are answered.
+        # Estimated share of their aims within which HEDGE_QUANTILE of the attempts are answered.
         self.hedge_share = HEDGE_MAX
         # A heap of (time at which the request may be hedged, request id).
         self.hedge_queue: list[tuple[float, int]] = []
@@ -175,7 +179,11 @@
     # -- homes of ranges -----------------------------------------------------------------
 
     def _prepare(self, now: float) -> bool:
-        """Return whether any range has a home; update a small fleet's placement first if due."""
+        """Return `Fleet.ready`; update a small fleet's placement first if that is due.
+
+        Ready means that some range has a home, or that a large fleet without a placement has
+        servers that may become homes: requests go to these by name until the first placement.
+        """
         fleet = self.fleet
         if (
             fleet.placement_stale
@@ -237,7 +245,7 @@
         return []
 
     def _any_server(self) -> Member:
-        """Return a random server that is home to ranges."""
+        """Return a random server that is home to ranges, or any candidate while none is."""
         placement = self.fleet.placement
         if placement is None or not placement.owners:
             return self.fleet.placed[self.random.randrange(len(self.fleet.placed))]
@@ -294,8 +302,9 @@
             return [
                 self._refuse(request, "gate", self.gate.opens_in(position, relative_value), now)
             ]
-        # Refuse what would wait at an origin that is slow already. Otherwise fetches time out and
-        # are given up, and leave nothing in any cache for as long as clients send requests.
+        # Refuse a request whose fetch would wait at an origin that is slow already. Otherwise, for
+        # as long as clients send requests, fetches would time out and be given up, and no cache
+        # would get anything from them.
         fetches = self.fetches
         if fetches.limiting or self.parts is not None:
             known = fetches.remembers(position, target.info.name, target.cold_since_ms)
@@ -337,7 +346,10 @@
         return ("no-server", None) if soonest_ms is None else ("cold", soonest_ms)
 
     def _schedule_hedge(self, request: Request, now: float) -> list[Action]:
-        """Queue a request that was just sent for hedging, and set the hedge timer."""
+        """Queue a request that was just sent for hedging, and set the hedge timer if none is set.
+
+        A timer that is already set for a later time is not moved: the request is hedged then.
+        """
         if request.spec.repeat == "unsafe":
             return []
         trial = request.servers[-1].trial_request == request.id
@@ -358,7 +370,7 @@
         return [("timer", 3, due)]
 
     def _check_hedges(self, now: float) -> list[Action]:
-        """Hedge the requests that have been out for too long by now."""
+        """Hedge the queued requests that are due and still have no answer."""
         self.hedge_timer_set = False
         actions: list[Action] = []
         while self.hedge_queue and self.hedge_queue[0][0] <= now:
@@ -381,14 +393,18 @@
         Covers attempts whose answer will not come, or not in time: an unresponsive connection, an
         answer cut short, a server that hangs. A server that has answered other requests meanwhile
         gets the hedged request itself, as it holds or fetches the key; else the next server does.
-        The retry budget bounds the added load. Where answers are slow at most servers or the
-        origin is overloaded, a second attempt would add to the cause, so none is sent.
+
+        The retry budget bounds the added load. Where answers are slow in general (`hedge_share`
+        over HEDGE_MAX) or the origin is slow, a second attempt would add to the cause, so none is
+        sent. An attempt on trial because its server is suspect is exempt from all of this: it is
+        hedged regardless, and at no cost to the retry budget.
         """
         last = max(request.outstanding)
         member = request.servers[last]
         origin_healthy = self.gate.origin_slowness <= ORIGIN_SLOW_LEVEL
         on_trial = member.trial_request == request.id
-        # On trial because it is suspect; a server with strikes is on trial for not responding.
+        # On trial because the server is suspect. A server with ejections is on trial for faults or
+        # for not responding.
         trial = on_trial and not member.ejections
         if not trial and (
             on_trial
@@ -450,7 +466,8 @@
                 key_fraction = self.random.random()
         if request.write and not start:
             # A write gains nothing from its home's cache and goes through to the origin from any
-            # server, so a slow home need not make the heaviest class late.
+            # server, so a faster server takes it. Otherwise slow homes would make the class with
+            # the most work per request late.
             min_speed = WRITE_SPEED_FACTOR * fleet.speeds.work_rate(neighbours[0].info.kind)
             for step in range(1, len(neighbours) if min_speed else 0):
                 member = neighbours[step]
@@ -478,9 +495,10 @@
                     return member
                 busy = busy or member
         if busy is not None:
-            # The warm servers turn much away: a cold one with capacity takes a key of theirs,
-            # within its allowance. Otherwise the one warm server left of many would get, and
-            # refuse, all that the cold ones may not take as their own.
+            # All usable warm neighbours reject many requests, so a cold one with capacity takes
+            # this request, within its cold-start allowance. Otherwise the last warm server among
+            # many cold ones would get, and reject, all requests for the keys of the cold ones that
+            # their allowances do not admit.
             return self._cold_with_capacity(neighbours, request, now) or busy
         spare: Optional[Member] = None
         cold: list[Member] = []
@@ -623,6 +641,7 @@
             return []
         if request.body_consumed:
             return [self._give_up(request, now)]
+        # The server does not have the object, which a cache-aside site then reads from the origin.
         if (
             status == "absent"
             and self.fleet.origin is not None
@@ -630,8 +649,8 @@
         ):
             return [self._send(request, self.fleet.origin, now)]
         left_ms = request.aim_at - now
-        # A server whose answer was lost on the way has done the work and caches what it fetched, so
-        # it gets one retry.
+        # After a fault the same server gets one retry: if its answer was lost on the way, it has
+        # done the work and caches what it fetched. A server that was unreachable gets one as well.
         same_server = (
             member
             if outcome.fault and member is not None and self.fleet.usable(member, now)
@@ -651,7 +670,9 @@
             available = self._server_with_capacity(request, now)
             if available is not None and self._may_retry(request, available, now):
                 return [self._send(request, available, now)]
-        # A retry of a miss is one more miss; such retries would keep an overloaded origin down.
+        # While the origin is slow, an attempt that may have run is not retried at another server.
+        # The retry of a miss would be one more miss there, and such retries would keep an
+        # overloaded origin down.
         retry_useful = (
             request.first_run_server is None
             or same_server is not None
@@ -752,9 +773,10 @@
         request.expected_fetches.clear()
 
     def _learn_hedge_share(self, longer: bool) -> None:
-        """Move the estimate of HEDGE_QUANTILE by one outcome (stochastic approximation).
+        """Update `hedge_share` by one outcome (stochastic approximation of a quantile).
 
-        It is stable where a share of 1 - HEDGE_QUANTILE of the attempts takes longer.
+        longer: whether the attempt took longer than `hedge_share` of its aim. The estimate is
+        stable where a share of 1 - HEDGE_QUANTILE of the attempts does.
         """
         self.hedge_share = min(
             1.0, max(0.0, self.hedge_share + HEDGE_LEARNING_RATE * (longer - 1.0 + HEDGE_QUANTILE))
@@ -789,7 +811,10 @@
                 self.fleet.penalize(member, now, self.gate.failure_penalty(), True)
 
     def _may_retry(self, request: Request, target: Member, now: float) -> bool:
-        """Whether the request's class allows one more attempt after one that may have run."""
+        """Whether the request may have one more attempt, at `target`.
+
+        Yes if no earlier attempt may have run; else the request's class decides.
+        """
         first_server, spec = request.first_run_server, request.spec
         if first_server is None or spec.repeat == "safe":
             return True
--- a/forkweir/tier/leases.py
+++ b/forkweir/tier/leases.py
@@ -1,45 +1,50 @@
 """Tier-wide limits, granted as leases of shares that never exceed the total. Pure, no I/O.
 
-Invariant: for each limit, the shares that all processes of the tier believe they may spend sum to
-TOTAL_SHARES at most, at every moment, whatever is lost, duplicated, delayed, reordered or cut, and
-whichever process is killed, paused or restarted; provided that no clock runs faster or slower than
-real time by more than MAX_CLOCK_DRIFT, and that all nodes agree on the number of nodes (others are
-recognized by their digest, see `Tier`).
+Invariant: for each limit, the shares that all processes of the tier hold by leases valid on their
+own clocks sum to at most TOTAL_SHARES at every moment. It holds whatever messages are lost,
+duplicated, delayed, reordered or truncated, and whichever processes are killed, paused or
+restarted, provided that no clock runs faster or slower than real time by more than MAX_CLOCK_DRIFT
+and that all nodes agree on the number of nodes. Nodes that do not agree are recognized by their
+digest (see `Tier`).
 
 The leader, which alone may grant, is decided by votes that expire (as in the leases of Gray and
 Cheriton 1989, and Lampson's leases for a master). There is no log and nothing is stored on disk:
 
-- A node gives its vote to one process at a time, for vote_ms from the moment at which it says so. A
+- A node gives its vote to one process at a time, for vote_ms from the moment at which it replies. A
   process that has just started gives no vote for vote_ms, since its predecessor may have given one
-  (`Voter`). The vote is a node's only obligation; it can break no lease by dying.
-- A candidate calls all others, and counts a vote for CLOCK_SAFETY_FACTOR x vote_ms from the moment
-  at which it sent the call that the vote answers (`Candidacy`). It is the leader as long as the
-  votes of more than half are valid. With an even number of nodes, the vote of the lowest counts
-  twice, so that one of two halves can go on. A candidate that steps down for another announces it,
-  which releases those that gave it their vote.
-- The leader grants shares for lease_ms, and never beyond the time at which its majority ends
-  (`Ledger`). A grant counts as outstanding until lease_ms have passed on the leader's clock, and
-  its shares are granted to another only then. A new leader need not know the grants of its
-  predecessor: the votes of the predecessor have expired, and its grants with them.
-- A node counts a grant for CLOCK_SAFETY_FACTOR x lease_ms from the moment at which it sent the
-  reply that the grant answers (`HeldLeases`), whenever the grant arrives. A grant that was
-  delayed on the network, or waited in a socket while the process was paused, has expired when it
-  is read.
-
-| state of a share | who may spend it | becomes | when |
+  (`Voter`). The vote is a node's only obligation, so no lease is violated when a node fails.
+- A candidate calls all other nodes but those known to be dead or to have left, and counts a vote
+  for CLOCK_SAFETY_FACTOR x vote_ms from the moment at which it sent the call that the vote answers
+  (`Candidacy`). It is the leader as long as the votes of more than half of all nodes are valid.
+  With an even number of nodes, the vote of the node with slot 0 counts twice, so that one of two
+  halves has a majority. A candidate that steps down, for a lower slot or because it got no majority
+  in time, announces it, which releases those that gave it their vote.
+- The leader grants shares for lease_ms, which never reach beyond the time at which its majority
+  ends: `Allocator.lease_ms` limits them, `Ledger` does not check them. A grant counts as
+  outstanding until lease_ms have passed on the leader's clock, and its shares are granted to
+  another only then. A new leader need not know the grants of its predecessor: the votes of the
+  predecessor have expired, and its grants with them.
+- A process uses a grant until CLOCK_SAFETY_FACTOR x lease_ms after it sent the reply that the grant
+  answers (`HeldLeases`), no matter when the grant arrives. A grant that was delayed on the network,
+  or waited in a socket while the process was paused, has expired when it is read.
+
+| state of a share | who may use it | becomes | when |
 |---|---|---|---|
 | free | nobody | granted | the leader grants it |
-| granted | its holder, until its lease ends | granted | granted again, as much or less |
+| granted | its holder, until its lease ends | granted | a new grant to its holder includes it |
 | | | free | lease_ms after the last grant that included it, on the leader's clock |
-| lost | nobody | free | the same: a lost grant can't be told from one that arrived |
+| grant lost | nobody | free | as above: the leader can't tell a lost grant from one that arrived |
 
-`CLOCK_SAFETY_FACTOR = (1 - MAX_CLOCK_DRIFT) / (1 + MAX_CLOCK_DRIFT)`: a span of this times t on a
-slow clock is no longer than t on a fast one. It starts earlier (a reply is sent before the grant
-that answers it) and ends earlier.
+A new grant to a holder may be larger or smaller than its last one.
+
+`CLOCK_SAFETY_FACTOR = (1 - MAX_CLOCK_DRIFT) / (1 + MAX_CLOCK_DRIFT)`: in real time, a span of
+CLOCK_SAFETY_FACTOR x t on a slow clock is no longer than a span of t on a fast one. The holder's
+span of a lease also starts before the leader's, as the holder sends its reply before the leader
+sends the grant that answers it, so it also ends before the leader's. The same holds for votes.
 
 Allocation: max-min fairness by demand (progressive filling, Bertsekas and Gallager 1992, section
-6.5.2), plus an even part of what is left for each node with any demand. A node with unlimited
-demand gets what the others leave.
+6.5.2), plus an even part of what is left for each node with any demand. Nodes with unlimited
+demand share what the others leave.
 
 Bounds: MAX_LIMITS limits; for each limit and holder, at most as many grants as fall into lease_ms;
 the last MAX_PENDING_REPLIES replies. Times are in ms of the caller's monotonic clock.
@@ -103,7 +108,10 @@
             self.voted_for, self.until_ms = None, now
 
     def withhold(self, now: float) -> None:
-        """Give no vote for vote_ms, unless one is given now, which stays valid."""
+        """Give no vote to any process for vote_ms from now.
+
+        Has no effect while a vote is valid, which stays so, or while votes are withheld already.
+        """
         if now >= self.until_ms:
             self.voted_for, self.until_ms = None, now + self.vote_ms
 
@@ -120,7 +128,10 @@
         self._calls_sent_ms: dict[int, float] = {}  # by number: when sent, oldest first
 
     def call_sent(self, number: int, now: float) -> None:
-        """Record that a call is sent, to one node or more."""
+        """Record that a call is sent, to one node or more.
+
+        Forgets the calls sent more than vote_ms ago, as any vote for them has expired.
+        """
         self._calls_sent_ms[number] = now
         while self._calls_sent_ms:
             first = next(iter(self._calls_sent_ms))
@@ -131,7 +142,7 @@
     def withdraw(self) -> None:
         """End the candidacy: no vote for any call so far counts.
 
-        The node's vote for itself is void then (`Voter.release`).
+        The node's vote for itself is left as it is; `Allocator.step_down` releases it as well.
         """
         self._votes.clear()
         self._calls_sent_ms.clear()
@@ -176,7 +187,7 @@
 
 
 class Ledger:
-    """What a leader has granted, and what of it may still be spent."""
+    """The outstanding grants that one process has made as the leader."""
 
     __slots__ = ("_grants",)
 
@@ -185,7 +196,10 @@
         self._grants: dict[int, dict[ProcessId, list[tuple[float, int]]]] = {}
 
     def outstanding(self, limit: int, now: float) -> dict[ProcessId, int]:
-        """The most that each holder may still spend of a limit by its unexpired grants."""
+        """The most shares of a limit that each holder may still use by its unexpired grants.
+
+        Deletes the expired grants of the limit.
+        """
         by_process = self._grants.get(limit, {})
         for process in list(by_process):
             by_process[process] = [
@@ -219,8 +233,8 @@
             own = held.get(process, 0)
             shares = max(0, min(shares, TOTAL_SHARES - total_held + own))
             granted[process] = shares
-            # Smaller earlier grants are dropped: the holder has at most this one, or a larger
-            # earlier one until that expires.
+            # Earlier grants of as many shares or fewer are dropped: the holder has at most this
+            # one, or a larger earlier one until that expires.
             by_process[process] = [
                 grant for grant in by_process.get(process, []) if grant[1] > shares
             ] + [(now + lease_ms, shares)]
@@ -341,10 +355,10 @@
         return max(0, int(min(max_ms, self.candidacy.majority_until() - now)))
 
     def on_call(self, leader: ProcessId, number: int, now: float) -> tuple[bool, int]:
-        """Another process calls; return whether it gets this node's vote, and a void number.
+        """Process another process's call; return whether it gets the node's vote, and a number.
 
-        The void number is that of `step_down` where this process steps down for a lower node,
-        else 0.
+        The number is the one that `step_down` returned if this process, a candidate without a
+        majority, has stepped down for a process of a lower slot; else 0.
         """
         void_number = 0
         if (
@@ -378,12 +392,13 @@
         )
 
     def step_down(self, now: float) -> int:
-        """End the candidacy; return the number of the last call whose votes are void.
+        """End the candidacy; return the number of the last call, up to which no vote counts.
 
-        The number is announced to the others (`Voter.release`).
+        The caller announces the number to the others (`Voter.release`).
 
-        A leader that steps down grants nothing before its grants have expired (see
-        `Tier._should_call`).
+        Called only while this process is not the leader and its grants have expired: none lasts
+        longer than its majority, and a leader that withdraws for a conflict of configurations
+        neither calls nor votes for vote_ms (see `Tier._should_call`).
         """
         self.candidacy.withdraw()
         self.voter.release(self.process, self.call_number, now)
