--- a/forkweir/choice.py
+++ b/forkweir/choice.py
@@ -1,10 +1,9 @@
 """The balancer: every decision of forkweir. Pure, deterministic, no I/O and no clock of its own.
 
-The ordinary path is DEMB, distributed exponential moving boundaries (Lee et al., "DEMB:
-Cache-Aware Scheduling for Distributed Query Processing"; see docs/design.md): a key is hashed to a
-position on a line, a window of recent positions is cut into ranges of equal count, each new set of
-cuts is blended into the earlier cuts, and a request goes to the home server of its position's
-range.
+The ordinary path is DEMB (Lee et al., "DEMB: Cache-Aware Scheduling for Distributed Query
+Processing"; see docs/design.md): a key is hashed to a position on a line, a window of recent
+positions is cut into ranges of equal count, each new set of cuts is blended into the earlier cuts,
+and a request goes to the home server of its position's range.
 
 Submodules: `line` (positions and cuts), `fleet` (servers, homes, health), `gate` (admission
 control), `request` (state of one request) and `settings` (shared types). Times are in ms.
