--- a/forkweir/limits/slow_start.py
+++ b/forkweir/limits/slow_start.py
@@ -131,8 +131,8 @@
     ) -> TokenBucket:
         """Return the bucket of a server whose start the node learned at `since`.
 
-        It has filled since then at a rate that grew evenly, so that a node with one request for a
-        server every few seconds doesn't start with an empty bucket at the first of them.
+        It has filled since then at a rate that grew evenly. Otherwise a node with one request for a
+        server every few seconds would fill the bucket only from the first request on.
         """
         filled = 0.5 * rate * self.share * max(0.0, now - since)
         return TokenBucket(
