--- a/corkshift/budget.py
+++ b/corkshift/budget.py
@@ -44,6 +44,7 @@
 class BodyBudget:
     """Limits the bytes of all buffered request bodies.
 
+    Without a limit, many bodies at once could fill the node's memory.
     A body that exceeds the budget is refused rather than made to wait: partly read bodies could
     otherwise wait for one another forever.
     """
