--- a/benchmarks/tier.py
+++ b/benchmarks/tier.py
@@ -25,7 +25,7 @@
 import msgspec
 
 from forkweir.tier.leases import TOTAL_SHARES
-from testbed.check.lending import Scope, walk
+from testbed.check.leases import Scope, walk
 from testbed.nights.explore import play as play_night
 from testbed.nights.script import TIER_FIRST_SEED, draw
 from testbed.nights.script import Script as NightScript
--- a/tests/tier/test_leases.py
+++ b/tests/tier/test_leases.py
@@ -21,7 +21,7 @@
     majority,
     vote_weight,
 )
-from testbed.check.lending import Scope, walk
+from testbed.check.leases import Scope, walk
 from testbed.tier.defects import planted
 
 demands = st.dictionaries(
