--- a/benchmarks/tier.py
+++ b/benchmarks/tier.py
@@ -25,7 +25,7 @@
 import msgspec
 
 from forkweir.tier.leases import TOTAL_SHARES
-from testbed.check.leases import Scope, walk
+from testbed.check.leases import Scope, check_scope
 from testbed.nights.explore import play as play_night
 from testbed.nights.script import TIER_FIRST_SEED, draw
 from testbed.nights.script import Script as NightScript
@@ -47,22 +47,25 @@
 BYTES_S = 600.0  # a node, in the mean
 AWAY = 0.5  # of the reads that are not at their key's usual box without a common line
 SCOPES: list[tuple[str, Scope]] = [
-    ("one caller, three calls, two units", Scope(span=2, calls=3, callers=(0,))),
-    ("two callers, two calls, three units", Scope(span=3, calls=2)),
-    ("two callers, four calls, a restart", Scope(span=0, calls=4, callers=(0, 2), restarts=1)),
+    ("one caller, three calls, two units", Scope(time_units=2, calls=3, callers=(0,))),
+    ("two callers, two calls, three units", Scope(time_units=3, calls=2)),
+    (
+        "two callers, four calls, a restart",
+        Scope(time_units=0, calls=4, callers=(0, 2), restarts=1),
+    ),
     (
         "one caller, a restart and a double",
-        Scope(span=1, calls=2, callers=(0,), restarts=1, doubles=1),
+        Scope(time_units=1, calls=2, callers=(0,), restarts=1, duplicates=1),
     ),
-    ("two callers, three calls, four units", Scope(span=4, calls=3, most_states=400_000)),
+    ("two callers, three calls, four units", Scope(time_units=4, calls=3, max_states=400_000)),
 ]
 FOUND: list[tuple[str, Scope]] = [
-    ("half-is-enough", Scope(span=0, calls=2)),
-    ("spent-twice", Scope(span=0, calls=4, callers=(0,))),
-    ("votes-for-two", Scope(span=0, calls=4, callers=(0, 2))),
-    ("never-given-back", Scope(span=2, calls=3, callers=(0,))),
-    ("counts-from-its-coming", Scope(span=2, calls=3, callers=(0,))),
-    ("votes-at-once", Scope(span=0, calls=4, callers=(0, 2), restarts=1)),
+    ("half-is-enough", Scope(time_units=0, calls=2)),
+    ("spent-twice", Scope(time_units=0, calls=4, callers=(0,))),
+    ("votes-for-two", Scope(time_units=0, calls=4, callers=(0, 2))),
+    ("never-given-back", Scope(time_units=2, calls=3, callers=(0,))),
+    ("counts-from-its-coming", Scope(time_units=2, calls=3, callers=(0,))),
+    ("votes-at-once", Scope(time_units=0, calls=4, callers=(0, 2), restarts=1)),
 ]
 
 
@@ -126,30 +129,35 @@
     with ProcessPoolExecutor(jobs) as pool:
         clean = SCOPES[1:2] if quick else SCOPES
         for (name, _), outcome in zip(
-            clean, pool.map(walk, [scope for _, scope in clean]), strict=True
+            clean, pool.map(check_scope, [scope for _, scope in clean]), strict=True
         ):
-            ended = "to its end" if outcome.whole else "as far as this"
-            kept = outcome.trail or "the whole is kept"
+            ended = "to its end" if outcome.exhausted else "as far as this"
+            kept = outcome.counterexample or "the whole is kept"
             print(
-                f"scope {name}: {outcome.states} states {ended}, in {outcome.granted} of them somebody holds parts; {kept}"
+                f"scope {name}: {outcome.states} states {ended}, in {outcome.states_with_leases} of them somebody holds parts; {kept}"
             )
             figures[name] = {
                 "states": outcome.states,
-                "ended": outcome.whole,
-                "trail": outcome.trail,
+                "ended": outcome.exhausted,
+                "trail": outcome.counterexample,
             }
-            good &= not outcome.trail
+            good &= not outcome.counterexample
         some = FOUND[:3] if quick else FOUND
         for (name, _), outcome in zip(some, pool.map(_walk_planted, some), strict=True):
-            print(f"  planted {name}: {len(outcome.trail)} steps after {outcome.states} states")
-            figures[f"planted {name}"] = {"states": outcome.states, "steps": list(outcome.trail)}
-            good &= bool(outcome.trail)
+            print(
+                f"  planted {name}: {len(outcome.counterexample)} steps after {outcome.states} states"
+            )
+            figures[f"planted {name}"] = {
+                "states": outcome.states,
+                "steps": list(outcome.counterexample),
+            }
+            good &= bool(outcome.counterexample)
     return figures, good
 
 
 def _walk_planted(which: tuple[str, Scope]) -> Any:
     with planted(which[0]):
-        return walk(which[1])
+        return check_scope(which[1])
 
 
 def processes(quick: bool, jobs: int) -> tuple[dict[str, Any], bool]:
--- a/testbed/check/leases.py
+++ b/testbed/check/leases.py
@@ -6,7 +6,8 @@
 twice; one process is killed and restarts. Each node demands all of each limit. Clocks run at their
 own rates, one slow and one fast by MAX_CLOCK_DRIFT.
 
-The scope: so many units of time, a vote of VOTE of them and a lease of HOLD; MOST_OUT datagrams in
+The scope: so many units of time, a vote of VOTE_UNITS of them and a lease of LEASE_UNITS;
+MAX_IN_FLIGHT datagrams in
 flight at once (what does not fit is lost); so many calls in all, by `callers`. What it can't show:
 more than three nodes, more than one restart, schedules of more calls, and progress. A scope that is
 not exhausted has been searched breadth first up to so many states.
@@ -21,11 +22,11 @@
 
 from forkweir.tier.leases import MAX_CLOCK_DRIFT, TOTAL_SHARES, Allocator, Lease
 
-NODES = 3
-VOTE = 3.0
-HOLD = 1
-UNIT = 1_000.0  # ms
-MOST_OUT = 3
+NODE_COUNT = 3
+VOTE_UNITS = 3.0
+LEASE_UNITS = 1
+UNIT_MS = 1_000.0  # ms
+MAX_IN_FLIGHT = 3
 
 
 class Datagram(NamedTuple):
@@ -37,38 +38,38 @@
     token: int  # that it is for, 0 for whichever
     number: int
     echo: int
-    what: tuple[int, ...]
+    payload: tuple[int, ...]
 
 
 @dataclass(slots=True)
 class State:
     """A moment of the scope."""
 
-    at: int
-    dealers: list[Allocator]
+    elapsed: int
+    allocators: list[Allocator]
     # Of each node: by other node, its token and the number of its last reply.
-    known: list[dict[int, tuple[int, int]]]
-    keys: list[int]  # of each node: what distinguishes its states
-    out: tuple[Datagram, ...]
-    calls: int
-    doubles: int
-    restarts: int
-    trail: Optional[Trail]
+    last_replies: list[dict[int, tuple[int, int]]]
+    node_keys: list[int]  # of each node: what distinguishes its states
+    in_flight: tuple[Datagram, ...]
+    calls_left: int
+    duplicates_left: int
+    restarts_left: int
+    trace: Optional[Trace]
 
 
-class Trail(NamedTuple):
+class Trace(NamedTuple):
     """How a state came about, the last step first."""
 
     step: str
-    before: Optional[Trail]
+    previous: Optional[Trace]
 
     def steps(self) -> list[str]:
         """In their order."""
         steps: list[str] = []
-        at: Optional[Trail] = self
-        while at is not None:
-            steps.append(at.step)
-            at = at.before
+        trace: Optional[Trace] = self
+        while trace is not None:
+            steps.append(trace.step)
+            trace = trace.previous
         return steps[::-1]
 
 
@@ -76,285 +77,318 @@
 class Outcome:
     """The result of a search.
 
-    trail: the fewest steps to a broken invariant; empty where it holds in the whole scope.
+    counterexample: the fewest steps to a broken invariant; empty where it holds in the whole scope.
     """
 
     states: int
-    trail: tuple[str, ...]
-    whole: bool  # whether the scope was walked to its end
-    granted: int  # states in which somebody held a part
+    counterexample: tuple[str, ...]
+    exhausted: bool  # whether the scope was walked to its end
+    states_with_leases: int  # states in which somebody held a part
 
 
 @dataclass(frozen=True, slots=True)
 class Scope:
     """How far to walk."""
 
-    span: int = 4
+    time_units: int = 4
     calls: int = 3
-    doubles: int = 0
+    duplicates: int = 0
     restarts: int = 0
-    bounds: int = 1
+    limits: int = 1
     callers: tuple[int, ...] = (0, 1)
-    rates: tuple[float, float, float] = (1.0 - MAX_CLOCK_DRIFT, 1.0 + MAX_CLOCK_DRIFT, 1.0)
-    most_states: int = 2_000_000
+    clock_rates: tuple[float, float, float] = (1.0 - MAX_CLOCK_DRIFT, 1.0 + MAX_CLOCK_DRIFT, 1.0)
+    max_states: int = 2_000_000
 
 
-def _copied(dealer: Allocator) -> Allocator:
-    new = Allocator(dealer.process, NODES, dealer.voter.vote_ms, 0.0)
-    new.call_number = dealer.call_number
+def _copy_allocator(allocator: Allocator) -> Allocator:
+    new = Allocator(allocator.process, NODE_COUNT, allocator.voter.vote_ms, 0.0)
+    new.call_number = allocator.call_number
     new.voter.voted_for, new.voter.until_ms, new.voter.call_number = (
-        dealer.voter.voted_for,
-        dealer.voter.until_ms,
-        dealer.voter.call_number,
+        allocator.voter.voted_for,
+        allocator.voter.until_ms,
+        allocator.voter.call_number,
     )
     new.candidacy._votes, new.candidacy._calls_sent_ms = (
-        dict(dealer.candidacy._votes),
-        dict(dealer.candidacy._calls_sent_ms),
+        dict(allocator.candidacy._votes),
+        dict(allocator.candidacy._calls_sent_ms),
     )
     new.ledger._grants = {
-        bound: {who: list(grants) for who, grants in out.items()}
-        for bound, out in dealer.ledger._grants.items()
+        limit: {process: list(grants) for process, grants in by_process.items()}
+        for limit, by_process in allocator.ledger._grants.items()
     }
-    old = dealer.held_leases
+    held_leases = allocator.held_leases
     new.held_leases._replies_sent_ms, new.held_leases._reply_number = (
-        dict(old._replies_sent_ms),
-        old._reply_number,
+        dict(held_leases._replies_sent_ms),
+        held_leases._reply_number,
     )
     new.held_leases.leases = {
-        b: Lease(x.shares, x.until_ms, x.size, x.leader, x.number) for b, x in old.leases.items()
+        limit: Lease(lease.shares, lease.until_ms, lease.size, lease.leader, lease.number)
+        for limit, lease in held_leases.leases.items()
     }
     return new
 
 
-def _key(dealer: Allocator, known: dict[int, tuple[int, int]]) -> int:
+def _node_key(allocator: Allocator, last_replies: dict[int, tuple[int, int]]) -> int:
     held = tuple(
-        (b, x.shares, x.until_ms, x.leader, x.number)
-        for b, x in sorted(dealer.held_leases.leases.items())
+        (limit, lease.shares, lease.until_ms, lease.leader, lease.number)
+        for limit, lease in sorted(allocator.held_leases.leases.items())
     )
-    out = tuple(
-        (b, tuple(sorted((w, tuple(g)) for w, g in o.items())))
-        for b, o in sorted(dealer.ledger._grants.items())
+    outstanding = tuple(
+        (limit, tuple(sorted((process, tuple(grants)) for process, grants in by_process.items())))
+        for limit, by_process in sorted(allocator.ledger._grants.items())
     )
-    votes, calls, sent = (
-        dealer.candidacy._votes.items(),
-        dealer.candidacy._calls_sent_ms.items(),
-        dealer.held_leases._replies_sent_ms.items(),
+    votes, calls_sent, replies_sent = (
+        allocator.candidacy._votes.items(),
+        allocator.candidacy._calls_sent_ms.items(),
+        allocator.held_leases._replies_sent_ms.items(),
     )
-    promise = dealer.voter.voted_for, dealer.voter.until_ms, dealer.voter.call_number
-    said = tuple(sorted(votes)), tuple(calls), tuple(sent), tuple(sorted(known.items()))
-    return hash((dealer.process, dealer.call_number, promise, said, held, out))
+    vote_given = allocator.voter.voted_for, allocator.voter.until_ms, allocator.voter.call_number
+    messages = (
+        tuple(sorted(votes)),
+        tuple(calls_sent),
+        tuple(replies_sent),
+        tuple(sorted(last_replies.items())),
+    )
+    return hash((allocator.process, allocator.call_number, vote_given, messages, held, outstanding))
 
 
-class Walk:
+class ScopeChecker:
     """A walk through one scope."""
 
     def __init__(self, scope: Scope) -> None:
         self.scope = scope
-        self.states = self.granted = 0
+        self.states = self.states_with_leases = 0
 
     def clock(self, node: int, state: State) -> float:
         """A node's own clock."""
-        return state.at * UNIT * self.scope.rates[node]
+        return state.elapsed * UNIT_MS * self.scope.clock_rates[node]
 
     def run(self) -> Outcome:
         """Walk until the scope ends, or the invariant breaks."""
-        dealers = [Allocator((n, 1), NODES, VOTE * UNIT, -VOTE * UNIT) for n in range(NODES)]
-        keys = [_key(dealer, {}) for dealer in dealers]
-        first = State(
+        allocators = [
+            Allocator((n, 1), NODE_COUNT, VOTE_UNITS * UNIT_MS, -VOTE_UNITS * UNIT_MS)
+            for n in range(NODE_COUNT)
+        ]
+        keys = [_node_key(allocator, {}) for allocator in allocators]
+        initial = State(
             0,
-            dealers,
-            [{} for _ in range(NODES)],
+            allocators,
+            [{} for _ in range(NODE_COUNT)],
             keys,
             (),
             self.scope.calls,
-            self.scope.doubles,
+            self.scope.duplicates,
             self.scope.restarts,
             None,
         )
-        seen = {self._whole_key(first)}
-        queue = deque([first])
+        seen = {self._state_key(initial)}
+        queue = deque([initial])
         while queue:
             state = queue.popleft()
             self.states += 1
             held = [
-                sum(self._held(state, n, bound) for n in range(NODES))
-                for bound in range(self.scope.bounds)
+                sum(self._held_shares(state, n, limit) for n in range(NODE_COUNT))
+                for limit in range(self.scope.limits)
             ]
-            self.granted += any(held)
+            self.states_with_leases += any(held)
             if max(held) > TOTAL_SHARES:
-                assert state.trail is not None
-                return Outcome(self.states, tuple(state.trail.steps()), False, self.granted)
-            if self.states >= self.scope.most_states:
-                return Outcome(self.states, (), False, self.granted)
-            for following in self._next(state):
-                key = self._whole_key(following)
+                assert state.trace is not None
+                return Outcome(
+                    self.states, tuple(state.trace.steps()), False, self.states_with_leases
+                )
+            if self.states >= self.scope.max_states:
+                return Outcome(self.states, (), False, self.states_with_leases)
+            for successor in self._successors(state):
+                key = self._state_key(successor)
                 if key not in seen:
                     seen.add(key)
-                    queue.append(following)
-        return Outcome(self.states, (), True, self.granted)
-
-    def _whole_key(self, state: State) -> int:
-        return hash((state.at, *state.keys, state.out, state.calls, state.doubles, state.restarts))
+                    queue.append(successor)
+        return Outcome(self.states, (), True, self.states_with_leases)
+
+    def _state_key(self, state: State) -> int:
+        return hash(
+            (
+                state.elapsed,
+                *state.node_keys,
+                state.in_flight,
+                state.calls_left,
+                state.duplicates_left,
+                state.restarts_left,
+            )
+        )
 
-    def _held(self, state: State, node: int, bound: int) -> int:
-        lease = state.dealers[node].held_leases.lease(bound, self.clock(node, state))
+    def _held_shares(self, state: State, node: int, limit: int) -> int:
+        lease = state.allocators[node].held_leases.lease(limit, self.clock(node, state))
         return lease.shares if lease is not None else 0
 
-    def _next(self, state: State) -> Iterator[State]:
-        if state.at < self.scope.span:
-            following = self._after(state, "a unit passes")
-            following.at += 1
-            yield following
-        if state.calls:
+    def _successors(self, state: State) -> Iterator[State]:
+        if state.elapsed < self.scope.time_units:
+            successor = self._copy_state(state, "a unit passes")
+            successor.elapsed += 1
+            yield successor
+        if state.calls_left:
             for node in self.scope.callers:
-                following = self._after(state, f"n{node} calls", node)
-                following.calls -= 1
-                if self._call(following, node):
-                    yield self._keyed(following, node)
-        for n, datagram in enumerate(state.out):
-            if n and datagram in state.out[:n]:
+                successor = self._copy_state(state, f"n{node} calls", node)
+                successor.calls_left -= 1
+                if self._start_call(successor, node):
+                    yield self._update_node_key(successor, node)
+        for n, datagram in enumerate(state.in_flight):
+            if n and datagram in state.in_flight[:n]:
                 continue
-            rest = state.out[:n] + state.out[n + 1 :]
-            following = self._after(
+            remaining = state.in_flight[:n] + state.in_flight[n + 1 :]
+            successor = self._copy_state(
                 state,
                 f"{datagram.kind} {datagram.number} of {datagram.sender} comes to n{datagram.to}",
                 datagram.to,
             )
-            following.out = rest
-            self._come(following, datagram)
-            yield self._keyed(following, datagram.to)
-            if state.doubles:
-                again = self._after(
+            successor.in_flight = remaining
+            self._deliver(successor, datagram)
+            yield self._update_node_key(successor, datagram.to)
+            if state.duplicates_left:
+                duplicate = self._copy_state(
                     state,
                     f"a double of {datagram.kind} {datagram.number} comes to n{datagram.to}",
                     datagram.to,
                 )
-                again.doubles -= 1
-                self._come(again, datagram)
-                yield self._keyed(again, datagram.to)
-        if state.restarts:
-            for node in range(NODES):
-                following = self._after(state, f"n{node} is killed and begins anew", node)
-                following.restarts -= 1
-                following.dealers[node] = Allocator(
-                    (node, 2), NODES, VOTE * UNIT, self.clock(node, state)
+                duplicate.duplicates_left -= 1
+                self._deliver(duplicate, datagram)
+                yield self._update_node_key(duplicate, datagram.to)
+        if state.restarts_left:
+            for node in range(NODE_COUNT):
+                successor = self._copy_state(state, f"n{node} is killed and begins anew", node)
+                successor.restarts_left -= 1
+                successor.allocators[node] = Allocator(
+                    (node, 2), NODE_COUNT, VOTE_UNITS * UNIT_MS, self.clock(node, state)
                 )
-                following.known[node] = {}
-                yield self._keyed(following, node)
+                successor.last_replies[node] = {}
+                yield self._update_node_key(successor, node)
 
-    def _after(self, state: State, step: str, node: int = -1) -> State:
+    def _copy_state(self, state: State, step: str, node: int = -1) -> State:
         """A copy of a state in which one node is about to change."""
-        dealers, known = list(state.dealers), list(state.known)
+        allocators, last_replies = list(state.allocators), list(state.last_replies)
         if node >= 0:
-            dealers[node], known[node] = _copied(dealers[node]), dict(known[node])
-        trail = Trail(step, state.trail)
+            allocators[node], last_replies[node] = (
+                _copy_allocator(allocators[node]),
+                dict(last_replies[node]),
+            )
+        trace = Trace(step, state.trace)
         return State(
-            state.at,
-            dealers,
-            known,
-            list(state.keys),
-            state.out,
-            state.calls,
-            state.doubles,
-            state.restarts,
-            trail,
+            state.elapsed,
+            allocators,
+            last_replies,
+            list(state.node_keys),
+            state.in_flight,
+            state.calls_left,
+            state.duplicates_left,
+            state.restarts_left,
+            trace,
         )
 
-    def _keyed(self, state: State, node: int) -> State:
-        state.keys[node] = _key(state.dealers[node], state.known[node])
+    def _update_node_key(self, state: State, node: int) -> State:
+        state.node_keys[node] = _node_key(state.allocators[node], state.last_replies[node])
         return state
 
-    def _put(self, state: State, datagram: Datagram) -> None:
-        state.out = (
-            tuple(sorted((*state.out, datagram)))[-MOST_OUT:]
-            if datagram not in state.out
-            else state.out
+    def _send(self, state: State, datagram: Datagram) -> None:
+        state.in_flight = (
+            tuple(sorted((*state.in_flight, datagram)))[-MAX_IN_FLIGHT:]
+            if datagram not in state.in_flight
+            else state.in_flight
         )
 
-    def _call(self, state: State, node: int) -> bool:
-        dealer, now = state.dealers[node], self.clock(node, state)
-        if not dealer.start_call(now):
+    def _start_call(self, state: State, node: int) -> bool:
+        allocator, now = state.allocators[node], self.clock(node, state)
+        if not allocator.start_call(now):
             return False
-        hold = dealer.lease_ms(HOLD * UNIT, now)
-        known = state.known[node]
+        lease_ms = allocator.lease_ms(LEASE_UNITS * UNIT_MS, now)
+        last_replies = state.last_replies[node]
         granted: dict[int, list[int]] = {}
-        if hold:
-            number = dealer.held_leases.next_reply_number(now)
-            wants: dict[tuple[int, int], float] = {
-                (other, token): TOTAL_SHARES for other, (token, _) in known.items()
+        if lease_ms:
+            number = allocator.held_leases.next_reply_number(now)
+            demand: dict[tuple[int, int], float] = {
+                (other, token): TOTAL_SHARES for other, (token, _) in last_replies.items()
             }
-            wants[dealer.process] = TOTAL_SHARES
-            for bound in range(self.scope.bounds):
-                for who, parts in dealer.ledger.grant(bound, wants, hold, now).items():
-                    granted.setdefault(who[0], []).append(parts)
-                    if who == dealer.process:
-                        dealer.on_grant(
-                            dealer.process,
-                            dealer.process[1],
-                            dealer.call_number,
+            demand[allocator.process] = TOTAL_SHARES
+            for limit in range(self.scope.limits):
+                for process, shares in allocator.ledger.grant(limit, demand, lease_ms, now).items():
+                    granted.setdefault(process[0], []).append(shares)
+                    if process == allocator.process:
+                        allocator.on_grant(
+                            allocator.process,
+                            allocator.process[1],
+                            allocator.call_number,
                             number,
-                            hold,
+                            lease_ms,
                             1.0,
-                            bound,
-                            parts,
+                            limit,
+                            shares,
                             now,
                         )
-        for other in range(NODES):
+        for other in range(NODE_COUNT):
             if other != node:
-                token, echo = known.get(other, (0, 0))
-                what = (hold, *granted.get(other, ())) if token else (0,)
-                self._put(
+                token, echo = last_replies.get(other, (0, 0))
+                payload = (lease_ms, *granted.get(other, ())) if token else (0,)
+                self._send(
                     state,
-                    Datagram("call", dealer.process, other, token, dealer.call_number, echo, what),
+                    Datagram(
+                        "call",
+                        allocator.process,
+                        other,
+                        token,
+                        allocator.call_number,
+                        echo,
+                        payload,
+                    ),
                 )
         return True
 
-    def _come(self, state: State, datagram: Datagram) -> None:
+    def _deliver(self, state: State, datagram: Datagram) -> None:
         node = datagram.to
-        dealer, now = state.dealers[node], self.clock(node, state)
+        allocator, now = state.allocators[node], self.clock(node, state)
         if datagram.kind == "call":
-            hold, *parts = datagram.what
-            for bound, some in enumerate(parts):
-                dealer.on_grant(
+            lease_ms, *shares_by_limit = datagram.payload
+            for limit, shares in enumerate(shares_by_limit):
+                allocator.on_grant(
                     datagram.sender,
                     datagram.token,
                     datagram.number,
                     datagram.echo,
-                    hold,
+                    lease_ms,
                     1.0,
-                    bound,
-                    some,
+                    limit,
+                    shares,
                     now,
                 )
-            vote, void = dealer.on_call(datagram.sender, datagram.number, now)
-            for other in range(NODES):
-                if void and other != node:
-                    self._put(state, Datagram("back", dealer.process, other, 0, void, 0, ()))
-            number = dealer.held_leases.next_reply_number(now)
+            vote, void_number = allocator.on_call(datagram.sender, datagram.number, now)
+            for other in range(NODE_COUNT):
+                if void_number and other != node:
+                    self._send(
+                        state, Datagram("back", allocator.process, other, 0, void_number, 0, ())
+                    )
+            number = allocator.held_leases.next_reply_number(now)
             reply = Datagram(
                 "reply",
-                dealer.process,
+                allocator.process,
                 datagram.sender[0],
                 datagram.sender[1],
                 number,
                 datagram.number,
                 (int(vote),),
             )
-            self._put(state, reply)
+            self._send(state, reply)
             return
         if datagram.kind == "back":
-            dealer.voter.release(datagram.sender, datagram.number, now)
+            allocator.voter.release(datagram.sender, datagram.number, now)
             return
         sender, token = datagram.sender
-        if datagram.token != dealer.process[1]:
+        if datagram.token != allocator.process[1]:
             return
-        if datagram.what[0]:
-            dealer.on_vote(sender, datagram.token, datagram.echo)
-        known = state.known[node].get(sender)
-        if known is None or known[0] != token or known[1] < datagram.number:
-            state.known[node][sender] = token, datagram.number
+        if datagram.payload[0]:
+            allocator.on_vote(sender, datagram.token, datagram.echo)
+        last_reply = state.last_replies[node].get(sender)
+        if last_reply is None or last_reply[0] != token or last_reply[1] < datagram.number:
+            state.last_replies[node][sender] = token, datagram.number
 
 
-def walk(scope: Scope) -> Outcome:
+def check_scope(scope: Scope) -> Outcome:
     """Walk through a scope."""
-    return Walk(scope).run()
+    return ScopeChecker(scope).run()
--- a/tests/tier/test_leases.py
+++ b/tests/tier/test_leases.py
@@ -21,7 +21,7 @@
     majority,
     vote_weight,
 )
-from testbed.check.leases import Scope, walk
+from testbed.check.leases import Scope, check_scope
 from testbed.tier.defects import planted
 
 demands = st.dictionaries(
@@ -141,20 +141,20 @@
 
 
 def test_every_interleaving_of_a_small_scope_keeps_to_the_total() -> None:
-    outcome = walk(Scope(span=2, calls=2, callers=(0, 1)))
-    assert outcome.whole and not outcome.trail
-    assert outcome.granted > 500 and outcome.states > 10_000, outcome
+    outcome = check_scope(Scope(time_units=2, calls=2, callers=(0, 1)))
+    assert outcome.exhausted and not outcome.counterexample
+    assert outcome.states_with_leases > 500 and outcome.states > 10_000, outcome
 
 
 @pytest.mark.parametrize(
     ("defect", "scope"),
     [
-        ("half-is-enough", Scope(span=0, calls=2)),
-        ("votes-for-two", Scope(span=0, calls=4, callers=(0, 2))),
-        ("spent-twice", Scope(span=0, calls=4, callers=(0,))),
+        ("half-is-enough", Scope(time_units=0, calls=2)),
+        ("votes-for-two", Scope(time_units=0, calls=4, callers=(0, 2))),
+        ("spent-twice", Scope(time_units=0, calls=4, callers=(0,))),
     ],
 )
 def test_a_planted_defect_is_found_by_the_fewest_steps(defect: str, scope: Scope) -> None:
     with planted(defect):
-        outcome = walk(scope)
-    assert 2 <= len(outcome.trail) <= 14, outcome
+        outcome = check_scope(scope)
+    assert 2 <= len(outcome.counterexample) <= 14, outcome
