--- a/testbed/check/__init__.py
+++ b/testbed/check/__init__.py
@@ -1,1 +1,1 @@
-"""All interleavings of pure cores in small scopes."""
+"""Exhaustive checks of the pure cores: every interleaving of events in small scopes."""
--- a/testbed/check/leases.py
+++ b/testbed/check/leases.py
@@ -1,16 +1,26 @@
-"""Exhaustive check of the leases of three nodes, in a small scope (see `forkweir/tier/leases`).
-
-The nodes are real `Allocator`s. The states are visited breadth first, each once. In any order: time
-passes by a unit; a node calls the others; a datagram in flight arrives, or never does (it stays in
-flight, so partitions and losses are covered, and it may arrive however late); one datagram arrives
-twice; one process is killed and restarts. Each node demands all of each limit. Clocks run at their
-own rates, one slow and one fast by MAX_CLOCK_DRIFT.
-
-The scope: so many units of time, a vote of VOTE_UNITS of them and a lease of LEASE_UNITS;
-MAX_IN_FLIGHT datagrams in
-flight at once (what does not fit is lost); so many calls in all, by `callers`. What it can't show:
-more than three nodes, more than one restart, schedules of more calls, and progress. A scope that is
-not exhausted has been searched breadth first up to so many states.
+"""Exhaustive check of the lease protocol (`forkweir/tier/leases`) for three nodes in small scopes.
+
+Three real `Allocator`s exchange emulated datagrams. All reachable states are visited breadth first,
+each once, and the check fails at the first state in which the valid leases of one limit sum to more
+than TOTAL_SHARES. Each step from a state is one of these:
+
+- a unit of time passes;
+- a node calls the others;
+- a datagram in flight arrives, in any order and however late. A datagram that stays in flight to
+  the end stands for a lost one, so losses and partitions are covered;
+- a datagram arrives, and its duplicate stays in flight;
+- a node's process is killed and restarts.
+
+Each node demands the whole of each limit. The clocks run at different rates: one is slow and one
+fast by MAX_CLOCK_DRIFT.
+
+A `Scope` limits the time that passes and the calls, duplicates and restarts. Votes last VOTE_UNITS
+and leases LEASE_UNITS units of time, and at most MAX_IN_FLIGHT datagrams are in flight at once: one
+that does not fit is lost.
+
+Not covered: more than three nodes, more than one restart, longer schedules of calls, and progress
+(whether shares are granted in the end). A scope larger than its max_states is covered only as far
+as a breadth-first search gets with that many states.
 """
 
 from __future__ import annotations
@@ -23,19 +33,27 @@
 from forkweir.tier.leases import MAX_CLOCK_DRIFT, TOTAL_SHARES, Allocator, Lease
 
 NODE_COUNT = 3
-VOTE_UNITS = 3.0
-LEASE_UNITS = 1
-UNIT_MS = 1_000.0  # ms
+VOTE_UNITS = 3.0  # how long a vote is valid, in units of time
+LEASE_UNITS = 1  # how long a lease lasts at most
+UNIT_MS = 1_000.0
 MAX_IN_FLIGHT = 3
 
 
 class Datagram(NamedTuple):
-    """A call with its grants (shares of each limit), a reply with its vote, or a step-down."""
+    """A datagram in flight.
+
+    kind: "call" (with grants of a leader), "reply" (with a vote) or "back" (sender steps down).
+    token: that of the process that it is for; 0 for any process of the node.
+    number: that of the call or reply; in "back" the last call up to which no vote counts.
+    echo: the number of the message that this one answers, 0 for none.
+    payload: of a call, the lease duration in ms and the shares granted of each limit, in order;
+    of a reply, 1 with the vote and 0 without.
+    """
 
     kind: str
     sender: tuple[int, int]
     to: int
-    token: int  # that it is for, 0 for whichever
+    token: int
     number: int
     echo: int
     payload: tuple[int, ...]
@@ -43,13 +61,13 @@
 
 @dataclass(slots=True)
 class State:
-    """A moment of the scope."""
+    """A state of the three nodes and their network, and what of the scope is left."""
 
-    elapsed: int
+    elapsed: int  # units of time since the start
     allocators: list[Allocator]
-    # Of each node: by other node, its token and the number of its last reply.
+    # For each node, by other node: the token and number of the last reply received from it.
     last_replies: list[dict[int, tuple[int, int]]]
-    node_keys: list[int]  # of each node: what distinguishes its states
+    node_keys: list[int]  # a hash of each node's state
     in_flight: tuple[Datagram, ...]
     calls_left: int
     duplicates_left: int
@@ -58,13 +76,13 @@
 
 
 class Trace(NamedTuple):
-    """How a state came about, the last step first."""
+    """The steps that lead to a state, as a linked list from the last one back."""
 
     step: str
     previous: Optional[Trace]
 
     def steps(self) -> list[str]:
-        """In their order."""
+        """The steps, first to last."""
         steps: list[str] = []
         trace: Optional[Trace] = self
         while trace is not None:
@@ -75,20 +93,28 @@
 
 @dataclass(frozen=True, slots=True)
 class Outcome:
-    """The result of a search.
+    """The result of checking a scope.
 
-    counterexample: the fewest steps to a broken invariant; empty where it holds in the whole scope.
+    states: the number of states visited.
+    counterexample: the fewest steps that violate the invariant; empty if no visited state does.
+    exhausted: whether all states of the scope were visited.
+    states_with_leases: the number of visited states in which any node holds a valid lease.
     """
 
     states: int
     counterexample: tuple[str, ...]
-    exhausted: bool  # whether the scope was walked to its end
-    states_with_leases: int  # states in which somebody held a part
+    exhausted: bool
+    states_with_leases: int
 
 
 @dataclass(frozen=True, slots=True)
 class Scope:
-    """How far to walk."""
+    """The limits of a search.
+
+    callers: the nodes that make calls.
+    clock_rates: the rate of each node's clock, relative to real time.
+    max_states: the number of visited states at which the search ends unexhausted.
+    """
 
     time_units: int = 4
     calls: int = 3
@@ -101,6 +127,7 @@
 
 
 def _copy_allocator(allocator: Allocator) -> Allocator:
+    """A copy that shares no mutable state with the original."""
     new = Allocator(allocator.process, NODE_COUNT, allocator.voter.vote_ms, 0.0)
     new.call_number = allocator.call_number
     new.voter.voted_for, new.voter.until_ms, new.voter.call_number = (
@@ -129,6 +156,7 @@
 
 
 def _node_key(allocator: Allocator, last_replies: dict[int, tuple[int, int]]) -> int:
+    """A hash of all that determines how a node behaves from here on."""
     held = tuple(
         (limit, lease.shares, lease.until_ms, lease.leader, lease.number)
         for limit, lease in sorted(allocator.held_leases.leases.items())
@@ -153,18 +181,18 @@
 
 
 class ScopeChecker:
-    """A walk through one scope."""
+    """A breadth-first search of one scope."""
 
     def __init__(self, scope: Scope) -> None:
         self.scope = scope
         self.states = self.states_with_leases = 0
 
     def clock(self, node: int, state: State) -> float:
-        """A node's own clock."""
+        """The time of a node's own clock in ms."""
         return state.elapsed * UNIT_MS * self.scope.clock_rates[node]
 
     def run(self) -> Outcome:
-        """Walk until the scope ends, or the invariant breaks."""
+        """Search until all states are visited, max_states is reached or the invariant fails."""
         allocators = [
             Allocator((n, 1), NODE_COUNT, VOTE_UNITS * UNIT_MS, -VOTE_UNITS * UNIT_MS)
             for n in range(NODE_COUNT)
@@ -218,12 +246,14 @@
         )
 
     def _held_shares(self, state: State, node: int, limit: int) -> int:
+        """The shares that a node holds by a lease that is valid on its own clock."""
         lease = state.allocators[node].held_leases.lease(limit, self.clock(node, state))
         return lease.shares if lease is not None else 0
 
     def _successors(self, state: State) -> Iterator[State]:
+        """The states that one step leads to."""
         if state.elapsed < self.scope.time_units:
-            successor = self._copy_state(state, "a unit passes")
+            successor = self._copy_state(state, "a unit of time passes")
             successor.elapsed += 1
             yield successor
         if state.calls_left:
@@ -238,7 +268,7 @@
             remaining = state.in_flight[:n] + state.in_flight[n + 1 :]
             successor = self._copy_state(
                 state,
-                f"{datagram.kind} {datagram.number} of {datagram.sender} comes to n{datagram.to}",
+                f"{datagram.kind} {datagram.number} of {datagram.sender} arrives at n{datagram.to}",
                 datagram.to,
             )
             successor.in_flight = remaining
@@ -247,7 +277,7 @@
             if state.duplicates_left:
                 duplicate = self._copy_state(
                     state,
-                    f"a double of {datagram.kind} {datagram.number} comes to n{datagram.to}",
+                    f"a duplicate of {datagram.kind} {datagram.number} arrives at n{datagram.to}",
                     datagram.to,
                 )
                 duplicate.duplicates_left -= 1
@@ -255,7 +285,7 @@
                 yield self._update_node_key(duplicate, datagram.to)
         if state.restarts_left:
             for node in range(NODE_COUNT):
-                successor = self._copy_state(state, f"n{node} is killed and begins anew", node)
+                successor = self._copy_state(state, f"n{node} is killed and restarts", node)
                 successor.restarts_left -= 1
                 successor.allocators[node] = Allocator(
                     (node, 2), NODE_COUNT, VOTE_UNITS * UNIT_MS, self.clock(node, state)
@@ -264,7 +294,10 @@
                 yield self._update_node_key(successor, node)
 
     def _copy_state(self, state: State, step: str, node: int = -1) -> State:
-        """A copy of a state in which one node is about to change."""
+        """A copy of a state, with its trace one step longer, in which one node may be changed.
+
+        Only that node is copied: the others are shared with the original state.
+        """
         allocators, last_replies = list(state.allocators), list(state.last_replies)
         if node >= 0:
             allocators[node], last_replies[node] = (
@@ -285,10 +318,12 @@
         )
 
     def _update_node_key(self, state: State, node: int) -> State:
+        """Hash a changed node again; return the state."""
         state.node_keys[node] = _node_key(state.allocators[node], state.last_replies[node])
         return state
 
     def _send(self, state: State, datagram: Datagram) -> None:
+        """Put a datagram in flight; of more than MAX_IN_FLIGHT the first by sort order is lost."""
         state.in_flight = (
             tuple(sorted((*state.in_flight, datagram)))[-MAX_IN_FLIGHT:]
             if datagram not in state.in_flight
@@ -296,6 +331,10 @@
         )
 
     def _start_call(self, state: State, node: int) -> bool:
+        """Call the other nodes, with grants if the node is the leader.
+
+        Returns whether the node has its own vote, which a call needs.
+        """
         allocator, now = state.allocators[node], self.clock(node, state)
         if not allocator.start_call(now):
             return False
@@ -342,6 +381,7 @@
         return True
 
     def _deliver(self, state: State, datagram: Datagram) -> None:
+        """Process a datagram at the node that it is for."""
         node = datagram.to
         allocator, now = state.allocators[node], self.clock(node, state)
         if datagram.kind == "call":
@@ -390,5 +430,5 @@
 
 
 def check_scope(scope: Scope) -> Outcome:
-    """Walk through a scope."""
+    """Check the invariant in all states of a scope."""
     return ScopeChecker(scope).run()
