--- a/tests/test_narrow_moments.py
+++ b/tests/test_narrow_moments.py
@@ -1,7 +1,7 @@
-"""Race conditions of one node (listed in docs/narrow-moments.md), each made to happen every time.
+"""Race conditions of one node (listed in docs/narrow-moments.md), each reproduced in every run.
 
-What the kernel holds when the node next runs is arranged without giving it a turn in between (plain
-sockets, used between two awaits).
+The tests use plain sockets between two awaits, so that the node does not run in between. What the
+kernel holds when the node next runs is therefore the same in every run.
 """
 
 from __future__ import annotations
@@ -30,22 +30,23 @@
 
 
 def only_connection(made: Rig) -> ClientConnection:
+    """The node's only client connection."""
     (connection,) = made.frontend._connections
     return connection
 
 
 def shutdown_schedule(accept_ms: float = 20.0) -> ShutdownSchedule:
-    """The schedule of a node that has much time after SIGTERM."""
+    """A schedule that accepts connections briefly and leaves much time for open requests."""
     schedule = ShutdownSchedule(1_000.0)
     schedule.accept_ms, schedule.answer_ms, schedule.exit_ms = accept_ms, 20_000.0, 25_000.0
     return schedule
 
 
-# -- a client's connection that is closed, or given up -------------------------------------------
+# -- client connections that are closed or time out ----------------------------------------------
 
 
 async def send_partial_request(made: Rig) -> tuple[Any, bytes]:
-    """A client of whose request half has been read, and the other half."""
+    """A client whose request the node has read in part, and the rest of that request."""
     whole_request = request("a")
     sock = client(made, whole_request[:40])
     await until(lambda: any(connection.partial for connection in made.frontend._connections))
@@ -74,9 +75,8 @@
             made.frontend._sweep()
             assert status(await read(sock)) == 200
             sock.setblocking(True)
-            sock.sendall(
-                request("b")
-            )  # and the connection goes on: nothing of that time is held against the next one
+            # The time that the first request took does not count against the next one.
+            sock.sendall(request("b"))
             assert status(await read(sock)) == 200
             sock.close()
 
@@ -84,8 +84,8 @@
 
 
 def test_a_request_that_stays_incomplete_times_out_though_bytes_arrive() -> None:
-    # The other side of the above: a client that sends a byte now and then gets its 408 all the
-    # same.
+    # Reading what has arrived before the timeout must not let a client that sends a byte now and
+    # then hold its connection for ever: it gets status 408.
     async def test() -> None:
         async with rig({"s0": CacheBox()}) as made:
             sock, rest = await send_partial_request(made)
@@ -108,7 +108,7 @@
             sock.sendall(b"more of it")
             assert not only_connection(made).close_if_no_input("room")
             assert status(await read(sock)) == 501
-            assert await read(sock) == b""  # an end, and no reset
+            assert await read(sock) == b""  # closed, not reset
             sock.close()
 
     run_async(test)
@@ -123,9 +123,8 @@
             sock, rest = await send_partial_request(made)
             draining = asyncio.create_task(made.frontend.drain())
             await until(lambda: made.frontend._listener._sock.fileno() == -1)
-            idle_closed_at = (
-                asyncio.get_running_loop().time() + 0.1
-            )  # beyond the moment at which all idle connections are closed
+            # By then the drain has closed all idle connections.
+            idle_closed_at = asyncio.get_running_loop().time() + 0.1
             await until(lambda: asyncio.get_running_loop().time() > idle_closed_at)
             sock.sendall(rest)
             assert status(await read(sock)) == 200
@@ -150,9 +149,8 @@
             queued = [client(made, request(f"b{n}", path=f"/api/b{n}")) for n in range(3)]
             draining = asyncio.create_task(made.frontend.drain())
             await until(lambda: not made.frontend.duty.keeps_connections)
-            retried_until = (
-                asyncio.get_running_loop().time() + 0.8
-            )  # the drain has found no place for them, again and again
+            # By then the drain has tried several times to accept them, without capacity.
+            retried_until = asyncio.get_running_loop().time() + 0.8
             await until(lambda: asyncio.get_running_loop().time() > retried_until)
             release.set()
             for sock in (*admitted, *queued):
@@ -164,9 +162,9 @@
 
 
 def test_a_request_behind_the_last_response_is_not_forwarded() -> None:
-    # The answer says that the connection ends, and takes a while to be written. What comes
-    # meanwhile is left unread, and its client asks again elsewhere; taken, it would be sent on and
-    # then dropped.
+    # The response has `Connection: close` and takes a while to write. A request that arrives
+    # meanwhile stays unread, so that its client can repeat it elsewhere. If the node read it, it
+    # would forward it and then drop its response.
     async def test() -> None:
         box = CacheBox(
             lambda head: (
@@ -201,11 +199,11 @@
     run_async(test)
 
 
-# -- faults of the module, and in what it asks for -----------------------------------------------
+# -- exceptions in the balancer and in its actions -----------------------------------------------
 
 
 def test_a_failed_decision_affects_only_its_own_request(monkeypatch: pytest.MonkeyPatch) -> None:
-    # Requests behind it on the same connection have been taken, and get their answers.
+    # Requests behind it on the same connection have been accepted and still get their responses.
     async def test() -> None:
         async with rig({"s0": CacheBox()}) as made:
             on_request = made.node._balancer.on_request
@@ -236,7 +234,14 @@
             await until(lambda: bool(requested_paths(made)))
             follow_calls: list[bool] = []
             made.node.follow = lambda: follow_calls.append(True)
-            made.node._decide(None, lambda: [("refuse", 1, "soon", "gate"), ("follow", True)])  # type: ignore[list-item]
+            # "soon" is no valid delay, so the first action fails.
+            made.node._decide(
+                None,
+                lambda: [
+                    ("refuse", 1, "soon", "gate"),  # type: ignore[list-item]
+                    ("follow", True),
+                ],
+            )
             assert follow_calls == [True]
             assert status(await read(sock)) == 500
             sock.close()
@@ -250,7 +255,7 @@
 def test_no_byte_of_a_large_body_is_sent_after_the_drain_grace(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # For drains a send counts from its first byte.
+    # The drain rule counts a request as sent when its first byte is written.
     async def test() -> None:
         async with (
             rig({"s0": CacheBox()}) as made,
@@ -275,9 +280,8 @@
             )
             request_task = asyncio.create_task(made.send(head + b"x" * 65_500))
             await until(lambda: bool(made.node._running))
-            made.node.servers["s0"].leaving_ms = (
-                now_ms() - 400.0
-            )  # its grace of 250 ms is over as the dial comes up
+            # The server's drain grace of 250 ms is over when the connect completes.
+            made.node.servers["s0"].leaving_ms = now_ms() - 400.0
             complete_connects()
             await until(lambda: not made.node._calls)
             assert received == b""
@@ -308,8 +312,8 @@
                     )
                 )
                 await until(lambda: bool(made.node._running))
-                # As if an earlier attempt had gone out: this one is dialed within the window, and
-                # comes up when that is over.
+                # As if an earlier attempt had been sent: this one starts its connect within the
+                # repeat window of 2 s, which is over when the connect completes.
                 made.node._calls[1].first_attempt_sent_ms = now_ms() - 2_100.0
                 complete_connects()
                 await request_task
