--- a/testbed/cli.py
+++ b/testbed/cli.py
@@ -127,12 +127,12 @@
         f"first requests {figures.first_attempts}, served in time {figures.served_first_attempts}"
     )
     try:
-        most = sum(max_served(result.demands, result.supply).values())
+        maximum = sum(max_served(result.demands, result.supply).values())
         value = max_value(result.demands, result.supply).total
     except ImportError:
         return f"{first}; the upper bound needs scipy (requirements-dev.txt)"
     return (
-        f"{first}, of {most:.0f} at most ({100.0 * figures.served_first_attempts / max(1.0, most):.0f}%); "
+        f"{first}, of {maximum:.0f} at most ({100.0 * figures.served_first_attempts / max(1.0, maximum):.0f}%); "
         f"value of work {100.0 * result.served_value / max(1e-9, value):.0f}% of its upper bound"
     )
 
--- a/tests/forkweir/test_membership.py
+++ b/tests/forkweir/test_membership.py
@@ -217,7 +217,7 @@
 )
 
 
-def played(steps: list[tuple[float, Step]]) -> Membership:
+def apply_steps(steps: list[tuple[float, Step]]) -> Membership:
     merged = made(Guard(0.5, 5_000.0, 4_000.0))
     for now, (source, statements, full) in steps:
         merged.update(
@@ -229,7 +229,7 @@
     return merged
 
 
-def timed(steps: list[Step]) -> list[tuple[float, Step]]:
+def with_times(steps: list[Step]) -> list[tuple[float, Step]]:
     return [(700.0 * n, step) for n, step in enumerate(steps)]
 
 
@@ -238,20 +238,20 @@
 def test_the_order_in_which_sources_arrive_does_not_matter(
     steps: list[Step], random: object
 ) -> None:
-    order = timed(steps)
-    mixed: list[tuple[float, Step]] = []
-    queues = {name: [one for one in order if one[1][0] == name] for name in RIGHTS}
+    order = with_times(steps)
+    interleaved: list[tuple[float, Step]] = []
+    queues = {name: [step for step in order if step[1][0] == name] for name in RIGHTS}
     while any(queues.values()):
         name = random.choice([name for name, queue in queues.items() if queue])  # type: ignore[attr-defined]
-        mixed.append(queues[name].pop(0))
+        interleaved.append(queues[name].pop(0))
     end = 700.0 * len(steps)
-    assert played(order).merge(end) == played(mixed).merge(end)
+    assert apply_steps(order).merge(end) == apply_steps(interleaved).merge(end)
 
 
 @settings(max_examples=300, deadline=None, derandomize=True)
 @given(STEPS)
 def test_only_drains_empty_the_set_and_it_settles(steps: list[Step]) -> None:
-    order = timed(steps)
+    order = with_times(steps)
     merged, last = (
         made(Guard(0.5, 5_000.0, 4_000.0)),
         {name: dict[Address, str]() for name in RIGHTS},
@@ -266,13 +266,13 @@
         ever_in |= {address for address, state in states.items() if state == "in"}
         boxes = merged.merge(now)
         assert boxes == merged.merge(now)
-        said_away = {
+        reported_away = {
             a
             for n, view in last.items()
             for a, s in view.items()
             if s == "gone" or (s == "draining" and RIGHTS[n].drain)
         }
-        if ever_in - said_away:
+        if ever_in - reported_away:
             assert any(box.server.state == "in" for box in boxes)
         for box in boxes:  # every box was named by a source, and drains are applied
             assert any(box.address in view for view in last.values())
--- a/tests/test_bulk.py
+++ b/tests/test_bulk.py
@@ -243,9 +243,7 @@
     run_async(test)
 
 
-def test_a_server_that_breaks_in_the_middle_of_a_large_body_never_ran_it_and_the_client_is_told_so() -> (
-    None
-):
+def test_a_large_request_whose_server_resets_mid_body_is_refused_as_not_run() -> None:
     class Breaker(CacheBox):
         async def _run(self, connection: Connection) -> None:
             await connection.stream.read()
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -399,9 +399,7 @@
     assert strain(True) > 10.0 * strain(False) > 0.0
 
 
-def test_full_queues_shut_the_gate_below_the_floor_of_quick_hits_and_orders_stay_let_in_longer() -> (
-    None
-):
+def test_full_queues_close_the_gate_below_its_fast_hit_minimum_higher_values_last() -> None:
     balancer = make([Server(f"s{i}", zone="a") for i in range(10)])
     balancer.gate.failure_share = 0.5
     for n in range(400):
@@ -413,9 +411,12 @@
             )
             attempt += 1
         balancer.gate.failure_share = 0.5
-    part = balancer.gate.admitted_share
-    assert part < 0.2
+    admitted_share = balancer.gate.admitted_share
+    assert admitted_share < 0.2
     keys = [n / 997.0 for n in range(997)]
-    let_in = [sum(balancer.gate.admits(key, times) for key in keys) for times in (1.0, 1.5, 2.0)]
-    assert let_in[0] < let_in[1] < let_in[2]
+    admitted = [
+        sum(balancer.gate.admits(key, relative_value) for key in keys)
+        for relative_value in (1.0, 1.5, 2.0)
+    ]
+    assert admitted[0] < admitted[1] < admitted[2]
     assert all(balancer.gate.admits(key, 2.0) for key in keys if balancer.gate.admits(key, 1.0))
--- a/tests/test_plain.py
+++ b/tests/test_plain.py
@@ -37,8 +37,8 @@
 
 
 @st.composite
-def heads(draw: st.DrawFn, starts: st.SearchStrategy[bytes], usual: bytes) -> bytes:
-    data = draw(starts) + draw(ENDS) + draw(st.sampled_from([usual, usual, b""]))
+def heads(draw: st.DrawFn, starts: st.SearchStrategy[bytes], typical: bytes) -> bytes:
+    data = draw(starts) + draw(ENDS) + draw(st.sampled_from([typical, typical, b""]))
     for name, colon, value in draw(st.lists(FIELD, max_size=4)):
         data += name + colon + value + draw(ENDS)
     return (
@@ -48,14 +48,14 @@
     )
 
 
-def same(head: SimpleHead, event: object, parser: h11.Connection, data: bytes) -> None:
+def assert_same_head(head: SimpleHead, event: object, parser: h11.Connection, data: bytes) -> None:
     assert isinstance(event, (h11.Request, h11.Response))
     assert dict(event.headers) == head.fields and len(event.headers) == len(head.fields)
     assert event.http_version == b"1.1"
     assert parser.trailing_data[0] == data[head.end :]
-    told = head.fields.get(b"content-length")
+    length_field = head.fields.get(b"content-length")
     assert (
-        head.length == (None if told is None else int(told))
+        head.length == (None if length_field is None else int(length_field))
         and b"transfer-encoding" not in head.fields
     )
     # h11 reads the same body as the length gives.
@@ -79,7 +79,7 @@
         head.target,
     )
     assert not parser.they_are_waiting_for_100_continue
-    same(head, event, parser, data)
+    assert_same_head(head, event, parser, data)
 
 
 @settings(max_examples=1_500, derandomize=True, deadline=None)
@@ -94,7 +94,7 @@
     parser.receive_data(data)
     event = parser.next_event()
     assert isinstance(event, h11.Response) and event.status_code == head.status
-    same(head, event, parser, data)
+    assert_same_head(head, event, parser, data)
 
 
 @given(st.binary(max_size=300))
@@ -102,13 +102,13 @@
     assert request_head(b"\xff" + data) is None and response_head(b"\xff" + data) is None
 
 
-def test_the_usual_heads_are_plain() -> None:
+def test_typical_heads_are_plain() -> None:
     # The pattern must not become so narrow that the usual heads miss the fast path.
-    usual = b"GET /api/7f3a?x=1 HTTP/1.1\r\nHost: service.internal\r\nX-Txn: 9b1f\r\nX-Lane: read\r\nX-Remaining-Ms: 480\r\n\r\n"
-    head = request_head(usual + b"GET")
+    typical = b"GET /api/7f3a?x=1 HTTP/1.1\r\nHost: service.internal\r\nX-Txn: 9b1f\r\nX-Lane: read\r\nX-Remaining-Ms: 480\r\n\r\n"
+    head = request_head(typical + b"GET")
     assert (
         head is not None
-        and head.end == len(usual)
+        and head.end == len(typical)
         and head.fields[b"x-lane"] == b"read"
         and head.length is None
     )
@@ -131,5 +131,5 @@
          b"Content-Length: %d\r\n" % (MAX_SIMPLE_BODY_BYTES + 1), b"Content-Length: 04x\r\n", b"Host: b\r\n",
          b"X: " + b"y" * 5_000 + b"\r\n", b"X: a\r\n b\r\n"],
 )  # fmt: skip
-def test_what_could_mean_two_things_is_left_to_h11(more: bytes) -> None:
+def test_ambiguous_heads_are_left_to_h11(more: bytes) -> None:
     assert request_head(b"PUT /k HTTP/1.1\r\nHost: a\r\n" + more + b"\r\n") is None
