--- a/testbed/cli.py
+++ b/testbed/cli.py
@@ -132,7 +132,8 @@
     except ImportError:
         return f"{first}; the upper bound needs scipy (requirements-dev.txt)"
     return (
-        f"{first}, of {maximum:.0f} at most ({100.0 * figures.served_first_attempts / max(1.0, maximum):.0f}%); "
+        f"{first}, of {maximum:.0f} at most "
+        f"({100.0 * figures.served_first_attempts / max(1.0, maximum):.0f}%); "
         f"value of work {100.0 * result.served_value / max(1e-9, value):.0f}% of its upper bound"
     )
 
--- a/testbed/machine/loop.py
+++ b/testbed/machine/loop.py
@@ -282,7 +282,11 @@
 def process_of(context: Context) -> Optional[ProcessProtocol]:
     """Return the virtual process that a context belongs to, or None for the simulator itself."""
     system = context.get(seam.CURRENT_SYSTEM)
-    return system if system is not None and getattr(system, "virtual", False) else None  # type: ignore[return-value]
+    return (
+        system  # type: ignore[return-value]
+        if system is not None and getattr(system, "virtual", False)
+        else None
+    )
 
 
 _SIMULATOR_CONTEXT = Context()
--- a/testbed/machine/process.py
+++ b/testbed/machine/process.py
@@ -204,7 +204,12 @@
         elif not self.alive:
             return
         elif (handler := self.signal_handlers.get(number)) is not None:
-            copy = asyncio.Handle(handler._callback, handler._args, self.net.loop, handler._context)  # type: ignore[attr-defined]
+            copy = asyncio.Handle(
+                handler._callback,  # type: ignore[attr-defined]
+                handler._args,
+                self.net.loop,
+                handler._context,  # type: ignore[attr-defined]
+            )
             self.net.loop._ready.append(copy)  # type: ignore[attr-defined]
         elif number in (signal.SIGTERM, signal.SIGINT, signal.SIGHUP):
             self.kill()
--- a/testbed/nights/script.py
+++ b/testbed/nights/script.py
@@ -25,15 +25,17 @@
 Milliseconds = Annotated[float, msgspec.Meta(ge=0.0, le=600_000.0)]
 
 Kind = Literal[
-    "box_slow", "box_hang", "box_kill", "box_rename", "box_quick_restart", "box_spoil", "box_errors", "box_turn_away",
-    "box_vanish", "box_drain", "node_kill", "node_pause", "node_term", "node_hup", "node_descriptors", "link_loss",
-    "link_cut", "link_slow", "reset", "trip_request", "trip_answer", "trip_client", "discovery_silent", "discovery_late",
-    "discovery_wrong", "discovery_down", "book_slow", "book_down", "clock_jump", "rude",
+    "box_slow", "box_hang", "box_kill", "box_rename", "box_quick_restart", "box_spoil",
+    "box_errors", "box_turn_away", "box_vanish", "box_drain",
+    "node_kill", "node_pause", "node_term", "node_hup", "node_descriptors",
+    "link_loss", "link_cut", "link_slow", "reset", "trip_request", "trip_answer", "trip_client",
+    "discovery_silent", "discovery_late", "discovery_wrong", "discovery_down",
+    "book_slow", "book_down", "clock_jump", "rude",
     "box_lie", "flush", "load_step",
     "discovery_spoil", "discovery_refuse", "discovery_mute", "discovery_drop",
     "dns_how", "dns_stale", "dns_odd", "node_blank",
-    "peer_cut", "peer_oneway", "peer_loss", "peer_late", "peer_double", "peer_junk", "node_join", "node_other",
-    "node_calls",
+    "peer_cut", "peer_oneway", "peer_loss", "peer_late", "peer_double", "peer_junk",
+    "node_join", "node_other", "node_calls",
 ]  # fmt: skip
 # Faults that every kind of drawn scenario may hold; the other kinds have their own generators.
 BASIC_KINDS: tuple[Kind, ...] = Kind.__args__[:30]  # type: ignore[attr-defined]
@@ -77,9 +79,11 @@
 TARGET_TYPES: dict[str, str] = {
     kind: "node"
     if kind.startswith(("node", "clock", "rude", "trip_client", "peer_junk"))
-    else "box" if kind.startswith(("box", "trip")) else "any"
+    else "box"
+    if kind.startswith(("box", "trip"))
+    else "any"
     for kind in Kind.__args__  # type: ignore[attr-defined]
-}  # fmt: skip
+}
 
 
 class InvalidScript(Exception):
@@ -177,7 +181,8 @@
                 if node >= self.world.nodes:
                     yield SchemaError(
                         f"fault[{n}].nodes[{m}]",
-                        f"the world has only {self.world.nodes} of them, numbered from 0, got {node}",
+                        f"the world has only {self.world.nodes} of them, "
+                        f"numbered from 0, got {node}",
                     )
             if (
                 fault.kind in NET_KINDS or fault.kind in ("peer_junk", "node_other")
--- a/testbed/soak/discovery.py
+++ b/testbed/soak/discovery.py
@@ -130,7 +130,9 @@
         while True:
             try:
                 async with asyncio.timeout(HEARTBEAT_S), servers.changed:
-                    await servers.changed.wait_for(lambda: servers.latest_version > sent)  # noqa: B023
+                    await servers.changed.wait_for(
+                        lambda: servers.latest_version > sent,  # noqa: B023
+                    )
             except TimeoutError:
                 await self._write_chunk(connection, b"\n")
                 continue
--- a/testbed/soak/large_fleet.py
+++ b/testbed/soak/large_fleet.py
@@ -359,9 +359,16 @@
         environ = {**os.environ, **self._shim.environment, "PROXY_CONFIG": str(path)}
         with open(self._log, "wb") as log:
             process = await asyncio.create_subprocess_exec(
-                sys.executable, "-m", "corkshift", cwd=ROOT, env=environ, stdin=asyncio.subprocess.DEVNULL, stdout=log, stderr=log,
+                sys.executable,
+                "-m",
+                "corkshift",
+                cwd=ROOT,
+                env=environ,
+                stdin=asyncio.subprocess.DEVNULL,
+                stdout=log,
+                stderr=log,
                 preexec_fn=die_with_parent,
-            )  # fmt: skip
+            )
         async with asyncio.timeout(READY_TIMEOUT_S):
             while await fetch_body(self._listen, "/up") is None:
                 await asyncio.sleep(0.02)
@@ -551,9 +558,17 @@
     "--logs", type=click.Path(path_type=Path), help="Keep the files of each run in a folder there."
 )
 def main(
-    servers: str, shares: str, seconds: float, replace_every: float, replaced_part: float, drain: bool, seed: int, seeds: str,
-    file: Optional[Path], logs: Optional[Path],
-) -> None:  # fmt: skip
+    servers: str,
+    shares: str,
+    seconds: float,
+    replace_every: float,
+    replaced_part: float,
+    drain: bool,
+    seed: int,
+    seeds: str,
+    file: Optional[Path],
+    logs: Optional[Path],
+) -> None:
     """Run each number of servers with each share, or the scenarios that seeds draw.
 
     Exits with 1 where a rule was broken.
--- a/testbed/soak/nodes.py
+++ b/testbed/soak/nodes.py
@@ -107,9 +107,16 @@
         }
         with open(self.folder / f"{self.name}.log", "ab") as log:
             self.process = await asyncio.create_subprocess_exec(
-                sys.executable, "-m", "corkshift", cwd=ROOT, env=environ, stdin=asyncio.subprocess.DEVNULL, stdout=log, stderr=log,
+                sys.executable,
+                "-m",
+                "corkshift",
+                cwd=ROOT,
+                env=environ,
+                stdin=asyncio.subprocess.DEVNULL,
+                stdout=log,
+                stderr=log,
                 preexec_fn=die_with_parent,
-            )  # fmt: skip
+            )
         self.oracle.started_ms[self.name] = now_ms()
 
     async def wait_ready(self) -> None:
--- a/tests/forkweir/test_membership.py
+++ b/tests/forkweir/test_membership.py
@@ -222,7 +222,10 @@
     for now, (source, statements, full) in steps:
         merged.update(
             source,
-            [Claim(at(n), state, f"{source}{n}") for n, state in statements],  # type: ignore[arg-type]
+            [
+                Claim(at(n), state, f"{source}{n}")  # type: ignore[arg-type]
+                for n, state in statements
+            ],
             now,
             full,
         )
@@ -242,7 +245,9 @@
     interleaved: list[tuple[float, Step]] = []
     queues = {name: [step for step in order if step[1][0] == name] for name in RIGHTS}
     while any(queues.values()):
-        name = random.choice([name for name, queue in queues.items() if queue])  # type: ignore[attr-defined]
+        name = random.choice(  # type: ignore[attr-defined]
+            [name for name, queue in queues.items() if queue]
+        )
         interleaved.append(queues[name].pop(0))
     end = 700.0 * len(steps)
     assert apply_steps(order).merge(end) == apply_steps(interleaved).merge(end)
@@ -259,10 +264,19 @@
     named, ever_in = {name: set[Address]() for name in RIGHTS}, set[Address]()
     for now, (source, statements, full) in order:
         states = {at(n): state for n, state in statements}
-        merged.update(source, [Claim(a, state) for a, state in states.items()], now, full)  # type: ignore[arg-type]
+        merged.update(
+            source,
+            [Claim(a, state) for a, state in states.items()],  # type: ignore[arg-type]
+            now,
+            full,
+        )
         for address, state in states.items():
             last[source][address] = state
-        named[source] = states.keys() if full else named[source] | states.keys()  # type: ignore[assignment]
+        named[source] = (
+            states.keys()  # type: ignore[assignment]
+            if full
+            else named[source] | states.keys()
+        )
         ever_in |= {address for address, state in states.items() if state == "in"}
         boxes = merged.merge(now)
         assert boxes == merged.merge(now)
--- a/tests/forkweir/test_send_guard.py
+++ b/tests/forkweir/test_send_guard.py
@@ -35,23 +35,51 @@
     "free": ({}, None, None),
     "no deadline": ({"deadline_ms": inf}, None, None),
     "gone": ({"client_waiting": False}, Denial.CLIENT_GONE, None),
-    "drain, a stall before the grace is over": ({"departure_ms": NOW - GRACE + MAX_STALL_MS}, None, None),
-    "drain, less than a stall left": ({"departure_ms": NOW - GRACE + MAX_STALL_MS - 1.0}, Denial.DRAINING, None),
-    "drain, within the slack": ({"departure_ms": NOW - GRACE - SOCKET_SLACK_MS}, Denial.DRAINING, None),
-    "drain, over": ({"departure_ms": NOW - GRACE - SOCKET_SLACK_MS - 1.0}, Denial.DRAINING, Denial.DRAINING),
+    "drain, a stall before the grace is over": (
+        {"departure_ms": NOW - GRACE + MAX_STALL_MS},
+        None,
+        None,
+    ),
+    "drain, less than a stall left": (
+        {"departure_ms": NOW - GRACE + MAX_STALL_MS - 1.0},
+        Denial.DRAINING,
+        None,
+    ),
+    "drain, within the slack": (
+        {"departure_ms": NOW - GRACE - SOCKET_SLACK_MS},
+        Denial.DRAINING,
+        None,
+    ),
+    "drain, over": (
+        {"departure_ms": NOW - GRACE - SOCKET_SLACK_MS - 1.0},
+        Denial.DRAINING,
+        Denial.DRAINING,
+    ),
     "never sent": ({"repeat_window_ms": WINDOW}, None, None),
-    "window": ({"repeat_window_ms": WINDOW, "first_sent_ms": NOW - WINDOW + MAX_STALL_MS}, None, None),
+    "window": (
+        {"repeat_window_ms": WINDOW, "first_sent_ms": NOW - WINDOW + MAX_STALL_MS},
+        None,
+        None,
+    ),
     "window, less than a stall left": (
-        {"repeat_window_ms": WINDOW, "first_sent_ms": NOW - WINDOW + MAX_STALL_MS - 1.0}, Denial.REPEAT_WINDOW, None,
+        {"repeat_window_ms": WINDOW, "first_sent_ms": NOW - WINDOW + MAX_STALL_MS - 1.0},
+        Denial.REPEAT_WINDOW,
+        None,
     ),
     "window, over": (
-        {"repeat_window_ms": WINDOW, "first_sent_ms": NOW - WINDOW - SOCKET_SLACK_MS - 1.0}, Denial.REPEAT_WINDOW, Denial.REPEAT_WINDOW,
+        {"repeat_window_ms": WINDOW, "first_sent_ms": NOW - WINDOW - SOCKET_SLACK_MS - 1.0},
+        Denial.REPEAT_WINDOW,
+        Denial.REPEAT_WINDOW,
     ),
     "out of time": ({"deadline_ms": NOW}, Denial.OUT_OF_TIME, None),
     "announced what is left": ({"announced_ms": 995}, None, None),
     "announced a little too much": ({"announced_ms": 1_060}, Denial.STALE_DEADLINE, None),
-    "announced far too much": ({"announced_ms": 1_000 + int(DEADLINE_SLACK_MS) + 1}, Denial.STALE_DEADLINE, Denial.STALE_DEADLINE),
-}  # fmt: skip
+    "announced far too much": (
+        {"announced_ms": 1_000 + int(DEADLINE_SLACK_MS) + 1},
+        Denial.STALE_DEADLINE,
+        Denial.STALE_DEADLINE,
+    ),
+}
 
 
 @pytest.mark.parametrize("case", CASES)
@@ -70,9 +98,13 @@
 
 
 @given(
-    st.floats(0.0, 2_000.0), st.floats(0.0, 2_000.0), st.floats(0.0, 6_000.0), st.floats(0.0, 6_000.0), st.floats(1.0, 5_000.0),
+    st.floats(0.0, 2_000.0),
+    st.floats(0.0, 2_000.0),
+    st.floats(0.0, 6_000.0),
+    st.floats(0.0, 6_000.0),
+    st.floats(1.0, 5_000.0),
     st.floats(0.0, MAX_STALL_MS),
-)  # fmt: skip
+)
 def test_a_permitted_send_violates_nothing_after_any_stall(
     grace: float, left: float, window: float, sent: float, deadline: float, stall: float
 ) -> None:
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -208,9 +208,15 @@
         return await send_to(("127.0.0.1", self.port), data)
 
     async def ask(
-        self, txn: str, more: str = "", path: str = "/api/k", class_name: str = "read", method: str = "GET", body: bytes = b"",
+        self,
+        txn: str,
+        more: str = "",
+        path: str = "/api/k",
+        class_name: str = "read",
+        method: str = "GET",
+        body: bytes = b"",
         within_ms: int = 20_000,
-    ) -> bytes:  # fmt: skip
+    ) -> bytes:
         """Send one valid request on a new connection; return the whole response."""
         return await self.send(
             request(txn, more + "Connection: close\r\n", path, class_name, method, within_ms) + body
@@ -218,10 +224,18 @@
 
 
 def request(
-    txn: str, more: str = "", path: str = "/api/k", class_name: str = "read", method: str = "GET", within_ms: int = 20_000
-) -> bytes:  # fmt: skip
+    txn: str,
+    more: str = "",
+    path: str = "/api/k",
+    class_name: str = "read",
+    method: str = "GET",
+    within_ms: int = 20_000,
+) -> bytes:
     """Return the head of a request. within_ms: how long its client waits."""
-    head = f"{method} {path} HTTP/1.1\r\nHost: x\r\nX-Txn: {txn}\r\nX-Lane: {class_name}\r\nX-Remaining-Ms: {within_ms}\r\n"
+    head = (
+        f"{method} {path} HTTP/1.1\r\nHost: x\r\nX-Txn: {txn}\r\n"
+        f"X-Lane: {class_name}\r\nX-Remaining-Ms: {within_ms}\r\n"
+    )
     return f"{head}{more}\r\n".encode()
 
 
--- a/tests/sources/test_members.py
+++ b/tests/sources/test_members.py
@@ -20,9 +20,15 @@
     *arguments: str, environ: dict[str, str] | None = None
 ) -> tuple[int | None, str, str]:
     process = await asyncio.create_subprocess_exec(
-        sys.executable, "-m", "corkshift", *arguments, cwd=ROOT, env={**os.environ, **(environ or {})},
-        stdout=asyncio.subprocess.PIPE, stderr=asyncio.subprocess.PIPE,
-    )  # fmt: skip
+        sys.executable,
+        "-m",
+        "corkshift",
+        *arguments,
+        cwd=ROOT,
+        env={**os.environ, **(environ or {})},
+        stdout=asyncio.subprocess.PIPE,
+        stderr=asyncio.subprocess.PIPE,
+    )
     out, errors = await process.communicate()
     return process.returncode, out.decode(), errors.decode()
 
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -23,7 +23,9 @@
 MALFORMED = {
     "noise": bytes(range(128, 256)) * 3,
     "a status that is no number": b"HTTP/1.1 2x0 OK\r\nContent-Length: 4\r\n\r\nevil",
-    "a line that is no header": b"HTTP/1.1 200 OK\r\nno colon here\r\nContent-Length: 4\r\n\r\nevil",
+    "a line that is no header": (
+        b"HTTP/1.1 200 OK\r\nno colon here\r\nContent-Length: 4\r\n\r\nevil"
+    ),
     "a head without end": b"HTTP/1.1 200 OK\r\n" + b"X-Filler: aaaaaaaaaaaaaaaaaaaa\r\n" * 2000,
     "a negative length": b"HTTP/1.1 200 OK\r\nContent-Length: -4\r\n\r\nevil",
     "two lengths": b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\nContent-Length: 5\r\n\r\nevil!",
--- a/tests/test_bulk.py
+++ b/tests/test_bulk.py
@@ -399,7 +399,8 @@
             assert (
                 status(
                     await made.send(
-                        b"GET http://service.internal/up HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n"
+                        b"GET http://service.internal/up HTTP/1.1\r\n"
+                        b"Host: x\r\nConnection: close\r\n\r\n"
                     )
                 )
                 == 200
--- a/tests/test_customers.py
+++ b/tests/test_customers.py
@@ -66,8 +66,13 @@
     return {
         "services": [
             {
-                "name": c["name"], "promiseMs": c["aim_ms"], "deadlineMs": c["deadline_ms"], "worth": c["worth"],
-                "lateValue": c["late_worth"], "idempotency": c["effect"], "group": c.get("group", "all"),
+                "name": c["name"],
+                "promiseMs": c["aim_ms"],
+                "deadlineMs": c["deadline_ms"],
+                "worth": c["worth"],
+                "lateValue": c["late_worth"],
+                "idempotency": c["effect"],
+                "group": c.get("group", "all"),
                 "windowMs": c.get("window_ms", 5000),
             }
             for c in site["class"]
@@ -76,18 +81,31 @@
         "granularityMs": site["day"]["tick_ms"],
         "zone": site["net"]["zones"][0],
         "zones": site["net"]["zones"],
-        "projects": [{"name": t["name"], "share": t["share"], "quotaRps": 50.0} for t in site.get("tenant", [])],
+        "projects": [
+            {"name": t["name"], "share": t["share"], "quotaRps": 50.0}
+            for t in site.get("tenant", [])
+        ],
         "contract": {
-            "stopSendingWithinMs": rules["drain_grace_ms"], "fallMultiple": rules["fall_multiple"], "overloadForMs": rules["fall_ms"],
-            "coldFrom": lowest(tier["kind"][0]["cold_from"]), "coldMs": 1000.0 * lowest(tier["kind"][0]["cold_s"]), "mustAskInMs": 10_000.0,
+            "stopSendingWithinMs": rules["drain_grace_ms"],
+            "fallMultiple": rules["fall_multiple"],
+            "overloadForMs": rules["fall_ms"],
+            "coldFrom": lowest(tier["kind"][0]["cold_from"]),
+            "coldMs": 1000.0 * lowest(tier["kind"][0]["cold_s"]),
+            "mustAskInMs": 10_000.0,
         },
         "allowed": {
-            "mostTries": allow["max_attempts"], "mayCancel": allow["cancel"], "probes": allow["probes"], "peers": allow["peers"],
-            "parallelTries": allow["second_copies"], "retryAfter": allow["retry_after"], "maxOpen": allow["max_open"],
-            "maxRetryAfterMs": site["clients"]["max_retry_after_ms"], "connIdleMs": 1000.0 * tier["conn"]["idle_s"],
+            "mostTries": allow["max_attempts"],
+            "mayCancel": allow["cancel"],
+            "probes": allow["probes"],
+            "peers": allow["peers"],
+            "parallelTries": allow["second_copies"],
+            "retryAfter": allow["retry_after"],
+            "maxOpen": allow["max_open"],
+            "maxRetryAfterMs": site["clients"]["max_retry_after_ms"],
+            "connIdleMs": 1000.0 * tier["conn"]["idle_s"],
             "dialTimeoutMs": tier["conn"]["connect_timeout_ms"],
         },
-    }  # fmt: skip
+    }
 
 
 def configured(settings: dict[str, Any], **more: Any) -> Config:
@@ -132,8 +150,10 @@
         assert spec.late_value == c["lateValue"]
     # The limits.
     assert (settings.max_attempts, settings.may_cancel, settings.parallel_attempts) == (
-        allowed["mostTries"], allowed["mayCancel"], allowed["parallelTries"],
-    )  # fmt: skip
+        allowed["mostTries"],
+        allowed["mayCancel"],
+        allowed["parallelTries"],
+    )
     assert (
         settings.poll_list == (options["discovery"] == "subscribe")
         and settings.poll_within_ms == 10_000.0
@@ -148,8 +168,10 @@
     )
     assert settings.backoff_max_ms == allowed["maxRetryAfterMs"]
     assert (config.max_open, config.dial_timeout_ms, config.conn_idle_ms) == (
-        allowed["maxOpen"], allowed["dialTimeoutMs"], allowed["connIdleMs"],
-    )  # fmt: skip
+        allowed["maxOpen"],
+        allowed["dialTimeoutMs"],
+        allowed["connIdleMs"],
+    )
     assert config.drain_grace_ms == options["contract"]["stopSendingWithinMs"] and (
         config.sockets,
         config.memory_mb,
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -137,7 +137,11 @@
     async def test() -> None:
         service = await asyncio.start_server(answer, "127.0.0.1", 0)
         node = RecordingNode()
-        client = discovery.Discovery(node, None, service.sockets[0].getsockname()[:2])  # type: ignore[arg-type]
+        client = discovery.Discovery(
+            node,  # type: ignore[arg-type]
+            None,  # type: ignore[arg-type]
+            service.sockets[0].getsockname()[:2],
+        )
         client.follow()
         if answer_delay_s < discovery.CALL_TIMEOUT_S:
             await until(lambda: "full" in node.forms)
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -9,7 +9,10 @@
 
 
 def make(servers: list[Server], **more: object) -> Balancer:
-    balancer = Balancer(Settings(classes=(READ,), max_attempts=3, zone="a", **more), seed=1)  # type: ignore[arg-type]
+    balancer = Balancer(
+        Settings(classes=(READ,), max_attempts=3, zone="a", **more),  # type: ignore[arg-type]
+        seed=1,
+    )
     balancer.on_list(0.0, "full", servers)
     return balancer
 
--- a/tests/test_lost_lines.py
+++ b/tests/test_lost_lines.py
@@ -203,7 +203,11 @@
         Fault(at_ms=at, kind="box_drain", target=1, for_ms=50.0),
     ]
     # Calls that would deliver the drain again fail for longer than the drain may take.
-    refused = Fault(at_ms=min(fault.at_ms for fault in faults) - 0.1, kind=missed, for_ms=1_600.0)  # type: ignore[arg-type]
+    refused = Fault(
+        at_ms=min(fault.at_ms for fault in faults) - 0.1,
+        kind=missed,  # type: ignore[arg-type]
+        for_ms=1_600.0,
+    )
     world = World(
         seconds=3.0, nodes=1, boxes=3, requests_per_s=150.0, keys=20, latency_us=50, jitter_us=0
     )
--- a/tests/test_plain.py
+++ b/tests/test_plain.py
@@ -10,14 +10,16 @@
 from corkshift.plain import MAX_SIMPLE_BODY_BYTES, SimpleHead, request_head, response_head
 
 NAMES = [
-    b"Host", b"host", b"X-Txn", b"X-Lane", b"X-Org", b"X-Remaining-Ms", b"Accept", b"Content-Length",
-    b"content-length", b"Transfer-Encoding",
+    b"Host", b"host", b"X-Txn", b"X-Lane", b"X-Org", b"X-Remaining-Ms", b"Accept",
+    b"Content-Length", b"content-length", b"Transfer-Encoding",
     b"Connection", b"Expect", b"Upgrade",
     b"X Bad", b"", b"X_Y", b"\xffn", b"X-Found", b"X-Turned-Away", b"Keep-Alive", b"TE",
 ]  # fmt: skip
 VALUES = [
-    b"x", b"", b" ", b"read", b"5", b"0", b"-1", b"+5", b"5, 5", b"65536", b"65537", b"99999999999999", b"chunked", b"close",
-    b"Keep-Alive", b"100-continue", b"a\tb", b" padded ", b"\x00", b"caf\xe9", b"a\rb", b"hit", b"1", b"identity",
+    b"x", b"", b" ", b"read",
+    b"5", b"0", b"-1", b"+5", b"5, 5", b"65536", b"65537", b"99999999999999",
+    b"chunked", b"close", b"Keep-Alive", b"100-continue",
+    b"a\tb", b" padded ", b"\x00", b"caf\xe9", b"a\rb", b"hit", b"1", b"identity",
 ]  # fmt: skip
 FIELD = st.tuples(
     st.sampled_from(NAMES),
@@ -26,14 +28,34 @@
 )
 ENDS = st.sampled_from([b"\r\n", b"\r\n", b"\r\n", b"\n", b"\r\n ", b""])
 STARTS = st.sampled_from(
-    [b"GET /api/k HTTP/1.1", b"PUT /api/k?x=1 HTTP/1.1", b"GET  /k HTTP/1.1", b"GET /k HTTP/1.0", b"get /k HTTP/1.1",
-    b"GET http://a/k HTTP/1.1",
-     b"GET /a b HTTP/1.1", b"GET /k\x7f HTTP/1.1", b"POST /k HTTP/1.1", b"GET /k HTTP/1.1 "]
-)  # fmt: skip
+    [
+        b"GET /api/k HTTP/1.1",
+        b"PUT /api/k?x=1 HTTP/1.1",
+        b"GET  /k HTTP/1.1",
+        b"GET /k HTTP/1.0",
+        b"get /k HTTP/1.1",
+        b"GET http://a/k HTTP/1.1",
+        b"GET /a b HTTP/1.1",
+        b"GET /k\x7f HTTP/1.1",
+        b"POST /k HTTP/1.1",
+        b"GET /k HTTP/1.1 ",
+    ]
+)
 STATUS = st.sampled_from(
-    [b"HTTP/1.1 200 OK", b"HTTP/1.1 200 ", b"HTTP/1.1 200", b"HTTP/1.1 503 Full", b"HTTP/1.1 504 -", b"HTTP/1.0 200 OK", b"HTTP/1.1 2x0 OK",
-     b"HTTP/1.1 100 Continue", b"HTTP/1.1 200 \xff", b"HTTP/1.1 500 No", b"HTTP/1.1 204 No"]
-)  # fmt: skip
+    [
+        b"HTTP/1.1 200 OK",
+        b"HTTP/1.1 200 ",
+        b"HTTP/1.1 200",
+        b"HTTP/1.1 503 Full",
+        b"HTTP/1.1 504 -",
+        b"HTTP/1.0 200 OK",
+        b"HTTP/1.1 2x0 OK",
+        b"HTTP/1.1 100 Continue",
+        b"HTTP/1.1 200 \xff",
+        b"HTTP/1.1 500 No",
+        b"HTTP/1.1 204 No",
+    ]
+)
 
 
 @st.composite
@@ -103,8 +125,11 @@
 
 
 def test_typical_heads_are_plain() -> None:
-    # The pattern must not become so narrow that the usual heads miss the fast path.
-    typical = b"GET /api/7f3a?x=1 HTTP/1.1\r\nHost: service.internal\r\nX-Txn: 9b1f\r\nX-Lane: read\r\nX-Remaining-Ms: 480\r\n\r\n"
+    # The pattern must not become so narrow that typical heads miss the fast path.
+    typical = (
+        b"GET /api/7f3a?x=1 HTTP/1.1\r\nHost: service.internal\r\nX-Txn: 9b1f\r\n"
+        b"X-Lane: read\r\nX-Remaining-Ms: 480\r\n\r\n"
+    )
     head = request_head(typical + b"GET")
     assert (
         head is not None
@@ -126,10 +151,17 @@
 
 @pytest.mark.parametrize(
     "more",
-    [b"Content-Length: 4\r\nTransfer-Encoding: chunked\r\n", b"X-Txn: a\r\nx-txn: b\r\n", b"Expect: 100-continue\r\n",
-     b"Connection: close\r\n",
-         b"Content-Length: %d\r\n" % (MAX_SIMPLE_BODY_BYTES + 1), b"Content-Length: 04x\r\n", b"Host: b\r\n",
-         b"X: " + b"y" * 5_000 + b"\r\n", b"X: a\r\n b\r\n"],
-)  # fmt: skip
+    [
+        b"Content-Length: 4\r\nTransfer-Encoding: chunked\r\n",
+        b"X-Txn: a\r\nx-txn: b\r\n",
+        b"Expect: 100-continue\r\n",
+        b"Connection: close\r\n",
+        b"Content-Length: %d\r\n" % (MAX_SIMPLE_BODY_BYTES + 1),
+        b"Content-Length: 04x\r\n",
+        b"Host: b\r\n",
+        b"X: " + b"y" * 5_000 + b"\r\n",
+        b"X: a\r\n b\r\n",
+    ],
+)
 def test_ambiguous_heads_are_left_to_h11(more: bytes) -> None:
     assert request_head(b"PUT /k HTTP/1.1\r\nHost: a\r\n" + more + b"\r\n") is None
--- a/tests/tier/test_shared_line.py
+++ b/tests/tier/test_shared_line.py
@@ -136,8 +136,11 @@
             sends = [(n, to, data) for n, tier in enumerate(tiers) for to, data in tier.tick(now)]
             while sends:
                 sends = [
-                    (to, back, more) for n, to, data in sends if isolated not in (n, to) for back, more in tiers[to].receive(n, data, now)
-                ]  # fmt: skip
+                    (to, back, more)
+                    for n, to, data in sends
+                    if isolated not in (n, to)
+                    for back, more in tiers[to].receive(n, data, now)
+                ]
 
 
 def test_connected_nodes_cut_alike_and_an_isolated_one_by_its_own_window() -> None:
