--- /dev/null
+++ b/testbed/check/leases.py
@@ -0,0 +1,434 @@
+"""Exhaustive check of the lease protocol (`forkweir/tier/leases`) for three nodes in small scopes.
+
+Three real `Allocator`s exchange emulated datagrams. All reachable states are visited breadth first,
+each once, and the check fails at the first state in which the valid leases of one limit sum to more
+than TOTAL_SHARES. Each step from a state is one of these:
+
+- a unit of time passes;
+- a node calls the others;
+- a datagram in flight arrives, in any order and however late. A datagram that stays in flight to
+  the end stands for a lost one, so losses and partitions are covered;
+- a datagram arrives, and its duplicate stays in flight;
+- a node's process is killed and restarts.
+
+Each node demands the whole of each limit. The clocks run at different rates: one is slow and one
+fast by MAX_CLOCK_DRIFT.
+
+A `Scope` limits the time that passes and the calls, duplicates and restarts. Votes last VOTE_UNITS
+and leases LEASE_UNITS units of time, and at most MAX_IN_FLIGHT datagrams are in flight at once: one
+that does not fit is lost.
+
+Not covered: more than three nodes, more than one restart, longer schedules of calls, and progress
+(whether shares are granted in the end). A scope larger than its max_states is covered only as far
+as a breadth-first search gets with that many states.
+"""
+
+from __future__ import annotations
+
+from collections import deque
+from collections.abc import Iterator
+from dataclasses import dataclass
+from typing import NamedTuple, Optional
+
+from forkweir.tier.leases import MAX_CLOCK_DRIFT, TOTAL_SHARES, Allocator, Lease
+
+NODE_COUNT = 3
+VOTE_UNITS = 3.0  # how long a vote is valid, in units of time
+LEASE_UNITS = 1  # how long a lease lasts at most
+UNIT_MS = 1_000.0
+MAX_IN_FLIGHT = 3
+
+
+class Datagram(NamedTuple):
+    """A datagram in flight.
+
+    kind: "call" (with grants of a leader), "reply" (with a vote) or "back" (sender steps down).
+    token: that of the process that it is for; 0 for any process of the node.
+    number: that of the call or reply; in "back" the last call up to which no vote counts.
+    echo: the number of the message that this one answers, 0 for none.
+    payload: of a call, the lease duration in ms and the shares granted of each limit, in order;
+    of a reply, 1 with the vote and 0 without.
+    """
+
+    kind: str
+    sender: tuple[int, int]
+    to: int
+    token: int
+    number: int
+    echo: int
+    payload: tuple[int, ...]
+
+
+@dataclass(slots=True)
+class State:
+    """A state of the three nodes and their network, and what of the scope is left."""
+
+    elapsed: int  # units of time since the start
+    allocators: list[Allocator]
+    # For each node, by other node: the token and number of the last reply received from it.
+    last_replies: list[dict[int, tuple[int, int]]]
+    node_keys: list[int]  # a hash of each node's state
+    in_flight: tuple[Datagram, ...]
+    calls_left: int
+    duplicates_left: int
+    restarts_left: int
+    trace: Optional[Trace]
+
+
+class Trace(NamedTuple):
+    """The steps that lead to a state, as a linked list from the last one back."""
+
+    step: str
+    previous: Optional[Trace]
+
+    def steps(self) -> list[str]:
+        """The steps, first to last."""
+        steps: list[str] = []
+        trace: Optional[Trace] = self
+        while trace is not None:
+            steps.append(trace.step)
+            trace = trace.previous
+        return steps[::-1]
+
+
+@dataclass(frozen=True, slots=True)
+class Outcome:
+    """The result of checking a scope.
+
+    states: the number of states visited.
+    counterexample: the fewest steps that violate the invariant; empty if no visited state does.
+    exhausted: whether all states of the scope were visited.
+    states_with_leases: the number of visited states in which any node holds a valid lease.
+    """
+
+    states: int
+    counterexample: tuple[str, ...]
+    exhausted: bool
+    states_with_leases: int
+
+
+@dataclass(frozen=True, slots=True)
+class Scope:
+    """The limits of a search.
+
+    callers: the nodes that make calls.
+    clock_rates: the rate of each node's clock, relative to real time.
+    max_states: the number of visited states at which the search ends unexhausted.
+    """
+
+    time_units: int = 4
+    calls: int = 3
+    duplicates: int = 0
+    restarts: int = 0
+    limits: int = 1
+    callers: tuple[int, ...] = (0, 1)
+    clock_rates: tuple[float, float, float] = (1.0 - MAX_CLOCK_DRIFT, 1.0 + MAX_CLOCK_DRIFT, 1.0)
+    max_states: int = 2_000_000
+
+
+def _copy_allocator(allocator: Allocator) -> Allocator:
+    """A copy that shares no mutable state with the original."""
+    new = Allocator(allocator.process, NODE_COUNT, allocator.voter.vote_ms, 0.0)
+    new.call_number = allocator.call_number
+    new.voter.voted_for, new.voter.until_ms, new.voter.call_number = (
+        allocator.voter.voted_for,
+        allocator.voter.until_ms,
+        allocator.voter.call_number,
+    )
+    new.candidacy._votes, new.candidacy._calls_sent_ms = (
+        dict(allocator.candidacy._votes),
+        dict(allocator.candidacy._calls_sent_ms),
+    )
+    new.ledger._grants = {
+        limit: {process: list(grants) for process, grants in by_process.items()}
+        for limit, by_process in allocator.ledger._grants.items()
+    }
+    held_leases = allocator.held_leases
+    new.held_leases._replies_sent_ms, new.held_leases._reply_number = (
+        dict(held_leases._replies_sent_ms),
+        held_leases._reply_number,
+    )
+    new.held_leases.leases = {
+        limit: Lease(lease.shares, lease.until_ms, lease.size, lease.leader, lease.number)
+        for limit, lease in held_leases.leases.items()
+    }
+    return new
+
+
+def _node_key(allocator: Allocator, last_replies: dict[int, tuple[int, int]]) -> int:
+    """A hash of all that determines how a node behaves from here on."""
+    held = tuple(
+        (limit, lease.shares, lease.until_ms, lease.leader, lease.number)
+        for limit, lease in sorted(allocator.held_leases.leases.items())
+    )
+    outstanding = tuple(
+        (limit, tuple(sorted((process, tuple(grants)) for process, grants in by_process.items())))
+        for limit, by_process in sorted(allocator.ledger._grants.items())
+    )
+    votes, calls_sent, replies_sent = (
+        allocator.candidacy._votes.items(),
+        allocator.candidacy._calls_sent_ms.items(),
+        allocator.held_leases._replies_sent_ms.items(),
+    )
+    vote_given = allocator.voter.voted_for, allocator.voter.until_ms, allocator.voter.call_number
+    messages = (
+        tuple(sorted(votes)),
+        tuple(calls_sent),
+        tuple(replies_sent),
+        tuple(sorted(last_replies.items())),
+    )
+    return hash((allocator.process, allocator.call_number, vote_given, messages, held, outstanding))
+
+
+class ScopeChecker:
+    """A breadth-first search of one scope."""
+
+    def __init__(self, scope: Scope) -> None:
+        self.scope = scope
+        self.states = self.states_with_leases = 0
+
+    def clock(self, node: int, state: State) -> float:
+        """The time of a node's own clock in ms."""
+        return state.elapsed * UNIT_MS * self.scope.clock_rates[node]
+
+    def run(self) -> Outcome:
+        """Search until all states are visited, max_states is reached or the invariant fails."""
+        allocators = [
+            Allocator((n, 1), NODE_COUNT, VOTE_UNITS * UNIT_MS, -VOTE_UNITS * UNIT_MS)
+            for n in range(NODE_COUNT)
+        ]
+        keys = [_node_key(allocator, {}) for allocator in allocators]
+        initial = State(
+            0,
+            allocators,
+            [{} for _ in range(NODE_COUNT)],
+            keys,
+            (),
+            self.scope.calls,
+            self.scope.duplicates,
+            self.scope.restarts,
+            None,
+        )
+        seen = {self._state_key(initial)}
+        queue = deque([initial])
+        while queue:
+            state = queue.popleft()
+            self.states += 1
+            held = [
+                sum(self._held_shares(state, n, limit) for n in range(NODE_COUNT))
+                for limit in range(self.scope.limits)
+            ]
+            self.states_with_leases += any(held)
+            if max(held) > TOTAL_SHARES:
+                assert state.trace is not None
+                return Outcome(
+                    self.states, tuple(state.trace.steps()), False, self.states_with_leases
+                )
+            if self.states >= self.scope.max_states:
+                return Outcome(self.states, (), False, self.states_with_leases)
+            for successor in self._successors(state):
+                key = self._state_key(successor)
+                if key not in seen:
+                    seen.add(key)
+                    queue.append(successor)
+        return Outcome(self.states, (), True, self.states_with_leases)
+
+    def _state_key(self, state: State) -> int:
+        return hash(
+            (
+                state.elapsed,
+                *state.node_keys,
+                state.in_flight,
+                state.calls_left,
+                state.duplicates_left,
+                state.restarts_left,
+            )
+        )
+
+    def _held_shares(self, state: State, node: int, limit: int) -> int:
+        """The shares that a node holds by a lease that is valid on its own clock."""
+        lease = state.allocators[node].held_leases.lease(limit, self.clock(node, state))
+        return lease.shares if lease is not None else 0
+
+    def _successors(self, state: State) -> Iterator[State]:
+        """The states that one step leads to."""
+        if state.elapsed < self.scope.time_units:
+            successor = self._copy_state(state, "a unit of time passes")
+            successor.elapsed += 1
+            yield successor
+        if state.calls_left:
+            for node in self.scope.callers:
+                successor = self._copy_state(state, f"n{node} calls", node)
+                successor.calls_left -= 1
+                if self._start_call(successor, node):
+                    yield self._update_node_key(successor, node)
+        for n, datagram in enumerate(state.in_flight):
+            if n and datagram in state.in_flight[:n]:
+                continue
+            remaining = state.in_flight[:n] + state.in_flight[n + 1 :]
+            successor = self._copy_state(
+                state,
+                f"{datagram.kind} {datagram.number} of {datagram.sender} arrives at n{datagram.to}",
+                datagram.to,
+            )
+            successor.in_flight = remaining
+            self._deliver(successor, datagram)
+            yield self._update_node_key(successor, datagram.to)
+            if state.duplicates_left:
+                duplicate = self._copy_state(
+                    state,
+                    f"a duplicate of {datagram.kind} {datagram.number} arrives at n{datagram.to}",
+                    datagram.to,
+                )
+                duplicate.duplicates_left -= 1
+                self._deliver(duplicate, datagram)
+                yield self._update_node_key(duplicate, datagram.to)
+        if state.restarts_left:
+            for node in range(NODE_COUNT):
+                successor = self._copy_state(state, f"n{node} is killed and restarts", node)
+                successor.restarts_left -= 1
+                successor.allocators[node] = Allocator(
+                    (node, 2), NODE_COUNT, VOTE_UNITS * UNIT_MS, self.clock(node, state)
+                )
+                successor.last_replies[node] = {}
+                yield self._update_node_key(successor, node)
+
+    def _copy_state(self, state: State, step: str, node: int = -1) -> State:
+        """A copy of a state, with its trace one step longer, in which one node may be changed.
+
+        Only that node is copied: the others are shared with the original state.
+        """
+        allocators, last_replies = list(state.allocators), list(state.last_replies)
+        if node >= 0:
+            allocators[node], last_replies[node] = (
+                _copy_allocator(allocators[node]),
+                dict(last_replies[node]),
+            )
+        trace = Trace(step, state.trace)
+        return State(
+            state.elapsed,
+            allocators,
+            last_replies,
+            list(state.node_keys),
+            state.in_flight,
+            state.calls_left,
+            state.duplicates_left,
+            state.restarts_left,
+            trace,
+        )
+
+    def _update_node_key(self, state: State, node: int) -> State:
+        """Hash a changed node again; return the state."""
+        state.node_keys[node] = _node_key(state.allocators[node], state.last_replies[node])
+        return state
+
+    def _send(self, state: State, datagram: Datagram) -> None:
+        """Put a datagram in flight; of more than MAX_IN_FLIGHT the first by sort order is lost."""
+        state.in_flight = (
+            tuple(sorted((*state.in_flight, datagram)))[-MAX_IN_FLIGHT:]
+            if datagram not in state.in_flight
+            else state.in_flight
+        )
+
+    def _start_call(self, state: State, node: int) -> bool:
+        """Call the other nodes, with grants if the node is the leader.
+
+        Returns whether the node has its own vote, which a call needs.
+        """
+        allocator, now = state.allocators[node], self.clock(node, state)
+        if not allocator.start_call(now):
+            return False
+        lease_ms = allocator.lease_ms(LEASE_UNITS * UNIT_MS, now)
+        last_replies = state.last_replies[node]
+        granted: dict[int, list[int]] = {}
+        if lease_ms:
+            number = allocator.held_leases.next_reply_number(now)
+            demand: dict[tuple[int, int], float] = {
+                (other, token): TOTAL_SHARES for other, (token, _) in last_replies.items()
+            }
+            demand[allocator.process] = TOTAL_SHARES
+            for limit in range(self.scope.limits):
+                for process, shares in allocator.ledger.grant(limit, demand, lease_ms, now).items():
+                    granted.setdefault(process[0], []).append(shares)
+                    if process == allocator.process:
+                        allocator.on_grant(
+                            allocator.process,
+                            allocator.process[1],
+                            allocator.call_number,
+                            number,
+                            lease_ms,
+                            1.0,
+                            limit,
+                            shares,
+                            now,
+                        )
+        for other in range(NODE_COUNT):
+            if other != node:
+                token, echo = last_replies.get(other, (0, 0))
+                payload = (lease_ms, *granted.get(other, ())) if token else (0,)
+                self._send(
+                    state,
+                    Datagram(
+                        "call",
+                        allocator.process,
+                        other,
+                        token,
+                        allocator.call_number,
+                        echo,
+                        payload,
+                    ),
+                )
+        return True
+
+    def _deliver(self, state: State, datagram: Datagram) -> None:
+        """Process a datagram at the node that it is for."""
+        node = datagram.to
+        allocator, now = state.allocators[node], self.clock(node, state)
+        if datagram.kind == "call":
+            lease_ms, *shares_by_limit = datagram.payload
+            for limit, shares in enumerate(shares_by_limit):
+                allocator.on_grant(
+                    datagram.sender,
+                    datagram.token,
+                    datagram.number,
+                    datagram.echo,
+                    lease_ms,
+                    1.0,
+                    limit,
+                    shares,
+                    now,
+                )
+            vote, void_number = allocator.on_call(datagram.sender, datagram.number, now)
+            for other in range(NODE_COUNT):
+                if void_number and other != node:
+                    self._send(
+                        state, Datagram("back", allocator.process, other, 0, void_number, 0, ())
+                    )
+            number = allocator.held_leases.next_reply_number(now)
+            reply = Datagram(
+                "reply",
+                allocator.process,
+                datagram.sender[0],
+                datagram.sender[1],
+                number,
+                datagram.number,
+                (int(vote),),
+            )
+            self._send(state, reply)
+            return
+        if datagram.kind == "back":
+            allocator.voter.release(datagram.sender, datagram.number, now)
+            return
+        sender, token = datagram.sender
+        if datagram.token != allocator.process[1]:
+            return
+        if datagram.payload[0]:
+            allocator.on_vote(sender, datagram.token, datagram.echo)
+        last_reply = state.last_replies[node].get(sender)
+        if last_reply is None or last_reply[0] != token or last_reply[1] < datagram.number:
+            state.last_replies[node][sender] = token, datagram.number
+
+
+def check_scope(scope: Scope) -> Outcome:
+    """Check the invariant in all states of a scope."""
+    return ScopeChecker(scope).run()
--- a/tests/test_plain.py
+++ b/tests/test_plain.py
@@ -10,14 +10,16 @@
 from corkshift.plain import MAX_SIMPLE_BODY_BYTES, SimpleHead, request_head, response_head
 
 NAMES = [
-    b"Host", b"host", b"X-Txn", b"X-Lane", b"X-Org", b"X-Remaining-Ms", b"Accept", b"Content-Length",
-    b"content-length", b"Transfer-Encoding",
+    b"Host", b"host", b"X-Txn", b"X-Lane", b"X-Org", b"X-Remaining-Ms", b"Accept",
+    b"Content-Length", b"content-length", b"Transfer-Encoding",
     b"Connection", b"Expect", b"Upgrade",
     b"X Bad", b"", b"X_Y", b"\xffn", b"X-Found", b"X-Turned-Away", b"Keep-Alive", b"TE",
 ]  # fmt: skip
 VALUES = [
-    b"x", b"", b" ", b"read", b"5", b"0", b"-1", b"+5", b"5, 5", b"65536", b"65537", b"99999999999999", b"chunked", b"close",
-    b"Keep-Alive", b"100-continue", b"a\tb", b" padded ", b"\x00", b"caf\xe9", b"a\rb", b"hit", b"1", b"identity",
+    b"x", b"", b" ", b"read",
+    b"5", b"0", b"-1", b"+5", b"5, 5", b"65536", b"65537", b"99999999999999",
+    b"chunked", b"close", b"Keep-Alive", b"100-continue",
+    b"a\tb", b" padded ", b"\x00", b"caf\xe9", b"a\rb", b"hit", b"1", b"identity",
 ]  # fmt: skip
 FIELD = st.tuples(
     st.sampled_from(NAMES),
@@ -26,19 +28,39 @@
 )
 ENDS = st.sampled_from([b"\r\n", b"\r\n", b"\r\n", b"\n", b"\r\n ", b""])
 STARTS = st.sampled_from(
-    [b"GET /api/k HTTP/1.1", b"PUT /api/k?x=1 HTTP/1.1", b"GET  /k HTTP/1.1", b"GET /k HTTP/1.0", b"get /k HTTP/1.1",
-    b"GET http://a/k HTTP/1.1",
-     b"GET /a b HTTP/1.1", b"GET /k\x7f HTTP/1.1", b"POST /k HTTP/1.1", b"GET /k HTTP/1.1 "]
-)  # fmt: skip
+    [
+        b"GET /api/k HTTP/1.1",
+        b"PUT /api/k?x=1 HTTP/1.1",
+        b"GET  /k HTTP/1.1",
+        b"GET /k HTTP/1.0",
+        b"get /k HTTP/1.1",
+        b"GET http://a/k HTTP/1.1",
+        b"GET /a b HTTP/1.1",
+        b"GET /k\x7f HTTP/1.1",
+        b"POST /k HTTP/1.1",
+        b"GET /k HTTP/1.1 ",
+    ]
+)
 STATUS = st.sampled_from(
-    [b"HTTP/1.1 200 OK", b"HTTP/1.1 200 ", b"HTTP/1.1 200", b"HTTP/1.1 503 Full", b"HTTP/1.1 504 -", b"HTTP/1.0 200 OK", b"HTTP/1.1 2x0 OK",
-     b"HTTP/1.1 100 Continue", b"HTTP/1.1 200 \xff", b"HTTP/1.1 500 No", b"HTTP/1.1 204 No"]
-)  # fmt: skip
+    [
+        b"HTTP/1.1 200 OK",
+        b"HTTP/1.1 200 ",
+        b"HTTP/1.1 200",
+        b"HTTP/1.1 503 Full",
+        b"HTTP/1.1 504 -",
+        b"HTTP/1.0 200 OK",
+        b"HTTP/1.1 2x0 OK",
+        b"HTTP/1.1 100 Continue",
+        b"HTTP/1.1 200 \xff",
+        b"HTTP/1.1 500 No",
+        b"HTTP/1.1 204 No",
+    ]
+)
 
 
 @st.composite
-def heads(draw: st.DrawFn, starts: st.SearchStrategy[bytes], usual: bytes) -> bytes:
-    data = draw(starts) + draw(ENDS) + draw(st.sampled_from([usual, usual, b""]))
+def heads(draw: st.DrawFn, starts: st.SearchStrategy[bytes], typical: bytes) -> bytes:
+    data = draw(starts) + draw(ENDS) + draw(st.sampled_from([typical, typical, b""]))
     for name, colon, value in draw(st.lists(FIELD, max_size=4)):
         data += name + colon + value + draw(ENDS)
     return (
@@ -48,14 +70,14 @@
     )
 
 
-def same(head: SimpleHead, event: object, parser: h11.Connection, data: bytes) -> None:
+def assert_same_head(head: SimpleHead, event: object, parser: h11.Connection, data: bytes) -> None:
     assert isinstance(event, (h11.Request, h11.Response))
     assert dict(event.headers) == head.fields and len(event.headers) == len(head.fields)
     assert event.http_version == b"1.1"
     assert parser.trailing_data[0] == data[head.end :]
-    told = head.fields.get(b"content-length")
+    length_field = head.fields.get(b"content-length")
     assert (
-        head.length == (None if told is None else int(told))
+        head.length == (None if length_field is None else int(length_field))
         and b"transfer-encoding" not in head.fields
     )
     # h11 reads the same body as the length gives.
@@ -79,7 +101,7 @@
         head.target,
     )
     assert not parser.they_are_waiting_for_100_continue
-    same(head, event, parser, data)
+    assert_same_head(head, event, parser, data)
 
 
 @settings(max_examples=1_500, derandomize=True, deadline=None)
@@ -94,7 +116,7 @@
     parser.receive_data(data)
     event = parser.next_event()
     assert isinstance(event, h11.Response) and event.status_code == head.status
-    same(head, event, parser, data)
+    assert_same_head(head, event, parser, data)
 
 
 @given(st.binary(max_size=300))
@@ -102,13 +124,16 @@
     assert request_head(b"\xff" + data) is None and response_head(b"\xff" + data) is None
 
 
-def test_the_usual_heads_are_plain() -> None:
-    # The pattern must not become so narrow that the usual heads miss the fast path.
-    usual = b"GET /api/7f3a?x=1 HTTP/1.1\r\nHost: service.internal\r\nX-Txn: 9b1f\r\nX-Lane: read\r\nX-Remaining-Ms: 480\r\n\r\n"
-    head = request_head(usual + b"GET")
+def test_typical_heads_are_plain() -> None:
+    # The pattern must not become so narrow that typical heads miss the fast path.
+    typical = (
+        b"GET /api/7f3a?x=1 HTTP/1.1\r\nHost: service.internal\r\nX-Txn: 9b1f\r\n"
+        b"X-Lane: read\r\nX-Remaining-Ms: 480\r\n\r\n"
+    )
+    head = request_head(typical + b"GET")
     assert (
         head is not None
-        and head.end == len(usual)
+        and head.end == len(typical)
         and head.fields[b"x-lane"] == b"read"
         and head.length is None
     )
@@ -126,10 +151,17 @@
 
 @pytest.mark.parametrize(
     "more",
-    [b"Content-Length: 4\r\nTransfer-Encoding: chunked\r\n", b"X-Txn: a\r\nx-txn: b\r\n", b"Expect: 100-continue\r\n",
-     b"Connection: close\r\n",
-         b"Content-Length: %d\r\n" % (MAX_SIMPLE_BODY_BYTES + 1), b"Content-Length: 04x\r\n", b"Host: b\r\n",
-         b"X: " + b"y" * 5_000 + b"\r\n", b"X: a\r\n b\r\n"],
-)  # fmt: skip
-def test_what_could_mean_two_things_is_left_to_h11(more: bytes) -> None:
+    [
+        b"Content-Length: 4\r\nTransfer-Encoding: chunked\r\n",
+        b"X-Txn: a\r\nx-txn: b\r\n",
+        b"Expect: 100-continue\r\n",
+        b"Connection: close\r\n",
+        b"Content-Length: %d\r\n" % (MAX_SIMPLE_BODY_BYTES + 1),
+        b"Content-Length: 04x\r\n",
+        b"Host: b\r\n",
+        b"X: " + b"y" * 5_000 + b"\r\n",
+        b"X: a\r\n b\r\n",
+    ],
+)
+def test_ambiguous_heads_are_left_to_h11(more: bytes) -> None:
     assert request_head(b"PUT /k HTTP/1.1\r\nHost: a\r\n" + more + b"\r\n") is None
