--- a/benchmarks/path_counts.py
+++ b/benchmarks/path_counts.py
@@ -3,10 +3,11 @@
     python -m benchmarks.path_counts              # the table
     python -m benchmarks.path_counts --write      # and into benchmarks/path_counts.json
 
-Counted is what the node's own code does from the first byte of a batch of requests to its last
-answer, divided by the batch, after as many that are not counted: system calls by name, bytes read
-and written, callbacks of the loop, tasks, futures and timers made.
-tests/test_path_counts.py compares the counts with benchmarks/path_counts.json in CI.
+Counts what the node's own code does between the first byte of a batch of requests and the last
+response, divided by the size of the batch: system calls by name, bytes read and written, event loop
+callbacks, and the tasks, futures and timers that are created. A warm-up batch of the same size runs
+first and is not counted. tests/test_path_counts.py compares the counts with
+benchmarks/path_counts.json in CI.
 """
 
 from __future__ import annotations
@@ -35,7 +36,7 @@
 
 COUNTS_FILE = Path(__file__).parent / "path_counts.json"
 BATCH_SIZE = 100
-ORDER_COUNT = 72  # drawn orders of a case whose clients ask side by side
+ORDER_COUNT = 72  # callback orders over which a case with concurrent clients is averaged
 SYSTEM_CALLS = ("send", "recv_into", "accept", "connect", "close", "setsockopt", "setblocking")
 NODE_ADDRESS, DISCOVERY_ADDRESS = ("127.1.0.1", 8000), ("127.4.0.1", 8500)
 SETTINGS: dict[str, Any] = {
@@ -62,7 +63,7 @@
 
 
 class Case:
-    """One way in which requests come and are answered."""
+    """A kind of load: how clients send requests and how boxes respond."""
 
     def __init__(
         self,
@@ -84,7 +85,7 @@
 
 
 def _refuse_first_attempt() -> Script:
-    """Turns away each request's first attempt."""
+    """Return a script that refuses the first attempt of each request."""
     seen: set[bytes] = set()
 
     def script(head: bytes) -> bytes:
@@ -106,15 +107,15 @@
 
 
 CASES: dict[str, Callable[[], Case]] = {
-    "get": lambda: Case("kept connections, 600 B"),
+    "get": lambda: Case("persistent connections, 600 B"),
     "get 1 B": lambda: Case("1 B", size=1),
     "get 64 KiB": lambda: Case("64 KiB", size=65_536),
     "get, 16 clients": lambda: Case("16 clients", clients=16),
-    "get, new connections": lambda: Case("a connection for each request", new_connections=True),
-    "put": lambda: Case("200 B up", method="PUT"),
-    "get, chunked answer": lambda: Case("an answer that is not plain", respond=_chunked),
+    "get, new connections": lambda: Case("a new connection for each request", new_connections=True),
+    "put": lambda: Case("request body of 200 B", method="PUT"),
+    "get, chunked answer": lambda: Case("chunked response", respond=_chunked),
     "get, turned away once": lambda: Case(
-        "repeated at another box", respond=_refuse_first_attempt()
+        "retried at another box", respond=_refuse_first_attempt()
     ),
     "get, failed": lambda: Case(
         "answered 500 by every box",
@@ -124,7 +125,7 @@
 
 
 class CountingLoop(VirtualLoop):
-    """Counts what is made in the context of one process."""
+    """Event loop that counts what is scheduled and created in the context of one process."""
 
     counts: Counter[str]
     counted_process: Optional[Process] = None
@@ -157,13 +158,13 @@
 
 
 def measure(name: str) -> dict[str, float]:
-    """The counts of a case, each for one request.
+    """Return the counts of a case, per request.
 
-    RuntimeError where a request is not answered as it should be.
+    Raises RuntimeError if the clients did not get all responses.
 
-    Where clients ask side by side the counts are the mean of ORDERS orders in which the loop may
-    run what is due at once: in one order alone any other timer of the node, even one that is
-    cancelled at once, moves a request to another connection.
+    With concurrent clients, the counts are the mean over ORDER_COUNT orders in which the loop may
+    run callbacks that are due at the same time. In a single order, any additional timer of the
+    node, even one that is cancelled immediately, moves a request to another connection.
     """
     case = CASES[name]()
     if case.clients == 1:
@@ -302,7 +303,7 @@
 def regressions(
     measured: dict[str, dict[str, float]], reference: dict[str, dict[str, float]]
 ) -> list[str]:
-    """Which counts are above those that are held, and by how much."""
+    """List the counts that are above the reference, with both values."""
     return [
         f"{case}: {name} {measured[case].get(name, 0.0):g}, {reference[case].get(name, 0.0):g} held"
         for case in reference
@@ -312,7 +313,7 @@
 
 
 def main() -> int:
-    """Print the table; the exit code: 1 where a count has risen."""
+    """Print the table; return the exit code, 1 if a count has risen."""
     parser = argparse.ArgumentParser(description=(__doc__ or "").splitlines()[0])
     parser.add_argument("--write", action="store_true", help="hold these counts from now on")
     parser.add_argument("--quick", action="store_true", help="the first case alone")
--- a/tests/test_path_counts.py
+++ b/tests/test_path_counts.py
@@ -1,4 +1,4 @@
-"""Limits of what a request costs: counts on the virtual clock (benchmarks/path_counts.json)."""
+"""Limits of a request's cost: counts on the virtual clock (benchmarks/path_counts.json)."""
 
 from __future__ import annotations
 
