--- a/benchmarks/ordinary_path.py
+++ b/benchmarks/ordinary_path.py
@@ -2,12 +2,12 @@
 
     python -m benchmarks.ordinary_path --against REV [--most R]
 
-Two real processes, this tree's node and the other's, take the same open-loop load in turn
-(menu-read on kept connections, a twelfth of them PUT; half of the clients open a connection for
-each request where --fresh is given), and the ratio of their CPU times, user and system, is taken
-pair by pair. Boxes and discovery are the testbed's and answer in this process. Exits with 1 where
-the median ratio is over --most (1.05), with 2 where a request failed, as then the pairs are not
-alike.
+Two real processes, this tree's node and the other revision's, take the same open-loop load in turn:
+menu-read requests on persistent connections, a twelfth of them PUT. With --fresh, half of the
+clients open a connection for each request. The ratio of the CPU times, user and system, is taken
+for each pair of runs. Boxes and discovery are the testbed's and respond in this process. Exits with
+1 if the median ratio is above --most (1.05), and with 2 if a request failed, as the pairs are then
+not comparable.
 """
 
 from __future__ import annotations
@@ -57,11 +57,11 @@
 
 
 class MeasurementError(Exception):
-    """A request had no good answer, or the node did not come up."""
+    """A request was not answered with 200, or the node did not start."""
 
 
 class Node:
-    """One node's process."""
+    """The process of a node."""
 
     def __init__(self, tree: Path, folder: Path, discovery: DiscoveryServer) -> None:
         self.tree = tree
@@ -70,7 +70,7 @@
         self.port = 0
 
     async def start(self) -> None:
-        """Start it and wait until it serves."""
+        """Start the process and wait until it serves requests."""
         listener = await asyncio.start_server(lambda reader, writer: None, HOST, 0)
         self.port = listener.sockets[0].getsockname()[1]
         listener.close()
@@ -116,19 +116,19 @@
             client.close()
 
     def cpu_s(self) -> float:
-        """CPU that it has used, user and system."""
+        """Return the CPU time used so far, user and system."""
         fields = Path(f"/proc/{self.process.pid}/stat").read_text().rpartition(")")[2].split()
         return sum(map(int, fields[11:13])) / os.sysconf("SC_CLK_TCK")
 
     async def stop(self) -> None:
-        """End it."""
+        """Kill the process and wait until it has exited."""
         if self.process.returncode is None:
             self.process.kill()
         await self.process.wait()
 
 
 class Client:
-    """One client: its requests, one after another."""
+    """A client that sends its requests one after another."""
 
     def __init__(self, port: int, name: str, reconnect: bool) -> None:
         self.port, self.name, self.reconnect = port, name, reconnect
@@ -138,7 +138,7 @@
 
     @classmethod
     async def connect(cls, port: int, name: str, reconnect: bool) -> Client:
-        """A client with its connection."""
+        """Return a client with an open connection."""
         client = cls(port, name, reconnect)
         await client.open_connection()
         return client
@@ -148,11 +148,11 @@
         self.reader, self.writer = await asyncio.open_connection(HOST, self.port)
 
     def close(self) -> None:
-        """End the connection."""
+        """Abort the connection."""
         self.writer.transport.abort()
 
     async def send_request(self) -> int:
-        """One request; the status of its answer."""
+        """Send one request; return the status of its response."""
         self.count += 1
         put = self.count % PUT_EVERY == 0
         method, body = (b"PUT", b"x" * 200) if put else (b"GET", b"")
@@ -171,7 +171,10 @@
         return int(response.split(b" ", 2)[1])
 
     async def run(self, until: float, delay_s: float) -> int:
-        """Ask at a steady pace; how many requests were served. Failed where one was not."""
+        """Send requests at a steady rate; return how many were served.
+
+        Raises MeasurementError if one was not served.
+        """
         loop = asyncio.get_running_loop()
         due, served = loop.time() + delay_s, 0
         while due < until:
@@ -187,7 +190,7 @@
 
 
 async def load(node: Node, phase: str, reconnect: bool, duration_s: float) -> int:
-    """All clients for a while; how many requests were served."""
+    """Run all clients for a while; return how many requests were served."""
     until = asyncio.get_running_loop().time() + duration_s
     clients = [
         await Client.connect(node.port, f"{phase}-{n}", reconnect and n % 2 == 0)
@@ -205,9 +208,9 @@
 
 
 async def measure(tree: Path, reconnect: bool) -> float:
-    """Microseconds of CPU a request of the node in a tree.
+    """Return the CPU time per request, in microseconds, of the node in a source tree.
 
-    Failed where a request failed or it does not come up.
+    Raises MeasurementError if a request failed or the node did not start.
     """
     boxes = {f"s{n}": ScriptedBox(lambda head: RESPONSE) for n in range(BOXES)}
     discovery = DiscoveryServer((HOST, 0), ServerObserver())
@@ -233,7 +236,7 @@
 
 
 def main() -> int:
-    """Print the ratio; the exit code."""
+    """Print the ratio; return the exit code."""
     parser = argparse.ArgumentParser(description=(__doc__ or "").splitlines()[0])
     parser.add_argument(
         "--against", default="HEAD", metavar="REV", help="a revision of this repository"
