--- a/benchmarks/recovery.py
+++ b/benchmarks/recovery.py
@@ -2,12 +2,12 @@
 
     python -m benchmarks.recovery [--quick] [--case NAME] [--json FILE] [--jobs J]
 
-Plays each hard case of cold fleets and full load on the virtual clock, at LOAD of what the boxes
-can do, and measures how long it takes from the fault until the value of work served in time is back
-to BACK of its calm level and stays so for STAY_MS; beside it the same of an all-knowing scheduler
-(testbed/nights/oracle.py) on the same scenario. Exits with 1 where a rule is broken, or where the
-node takes more than WITHIN times the oracle's time (which counts as LEAST_MS at the least: the
-window in which it is measured).
+Runs each hard case of cold fleets and full load on the virtual clock, at LOAD_FACTOR of the boxes'
+capacity. Measures the time from the fault until the value served in time is back at RECOVERED_RATIO
+of its level before the fault and stays there for SUSTAINED_MS, for the node and for an all-knowing
+scheduler (testbed/nights/oracle.py) in the same scenario. Exits with 1 if a rule is violated, or if
+the node takes more than MAX_TIME_RATIO times as long as the scheduler. The scheduler's time counts
+as at least MIN_BOUND_MS, the length of the window in which it is measured.
 """
 
 from __future__ import annotations
@@ -29,8 +29,8 @@
 LOAD_FACTOR = 0.8
 RECOVERED_RATIO, MAX_TIME_RATIO = 0.95, 1.3
 WINDOW_MS, SUSTAINED_MS, MIN_BOUND_MS = 1_000.0, 1_000.0, 1_000.0
-BASELINE_FROM_MS, FAULT_AT_MS = 1_000.0, 3_000.0  # the calm level is measured between them
-RATE = 1_000.0 / MEAN_COST_MS  # requests a second of one warm core
+BASELINE_FROM_MS, FAULT_AT_MS = 1_000.0, 3_000.0  # the baseline is measured between them
+RATE = 1_000.0 / MEAN_COST_MS  # requests per second that one warm core serves
 
 
 def _scenario(boxes: int, seconds: float, faults: list[Fault], nodes: int = 3) -> Script:
@@ -96,15 +96,15 @@
 
 @dataclass(frozen=True, slots=True)
 class CaseResult:
-    """What came of one case.
+    """The result of one case; the fields are keys of the JSON output.
 
-    Times are in ms from the fault; None where it was not back by the end.
+    Times are in ms from the fault, None if the served value had not recovered by the end.
     """
 
     case: str
-    calm: float  # part of the value requested that was served before the fault
-    after: float  # and from the fault on,
-    best_after: float  # and what could have been
+    calm: float  # share of the requested value that was served before the fault
+    after: float  # the same from the fault on
+    best_after: float  # the upper bound of `after`
     node_ms: Optional[float]
     oracle_ms: Optional[float]
     broken: tuple[str, ...]
@@ -119,9 +119,9 @@
 
 
 def recovery_ms(requested: list[float], served: list[float], baseline: float) -> Optional[float]:
-    """Time in ms from the fault until what is served is back at its level and stays so.
+    """Return the time in ms from the fault until the served value is back at its baseline to stay.
 
-    It is counted in windows, by the slice in which it was requested.
+    Values are summed over sliding windows, by the slice in which they were requested.
     """
     window, sustained = int(WINDOW_MS / SLICE_MS), int(SUSTAINED_MS / SLICE_MS)
     fault = int(FAULT_AT_MS / SLICE_MS)
@@ -138,7 +138,7 @@
 
 
 def measure(case: str, seed: int) -> CaseResult:
-    """Play one case."""
+    """Run one case."""
     result = run(seed, CASES[case])
     bound = max_value(result.demands, result.supply).by_slice
     slices = int(result.script.world.seconds * 1_000.0 / SLICE_MS) + 2
@@ -163,7 +163,7 @@
 
 
 def main() -> int:
-    """Print the table; the exit code."""
+    """Print the table; return the exit code."""
     parser = argparse.ArgumentParser(description=(__doc__ or "").splitlines()[0])
     parser.add_argument("--quick", action="store_true", help="the short cases alone")
     parser.add_argument("--case", choices=sorted(CASES), help="one case alone")
