--- a/benchmarks/overload.py
+++ b/benchmarks/overload.py
@@ -2,11 +2,12 @@
 
     python -m benchmarks.overload --against REV [--quick] [--json FILE] [--jobs J]
 
-Plays a calm installation (BOXES boxes of one core, warm, and NODES nodes) on the virtual clock at
-parts and multiples of what its boxes can do, with the module of another revision, with the module
-as it is, and beside the bound that an all-knowing scheduler has (testbed/nights/oracle.py), on the
-same seeds. Exits with 1 where the module at four times its capacity serves less than KEPT of its
-own peak, or at any step less than NEAR of the bound, both in value for work as the site counts.
+Runs a fault-free installation (BOXES warm boxes of one core, and NODES nodes) on the virtual clock
+at fractions and multiples of its boxes' capacity, on the same seeds with the module of another
+revision and with the module as it is. The bound is what an all-knowing scheduler serves
+(testbed/nights/oracle.py). Exits with 1 if a rule is violated, or if the module serves less than
+MIN_PEAK_RATIO of its own peak at four times its capacity, or less than MIN_BOUND_RATIO of the bound
+at any load. All are in the site's value: that of a request's class times the request's cost.
 """
 
 from __future__ import annotations
@@ -27,7 +28,7 @@
 LOAD_FACTORS = (0.5, 1.0, 1.5, 2.0, 3.0, 4.0)
 MIN_PEAK_RATIO, MIN_BOUND_RATIO = 0.90, 0.85
 BOXES, NODES, DURATION_S = 4, 3, 5.0
-MEAN_COST_MS = 12.6  # of a mean request
+MEAN_COST_MS = 12.6  # mean cost of a request on a warm core
 
 SCENARIO_CODE = """
 import json, sys
@@ -49,7 +50,8 @@
 ) -> tuple[Counter[str], dict[str, float], Counter[str], list[str]]:
     """Run one scenario with the module at a path.
 
-    Returns the value served in time and the value requested, by class, the bound, and broken rules.
+    Returns, each by class, the value served in time, its upper bound and the value requested, and
+    the violated rules.
     """
     rate = load_factor * BOXES * 1000.0 / MEAN_COST_MS
     code = SCENARIO_CODE.format(
@@ -75,7 +77,7 @@
 
 
 def main() -> int:
-    """Print the table; the exit code."""
+    """Print the table; return the exit code."""
     parser = argparse.ArgumentParser(description=(__doc__ or "").splitlines()[0])
     parser.add_argument(
         "--against", default="HEAD", metavar="REV", help="a revision of this repository"
@@ -133,7 +135,8 @@
                 rows.append(row)
                 print(
                     f"{load_factor:>5} {request_class:12} {requested_value:>7} "
-                    f"{before_value:>7} {now_value:>7} {bound_value:>7.0f} {now_value / max(1.0, bound_value):>9.2f}",
+                    f"{before_value:>7} {now_value:>7} {bound_value:>7.0f} "
+                    f"{now_value / max(1.0, bound_value):>9.2f}",
                     flush=True,
                 )
             for failure in violations:
