--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -29,7 +29,7 @@
 
 
 def run_scenario(job: tuple[str, int, int]) -> tuple[Traffic, float, int]:
-    """One scenario: the traffic, the part of requests served in time, and broken rules."""
+    """Run one scenario; return its traffic, share of requests served in time, and violations."""
     scenario, nodes, seed = job
     result = run(seed, scenario_script(scenario, seed, nodes), keep_trace=True)
     metrics = result.figures
@@ -47,7 +47,7 @@
     args = parser.parse_args()
     seeds = parse_seed_range(args.seeds)
     if not seeds or args.jobs < 1:
-        parser.error("--seeds wants A-B with A no greater than B, and --jobs at least 1")
+        parser.error("--seeds must be A-B with A no greater than B, and --jobs at least 1")
     jobs = [(name, nodes, seed) for name in SCENARIOS for nodes in FLEET_SIZES for seed in seeds]
     with ProcessPoolExecutor(args.jobs) as pool:
         results = dict(zip(jobs, pool.map(run_scenario, jobs), strict=True))
