--- a/benchmarks/simulation.py
+++ b/benchmarks/simulation.py
@@ -2,11 +2,10 @@
 
     python -m benchmarks.simulation [--quick] [--json FILE] [--defects]
 
-Exits with 1 where a seed's trace is not the same in two runs, two processes and two values of
-PYTHONHASHSEED, also with other work on the machine, where a seed breaks a rule, or where 200 seeds
-take longer than 90 s. With --defects it plays each deliberate defect until it is found, shrinks the
-scenario, prints the table of docs/simulation.md, and exits with 1 where one is not found within 200
-seeds.
+Exits with 1 if a seed's trace differs between two runs, two processes, two values of PYTHONHASHSEED
+or on a busy machine, if a seed violates a rule, or if 200 seeds take longer than 90 s. With
+--defects, runs each planted defect until it is found, shrinks the scenario, prints the table of
+docs/simulation.md, and exits with 1 if a defect is not found within 200 seeds.
 """
 
 from __future__ import annotations
@@ -26,16 +25,17 @@
 from testbed.nights.simulation import run
 
 COMPARED_SEED_COUNT = 20  # seeds whose traces are compared
-SEED_COUNT = 200  # seeds that are timed,
+SEED_COUNT = 200  # seeds that are timed, and that are searched for each defect
+# Defects that only hard scenarios reveal.
 HARD_SCENARIO_DEFECTS = {
     "forgets-the-allowance-of-a-repeat",
     "lets-out-what-a-pause-held",
-}  # defects that only those can show
-MAX_DURATION_S = 90.0  # and how long they may take on eight cores
+}
+MAX_DURATION_S = 90.0  # of SEED_COUNT seeds, on eight cores
 
 
 def trace_digests(hash_seed: str) -> list[str]:
-    """Digests of the first seeds, from a process with this PYTHONHASHSEED."""
+    """Return the digests of the first seeds from a process with this PYTHONHASHSEED."""
     code = (
         "from testbed.nights.simulation import run\n"
         f"for seed in range(1, {COMPARED_SEED_COUNT + 1}): print(run(seed).digest)"
@@ -48,7 +48,7 @@
 
 
 def traces_equal(jobs: int) -> bool:
-    """Whether every trace is the same, however it is played."""
+    """Return whether every trace is the same, however its scenario is run."""
     reference = [run(seed).digest for seed in range(1, COMPARED_SEED_COUNT + 1)]
     with ProcessPoolExecutor(2) as pool:
         other_processes = list(pool.map(trace_digests, ("0", "4711")))
@@ -66,9 +66,10 @@
 
 
 def find_defect(name: str) -> tuple[str, int, str, int, int, int]:
-    """The first seed that shows a defect.
+    """Return the first seed that reveals a defect, or 0.
 
-    Returned with its rule, the steps to it, and the faults before and after the shrink.
+    Comes with the defect's name, the violated rule, the number of steps until the violation, and
+    the number of faults before and after shrinking.
     """
     needs_hard_scenario = name in HARD_SCENARIO_DEFECTS
     for seed in (
@@ -97,7 +98,7 @@
 
 
 def print_defects(jobs: int) -> int:
-    """Print the table of defects; how many were not found."""
+    """Print the table of defects; return how many were not found."""
     missed = 0
     print(
         "| defect | what it does | seed | rule | steps to it | faults | after shrink |\n"
@@ -114,7 +115,7 @@
 
 
 def main() -> int:
-    """Print the figures; the exit code."""
+    """Print the metrics; return the exit code."""
     parser = argparse.ArgumentParser(description=(__doc__ or "").splitlines()[0])
     parser.add_argument("--quick", action="store_true", help="a quarter of the seeds")
     parser.add_argument("--json", type=Path, metavar="FILE")
