--- a/benchmarks/list_events.py
+++ b/benchmarks/list_events.py
@@ -2,12 +2,11 @@
 
     python -m benchmarks.list_events [--sizes 200,800,3200] [--against REV] [--json FILE]
 
-For each size one process of either revision, at a whole core, with discovery here and no cache
-server to answer. Printed for each event: the node's processor time until it is idle again (ms, from
-the kernel's accounting, less what it needs while idle), and in brackets the longest that one of the
-requests waited which came meanwhile (ms): as long as the node was held up. No cache server answers,
-so that each is refused after its attempts' dials, which are refused at once. Exits with 1 where an
-aim is missed.
+For each size, one process of each revision runs on a whole core, with discovery in this process.
+Prints for each event the node's CPU time until it is idle again (ms, from the kernel's accounting,
+minus its CPU time while idle), and in parentheses the longest wait of a request sent meanwhile
+(ms), which is how long the event blocked the node. No cache server listens, so that each request is
+refused after the dials of its attempts, which fail immediately. Exits with 1 if an aim is missed.
 """
 
 from __future__ import annotations
@@ -32,18 +31,20 @@
 from testbed.tier.processes import HOST, Ports, die_with_parent
 
 PROBE_INTERVAL_S = 0.04
-IDLE_S = 0.4  # with no more processor time than while idle: the event is over
-# An idle node uses at most this many times its usual processor time, and OVER_REST_MS_PER_S more.
+IDLE_S = 0.4  # an event is over after this long with no more CPU time than while idle
+# An idle node uses at most IDLE_CPU_FACTOR times its typical CPU time, plus the margin.
 IDLE_CPU_FACTOR = 1.5
 IDLE_CPU_MARGIN_MS_PER_S = 30.0
 EVENT_TIMEOUT_S = 8.0
-MAX_ADDED_WAIT_MS = 10.0  # that a request may wait, over what it waits at an idle node
-MAX_WAIT_GROWTH_MS = 2.0  # that one change may cost over what it costs at the smallest size
-EventCosts = dict[str, tuple[float, float]]  # by event: processor time, longest wait, both in ms
+MAX_ADDED_WAIT_MS = 10.0  # of a request, compared with an idle node
+# On top of MAX_ADDED_WAIT_MS: how much longer than at the smallest size a request may wait while
+# one server drains.
+MAX_WAIT_GROWTH_MS = 2.0
+EventCosts = dict[str, tuple[float, float]]  # by event: CPU time and longest wait, both in ms
 
 
 class WriteObserver(NullObserver):
-    """Is notified when a line has been written whole to the node."""
+    """Is notified when a line has been completely written to the node."""
 
     def __init__(self) -> None:
         self.written = asyncio.Event()
@@ -53,7 +54,7 @@
 
 
 class Probe:
-    """Requests that come every few ms, and how long the slowest waited."""
+    """Sends a request every PROBE_INTERVAL_S and records the longest wait."""
 
     def __init__(self, port: int) -> None:
         self.max_wait_ms = 0.0
@@ -61,7 +62,7 @@
         self._number = 0
 
     async def run(self) -> None:
-        """Go on until cancelled."""
+        """Send requests until cancelled."""
         while True:
             await asyncio.sleep(PROBE_INTERVAL_S)
             self._number += 1
@@ -81,12 +82,12 @@
 
 
 def _cpu_ms(pid: int) -> float:
-    """Processor time of a process's first thread, by the scheduler (proc(5), schedstat)."""
+    """Return the CPU time of a process's main thread, from the scheduler (proc(5), schedstat)."""
     return int(Path(f"/proc/{pid}/schedstat").read_text().split()[0]) / 1e6
 
 
 async def _wait_until_idle(pid: int, idle_ms_per_s: float) -> float:
-    """Wait until the node is idle; return its processor time up to when it last was not."""
+    """Wait until the node is idle; return its CPU time up to when it became idle."""
     max_idle_ms = 0.1 * (IDLE_CPU_FACTOR * idle_ms_per_s + IDLE_CPU_MARGIN_MS_PER_S)
     before_ms, idle_s, finished_ms = _cpu_ms(pid), 0.0, _cpu_ms(pid)
     started_ms = now_ms()
@@ -100,7 +101,7 @@
 
 
 async def measure(root: Path, count: int, folder: Path, ports: Ports) -> EventCosts:
-    """What each event costs beside so many servers."""
+    """Measure the cost of each event with this many servers."""
     servers = ServerList()
     entries: list[Entry] = [
         in_service_entry(f"s{n}", (f"127.40.{n >> 8}.{n & 255}", 9), cold=False)
@@ -169,9 +170,8 @@
 
         await measure_event("first list", entries)
         await asyncio.sleep(4.0)
-        versions: list[
-            Any
-        ] = []  # discovery begins to count anew: a call for changes gets the whole list
+        # Discovery restarts its version numbers, so that a call for changes gets the whole list.
+        versions: list[Any] = []
         await measure_event("whole list again", [], full_list=True)
         await asyncio.sleep(4.0)
         await measure_event("one server drains", [{**entries[7], "lifecycle": "terminating"}])
@@ -203,7 +203,7 @@
 
 
 def missed_aims(results: dict[int, EventCosts]) -> list[str]:
-    """The aims that are missed at the largest size."""
+    """List the aims that are missed at the largest size."""
     smallest, largest = min(results), max(results)
     costs = results[largest]
     max_wait_ms = MAX_ADDED_WAIT_MS + costs["at rest, 1 s"][1]
@@ -221,7 +221,7 @@
 
 
 def main() -> int:
-    """Print the table; the exit code."""
+    """Print the table; return the exit code."""
     parser = argparse.ArgumentParser(description=__doc__.partition("\n")[0])
     parser.add_argument("--sizes", default="200,800,3200")
     parser.add_argument("--against", metavar="REV")
