--- a/benchmarks/list_freshness.py
+++ b/benchmarks/list_freshness.py
@@ -2,11 +2,11 @@
 
     python -m benchmarks.list_freshness [--json FILE]
 
-In each case one node process asks two servers under a steady load; its watch falls silent or is
-reset, and in the same moment one server begins to drain. Printed is when the last request came to
-that server, in seconds after the moment, beside the page's clock: 6 s after discovery had the
-change and could be reached, and the grace of 0.3 s. Exits with 1 where a case that a node can keep
-is over it.
+In each case, one node process sends requests to two servers under a steady load. Its watch becomes
+unresponsive or is reset, and at the same moment one server begins to drain. Prints when the last
+request reached that server, in seconds after that moment, and the deadline: 6 s after discovery had
+the change and was reachable, plus the grace period of 0.3 s. Exits with 1 if a case that a node can
+meet exceeds the deadline.
 """
 
 from __future__ import annotations
@@ -32,25 +32,26 @@
 
 ROOT = Path(__file__).parents[1]
 DRAIN_DEADLINE_S = 6.3
-OBSERVED_S = 11.0  # so long requests go on
+OBSERVED_S = 11.0  # duration of the load after the drain begins
 
 
 @dataclass(frozen=True, slots=True)
 class Case:
-    """What befalls a node in the moment in which a server begins to drain."""
+    """Faults of a node's watch and calls from the moment at which a server begins to drain."""
 
     name: str
-    silent: bool = True  # its watch falls silent; else it is reset
-    delay_s: float = 0.0  # of each answer to a call from then on
-    refusals: int = 0  # calls that are answered 503 first
-    reload_after_s: float = 0.0  # a reload to another place, so long after the moment; 0: none
-    attainable: bool = True  # whether a node can that waits for the heartbeat and spreads its calls
-
-
-MAX_SILENT_DELAY_S = (
-    4.1  # what is left of the clock once a missing heartbeat of 2 s has been noticed
-)
-MAX_RESET_DELAY_S = 4.9  # and after the wait of up to 1.3 s by which a fleet's calls are spread
+    silent: bool = True  # the watch becomes unresponsive; otherwise it is reset
+    delay_s: float = 0.0  # of each response to a call from then on
+    refusals: int = 0  # number of first calls that are answered with 503
+    reload_after_s: float = 0.0  # time to a reload with another discovery address; 0: none
+    # Whether a node that waits for the heartbeat and spreads its calls can meet the deadline.
+    attainable: bool = True
+
+
+# What is left of the deadline once a missing heartbeat of 2 s has been detected.
+MAX_SILENT_DELAY_S = 4.1
+# What is left of it after the wait of up to 1.3 s that spreads the calls of a fleet.
+MAX_RESET_DELAY_S = 4.9
 CASES = (
     *(
         Case(
@@ -93,7 +94,7 @@
 
 
 async def measure(case: Case, folder: Path, ports: Ports) -> float:
-    """When the last request came to the draining server, in seconds after it began to drain."""
+    """Return the time of the last request to the draining server, in s after the drain began."""
     boxes = [ScriptedBox(), ScriptedBox()]
     for box in boxes:
         box.listen()
@@ -159,7 +160,7 @@
 
 
 async def _send_request(port: int) -> None:
-    """One request on a connection of its own, whatever becomes of it."""
+    """Send one request on a new connection and ignore its outcome."""
     global _request_count
     _request_count += 1
     await asyncio.sleep(0.02)
@@ -197,7 +198,7 @@
 
 
 def main() -> int:
-    """Print the table; the exit code."""
+    """Print the table; return the exit code."""
     parser = argparse.ArgumentParser(description=__doc__.partition("\n")[0])
     parser.add_argument("--json", type=Path)
     parser.add_argument("--together", type=int, default=9, help="cases that are played at once")
