--- a/benchmarks/growth.py
+++ b/benchmarks/growth.py
@@ -2,9 +2,9 @@
 
     python -m benchmarks.growth [--sizes 200,800,3200] [--seconds 20] [--json FILE]
 
-One process a size, each with servers, discovery and clients of its own on loopback. Discovery sends
-one change a second. Exits with 1 where a figure is over its bound of STANDING.md, counted from
-the smallest size.
+Starts one process per size, each with its own servers, discovery and clients on loopback. Discovery
+sends one change per second. Exits with 1 if a metric is beyond its limit from STANDING.md, which is
+computed from the smallest size.
 """
 
 from __future__ import annotations
@@ -29,14 +29,14 @@
 from testbed.tier.processes import HOST, Ports, die_with_parent
 
 ROOT = Path(__file__).parents[1]
-RATE = 40.0  # requests a second
+RATE = 40.0  # requests per second
 KEYS = 2_000
-WARMUP_S = 3.0  # before anything is counted
+WARMUP_S = 3.0  # before counting starts
 
 
 @dataclass(frozen=True, slots=True)
 class Usage:
-    """What a node needed over the counted time."""
+    """What a node used over the counted time; the fields are keys of the JSON output."""
 
     servers: int
     cpu_s: float
@@ -47,7 +47,7 @@
     served: float
 
     def limits(self, extra_servers: int) -> dict[str, float]:
-        """The most of each figure with so many more servers than here; of `served` the least."""
+        """Return the limits with this many more servers: a minimum of `served`, else maximums."""
         extra_thousands = extra_servers / 1_000.0
         return {
             "cpu_s": 1.4 * self.cpu_s + 0.02 + 0.12 * extra_thousands,
@@ -60,7 +60,7 @@
 
 
 class CountingEndpoint(DiscoveryEndpoint):
-    """Discovery that counts the bytes of its lists."""
+    """Discovery endpoint that counts the bytes of its lists."""
 
     written_bytes = 0
 
@@ -80,7 +80,7 @@
 
 
 async def measure(count: int, seconds: float, folder: Path, ports: Ports) -> Usage:
-    """What one node needs beside so many servers."""
+    """Measure what one node uses with this many servers."""
     boxes = [ScriptedBox(address=(f"127.30.{n >> 8}.{n & 255}", 0)) for n in range(count)]
     for box in boxes:
         box.listen()
@@ -144,7 +144,7 @@
 
 
 async def _change_servers(servers: ServerList) -> None:
-    """One server drains or comes back each second."""
+    """Each second, drain a server or return it to service."""
     rng = random.Random(1)
     names = list(servers.entries)
     while True:
@@ -172,7 +172,7 @@
 
 
 def main() -> int:
-    """Print the table; the exit code."""
+    """Print the table; return the exit code."""
     parser = argparse.ArgumentParser(description=__doc__.partition("\n")[0])
     parser.add_argument("--sizes", default="200,800,3200")
     parser.add_argument("--seconds", type=float, default=20.0)
