--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -1,13 +1,13 @@
 """How soon a node acts on a box's death or arrival, by source, and what polling DNS costs a fleet.
 
-Exits non-zero where an aim is missed.
+Exits non-zero if an aim is missed.
 
     python -m benchmarks.membership                        # both tables
-    python -m benchmarks.membership --mutations 1000000    # mutated messages, memory watched
+    python -m benchmarks.membership --mutations 1000000    # mutated messages and their memory
 
-The nodes' sources run on the virtual clock with discovery and DNS as the testbed has them: the box
-list is notified of a death after 0.9 s and of a start after 0.5 s, DNS of either after 1.2 s.
-"Acts" is when the address book says so; health meets a dead box sooner, by its refused dials.
+The nodes' sources run on the virtual clock with the testbed's discovery and DNS. The box list is
+notified of a death after 0.9 s and of a start after 0.5 s, DNS of either after 1.2 s. A node acts
+when its address book changes; health detects a dead box earlier, by its refused dials.
 """
 
 from __future__ import annotations
@@ -55,23 +55,22 @@
     0.9,
     0.5,
     1.2,
-)  # until the box list, and DNS, are notified
+)  # until the box list (of a death, of a start) and DNS are notified
 TRIALS = 200
 TTLS = (1, 5, 30)
 NODES, BOXES, COST_DURATION_S = 37, 67, 60.0
-MAX_BLOCK_GROWTH = (
-    2_000  # that the interpreter holds more after nine tenths of the mutated messages
-)
-MAX_CPU_SHARE = 0.01  # of a core, for each node, at the brief's size
-TOLERANCE_S = 0.05  # on top of what a source's own delays come to
+# Of the interpreter's allocated blocks, over the last nine tenths of the mutated messages.
+MAX_BLOCK_GROWTH = 2_000
+MAX_CPU_SHARE = 0.01  # of a core, for each of NODES nodes with BOXES boxes
+TOLERANCE_S = 0.05  # on top of the sum of a source's own delays
 
 
 class _Node:
-    """What sources and discovery need of a node, with a note of when each box's state changed."""
+    """What sources and discovery need of a node; records when each box's state changed."""
 
     def __init__(self, loop: VirtualLoop) -> None:
         self.servers: dict[str, CacheServer] = {}
-        self.serving_since: dict[Address, float] = {}  # since when, in virtual s
+        self.serving_since: dict[Address, float] = {}  # in virtual s
         self.left_at: dict[Address, float] = {}
         self._loop = loop
         self.discovery: Discovery | None = None
@@ -129,7 +128,7 @@
         self.peer_processes = [Process(f"at-{host}", self.net, host) for host in hosts]
 
     async def begin(self) -> None:
-        """Start everything; every node has its first list and records when this ends."""
+        """Start everything and wait until every node has its first list and its first records."""
         for process, run in zip(
             self.peer_processes,
             (self.discovery_server.run, *(server.run for server in self.name_servers)),
@@ -173,7 +172,7 @@
 
 
 def trial(seed: int, sources: str, ttl: int) -> tuple[float, float]:
-    """How long after a box died, and after another one started, one node acted on it, in s."""
+    """Return how long a node took to act on a box's death and on another's start, in s."""
     environment = _Environment(seed, 1, 6, "list" in sources, ttl, "dns" in sources)
 
     async def measure() -> tuple[float, float]:
@@ -201,7 +200,7 @@
                     new_address
                 ] - fault_at_s
             await asyncio.sleep(0.05)
-        raise RuntimeError(f"seed {seed}, {sources}: the node never acted")
+        raise RuntimeError(f"seed {seed}, {sources}: the node did not act on both changes in 100 s")
 
     try:
         return environment.loop.run_until_complete(environment.loop.create_task(measure()))
@@ -210,9 +209,9 @@
 
 
 def polling_cost(ttl: int) -> dict[str, float]:
-    """Queries and bytes a second that a fleet's sources send over COST_S.
+    """Return the queries and bytes per second of a fleet's sources over COST_DURATION_S.
 
-    The floor of lifetimes is the default.
+    The lower bound of TTLs is the default.
     """
     environment = _Environment(1, NODES, BOXES, True, ttl, True, Limits().floor_s)
 
@@ -243,9 +242,9 @@
 
 
 def round_cpu_ms(rounds: int = 200) -> float:
-    """CPU of one round of a node in ms.
+    """Return the CPU time of one round of a node, in ms.
 
-    A round is the query, reading its answer, the claims and the merge with the box list.
+    A round is the query, parsing its answer, the claims, and the merge with the box list.
     """
     boxes = {f"s{n}": (f"127.2.{n >> 8}.{n & 255}", 8001) for n in range(1, BOXES + 1)}
     zone = Zone()
@@ -269,13 +268,16 @@
 
 
 def percentile(values: list[float], fraction: float) -> float:
-    """The value under which this share lies."""
+    """Return the value below which this fraction of the values lies."""
     ordered = sorted(values)
     return ordered[min(len(ordered) - 1, int(fraction * len(ordered)))]
 
 
 def run_mutations(count: int, seed: int) -> int:
-    """Mutated messages: the named errors alone, and memory that stays. The exit code."""
+    """Check that mutated messages raise only the documented errors and leak no memory.
+
+    Returns the exit code.
+    """
     rng, zone = random.Random(seed), Zone()
     zone.set_boxes({f"s{n}": (f"10.0.0.{n}", 8001) for n in range(3)}, 30)
     cases = []
@@ -290,7 +292,7 @@
             (query, NameServer(("127.0.0.1", 53), zone, behavior).answers(query.wire, True)[0])
         )
     outcomes = {"answer": 0, "foreign": 0, "truncated": 0, "unusable": 0}
-    blocks_before = peak_kib_before = 0  # at a tenth of the way
+    blocks_before = peak_kib_before = 0  # after a tenth of the messages
     for n in range(count):
         query, wire = cases[n % len(cases)]
         try:
@@ -321,7 +323,10 @@
 
 
 def mutated(rng: random.Random, data: bytes) -> bytes:
-    """A message with bytes changed, cut out, doubled or added, one in ten in its header too."""
+    """Return a message with bytes changed, removed, duplicated or inserted.
+
+    One change in ten may also hit the header.
+    """
     message = bytearray(data)
     for _ in range(rng.choice((1, 1, 2, 4, 8))):
         position = (
@@ -342,7 +347,7 @@
 
 
 def main() -> int:
-    """Print the tables; the exit code."""
+    """Print the tables; return the exit code."""
     parser = argparse.ArgumentParser(description=(__doc__ or "").splitlines()[0])
     parser.add_argument("--quick", action="store_true", help="a tenth of the trials")
     parser.add_argument("--mutations", type=int, metavar="N", help="only this: N mutated messages")
