--- a/benchmarks/memory.py
+++ b/benchmarks/memory.py
@@ -1,12 +1,12 @@
 """What of a node grows over a long day with ever new keys, clients and servers.
 
-Exits non-zero where a table goes on growing.
+Exits non-zero if a container keeps growing.
 
     python -m benchmarks.memory --seconds 240 --rate 150
 
-The node runs on the virtual clock among the testbed's systems. At each eighth of the day every
-container that is reachable from its `Service` is counted by its path of attributes, and its objects
-by type; allocated blocks are those of the interpreter for the whole world.
+The node runs on the virtual clock with the testbed's emulated systems. At each eighth of the day,
+the entries of every container that is reachable from its `Service` are counted by attribute path.
+The allocated blocks are those of the whole interpreter, including the emulated systems.
 """
 
 from __future__ import annotations
@@ -23,8 +23,8 @@
 from testbed.nights.script import Fault, Script, World
 
 SAMPLE_COUNT = 8
-MAX_GROWTH = 1.1  # of a table over the last half of the day,
-MAX_EXTRA_ENTRIES = 64  # and so many entries
+MAX_GROWTH = 1.1  # factor, of a container over the second half of the day
+MAX_EXTRA_ENTRIES = 64  # on top of it
 SKIPPED_TYPES = (
     types.ModuleType,
     type,
@@ -36,9 +36,9 @@
 
 
 def container_sizes(root: object) -> Iterator[tuple[str, int]]:
-    """The path and the length of each container that is reachable from an object.
+    """Yield the path and the length of each container that is reachable from an object.
 
-    Followed are attributes and containers of this project's own.
+    Follows the items of containers and the attributes of objects of this project and of `random`.
     """
     seen: set[int] = set()
     queue: deque[tuple[str, object]] = deque([("", root)])
@@ -63,7 +63,7 @@
 
 
 def count_entries(root: object) -> Counter[str]:
-    """The entries of all containers by path."""
+    """Count the entries of all containers by path."""
     counts: Counter[str] = Counter()
     for path, size in container_sizes(root):
         counts[path] += size
@@ -71,9 +71,9 @@
 
 
 def build_script(seconds: float, rate: float, boxes: int) -> Script:
-    """A day on which every key is new and servers are replaced one after another.
+    """Build a day on which every key is new and servers are replaced one after another.
 
-    Nodes see bad clients and reloads.
+    There are also bad clients and reloads of the node.
     """
     world = World(seconds=seconds, nodes=1, boxes=boxes, requests_per_s=rate, keys=100_000, cores=4)
     faults = []
@@ -87,7 +87,7 @@
 
 
 def main() -> int:
-    """Print the tables that grew; the exit code."""
+    """Print the largest containers and those that grew; return the exit code."""
     parser = argparse.ArgumentParser(description=(__doc__ or "").splitlines()[0])
     parser.add_argument("--seconds", type=float, default=240.0)
     parser.add_argument("--rate", type=float, default=150.0, help="requests a second")
