--- a/benchmarks/module.py
+++ b/benchmarks/module.py
@@ -2,9 +2,9 @@
 
     python -m benchmarks.module --against REV [--quick] [--json FILE]
 
-Both play the same drawn day (a warm fleet, popular keys, reads and writes, a few misses), in turn,
-each time in a process of its own, and the ratio of their CPU times is taken pair by pair. Exits
-with 1 where the median ratio is over MOST.
+Both revisions run the same random workload (a warm fleet, popular keys, reads and writes, a few
+misses) in turn, each time in a new process. The ratio of their CPU times is taken for each pair of
+runs. Exits with 1 if the median ratio is above MAX_RATIO.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 
 
 def run_workload(servers: int, requests: int) -> float:
-    """Play a day through the module that is first on the path; the CPU seconds that it took."""
+    """Run the workload with the module that is first on the path; return its CPU time in s."""
     from forkweir.choice import Balancer
     from forkweir.settings import ClassSpec, Server, Settings
 
@@ -87,7 +87,7 @@
 
 
 def main() -> int:
-    """Print the ratios; the exit code."""
+    """Print the ratios; return the exit code."""
     parser = argparse.ArgumentParser(description=(__doc__ or "").splitlines()[0])
     parser.add_argument(
         "--against", default="HEAD", metavar="REV", help="a revision of this repository"
