--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,1 +1,1 @@
-"""Benchmarks: one module a subsystem; each exits non-zero when a stated aim is missed."""
+"""Benchmarks, one module per subsystem; each exits non-zero if a stated aim is missed."""
--- a/benchmarks/revision.py
+++ b/benchmarks/revision.py
@@ -1,4 +1,4 @@
-"""Another revision of this repository, for benchmarks that compare with it."""
+"""Packages of another revision of this repository, for benchmarks that compare with it."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
 
 @contextmanager
 def packages_of(revision: str, *names: str) -> Iterator[Path]:
-    """A folder that holds these packages as they are at a revision.
+    """Yield a temporary folder that holds these packages as they are at a revision.
 
-    CalledProcessError where there is no revision of this name.
+    Raises CalledProcessError if the revision does not exist.
     """
     with tempfile.TemporaryDirectory() as folder:
         tree = subprocess.run(
