--- a/corkshift/cli/tier.py
+++ b/corkshift/cli/tier.py
@@ -120,7 +120,7 @@
 def run(path: str, seed: int, virtual: bool, as_json: bool, logs: Optional[str]) -> int:
     """Run a script. Exit code: 0 if every rule held, 1 if not, 2 for an invalid script."""
     from testbed.nights.script import InvalidScript, parse_script
-    from testbed.tier.processes import Unplayable
+    from testbed.tier.processes import UnsupportedFaults
     from testbed.tier.processes import run as play
 
     try:
@@ -134,7 +134,7 @@
             if folder is not None:
                 folder.mkdir(parents=True, exist_ok=True)
             report = play(script, seed, folder)
-    except (InvalidScript, Unplayable) as error:
+    except (InvalidScript, UnsupportedFaults) as error:
         print(f"gradeshift tier run: {path}: {error}", file=sys.stderr)
         return 2
     except OSError as error:
--- a/testbed/tier/relay.py
+++ b/testbed/tier/relay.py
@@ -17,7 +17,7 @@
 
 Address = tuple[str, int]
 
-SHORT = 5.0  # ms: the latest that a datagram comes that is not late
+MIN_LATE_MS = 5.0  # ms: the latest that a datagram comes that is not late
 
 
 @dataclass(slots=True)
@@ -29,92 +29,107 @@
     double: float = 0.0
     late: float = 0.0
     late_ms: float = 0.0
-    passed: int = 0
-    bytes: int = 0
+    delivered: int = 0
+    delivered_bytes: int = 0
     dropped: int = 0
 
 
-class _Wire(asyncio.DatagramProtocol):
-    def __init__(self, relay: Relay, a: int, b: int) -> None:
-        self.relay, self.a, self.b = relay, a, b
+class _LinkProtocol(asyncio.DatagramProtocol):
+    def __init__(self, relay: Relay, source: int, destination: int) -> None:
+        self.relay, self.source, self.destination = relay, source, destination
 
     def datagram_received(self, data: bytes, addr: Any) -> None:
-        self.relay.carry(self.a, self.b, data, (addr[0], addr[1]))
+        self.relay.forward(self.source, self.destination, data, (addr[0], addr[1]))
 
 
 class Relay:
     """All links between so many nodes. places: where each node's datagrams arrive."""
 
-    def __init__(self, count: int, places: list[Address], seed: int) -> None:
-        self.count = count
-        self.places = places
-        self.links = {(a, b): Link() for a in range(count) for b in range(count) if a != b}
-        self.strangers = 0
+    def __init__(self, node_count: int, node_addresses: list[Address], seed: int) -> None:
+        self.node_count = node_count
+        self.node_addresses = node_addresses
+        self.links = {
+            (source, destination): Link()
+            for source in range(node_count)
+            for destination in range(node_count)
+            if source != destination
+        }
+        self.unknown_senders = 0
         self._random = random.Random(f"relay/{seed}")
-        self._wires: dict[tuple[int, int], asyncio.DatagramTransport] = {}
+        self._transports: dict[tuple[int, int], asyncio.DatagramTransport] = {}
 
     async def start(self) -> None:
         """Open a socket for each pair, on ports that the system chooses."""
         loop = asyncio.get_running_loop()
-        for a, b in self.links:
+        for source, destination in self.links:
             transport, _ = await loop.create_datagram_endpoint(
-                lambda a=a, b=b: _Wire(self, a, b),  # type: ignore[misc]
+                lambda source=source, destination=destination: _LinkProtocol(
+                    self, source, destination
+                ),  # type: ignore[misc]
                 local_addr=("127.0.0.1", 0),
             )
-            self._wires[a, b] = transport
+            self._transports[source, destination] = transport
 
     def close(self) -> None:
         """Close all."""
-        for transport in self._wires.values():
+        for transport in self._transports.values():
             transport.abort()
 
-    def peers(self, node: int) -> list[str]:
+    def peer_addresses(self, node: int) -> list[str]:
         """The addresses by which a node knows all, itself by where it listens."""
-        names = []
-        for other in range(self.count):
+        addresses = []
+        for other in range(self.node_count):
             host, port = (
-                self.places[node]
+                self.node_addresses[node]
                 if other == node
-                else self._wires[node, other].get_extra_info("sockname")
+                else self._transports[node, other].get_extra_info("sockname")
             )
-            names.append(f"{host}:{port}")
-        return names
+            addresses.append(f"{host}:{port}")
+        return addresses
 
-    def between(self, side: list[int], both: bool) -> list[Link]:
+    def links_across(self, side: list[int], both_directions: bool) -> list[Link]:
         """The links from one side to the others, and back; all links where there is no side."""
         inside = set(side)
         return [
-            link for (a, b), link in self.links.items() if not side or ((a in inside) != (b in inside) and (both or a in inside))
-        ]  # fmt: skip
+            link
+            for (source, destination), link in self.links.items()
+            if not side
+            or (
+                (source in inside) != (destination in inside)
+                and (both_directions or source in inside)
+            )
+        ]
 
-    def carry(self, a: int, b: int, data: bytes, sender: Address) -> None:
+    def forward(self, source: int, destination: int, data: bytes, sender: Address) -> None:
         """A datagram came from node a that is meant for node b."""
-        if sender != self.places[a]:
-            self.strangers += 1
+        if sender != self.node_addresses[source]:
+            self.unknown_senders += 1
             return
-        link, rng = self.links[a, b], self._random
+        link, rng = self.links[source, destination], self._random
         for _ in range(1 + (link.double > 0.0 and rng.random() < link.double)):
             if link.cuts or (link.loss and rng.random() < link.loss):
                 link.dropped += 1
                 continue
             if link.late and rng.random() < link.late:
-                delay = rng.uniform(SHORT, max(SHORT, link.late_ms))
-                asyncio.get_running_loop().call_later(delay / 1000.0, self.deliver, a, b, data)
+                delay = rng.uniform(MIN_LATE_MS, max(MIN_LATE_MS, link.late_ms))
+                asyncio.get_running_loop().call_later(
+                    delay / 1000.0, self.deliver, source, destination, data
+                )
             else:
-                self.deliver(a, b, data)
+                self.deliver(source, destination, data)
 
-    def deliver(self, a: int, b: int, data: bytes) -> None:
+    def deliver(self, source: int, destination: int, data: bytes) -> None:
         """Hand a datagram to node b as from node a."""
-        wire = self._wires.get((b, a))
-        if wire is not None and not wire.is_closing():
-            self.links[a, b].passed += 1
-            self.links[a, b].bytes += len(data)
-            wire.sendto(data, self.places[b])
+        transport = self._transports.get((destination, source))
+        if transport is not None and not transport.is_closing():
+            self.links[source, destination].delivered += 1
+            self.links[source, destination].delivered_bytes += len(data)
+            transport.sendto(data, self.node_addresses[destination])
 
-    def forge(self, to: int, data: bytes, by: Optional[int]) -> None:
+    def forge(self, destination: int, data: bytes, source: Optional[int]) -> None:
         """Send a forged datagram: as from one of the nodes, or (None) from an unknown sender."""
-        if by is not None:
-            self.deliver(by, to, data)
+        if source is not None:
+            self.deliver(source, destination, data)
             return
-        with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as stranger:
-            stranger.sendto(data, self.places[to])
+        with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sock:
+            sock.sendto(data, self.node_addresses[destination])
--- a/tests/tier/test_processes.py
+++ b/tests/tier/test_processes.py
@@ -19,11 +19,11 @@
 from testbed.nights.script import InvalidScript, Script, parse_script
 from testbed.tier.books import ColdBox, Span, at_time, most_held, spans_of
 from testbed.tier.defects import planted
-from testbed.tier.processes import Rig, Unplayable, run
+from testbed.tier.processes import Rig, UnsupportedFaults, run
 from testbed.tier.virtual import run as run_virtual
 
 ROOT = Path(__file__).parents[2]
-NIGHT = b"""
+SCENARIO = b"""
 [world]
 seconds = 13.0
 nodes = 5
@@ -32,10 +32,10 @@
 tier = "on"
 %s
 """
-COLD = b'[[fault]]\nat_ms = %d\nkind = "box_quick_restart"\ntarget = %d\n'
-CROWD = COLD % (100, 0) + COLD % (150, 1) + COLD % (5_000, 2)
-MIXED = (
-    CROWD
+COLD_RESTART = b'[[fault]]\nat_ms = %d\nkind = "box_quick_restart"\ntarget = %d\n'
+COLD_RESTARTS = COLD_RESTART % (100, 0) + COLD_RESTART % (150, 1) + COLD_RESTART % (5_000, 2)
+MIXED_FAULTS = (
+    COLD_RESTARTS
     + b"""
 [[fault]]
 at_ms = 6000
@@ -65,12 +65,12 @@
 )
 
 
-def script(faults: bytes) -> Script:
-    return parse_script(NIGHT % faults)
+def script_with(faults: bytes) -> Script:
+    return parse_script(SCENARIO % faults)
 
 
 def test_five_real_nodes_keep_the_whole_through_a_kill_a_pause_a_cut_and_loss() -> None:
-    report = run(script(MIXED), 1)
+    report = run(script_with(MIXED_FAULTS), 1)
     assert report["failures"] == []
     assert report["leases"] > 50 and len(report["cold"]) == 3
     assert 0.9 * TOTAL_SHARES < max(report["most_held"].values()) <= TOTAL_SHARES
@@ -87,36 +87,39 @@
 def test_the_same_script_on_the_virtual_clock_and_a_planted_lease_that_never_ends_is_found() -> (
     None
 ):
-    report = run_virtual(script(MIXED), 1)
+    report = run_virtual(script_with(MIXED_FAULTS), 1)
     assert report["failures"] == [] and report["leases"] > 50
     assert 0.9 * TOTAL_SHARES < max(report["most_held"].values()) <= TOTAL_SHARES
     assert sorted(report["members"]) == [f"n{n}" for n in range(5)] and len(report["keepers"]) == 1
     with planted("never-given-back"):
         assert any(
-            "shares add up" in failure for failure in run_virtual(script(MIXED), 1)["failures"]
+            "shares add up" in failure
+            for failure in run_virtual(script_with(MIXED_FAULTS), 1)["failures"]
         )
 
 
-def test_while_two_configurations_of_peers_run_nothing_is_dealt_and_afterwards_it_is() -> None:
+def test_no_leases_are_granted_while_two_peer_configurations_run_but_afterwards() -> None:
     other = b'[[fault]]\nat_ms = 3000\nkind = "node_other"\ntarget = 2\nfor_ms = 3000\n'
-    night = NIGHT.replace(b'tier = "on"', b'tier = "on"\ntier_period_ms = 100.0') % (CROWD + other)
-    world = parse_script(night)
-    taken: list[float] = []
-    usual = Rules._check_shares
+    scenario = SCENARIO.replace(b'tier = "on"', b'tier = "on"\ntier_period_ms = 100.0') % (
+        COLD_RESTARTS + other
+    )
+    script = parse_script(scenario)
+    lease_times_s: list[float] = []
+    check_shares = Rules._check_shares
 
-    def shares(self: Rules, bound: int) -> None:
-        taken.append(self._now() / 1e6)
-        usual(self, bound)
+    def record_check(self: Rules, bound: int) -> None:
+        lease_times_s.append(self._now() / 1e6)
+        check_shares(self, bound)
 
-    with patch.object(Rules, "_check_shares", shares):
-        report = run_virtual(world, 2)
+    with patch.object(Rules, "_check_shares", record_check):
+        report = run_virtual(script, 2)
     assert report["failures"] == [] and len(report["keepers"]) == 1
-    assert [at for at in taken if at < 3.0] and [at for at in taken if at > 7.5]
-    assert [at for at in taken if 3.6 < at < 6.0] == []
+    assert [at for at in lease_times_s if at < 3.0] and [at for at in lease_times_s if at > 7.5]
+    assert [at for at in lease_times_s if 3.6 < at < 6.0] == []
 
 
 @pytest.mark.parametrize(
-    ("fault", "what"),
+    ("fault", "error"),
     [
         (b'[[fault]]\nat_ms = 1\nkind = "peer_cut"\nfor_ms = 5', "needs the nodes of one side"),
         (b'[[fault]]\nat_ms = 1\nkind = "peer_loss"\nfor_ms = 5', "a share over 0"),
@@ -127,59 +130,59 @@
         ),
     ],
 )
-def test_a_script_that_makes_no_sense_is_told_so(fault: bytes, what: str) -> None:
-    with pytest.raises(InvalidScript, match=what.replace("[", r"\[")):
-        script(fault)
+def test_invalid_faults_between_nodes_are_reported(fault: bytes, error: str) -> None:
+    with pytest.raises(InvalidScript, match=error.replace("[", r"\[")):
+        script_with(fault)
 
 
-def test_what_real_processes_cannot_be_given_is_refused_before_anything_starts(
+def test_unsupported_faults_are_rejected_before_anything_starts(
     tmp_path: Path,
 ) -> None:
-    with pytest.raises(Unplayable, match="clock_jump"):
-        Rig(script(b'[[fault]]\nat_ms = 1\nkind = "clock_jump"'), 1, tmp_path)
+    with pytest.raises(UnsupportedFaults, match="clock_jump"):
+        Rig(script_with(b'[[fault]]\nat_ms = 1\nkind = "clock_jump"'), 1, tmp_path)
     path = tmp_path / "night.toml"
     path.write_bytes(
-        NIGHT.replace(b'tier = "on"', b"") % b'[[fault]]\nat_ms = 1\nkind = "peer_junk"'
+        SCENARIO.replace(b'tier = "on"', b"") % b'[[fault]]\nat_ms = 1\nkind = "peer_junk"'
     )
-    done = subprocess.run(
+    result = subprocess.run(
         [sys.executable, "-m", "corkshift", "tier", "run", str(path)],
         cwd=ROOT,
         capture_output=True,
         text=True,
     )
-    assert done.returncode == 2 and 'tier = "on"' in done.stderr
+    assert result.returncode == 2 and 'tier = "on"' in result.stderr
 
 
-def test_a_rig_that_is_killed_leaves_no_node_behind_and_tier_show_reads_one_while_it_runs(
+def test_a_killed_rig_leaves_no_node_behind_and_tier_show_reads_a_running_one(
     tmp_path: Path,
 ) -> None:
     path, logs = tmp_path / "night.toml", tmp_path / "logs"
-    path.write_bytes(NIGHT % b"")
+    path.write_bytes(SCENARIO % b"")
     rig = subprocess.Popen(
         [sys.executable, "-m", "corkshift", "tier", "run", str(path), "--logs", str(logs)], cwd=ROOT
     )
     try:
-        admin = _until(lambda: json.loads((logs / "n4.json").read_text())["admin_addr"])
+        admin = _retry(lambda: json.loads((logs / "n4.json").read_text())["admin_addr"])
 
         def show() -> dict[str, Any]:
-            done = subprocess.run(
+            result = subprocess.run(
                 [sys.executable, "-m", "corkshift", "tier", "show", "--json", admin],
                 cwd=ROOT,
                 capture_output=True,
                 text=True,
                 check=True,
             )
-            view: dict[str, Any] = json.loads(done.stdout)["nodes"][admin]
+            view: dict[str, Any] = json.loads(result.stdout)["nodes"][admin]
             assert [m["slot"] for m in view["members"] if m["state"] == "alive"] == list(range(5))
             return view
 
-        view = _until(show)
+        view = _retry(show)
         assert view["slot"] == 4 and view["count"] == 5
         nodes = [pid for pid in _children(rig.pid)]
         assert len(nodes) == 5
         rig.send_signal(signal.SIGKILL)
         rig.wait()
-        _until(lambda: [pid for pid in nodes if Path(f"/proc/{pid}").exists()] == [] or 1 / 0)
+        _retry(lambda: [pid for pid in nodes if Path(f"/proc/{pid}").exists()] == [] or 1 / 0)
     finally:
         rig.kill()
         rig.wait()
@@ -189,7 +192,7 @@
     return [int(child) for child in Path(f"/proc/{pid}/task/{pid}/children").read_text().split()]
 
 
-def _until(attempt: Any) -> Any:
+def _retry(attempt: Any) -> Any:
     """What an attempt gives once it succeeds."""
     end = time.monotonic() + 30.0
     while True:
@@ -207,31 +210,34 @@
             time.sleep(0.05)
 
 
-def test_a_second_process_under_one_name_ends_with_one_line(tmp_path: Path) -> None:
+def test_a_second_process_on_the_same_addresses_ends_with_one_line(tmp_path: Path) -> None:
     """Start two nodes of one configuration.
 
     The second has neither the clients' address nor that of datagrams.
     """
     import socket
 
-    with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as first, socket.socket() as free:
-        first.bind(("127.0.0.1", 0))
-        free.bind(("127.0.0.1", 0))
-        place = f"127.0.0.1:{first.getsockname()[1]}"
-        allowed = {"allowed": {"peers": True}, "services": [{"name": "r"}]}
-        port = free.getsockname()[1]
-        free.close()
+    with (
+        socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as udp_socket,
+        socket.socket() as tcp_socket,
+    ):
+        udp_socket.bind(("127.0.0.1", 0))
+        tcp_socket.bind(("127.0.0.1", 0))
+        peer_address = f"127.0.0.1:{udp_socket.getsockname()[1]}"
+        settings = {"allowed": {"peers": True}, "services": [{"name": "r"}]}
+        port = tcp_socket.getsockname()[1]
+        tcp_socket.close()
         config = {
             "listen": f"127.0.0.1:{port}",
             "discovery": "127.0.0.1:1",
-            "settings": allowed,
-            "peer_listen": place,
-            "peers": [place],
+            "settings": settings,
+            "peer_listen": peer_address,
+            "peers": [peer_address],
         }
         path = tmp_path / "config.json"
         path.write_text(json.dumps(config))
         environ = {**os.environ, "PROXY_CONFIG": str(path)}
-        done = subprocess.run(
+        result = subprocess.run(
             [sys.executable, "-m", "corkshift"],
             cwd=ROOT,
             env=environ,
@@ -240,14 +246,14 @@
             timeout=30,
         )
     assert (
-        done.returncode == 1
-        and done.stderr.strip().splitlines()[-1]
-        == f"corkshift: cannot listen: {place}: Address already in use"
+        result.returncode == 1
+        and result.stderr.strip().splitlines()[-1]
+        == f"corkshift: cannot listen: {peer_address}: Address already in use"
     )
 
 
 @pytest.mark.parametrize(
-    ("change", "why"),
+    ("change", "error"),
     [
         ({"peers": ["n1.example.org:7946"]}, "peers[0]: an IPv4 address"),
         ({"peers": ["127.0.0.1:1", "127.0.0.1:1"]}, "peers[1]: stands there twice"),
@@ -255,30 +261,30 @@
         ({"peer_listen": "127.0.0.1"}, "peer_listen: an IPv4 address"),
     ],
 )
-def test_check_names_what_is_wrong_of_peers(
-    tmp_path: Path, change: dict[str, Any], why: str
+def test_check_names_the_invalid_peer_option(
+    tmp_path: Path, change: dict[str, Any], error: str
 ) -> None:
     options = {
         "allowed": {"peers": True},
         "services": [{"name": "r"}],
         "slotNo": change.pop("slot", 0),
     }
-    places = {
+    addresses = {
         "listen": "127.0.0.1:1",
         "discovery": "127.0.0.1:2",
         "peer_listen": "127.0.0.1:3",
         "peers": ["127.0.0.1:3"],
     }
-    config = {**places, "settings": options}
+    config = {**addresses, "settings": options}
     path = tmp_path / "config.json"
     path.write_text(json.dumps({**config, **change}))
-    done = subprocess.run(
+    result = subprocess.run(
         [sys.executable, "-m", "corkshift", "check", str(path)],
         cwd=ROOT,
         capture_output=True,
         text=True,
     )
-    assert done.returncode == 1 and why in done.stderr
+    assert result.returncode == 1 and error in result.stderr
     started = subprocess.run(
         [sys.executable, "-m", "corkshift"],
         cwd=ROOT,
@@ -289,7 +295,7 @@
     assert started.returncode == 2 and len(started.stderr.strip().splitlines()) == 1
 
 
-def test_where_nodes_may_not_talk_nothing_of_the_tier_is_imported() -> None:
+def test_no_tier_module_is_imported_where_peers_are_not_allowed() -> None:
     code = """if True:
         import sys, asyncio
         from corkshift.config import config_of
@@ -307,11 +313,11 @@
         assert adapter.event(0.0, ["INIT", 0, 1, settings]) == (0, [])
         print([name for name in sys.modules if "tier" in name])
     """
-    done = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True)
-    assert done.stdout.strip() == "[]", done.stderr
+    result = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True)
+    assert result.stdout.strip() == "[]", result.stderr
 
 
-def test_instances_on_the_wire_take_part_where_the_settings_let_them() -> None:
+def test_adapter_instances_form_a_tier_where_the_settings_allow_it() -> None:
     from forkweir.adapter import Adapter
 
     adapter = Adapter()
@@ -321,35 +327,35 @@
         "balancers": 3,
         "slotNo": 0,
     }
-    said: list[Any] = []
+    actions: list[Any] = []
     for i in range(3):
-        said += [
+        actions += [
             (i, action)
             for action in adapter.event(0.0, ["INIT", i, 40 + i, {**settings, "slotNo": i}])[1]
         ]
     now, timers = 0.0, dict.fromkeys(range(3), 0.0)
     while now < 8_000.0:
-        following: list[Any] = []
-        for i, action in said:
+        next_actions: list[Any] = []
+        for i, action in actions:
             if action[0] == "publish":
                 assert len(action[2]) <= 512
-                following += [
+                next_actions += [
                     (action[1], a) for a in adapter.event(now, ["PEER", action[1], i, action[2]])[1]
                 ]
             else:
                 timers[i] = action[2]
-        said = following
-        if not said:
+        actions = next_actions
+        if not actions:
             now = min(timers.values())
             due = [i for i in timers if timers[i] <= now]
-            said = [(i, a) for i in due for a in adapter.event(now, ["TICK_DUE", i, 4])[1]]
+            actions = [(i, a) for i in due for a in adapter.event(now, ["TICK_DUE", i, 4])[1]]
     assert [tier.members.participants() for tier in adapter.tiers.values()] == [[0, 1, 2]] * 3
     assert sum(tier.is_leader(now) for tier in adapter.tiers.values()) == 1
     adapter.event(now, ["EXIT", 1])
     assert adapter.event(now, ["PEER", 0, 1, "00"]) == (0, []) and sorted(adapter.tiers) == [0, 2]
 
 
-def test_books_sum_what_was_held_at_once() -> None:
+def test_shares_held_at_once_and_work_of_a_cold_box_are_summed() -> None:
     first = spans_of(
         0, 5, [(7, 100, 0.0, 50.0), (7, 40, 30.0, 90.0), (8, 9, 0.0, 5.0)], float("inf")
     )
