--- a/testbed/tier/processes.py
+++ b/testbed/tier/processes.py
@@ -1,14 +1,17 @@
-"""A tier of real processes, run by a script.
+"""Runs a script on a tier of real processes.
 
-It has N times `python -m corkshift`, with discovery, an order book, boxes and clients on loopback.
+Several processes `python -m corkshift` run on loopback with emulated discovery, order book, boxes
+and clients.
 
-The script is that of a simulated scenario (`testbed/nights/script.py`), so that the same one plays
-here and on the virtual clock. Of its kinds of fault those in PLAYED can be carried out on real
-processes. Between every ordered pair of nodes stands a relay (`relay`).
+The script is that of a simulated scenario (`testbed/nights/script.py`), so that the same script
+runs here and on the virtual clock. SUPPORTED_FAULTS are the kinds of fault that can be injected
+into real processes. Datagrams between nodes pass a relay with one socket for each ordered pair
+(`relay`).
 
-Everything ends by itself: the nodes die with this process, however it ends (PR_SET_PDEATHSIG), and
-all else runs in it. Ports are those that the system chooses; datagrams arrive at an address of
-127.0.0.0/8 that follows from one of them, which is held as long as the rig runs.
+Everything ends by itself: the kernel kills the nodes when this process ends, however it ends
+(PR_SET_PDEATHSIG), and everything else runs in this process. The system chooses the ports.
+Datagrams of a node arrive at an address in 127.0.0.0/8 that is derived from one of its ports, which
+is reserved as long as the rig runs.
 """
 
 from __future__ import annotations
@@ -60,14 +63,19 @@
 ROOT = Path(__file__).parents[2]
 HOST = "127.0.0.1"
 PEER_PORT = 7946
-POLL_INTERVAL_S = 0.1  # between two looks at each node
+# Between two reads of each node's view of the tier.
+POLL_INTERVAL_S = 0.1
 READY_TIMEOUT_S = 30.0
-SHUTDOWN_LIMIT_S = 4.3  # after SIGTERM
-MAX_REQUEST_MS = 2_600.0  # the longest that a request is open
-CRASH_DETECTION_MS = 800.0  # until clients know that a node has died
+# Time from SIGTERM to the end of the process.
+SHUTDOWN_LIMIT_S = 4.3
+# The longest time for which a request is open.
+MAX_REQUEST_MS = 2_600.0
+# Clients use a killed node for this long.
+CRASH_DETECTION_MS = 800.0
+# The last one has the largest payload of UDP over IPv4.
 INVALID_DATAGRAMS = (*MALFORMED_DATAGRAMS, b"\xff" * 65_507)
 PR_SET_PDEATHSIG = 1
-# leases that the report lists: from when, until when (s), who, bound, parts
+# Leases listed in the report, each with its start and end (s), node, limit and shares.
 MAX_REPORTED_LEASES = 20_000
 SUPPORTED_FAULTS = {
     *NET_KINDS, "peer_junk",
@@ -78,30 +86,30 @@
 
 
 class UnsupportedFaults(Exception):
-    """A script has faults that real processes can't be given."""
+    """A script has faults that cannot be injected into real processes."""
 
 
 def unsupported_kinds(script: Script) -> list[str]:
-    """The kinds of fault in a script that this rig has not."""
+    """Return the kinds of fault in a script that this rig cannot inject."""
     return sorted({fault.kind for fault in script.fault} - SUPPORTED_FAULTS)
 
 
 def die_with_parent() -> None:
-    """In the child: the kernel kills it when its parent has died."""
+    """Have the kernel kill this process when its parent dies; called in the child."""
     ctypes.CDLL(None, use_errno=True).prctl(PR_SET_PDEATHSIG, signal.SIGKILL)
 
 
 class RequestObserver(ServerObserver, ClientObserver):
-    """What clients and boxes saw."""
+    """Records what clients and boxes observe, and violations of the rules on requests."""
 
     def __init__(self) -> None:
         self.failures: list[str] = []
         self.cold_boxes: dict[str, ColdBox] = {}
         self.is_excused: Callable[[ClientRequest], bool] = lambda request: False
-        self.work_ms: dict[str, Counter[str]] = defaultdict(Counter)  # by box and node, in ms
+        self.work_ms: dict[str, Counter[str]] = defaultdict(Counter)  # by box and node
         self.reads: dict[str, Counter[str]] = defaultdict(Counter)  # by key and box
         self._requests: dict[str, ClientRequest] = {}
-        # by id: boxes where it may have run
+        # By request id: the boxes where it may have run.
         self._possible_executions: dict[str, list[str]] = defaultdict(list)
         self._bodies: dict[str, set[bytes]] = defaultdict(set)
         self._answered: set[str] = set()
@@ -173,19 +181,23 @@
 
 @dataclass(slots=True)
 class NodeProcess:
-    """One process of a node."""
+    """One process of a node, with its leases and its latest view as read from `/admin/tier`.
+
+    Times are in ms of `now_ms`. `token` is 0 until the first view was read.
+    """
 
     process: asyncio.subprocess.Process
     started_ms: float
     ended_ms: float = float("inf")
     token: int = 0
+    # By limit and start: limit, shares, start and end of the lease.
     leases: dict[tuple[int, float], tuple[int, int, float, float]] = field(default_factory=dict)
     view: dict[str, Any] = field(default_factory=dict)
 
 
 @dataclass(slots=True)
 class Node:
-    """One node: its addresses, its configuration, and the processes that it has had."""
+    """One node: its addresses, its configuration and all its processes so far."""
 
     slot: int
     listen: Address
@@ -194,7 +206,7 @@
     config_path: Path
     processes: list[NodeProcess] = field(default_factory=list)
     starting: bool = False
-    # spans in which it was killed, stood still, or ended
+    # Start and end (ms) of the periods in which it was killed, paused or shutting down.
     outages: list[tuple[float, float]] = field(default_factory=list)
 
     @property
@@ -203,7 +215,7 @@
 
     @property
     def running_process(self) -> Optional[NodeProcess]:
-        """The process that runs, if one does."""
+        """Its running process, if there is one."""
         return (
             self.processes[-1]
             if self.processes and self.processes[-1].process.returncode is None
@@ -212,9 +224,9 @@
 
 
 class Ports:
-    """TCP ports of the system's choosing, held without listening.
+    """TCP ports chosen by the system and reserved by sockets that are bound but do not listen.
 
-    So a node that reuses addresses can bind them, and no other process is given them.
+    A node that sets SO_REUSEADDR can bind them, and no other process is assigned them.
     """
 
     def __init__(self) -> None:
@@ -233,7 +245,7 @@
 
 
 class Rig:
-    """One play of a script with real processes."""
+    """One run of a script with real processes."""
 
     def __init__(self, script: Script, seed: int, folder: Path) -> None:
         if kinds := unsupported_kinds(script):
@@ -265,7 +277,7 @@
         self._started_ms = now_ms()
         self._tasks: set[asyncio.Task[Any]] = set()
 
-    # -- its parts -----------------------------------------------------------------------
+    # -- setup ---------------------------------------------------------------------------
 
     async def _open(self) -> None:
         world = self.script.world
@@ -344,9 +356,9 @@
         node.config_path.write_text(json.dumps(config))
 
     async def start_node(self, node: Node) -> None:
-        """Start a process of a node, under its name and addresses."""
+        """Start a process of a node under its name and addresses, unless one is running."""
         if node.running_process is not None or node.starting:
-            return  # two faults of one node may both want it back
+            return  # two faults of one node may both restart it
         node.starting = True
         try:
             await self._spawn_node(node)
@@ -377,7 +389,10 @@
         self.note(f"{node.name} starts")
 
     async def _wait_ready(self, node: Node) -> None:
-        """Until a node serves; it is an error where it does not in READY_TIMEOUT_S."""
+        """Wait until a node answers.
+
+        Raises RuntimeError where its process has ended, TimeoutError after READY_TIMEOUT_S.
+        """
         async with asyncio.timeout(READY_TIMEOUT_S):
             while await fetch_body(node.listen, "/up") is None:
                 node_process = node.processes[-1]
@@ -389,13 +404,13 @@
                 await asyncio.sleep(0.05)
 
     def log_tail(self, node: Node) -> str:
-        """The last lines of a node's log."""
+        """Return the end of a node's log."""
         return (self.folder / f"{node.name}.log").read_text()[-800:]
 
-    # -- what is seen --------------------------------------------------------------------
+    # -- observation ---------------------------------------------------------------------
 
     def note(self, event: str) -> None:
-        """What happened, and when."""
+        """Record an event with its time, in s."""
         self.notes.append((round((now_ms() - self._started_ms) / 1000.0, 3), event))
 
     def _is_known_down(self, name: str) -> bool:
@@ -415,7 +430,7 @@
         )
 
     async def _poll_views(self) -> None:
-        """Read every node's own view, again and again."""
+        """Read the view of every running node periodically."""
         while True:
             for node in self.nodes:
                 node_process = node.running_process
@@ -438,7 +453,7 @@
             node_process.leases[limit, since] = limit, shares, since, until
 
     def lease_spans(self) -> list[Span]:
-        """All leases that were taken, as far as they were seen."""
+        """Return all leases that nodes took, as far as their views showed them."""
         spans: list[Span] = []
         for node in self.nodes:
             for node_process in node.processes:
@@ -450,7 +465,7 @@
                 )
         return spans
 
-    # -- the play ------------------------------------------------------------------------
+    # -- run -----------------------------------------------------------------------------
 
     def _spawn(self, coroutine: Any) -> None:
         task = asyncio.get_running_loop().create_task(coroutine)
@@ -458,7 +473,7 @@
         task.add_done_callback(self._tasks.discard)
 
     async def run_script(self) -> dict[str, Any]:
-        """Play the script; the report."""
+        """Run the script and return the report."""
         world = self.script.world
         started_s = time.monotonic()
         try:
@@ -542,7 +557,7 @@
         await self.start_node(self.nodes[fault.target])
 
     async def _do_node_other(self, fault: Fault) -> None:
-        """A node comes back with one peer more in its configuration, until the fault is over."""
+        """Restart a node with one more peer in its configuration, until the fault ends."""
         node = self.nodes[fault.target]
         if not node.processes:
             return
@@ -573,7 +588,7 @@
         self._spawn(self._run_at(now_ms() - self._started_ms + for_ms, resume))
 
     async def _do_node_term(self, fault: Fault) -> None:
-        """A planned restart."""
+        """Restart a node as planned: SIGTERM, and a new process once the old one has ended."""
         node = self.nodes[fault.target]
         node_process = node.running_process
         if node_process is None:
@@ -599,7 +614,7 @@
         if node_process is not None:
             node_process.process.send_signal(signal.SIGHUP)
 
-    # -- faults between nodes ------------------------------------------------------------
+    # -- faults of links between nodes ---------------------------------------------------
 
     def _do_peer_cut(self, fault: Fault, both_directions: bool = True) -> None:
         links = self.relay.links_across(fault.nodes, both_directions)
@@ -640,7 +655,7 @@
             for by in ((fault.target + 1) % len(self.nodes), None):
                 self.relay.forge(fault.target, data, by)
 
-    # -- faults of all else --------------------------------------------------------------
+    # -- faults of boxes, order book, load and discovery ---------------------------------
 
     def _do_box_kill(self, fault: Fault) -> None:
         self._stop_box(fault.target)
@@ -656,7 +671,7 @@
         self.discovery.update(self.discovery.entries[box.name], "terminated")
 
     def _start_cold_box(self, n: int) -> None:
-        """A box begins, cold, under its name, and discovery says so at once."""
+        """Start a cold box under the name of the old one; discovery reports it at once."""
         old = self.boxes[n]
         box = CacheBox(old.name, (HOST, 0), self.book.address, old.spec, self.observer, True)
         self._add_box(box, n)
@@ -707,7 +722,7 @@
         self.discovery.drop_watches()
         self._after_fault(fault, setattr, self.discovery, "down", False)
 
-    # -- the report ----------------------------------------------------------------------
+    # -- report --------------------------------------------------------------------------
 
     def _report(self, real_s: float) -> dict[str, Any]:
         assert self.clients is not None
@@ -809,9 +824,9 @@
 
 
 def run(script: Script, seed: int, folder: Optional[Path] = None) -> dict[str, Any]:
-    """Play a script with real processes; the report (failures in `failures`).
+    """Run a script with real processes and return the report, with violations in `failures`.
 
-    UnsupportedFaults where it has other faults.
+    Raises UnsupportedFaults where the script has faults that cannot be injected here.
     """
     with tempfile.TemporaryDirectory(prefix="gradeshift-tier-") as scratch:
         return asyncio.run(Rig(script, seed, folder or Path(scratch)).run_script())
