--- a/testbed/tier/relay.py
+++ b/testbed/tier/relay.py
@@ -1,10 +1,11 @@
-"""Relay of datagrams between real nodes, with one socket for each ordered pair.
+"""Relay for datagrams between real nodes, with one socket for each ordered pair.
 
-Datagrams are lost, delayed, duplicated or reordered, and links are cut, drawn from a seed.
+Datagrams are lost, delayed, duplicated or reordered at random, drawn from a seed, and links can be
+cut.
 
-Node a knows node b by the address of socket (a, b), and what it sends there comes to b from socket
-(b, a), by which b knows a. So each node sees the others under addresses of its own, as the
-deployment has it, and nothing goes from one to another but through here.
+Node a knows node b by the address of socket (a, b). What a sends there reaches b from socket
+(b, a), by which b knows a. So each node has its own addresses for the other nodes, as in the
+deployment, and no datagram reaches a node from another without passing the relay.
 """
 
 from __future__ import annotations
@@ -17,12 +18,17 @@
 
 Address = tuple[str, int]
 
-MIN_LATE_MS = 5.0  # ms: the latest that a datagram comes that is not late
+# The shortest delay of a late datagram; any other is assumed to arrive sooner.
+MIN_LATE_MS = 5.0
 
 
 @dataclass(slots=True)
 class Link:
-    """What happens to datagrams one way. late_ms: the most by which the share `late` of them is."""
+    """One direction between two nodes.
+
+    `loss`, `double` and `late` are probabilities: that a datagram is lost, that it is duplicated,
+    and that it is delayed by up to `late_ms`. `cuts` counts the active faults that cut the link.
+    """
 
     cuts: int = 0
     loss: float = 0.0
@@ -43,7 +49,7 @@
 
 
 class Relay:
-    """All links between so many nodes. places: where each node's datagrams arrive."""
+    """All links between the nodes. node_addresses: where each node receives its datagrams."""
 
     def __init__(self, node_count: int, node_addresses: list[Address], seed: int) -> None:
         self.node_count = node_count
@@ -59,7 +65,7 @@
         self._transports: dict[tuple[int, int], asyncio.DatagramTransport] = {}
 
     async def start(self) -> None:
-        """Open a socket for each pair, on ports that the system chooses."""
+        """Open a socket for each ordered pair, on ports that the system chooses."""
         loop = asyncio.get_running_loop()
         for source, destination in self.links:
             transport, _ = await loop.create_datagram_endpoint(
@@ -71,12 +77,12 @@
             self._transports[source, destination] = transport
 
     def close(self) -> None:
-        """Close all."""
+        """Close all sockets."""
         for transport in self._transports.values():
             transport.abort()
 
     def peer_addresses(self, node: int) -> list[str]:
-        """The addresses by which a node knows all, itself by where it listens."""
+        """Return the addresses by which a node knows all nodes; its own is where it listens."""
         addresses = []
         for other in range(self.node_count):
             host, port = (
@@ -88,7 +94,10 @@
         return addresses
 
     def links_across(self, side: list[int], both_directions: bool) -> list[Link]:
-        """The links from one side to the others, and back; all links where there is no side."""
+        """Return the links from the nodes of one side to all others; without a side, all links.
+
+        both_directions adds the links back.
+        """
         inside = set(side)
         return [
             link
@@ -101,7 +110,10 @@
         ]
 
     def forward(self, source: int, destination: int, data: bytes, sender: Address) -> None:
-        """A datagram came from node a that is meant for node b."""
+        """Forward a datagram that the source sent to the destination, subject to the link's faults.
+
+        One from an unknown sender is counted and dropped.
+        """
         if sender != self.node_addresses[source]:
             self.unknown_senders += 1
             return
@@ -119,7 +131,7 @@
                 self.deliver(source, destination, data)
 
     def deliver(self, source: int, destination: int, data: bytes) -> None:
-        """Hand a datagram to node b as from node a."""
+        """Send a datagram to the destination from the address by which it knows the source."""
         transport = self._transports.get((destination, source))
         if transport is not None and not transport.is_closing():
             self.links[source, destination].delivered += 1
@@ -127,7 +139,7 @@
             transport.sendto(data, self.node_addresses[destination])
 
     def forge(self, destination: int, data: bytes, source: Optional[int]) -> None:
-        """Send a forged datagram: as from one of the nodes, or (None) from an unknown sender."""
+        """Send a forged datagram as from the source, or from an unknown sender if that is None."""
         if source is not None:
             self.deliver(source, destination, data)
             return
