--- a/tests/tier/test_processes.py
+++ b/tests/tier/test_processes.py
@@ -1,4 +1,4 @@
-"""Real processes with faults between them, and the same scripts on the virtual clock."""
+"""Runs of real processes with faults between them, and of the same scripts on the virtual clock."""
 
 from __future__ import annotations
 
@@ -193,7 +193,7 @@
 
 
 def _retry(attempt: Any) -> Any:
-    """What an attempt gives once it succeeds."""
+    """Return the result of an attempt once it succeeds; after 30 s, raise its error."""
     end = time.monotonic() + 30.0
     while True:
         try:
@@ -211,9 +211,9 @@
 
 
 def test_a_second_process_on_the_same_addresses_ends_with_one_line(tmp_path: Path) -> None:
-    """Start two nodes of one configuration.
+    """A second process of one configuration gets neither the clients' address nor the peer address.
 
-    The second has neither the clients' address nor that of datagrams.
+    Here only the peer address is in use.
     """
     import socket
 
