--- a/tests/tier/test_processes.py
+++ b/tests/tier/test_processes.py
@@ -130,14 +130,12 @@
         ),
     ],
 )
-def test_invalid_faults_between_nodes_are_reported(fault: bytes, error: str) -> None:
+def test_invalid_faults_are_reported(fault: bytes, error: str) -> None:
     with pytest.raises(InvalidScript, match=error.replace("[", r"\[")):
         script_with(fault)
 
 
-def test_unsupported_faults_are_rejected_before_anything_starts(
-    tmp_path: Path,
-) -> None:
+def test_unsupported_faults_are_rejected_before_anything_starts(tmp_path: Path) -> None:
     with pytest.raises(UnsupportedFaults, match="clock_jump"):
         Rig(script_with(b'[[fault]]\nat_ms = 1\nkind = "clock_jump"'), 1, tmp_path)
     path = tmp_path / "night.toml"
