--- a/testbed/tier/processes.py
+++ b/testbed/tier/processes.py
@@ -631,7 +631,7 @@
         self._do_peer_cut(fault, both_directions=False)
 
     def _set_links(self, fault: Fault, **values: float) -> None:
-        """Set these attributes of the links that a fault affects, and reset them to 0 at its end."""
+        """Set these attributes of the links that a fault affects; reset them to 0 at its end."""
         links: list[Link] = self.relay.links_across(fault.nodes, True)
 
         def apply(values: dict[str, float]) -> None:
