--- a/testbed/tier/processes.py
+++ b/testbed/tier/processes.py
@@ -423,6 +423,7 @@
         )
 
     def _is_excused(self, request: ClientRequest) -> bool:
+        """Return whether a request may stay unanswered because of an outage of its node."""
         since, now = request.sent_ms - MAX_REQUEST_MS, now_ms()
         return any(
             begin <= now and end >= since
@@ -439,6 +440,7 @@
             await asyncio.sleep(POLL_INTERVAL_S)
 
     async def _poll_view(self, node: Node, node_process: NodeProcess) -> None:
+        """Read the view of a process and record its leases, unless another one has answered."""
         body = await fetch_body(node.admin, "/admin/tier")
         if body is None:
             return
