--- a/benchmarks/tier.py
+++ b/benchmarks/tier.py
@@ -26,27 +26,27 @@
 
 from forkweir.tier.leases import TOTAL_SHARES
 from testbed.check.lending import Scope, walk
-from testbed.nights.explore import play as play_night
+from testbed.nights.explore import play as run_whole_node_seed
 from testbed.nights.script import TIER_FIRST_SEED, draw
-from testbed.nights.script import Script as NightScript
-from testbed.nights.simulation import run as play_whole
+from testbed.nights.script import Script as ScenarioScript
+from testbed.nights.simulation import run as run_simulation
 from testbed.tier.defects import DEFECTS, planted
-from testbed.tier.model import BOUNDS, Night, Script, Trouble
-from testbed.tier.model import play as play_protocol
+from testbed.tier.model import LIMITS, Fault, Scenario, Script
+from testbed.tier.model import run_seed as run_protocol_seed
 from testbed.tier.processes import run as run_processes
 
-PARTS = ("nights", "scopes", "processes", "times", "line")
-FIRST = 1_001  # random scenarios: apart from those of the tests
-PROCESSES_FROM = 30_050_001
-SETTLED_MS = 10_000.0  # by then a scenario is steady, and the measured fault comes
-FAIR = 0.9  # of its part: a node has it
+SECTIONS = ("nights", "scopes", "processes", "times", "line")
+FIRST_SEED = 1_001  # random scenarios: apart from those of the tests
+FIRST_PROCESSES_SEED = 30_050_001
+SETTLE_MS = 10_000.0  # by then a scenario is steady, and the measured fault comes
+FAIR_FRACTION = 0.9  # of its part: a node has it
 # Aims, in s, over all seeds of a size: docs/tier.md says how they follow from the constants.
-DETECT_S = {4: 7.0, 37: 8.0, 200: 10.0}
-KEEPER_S = 6.5  # until there is one again, after the last one died
-FAIR_S = 5.0  # until all have their part, after half of the others went or came
-BYTES_S = 600.0  # a node, in the mean
-AWAY = 0.5  # of the reads that are not at their key's usual box without a common line
-SCOPES: list[tuple[str, Scope]] = [
+DETECTION_AIM_S = {4: 7.0, 37: 8.0, 200: 10.0}
+LEADER_AIM_S = 6.5  # until there is one again, after the last one died
+FAIR_AIM_S = 5.0  # until all have their part, after half of the others went or came
+BYTES_PER_S_AIM = 600.0  # a node, in the mean
+ELSEWHERE_AIM = 0.5  # of the reads that are not at their key's usual box without a common line
+CLEAN_SCOPES: list[tuple[str, Scope]] = [
     ("one caller, three calls, two units", Scope(span=2, calls=3, callers=(0,))),
     ("two callers, two calls, three units", Scope(span=3, calls=2)),
     ("two callers, four calls, a restart", Scope(span=0, calls=4, callers=(0, 2), restarts=1)),
@@ -56,7 +56,7 @@
     ),
     ("two callers, three calls, four units", Scope(span=4, calls=3, most_states=400_000)),
 ]
-FOUND: list[tuple[str, Scope]] = [
+PLANTED_SCOPES: list[tuple[str, Scope]] = [
     ("half-is-enough", Scope(span=0, calls=2)),
     ("spent-twice", Scope(span=0, calls=4, callers=(0,))),
     ("votes-for-two", Scope(span=0, calls=4, callers=(0, 2))),
@@ -66,21 +66,25 @@
 ]
 
 
-def nights(quick: bool, jobs: int) -> tuple[dict[str, Any], bool]:
+def check_scenarios(quick: bool, jobs: int) -> tuple[dict[str, Any], bool]:
     """The invariant over random scenarios, and the seed at which each planted defect breaks it."""
-    count = 400 if quick else 5_000
-    whole = 16 if quick else 400
+    protocol_count = 400 if quick else 5_000
+    whole_count = 16 if quick else 400
     with ProcessPoolExecutor(jobs) as pool:
         began = time.monotonic()
-        failed = [
-            seed for seed, found in _over(pool, play_protocol, range(FIRST, FIRST + count)) if found
+        protocol_failed = [
+            seed
+            for seed, failures in _map_seeds(
+                pool, run_protocol_seed, range(FIRST_SEED, FIRST_SEED + protocol_count)
+            )
+            if failures
         ]
         protocol_s = time.monotonic() - began
         began = time.monotonic()
-        broken = [
+        whole_failed = [
             summary.seed
-            for _, summary in _over(
-                pool, play_night, range(TIER_FIRST_SEED, TIER_FIRST_SEED + whole)
+            for _, summary in _map_seeds(
+                pool, run_whole_node_seed, range(TIER_FIRST_SEED, TIER_FIRST_SEED + whole_count)
             )
             if summary.failures
         ]
@@ -88,77 +92,83 @@
         names = [
             name for name in DEFECTS if not quick or name in ("never-given-back", "votes-for-two")
         ]
-        found = dict(zip(names, pool.map(_first_seed, names), strict=True))
-    print(f"nights of the protocol: {count} in {protocol_s:.0f} s, failed: {failed or 'none'}")
-    print(f"nights of whole nodes: {whole} in {whole_s:.0f} s, failed: {broken or 'none'}")
-    for name, seed in found.items():
+        first_seeds = dict(zip(names, pool.map(_first_seed, names), strict=True))
+    print(
+        f"nights of the protocol: {protocol_count} in {protocol_s:.0f} s, failed: {protocol_failed or 'none'}"
+    )
+    print(
+        f"nights of whole nodes: {whole_count} in {whole_s:.0f} s, failed: {whole_failed or 'none'}"
+    )
+    for name, seed in first_seeds.items():
         print(
             f"  planted {name}: {'seed ' + str(seed) if seed else 'not by the first 1,000 seeds'}"
         )
-    figures = {
-        "protocol": count,
-        "protocol_failed": failed,
-        "whole": whole,
-        "whole_failed": broken,
-        "defects": found,
+    results = {
+        "protocol": protocol_count,
+        "protocol_failed": protocol_failed,
+        "whole": whole_count,
+        "whole_failed": whole_failed,
+        "defects": first_seeds,
     }
-    return figures, not failed and not broken and sum(seed > 0 for seed in found.values()) >= (
-        2 if quick else 7
-    )
+    return results, not protocol_failed and not whole_failed and sum(
+        seed > 0 for seed in first_seeds.values()
+    ) >= (2 if quick else 7)
 
 
-def _over(
-    pool: ProcessPoolExecutor, play: Callable[[int], Any], seeds: Iterable[int]
+def _map_seeds(
+    pool: ProcessPoolExecutor, run: Callable[[int], Any], seeds: Iterable[int]
 ) -> Iterable[tuple[int, Any]]:
     seeds = list(seeds)
-    return zip(seeds, pool.map(play, seeds, chunksize=4), strict=True)
+    return zip(seeds, pool.map(run, seeds, chunksize=4), strict=True)
 
 
 def _first_seed(name: str) -> int:
     with planted(name):
-        return next((seed for seed in range(1, 1_001) if play_protocol(seed)), 0)
+        return next((seed for seed in range(1, 1_001) if run_protocol_seed(seed)), 0)
 
 
-def scopes(quick: bool, jobs: int) -> tuple[dict[str, Any], bool]:
+def check_scopes(quick: bool, jobs: int) -> tuple[dict[str, Any], bool]:
     """All interleavings of small scopes, and the fewest steps to each planted defect."""
-    figures: dict[str, Any] = {}
-    good = True
+    results: dict[str, Any] = {}
+    passed = True
     with ProcessPoolExecutor(jobs) as pool:
-        clean = SCOPES[1:2] if quick else SCOPES
+        scopes_to_walk = CLEAN_SCOPES[1:2] if quick else CLEAN_SCOPES
         for (name, _), outcome in zip(
-            clean, pool.map(walk, [scope for _, scope in clean]), strict=True
+            scopes_to_walk, pool.map(walk, [scope for _, scope in scopes_to_walk]), strict=True
         ):
             ended = "to its end" if outcome.whole else "as far as this"
-            kept = outcome.trail or "the whole is kept"
+            verdict = outcome.trail or "the whole is kept"
             print(
-                f"scope {name}: {outcome.states} states {ended}, in {outcome.granted} of them somebody holds parts; {kept}"
+                f"scope {name}: {outcome.states} states {ended}, in {outcome.granted} of them somebody holds parts; {verdict}"
             )
-            figures[name] = {
+            results[name] = {
                 "states": outcome.states,
                 "ended": outcome.whole,
                 "trail": outcome.trail,
             }
-            good &= not outcome.trail
-        some = FOUND[:3] if quick else FOUND
-        for (name, _), outcome in zip(some, pool.map(_walk_planted, some), strict=True):
+            passed &= not outcome.trail
+        planted_scopes = PLANTED_SCOPES[:3] if quick else PLANTED_SCOPES
+        for (name, _), outcome in zip(
+            planted_scopes, pool.map(_walk_planted, planted_scopes), strict=True
+        ):
             print(f"  planted {name}: {len(outcome.trail)} steps after {outcome.states} states")
-            figures[f"planted {name}"] = {"states": outcome.states, "steps": list(outcome.trail)}
-            good &= bool(outcome.trail)
-    return figures, good
+            results[f"planted {name}"] = {"states": outcome.states, "steps": list(outcome.trail)}
+            passed &= bool(outcome.trail)
+    return results, passed
 
 
-def _walk_planted(which: tuple[str, Scope]) -> Any:
-    with planted(which[0]):
-        return walk(which[1])
+def _walk_planted(case: tuple[str, Scope]) -> Any:
+    with planted(case[0]):
+        return walk(case[1])
 
 
-def processes(quick: bool, jobs: int) -> tuple[dict[str, Any], bool]:
+def check_processes(quick: bool, jobs: int) -> tuple[dict[str, Any], bool]:
     """Random scenarios of real processes, two at a time."""
-    seeds = list(range(PROCESSES_FROM, PROCESSES_FROM + (2 if quick else 20)))
-    good = True
-    figures: dict[str, Any] = {}
+    seeds = list(range(FIRST_PROCESSES_SEED, FIRST_PROCESSES_SEED + (2 if quick else 20)))
+    passed = True
+    results: dict[str, Any] = {}
     with ProcessPoolExecutor(min(2, jobs)) as pool:
-        for seed, report in _over(pool, _play_processes, seeds):
+        for seed, report in _map_seeds(pool, _run_random_processes, seeds):
             held = max(report["most_held"].values(), default=0) / TOTAL_SHARES
             cold = max((box["worst"] for box in report["cold"].values()), default=0.0)
             requests = report["requests"]
@@ -168,93 +178,99 @@
                 f"{report['failures'] or 'no rule broken'}",
                 flush=True,
             )
-            figures[str(seed)] = {
+            results[str(seed)] = {
                 "nodes": report["nodes"], "leases": report["leases"], "most_held": held, "cold": cold, "requests": requests,
                 "failures": report["failures"],
             }  # fmt: skip
-            good &= not report["failures"]
-    return figures, good
+            passed &= not report["failures"]
+    return results, passed
 
 
-def _play_processes(seed: int) -> dict[str, Any]:
+def _run_random_processes(seed: int) -> dict[str, Any]:
     script = draw(seed)
     return {**run_processes(script, seed), "nodes": script.world.nodes}
 
 
-def times(quick: bool, jobs: int) -> tuple[dict[str, Any], bool]:
+def measure_times(quick: bool, jobs: int) -> tuple[dict[str, Any], bool]:
     """How soon: distributions over seeds, at several sizes."""
     seeds = 10 if quick else 100
     sizes = (4, 37) if quick else (4, 37, 200)
-    figures: dict[str, Any] = {}
-    good = True
+    results: dict[str, Any] = {}
+    passed = True
     with ProcessPoolExecutor(jobs) as pool:
         for count in sizes:
-            rows = list(pool.map(_times, [(count, seed) for seed in range(seeds)], chunksize=2))
+            rows = list(
+                pool.map(_measure_times, [(count, seed) for seed in range(seeds)], chunksize=2)
+            )
             aims = {
-                "death known": DETECT_S[count],
-                "keeper again": KEEPER_S,
-                "fair, half went": FAIR_S,
-                "fair, half came": FAIR_S,
+                "death known": DETECTION_AIM_S[count],
+                "keeper again": LEADER_AIM_S,
+                "fair, half went": FAIR_AIM_S,
+                "fair, half came": FAIR_AIM_S,
             }
             for name, aim in aims.items():
                 values = sorted(row[name] for row in rows)
                 missed = values[-1] > aim
-                good &= not missed
+                passed &= not missed
                 print(
-                    f"{count:4} nodes, {name:<16} s: {statistics.median(values):6.2f} median, {_at(values, 0.9):6.2f} at 90%, "
+                    f"{count:4} nodes, {name:<16} s: {statistics.median(values):6.2f} median, {_quantile(values, 0.9):6.2f} at 90%, "
                     f"{values[-1]:6.2f} most (aim {aim:g}{', MISSED' if missed else ''})"
                 )
-                figures[f"{count}/{name}"] = {
+                results[f"{count}/{name}"] = {
                     "median": statistics.median(values),
-                    "p90": _at(values, 0.9),
+                    "p90": _quantile(values, 0.9),
                     "most": values[-1],
                     "aim": aim,
                 }
             mean = statistics.fmean(row["bytes"] for row in rows)
-            cpu = _cost(count, 20.0)["cpu"]
-            good &= mean <= BYTES_S
+            cpu = _measure_cost(count, 20.0)["cpu"]
+            passed &= mean <= BYTES_PER_S_AIM
             print(
-                f"{count:4} nodes, each in the mean: {mean:.0f} bytes a second (aim {BYTES_S:g}), {1000.0 * cpu:.2f} ms of CPU a second"
+                f"{count:4} nodes, each in the mean: {mean:.0f} bytes a second (aim {BYTES_PER_S_AIM:g}), "
+                f"{1000.0 * cpu:.2f} ms of CPU a second"
             )
-            figures[f"{count}/cost"] = {"bytes_per_s": mean, "cpu_ms_per_s": 1000.0 * cpu}
+            results[f"{count}/cost"] = {"bytes_per_s": mean, "cpu_ms_per_s": 1000.0 * cpu}
     if not quick:
-        row = _cost(1_000, 20.0)
+        row = _measure_cost(1_000, 20.0)
         print(
             f"1000 nodes, each in the mean: {row['bytes']:.0f} bytes a second, {1000.0 * row['cpu']:.2f} ms of CPU a second"
         )
-        figures["1000/cost"] = row
-    return figures, good
+        results["1000/cost"] = row
+    return results, passed
 
 
-def line(quick: bool, jobs: int) -> tuple[dict[str, Any], bool]:
+def measure_line(quick: bool, jobs: int) -> tuple[dict[str, Any], bool]:
     """Twelve whole nodes before twelve boxes, calm, on the virtual clock.
 
     With the tier off, on, and with one part of it alone.
     """
     seeds = range(1, 3 if quick else 9)
-    figures: dict[str, Any] = {}
+    results: dict[str, Any] = {}
     with ProcessPoolExecutor(jobs) as pool:
         kinds = ("off", "shares", "line", "on")
-        which = [(kind, seed) for seed in seeds for kind in kinds]
-        rows = dict(zip(which, pool.map(_calm, which), strict=True))
+        cases = [(kind, seed) for seed in seeds for kind in kinds]
+        rows = dict(zip(cases, pool.map(_run_calm_scenario, cases), strict=True))
     for kind in kinds:
-        some = [rows[kind, seed] for seed in seeds]
+        kind_rows = [rows[kind, seed] for seed in seeds]
         usual, fetches, in_time = (
-            statistics.fmean(row[name] for row in some) for name in ("usual", "fetches", "in_time")
+            statistics.fmean(row[name] for row in kind_rows)
+            for name in ("usual", "fetches", "in_time")
         )
         print(
             f"tier {kind:<7} {usual:.4f} of reads at their key's usual box, {fetches:.0f} fetches, {in_time:.4f} in time"
         )
-        figures[kind] = {"usual": usual, "fetches": fetches, "in_time": in_time}
-    away = {kind: 1.0 - figures[kind]["usual"] for kind in kinds}
-    print(f"reads elsewhere: {away['on'] / away['off']:.2f} of those without (aim {AWAY:g})")
-    return figures, away["on"] <= AWAY * away["off"] and not any(
+        results[kind] = {"usual": usual, "fetches": fetches, "in_time": in_time}
+    away = {kind: 1.0 - results[kind]["usual"] for kind in kinds}
+    print(
+        f"reads elsewhere: {away['on'] / away['off']:.2f} of those without (aim {ELSEWHERE_AIM:g})"
+    )
+    return results, away["on"] <= ELSEWHERE_AIM * away["off"] and not any(
         row["failures"] for row in rows.values()
     )
 
 
-def _calm(which: tuple[str, int]) -> dict[str, Any]:
-    kind, seed = which
+def _run_calm_scenario(case: tuple[str, int]) -> dict[str, Any]:
+    kind, seed = case
     world: dict[str, Any] = {
         "seconds": 40.0,
         "nodes": 12,
@@ -263,87 +279,91 @@
         "keys": 4_000,
         "tier": kind,
     }
-    result = play_whole(seed, msgspec.convert({"world": world}, NightScript))
-    figures = result.figures
+    result = run_simulation(seed, msgspec.convert({"world": world}, ScenarioScript))
+    totals = result.figures
     return {
-        "usual": result.usual, "fetches": result.fetches, "in_time": figures.in_time / max(1, figures.asked), "failures": result.failures,
+        "usual": result.usual, "fetches": result.fetches, "in_time": totals.in_time / max(1, totals.asked), "failures": result.failures,
     }  # fmt: skip
 
 
-def _at(values: list[float], part: float) -> float:
-    return values[min(len(values) - 1, int(part * len(values)))]
+def _quantile(values: list[float], fraction: float) -> float:
+    return values[min(len(values) - 1, int(fraction * len(values)))]
 
 
-def _cost(count: int, seconds: float) -> dict[str, float]:
+def _measure_cost(count: int, seconds: float) -> dict[str, float]:
     began = time.process_time()
-    night = Night(Script(count, seconds), 1).run()
+    scenario = Scenario(Script(count, seconds), 1).run()
     cpu = (time.process_time() - began) / count / seconds
-    return {"bytes": night.sent_bytes / count / seconds, "cpu": cpu}
+    return {"bytes": scenario.sent_bytes / count / seconds, "cpu": cpu}
 
 
-def _times(which: tuple[int, int]) -> dict[str, float]:
+def _measure_times(case: tuple[int, int]) -> dict[str, float]:
     """One seed at one size: the death of a follower, of the leader, half away, half back."""
-    count, seed = which
-    some = tuple(
+    count, seed = case
+    half = tuple(
         range(count - count // 2 + (count % 2 == 0 and count > 4), count)
     )  # never more than half of the votes
-    night = Night(Script(count, 60.0), seed).run(SETTLED_MS)
-    keeper = next(node.tier.slot for node in night.nodes if node.tier.is_leader(node.now))
-    victim = (keeper + 1) % count or 1
-    seen: dict[int, float] = {}
+    scenario = Scenario(Script(count, 60.0), seed).run(SETTLE_MS)
+    leader = next(node.tier.slot for node in scenario.nodes if node.tier.is_leader(node.now))
+    victim = (leader + 1) % count or 1
+    detected_ms: dict[int, float] = {}
 
-    def changed(by: int, slot: int, state: str) -> None:
+    def on_change(by: int, slot: int, state: str) -> None:
         if slot == victim and state == "dead":
-            seen.setdefault(by, night.now)
-
-    night.on_change = changed
-    night._do_kill(Trouble(0.0, "kill", (victim,), 0.0))
-    died = night.now
-    _until(night, lambda: len(seen) >= count - 1, 30_000.0)
-    known = night.now - died
-    night._revive(victim)
-    night.run(night.now + SETTLED_MS)
-    keeper = next(node.tier.slot for node in night.nodes if node.tier.is_leader(node.now))
-    night._do_kill(Trouble(0.0, "kill", (keeper,), 0.0))
-    died = night.now
-    _until(night, lambda: any(node.tier.is_leader(node.now) for node in night.alive()), 60_000.0)
-    again = night.now - died
-    night._revive(keeper)
-    night.run(night.now + SETTLED_MS)
-    keeper = next(node.tier.slot for node in night.nodes if node.tier.is_leader(node.now))
-    away = tuple(slot for slot in some if slot != keeper)
-    night._do_kill(Trouble(0.0, "kill", away, 0.0))
-    went = night.now
-    _until(night, lambda: _fair(night), 60_000.0)
-    half_went = night.now - went
-    for slot in away:
-        night._revive(slot)
-    came = night.now
-    _until(night, lambda: _fair(night), 60_000.0)
-    assert not night.failures, night.failures
+            detected_ms.setdefault(by, scenario.now)
+
+    scenario.on_change = on_change
+    scenario._do_kill(Fault(0.0, "kill", (victim,), 0.0))
+    died_ms = scenario.now
+    _run_until(scenario, lambda: len(detected_ms) >= count - 1, 30_000.0)
+    detection_ms = scenario.now - died_ms
+    scenario._restart(victim)
+    scenario.run(scenario.now + SETTLE_MS)
+    leader = next(node.tier.slot for node in scenario.nodes if node.tier.is_leader(node.now))
+    scenario._do_kill(Fault(0.0, "kill", (leader,), 0.0))
+    died_ms = scenario.now
+    _run_until(
+        scenario, lambda: any(node.tier.is_leader(node.now) for node in scenario.alive()), 60_000.0
+    )
+    election_ms = scenario.now - died_ms
+    scenario._restart(leader)
+    scenario.run(scenario.now + SETTLE_MS)
+    leader = next(node.tier.slot for node in scenario.nodes if node.tier.is_leader(node.now))
+    stopped = tuple(slot for slot in half if slot != leader)
+    scenario._do_kill(Fault(0.0, "kill", stopped, 0.0))
+    stopped_ms = scenario.now
+    _run_until(scenario, lambda: _shares_are_fair(scenario), 60_000.0)
+    fair_after_stop_ms = scenario.now - stopped_ms
+    for slot in stopped:
+        scenario._restart(slot)
+    returned_ms = scenario.now
+    _run_until(scenario, lambda: _shares_are_fair(scenario), 60_000.0)
+    assert not scenario.failures, scenario.failures
     row = {
-        "death known": known,
-        "keeper again": again,
-        "fair, half went": half_went,
-        "fair, half came": night.now - came,
+        "death known": detection_ms,
+        "keeper again": election_ms,
+        "fair, half went": fair_after_stop_ms,
+        "fair, half came": scenario.now - returned_ms,
     }
     return {name: ms / 1000.0 for name, ms in row.items()} | {
-        "bytes": night.sent_bytes / count / (night.now / 1000.0)
+        "bytes": scenario.sent_bytes / count / (scenario.now / 1000.0)
     }
 
 
-def _until(night: Night, true: Callable[[], bool], most_ms: float) -> None:
+def _run_until(scenario: Scenario, condition: Callable[[], bool], max_ms: float) -> None:
     """Play on in steps of 50 ms until something holds, for so long at most."""
-    end = night.now + most_ms
-    while not true() and night.now < end:
-        night.run(night.now + 50.0)
+    end = scenario.now + max_ms
+    while not condition() and scenario.now < end:
+        scenario.run(scenario.now + 50.0)
 
 
-def _fair(night: Night) -> bool:
+def _shares_are_fair(scenario: Scenario) -> bool:
     """Whether each node that lives has its part of each bound, by max-min of equal wants."""
-    alive = night.alive()
+    alive = scenario.alive()
     return all(
-        node.holds(bound) >= FAIR * TOTAL_SHARES / len(alive) for bound in BOUNDS for node in alive
+        node.held_shares(limit) >= FAIR_FRACTION * TOTAL_SHARES / len(alive)
+        for limit in LIMITS
+        for node in alive
     )
 
 
@@ -354,26 +374,26 @@
     parser.add_argument("--json", type=Path, metavar="FILE")
     parser.add_argument("--jobs", type=int, default=8)
     parser.add_argument(
-        "--part", action="append", choices=PARTS, help="this part alone (may be given again)"
+        "--part", action="append", choices=SECTIONS, help="this part alone (may be given again)"
     )
     args = parser.parse_args()
-    figures: dict[str, Any] = {}
-    good = True
-    parts = {
-        "nights": nights,
-        "scopes": scopes,
-        "processes": processes,
-        "times": times,
-        "line": line,
+    results: dict[str, Any] = {}
+    passed = True
+    sections = {
+        "nights": check_scenarios,
+        "scopes": check_scopes,
+        "processes": check_processes,
+        "times": measure_times,
+        "line": measure_line,
     }
-    for name in args.part or PARTS:
-        figures[name], held = parts[name](args.quick, args.jobs)
-        good &= held
-        if not held:
+    for name in args.part or SECTIONS:
+        results[name], section_passed = sections[name](args.quick, args.jobs)
+        passed &= section_passed
+        if not section_passed:
             print(f"{name}: an aim is missed", file=sys.stderr)
     if args.json:
-        args.json.write_text(json.dumps(figures, indent=1) + "\n")
-    return 0 if good else 1
+        args.json.write_text(json.dumps(results, indent=1) + "\n")
+    return 0 if passed else 1
 
 
 if __name__ == "__main__":
--- a/testbed/soak/oracle.py
+++ b/testbed/soak/oracle.py
@@ -396,7 +396,7 @@
             and record is not None
             and (record.ask.node, box.name) in self._start_known
         ):
-            cold.got.append((now_ms(), work_ms, record.ask.node))
+            cold.received.append((now_ms(), work_ms, record.ask.node))
 
     def request_turned_away(self, box: CacheBox, txn: str) -> None:
         record = self._records.get(txn)
@@ -442,10 +442,10 @@
     def check_totals(self) -> None:
         """Check the rules that need the observations of the whole run."""
         for name, cold in self.cold_servers.items():
-            if cold.worst() > 1.0:
+            if cold.peak_budget_use() > 1.0:
                 self.record_violation(
                     Rule.FAILBACK,
-                    f"{name} got {cold.worst():.2f} times its budget of work "
+                    f"{name} got {cold.peak_budget_use():.2f} times its budget of work "
                     "from nodes that were notified of its start",
                 )
         served = sum(self._unframed.values())
--- a/testbed/tier/defects.py
+++ b/testbed/tier/defects.py
@@ -13,126 +13,126 @@
 from forkweir.tier import leases
 from forkweir.tier.leases import Allocator, Candidacy, HeldLeases, Lease, Ledger, ProcessId, Voter
 
-Patch = Callable[[], Any]
+PatchFactory = Callable[[], Any]
 
 
-def _never_given_back() -> Any:
+def _expired_lease_counts() -> Any:
     """A lease that has ended is still held."""
 
-    def lease(self: HeldLeases, bound: int, now: float) -> Optional[Lease]:
-        return self.leases.get(bound)
+    def lease(self: HeldLeases, limit: int, now: float) -> Optional[Lease]:
+        return self.leases.get(limit)
 
     return patch.object(HeldLeases, "lease", lease)
 
 
-def _spent_twice() -> Any:
+def _regrants_before_expiry() -> Any:
     """Shares taken back are granted at once, though their holder may not have been notified."""
 
-    def holders(self: Ledger, bound: int, now: float) -> dict[ProcessId, int]:
+    def outstanding(self: Ledger, limit: int, now: float) -> dict[ProcessId, int]:
         return {
-            who: grants[-1][1]
-            for who, grants in self._grants.get(bound, {}).items()
+            process: grants[-1][1]
+            for process, grants in self._grants.get(limit, {}).items()
             if grants[-1][0] > now
         }
 
-    return patch.object(Ledger, "outstanding", holders)
+    return patch.object(Ledger, "outstanding", outstanding)
 
 
-def _votes_at_once() -> Any:
+def _votes_right_after_start() -> Any:
     """A process that has begun promises its vote though the one before it may have."""
-    usual = Voter.__init__
+    original = Voter.__init__
 
-    def begin(self: Voter, vote_ms: float, now: float) -> None:
-        usual(self, vote_ms, now)
+    def init(self: Voter, vote_ms: float, now: float) -> None:
+        original(self, vote_ms, now)
         self.until_ms = now
 
-    return patch.object(Voter, "__init__", begin)
+    return patch.object(Voter, "__init__", init)
 
 
-def _counts_from_its_coming() -> Any:
+def _lease_counts_from_arrival() -> Any:
     """A grant counts from when it comes, and not from when the reply that it answers was sent."""
-    usual = HeldLeases.accept_grant
+    original = HeldLeases.accept_grant
 
-    def take(
+    def accept_grant(
         self: HeldLeases,
-        keeper: ProcessId,
+        leader: ProcessId,
         number: int,
         echo: int,
-        hold_ms: float,
+        lease_ms: float,
         size: float,
-        bound: int,
-        parts: int,
+        limit: int,
+        shares: int,
         now: float,
     ) -> bool:
         if echo in self._replies_sent_ms:
             self._replies_sent_ms[echo] = now
-        return usual(self, keeper, number, echo, hold_ms, size, bound, parts, now)
+        return original(self, leader, number, echo, lease_ms, size, limit, shares, now)
 
-    return patch.object(HeldLeases, "accept_grant", take)
+    return patch.object(HeldLeases, "accept_grant", accept_grant)
 
 
-def _trusts_clocks() -> Any:
+def _no_clock_safety_factor() -> Any:
     """Nothing is taken off for clocks that run apart."""
     return patch.object(leases, "CLOCK_SAFETY_FACTOR", 1.0)
 
 
-def _votes_for_two() -> Any:
+def _votes_twice() -> Any:
     """A promise is forgotten when another asks."""
 
-    def ask(self: Voter, who: ProcessId, number: int, now: float) -> bool:
-        self.voted_for, self.until_ms = who, now + self.vote_ms
+    def request_vote(self: Voter, process: ProcessId, number: int, now: float) -> bool:
+        self.voted_for, self.until_ms = process, now + self.vote_ms
         return True
 
-    return patch.object(Voter, "request_vote", ask)
+    return patch.object(Voter, "request_vote", request_vote)
 
 
-def _late_word() -> Any:
+def _release_ignores_call_number() -> Any:
     """A step-down releases all votes for a candidate, whichever call they were for."""
 
-    def release(self: Voter, who: ProcessId, number: int, now: float) -> None:
-        if self.voted_for == who:
+    def release(self: Voter, process: ProcessId, number: int, now: float) -> None:
+        if self.voted_for == process:
             self.voted_for, self.until_ms = None, now
 
     return patch.object(Voter, "release", release)
 
 
-def _outlasts_its_majority() -> Any:
+def _grants_beyond_majority() -> Any:
     """A leader grants for the usual time, however soon its votes expire."""
-    usual = Candidacy.majority_until
+    original = Candidacy.majority_until
 
-    def stands_until(self: Candidacy) -> float:
-        until = usual(self)
-        return until + 4.0 * self.vote_ms if until > 0.0 else until
+    def majority_until(self: Candidacy) -> float:
+        until_ms = original(self)
+        return until_ms + 4.0 * self.vote_ms if until_ms > 0.0 else until_ms
 
-    return patch.object(Candidacy, "majority_until", stands_until)
+    return patch.object(Candidacy, "majority_until", majority_until)
 
 
-def _half_is_enough() -> Any:
+def _half_is_majority() -> Any:
     """Half of the votes pass for more than half."""
     return patch.object(leases, "majority", lambda count: max(1, count // 2))
 
 
-def _any_process() -> Any:
+def _accepts_grant_for_predecessor() -> Any:
     """A grant for the process before it is taken by the one that has the node's address now."""
-    usual = Allocator.on_grant
+    original = Allocator.on_grant
 
-    def granted(self: Allocator, keeper: ProcessId, to: int, *rest: Any) -> bool:
-        return usual(self, keeper, self.process[1], *rest)
+    def on_grant(self: Allocator, leader: ProcessId, to: int, *arguments: Any) -> bool:
+        return original(self, leader, self.process[1], *arguments)
 
-    return patch.object(Allocator, "on_grant", granted)
+    return patch.object(Allocator, "on_grant", on_grant)
 
 
-DEFECTS: dict[str, Patch] = {
-    "never-given-back": _never_given_back,
-    "spent-twice": _spent_twice,
-    "votes-at-once": _votes_at_once,
-    "counts-from-its-coming": _counts_from_its_coming,
-    "trusts-clocks": _trusts_clocks,
-    "votes-for-two": _votes_for_two,
-    "outlasts-its-majority": _outlasts_its_majority,
-    "half-is-enough": _half_is_enough,
-    "any-process": _any_process,
-    "late-word": _late_word,
+DEFECTS: dict[str, PatchFactory] = {
+    "never-given-back": _expired_lease_counts,
+    "spent-twice": _regrants_before_expiry,
+    "votes-at-once": _votes_right_after_start,
+    "counts-from-its-coming": _lease_counts_from_arrival,
+    "trusts-clocks": _no_clock_safety_factor,
+    "votes-for-two": _votes_twice,
+    "outlasts-its-majority": _grants_beyond_majority,
+    "half-is-enough": _half_is_majority,
+    "any-process": _accepts_grant_for_predecessor,
+    "late-word": _release_ignores_call_number,
 }
 
 
--- a/testbed/tier/processes.py
+++ b/testbed/tier/processes.py
@@ -55,7 +55,13 @@
     majority_box_share,
 )
 from testbed.systems.http import Message, fetch_body
-from testbed.tier.books import ColdBox, Span, at_time, most_held, spans_of
+from testbed.tier.books import (
+    ColdBox,
+    LeaseInterval,
+    lease_intervals,
+    max_shares_held,
+    shares_held_at,
+)
 from testbed.tier.relay import Link, Relay
 
 ROOT = Path(__file__).parents[2]
@@ -148,7 +154,7 @@
         self._begun[txn].append(box.name)
         cold = self.cold.get(box.name)
         if cold is not None:
-            cold.got.append((now_ms(), work_ms, node))
+            cold.received.append((now_ms(), work_ms, node))
 
     def request_turned_away(self, box: CacheBox, txn: str) -> None:
         self._begun[txn].pop()
@@ -399,12 +405,12 @@
         for bound, parts, since, until in view["taken"]:
             life.taken[bound, since] = bound, parts, since, until
 
-    def spans(self) -> list[Span]:
+    def spans(self) -> list[LeaseInterval]:
         """All leases that were taken, as far as they were seen."""
-        spans: list[Span] = []
+        spans: list[LeaseInterval] = []
         for node in self.nodes:
             for life in node.lives:
-                spans += spans_of(node.slot, life.token, life.taken.values(), life.ended)
+                spans += lease_intervals(node.slot, life.token, life.taken.values(), life.ended)
         return spans
 
     # -- the play ------------------------------------------------------------------------
@@ -666,17 +672,17 @@
         assert self.clients is not None
         figures, spans = self.clients.totals, self.spans()
         failures = list(self.watch.failures)
-        held = most_held(spans)
+        held = max_shares_held(spans)
         for bound, (parts, at) in held.items():
             if parts > TOTAL_SHARES:
-                who = {f"n{node}": some for node, some in at_time(spans, bound, at).items()}
+                who = {f"n{node}": some for node, some in shares_held_at(spans, bound, at).items()}
                 failures.append(
                     f"shares add up: of bound {bound} {parts} parts of {TOTAL_SHARES} at {(at - self._began) / 1000.0:.3f} s: {who}"
                 )
         for name, cold in self.watch.cold.items():
-            if cold.worst() > 1.0:
+            if cold.peak_budget_use() > 1.0:
                 failures.append(
-                    f"no cold server pushed over: {name} got {cold.worst():.2f} of its budget from all nodes together"
+                    f"no cold server pushed over: {name} got {cold.peak_budget_use():.2f} of its budget from all nodes together"
                 )
         for node in self.nodes:
             for life in node.lives:
@@ -704,7 +710,10 @@
                 "failed": figures.failed, "unanswered": figures.unanswered,
             },
             "work_ms": {box: {node: round(work) for node, work in sorted(by.items())} for box, by in sorted(self.watch.work.items())},
-            "cold": {name: {"worst": round(cold.worst(), 3), "work_ms": cold.by_node()} for name, cold in sorted(self.watch.cold.items())},
+            "cold": {
+                name: {"worst": round(cold.peak_budget_use(), 3), "work_ms": cold.work_by_node()}
+                for name, cold in sorted(self.watch.cold.items())
+            },
             "usual": round(majority_box_share(self.watch.reads), 4),
             "fetches": self.book.fetches,
             "lines": {name: view["line"] and view["line"]["digest"] for name, view in views.items()},
@@ -712,8 +721,11 @@
             "most_held": {names.get(str(bound), str(bound)) or "fetches": parts for bound, (parts, _) in sorted(held.items())},
             "whole": TOTAL_SHARES,
             "held": [
-                [round((s.since - self._began) / 1000.0, 3), round((s.until - self._began) / 1000.0, 3), f"n{s.node}", s.bound, s.parts]
-                for s in sorted(spans, key=lambda span: span.since)[:MOST_TOLD]
+                [
+                    round((s.start_ms - self._began) / 1000.0, 3), round((s.end_ms - self._began) / 1000.0, 3),
+                    f"n{s.node}", s.limit, s.shares,
+                ]
+                for s in sorted(spans, key=lambda span: span.start_ms)[:MOST_TOLD]
             ],
             "keepers": sorted(name for name, view in views.items() if view["keeps"]),
             "members": {name: [m["slot"] for m in view["members"] if m["state"] in ("alive", "suspect")] for name, view in views.items()},
--- a/testbed/tier/virtual.py
+++ b/testbed/tier/virtual.py
@@ -9,26 +9,26 @@
 
 from forkweir.tier.leases import TOTAL_SHARES
 from testbed.nights.script import Script
-from testbed.nights.simulation import run as play
+from testbed.nights.simulation import run as run_simulation
 
 
 def run(script: Script, seed: int) -> dict[str, Any]:
     """Play a script; return a report in the form of that of real processes, as far as known."""
-    result = play(script=script, seed=seed)
-    figures = result.figures
+    result = run_simulation(script=script, seed=seed)
+    totals = result.figures
     return {
         "seed": seed,
         "seconds": script.world.seconds,
         "real_s": round(result.real_s, 2),
         "failures": [str(failure) for failure in result.failures],
         "requests": {
-            "asked": figures.asked, "served": figures.served, "in_time": figures.in_time, "refused": figures.refused,
-            "failed": figures.failed, "unanswered": figures.unanswered,
+            "asked": totals.asked, "served": totals.served, "in_time": totals.in_time, "refused": totals.refused,
+            "failed": totals.failed, "unanswered": totals.unanswered,
         },
         "usual": round(result.usual, 4),
         "fetches": result.fetches,
         "leases": result.leases,
-        "most_held": {str(bound): parts for bound, parts in sorted(result.max_held.items())},
+        "most_held": {str(limit): shares for limit, shares in sorted(result.max_held.items())},
         "whole": TOTAL_SHARES,
         "trace": result.digest,
         "cold": {},
--- a/tests/tier/test_processes.py
+++ b/tests/tier/test_processes.py
@@ -17,7 +17,13 @@
 from forkweir.tier.leases import TOTAL_SHARES
 from testbed.nights.rules import Rules
 from testbed.nights.script import InvalidScript, Script, parse_script
-from testbed.tier.books import ColdBox, Span, at_time, most_held, spans_of
+from testbed.tier.books import (
+    ColdBox,
+    LeaseInterval,
+    lease_intervals,
+    max_shares_held,
+    shares_held_at,
+)
 from testbed.tier.defects import planted
 from testbed.tier.processes import Rig, Unplayable, run
 from testbed.tier.virtual import run as run_virtual
@@ -350,17 +356,20 @@
 
 
 def test_books_sum_what_was_held_at_once() -> None:
-    first = spans_of(
+    first = lease_intervals(
         0, 5, [(7, 100, 0.0, 50.0), (7, 40, 30.0, 90.0), (8, 9, 0.0, 5.0)], float("inf")
     )
     assert first == [
-        Span(0, 5, 7, 100, 0.0, 30.0),
-        Span(0, 5, 7, 40, 30.0, 90.0),
-        Span(0, 5, 8, 9, 0.0, 5.0),
+        LeaseInterval(0, 5, 7, 100, 0.0, 30.0),
+        LeaseInterval(0, 5, 7, 40, 30.0, 90.0),
+        LeaseInterval(0, 5, 8, 9, 0.0, 5.0),
     ]
-    killed = spans_of(1, 6, [(7, 60, 20.0, 80.0)], 35.0)
-    assert most_held([*first, *killed]) == {7: (160, 20.0), 8: (9, 0.0)}
-    assert at_time([*first, *killed], 7, 32.0) == {0: 40, 1: 60} and at_time(first, 7, 95.0) == {}
+    killed = lease_intervals(1, 6, [(7, 60, 20.0, 80.0)], 35.0)
+    assert max_shares_held([*first, *killed]) == {7: (160, 20.0), 8: (9, 0.0)}
+    assert (
+        shares_held_at([*first, *killed], 7, 32.0) == {0: 40, 1: 60}
+        and shares_held_at(first, 7, 95.0) == {}
+    )
     box = ColdBox(
         "s",
         0.1,
@@ -369,5 +378,7 @@
         0.0,
         [(10.0, 500.0, "n0"), (1_900.0, 1_700.0, "n1"), (4_000.0, 10.0, "n0")],
     )
-    assert box.worst() == pytest.approx(2_200.0 / (4.0 * (0.1 + 0.9 * 0.095) * 2.0 * 2_000.0 * 1.3))
-    assert box.by_node() == {"n0": 510.0, "n1": 1_700.0}
+    assert box.peak_budget_use() == pytest.approx(
+        2_200.0 / (4.0 * (0.1 + 0.9 * 0.095) * 2.0 * 2_000.0 * 1.3)
+    )
+    assert box.work_by_node() == {"n0": 510.0, "n1": 1_700.0}
--- a/tests/tier/test_tier_members.py
+++ b/tests/tier/test_tier_members.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from forkweir.tier.members import STATES, Members
-from testbed.tier.model import Night, Script, Trouble
+from testbed.tier.model import Fault, Scenario, Script
 
 ALIVE, SUSPECT, DEAD, LEFT = range(4)
 
@@ -78,9 +78,9 @@
     script = Script(
         37,
         30.0,
-        troubles=[Trouble(10_000.0, "kill", (5,), 0.0), Trouble(20_000.0, "pause", (9,), 1_500.0)],
+        faults=[Fault(10_000.0, "kill", (5,), 0.0), Fault(20_000.0, "pause", (9,), 1_500.0)],
     )
-    scenario = Night(script, 1)
+    scenario = Scenario(script, 1)
     known: dict[tuple[int, str], list[float]] = {}
     scenario.on_change = lambda by, slot, state: known.setdefault((slot, state), []).append(
         scenario.now
