--- a/testbed/tier/__init__.py
+++ b/testbed/tier/__init__.py
@@ -1,5 +1,5 @@
-"""Many nodes together.
+"""Tests of the tier: many nodes together.
 
-`model` has the protocol alone over a random network; `processes` has real processes with faults
-between them.
+`model` runs the protocol alone over a faulty network, `processes` runs real processes with faults
+between them, and `virtual` runs the same scripts on the virtual clock.
 """
--- a/testbed/tier/books.py
+++ b/testbed/tier/books.py
@@ -1,9 +1,9 @@
-"""What is seen of a tier from outside. Pure.
+"""Checks of a tier from outside: the shares that its nodes hold, and the load of cold boxes. Pure.
 
-That is: leases as its nodes took them, and what boxes got from all nodes together.
-
-The leases are read from the nodes (`/admin/tier`), whose clocks are one on one machine; the boxes'
-counts are their own. The first is held against the whole, the second against what a cold box bears.
+Leases are read from the nodes (`/admin/tier`), whose times are comparable, as processes on one
+machine share its monotonic clock. The work that a cold box receives is counted by the box. The
+shares held at once must not exceed the total, and the work of all nodes together must not exceed
+what a cold box bears.
 """
 
 from __future__ import annotations
@@ -19,7 +19,10 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseInterval:
-    """A lease as one process took it, up to its end or to the next one. Times in ms."""
+    """A lease that one process held, until it expired or the next one replaced it.
+
+    Times in ms.
+    """
 
     node: int
     token: int
@@ -32,10 +35,10 @@
 def lease_intervals(
     node: int, token: int, leases: Iterable[tuple[int, int, float, float]], died_ms: float
 ) -> list[LeaseInterval]:
-    """The spans of one process.
+    """The intervals in which one process held leases.
 
-    taken: limit, shares, from when, until when, in the order in which it took them. ended: when it
-    died.
+    leases: limit, shares, start and expiry of each. died_ms: when the process ended, infinite
+    while it runs.
     """
     by_limit: dict[int, list[tuple[int, float, float]]] = defaultdict(list)
     for limit, shares, start_ms, end_ms in leases:
@@ -52,13 +55,12 @@
 
 
 def max_shares_held(intervals: Iterable[LeaseInterval]) -> dict[int, tuple[int, float]]:
-    """Of each bound, the most parts that were held at once, and when that was."""
+    """For each limit, the most shares that were held at once, and when."""
     changes: dict[int, list[tuple[float, int, int]]] = defaultdict(list)
     for interval in intervals:
         changes[interval.limit].append((interval.start_ms, 1, interval.shares))
-        changes[interval.limit].append(
-            (interval.end_ms, 0, -interval.shares)
-        )  # what ends in an instant ends before what begins in it
+        # The 0 sorts an end before a start at the same time.
+        changes[interval.limit].append((interval.end_ms, 0, -interval.shares))
     largest = {}
     for limit, rows in changes.items():
         total, peak = 0, (0, 0.0)
@@ -71,7 +73,7 @@
 
 
 def shares_held_at(intervals: Iterable[LeaseInterval], limit: int, at_ms: float) -> dict[int, int]:
-    """Who held how many parts of a bound at a time."""
+    """The shares of a limit that each node held at a time."""
     return {
         interval.node: interval.shares
         for interval in intervals
@@ -81,17 +83,20 @@
 
 @dataclass(slots=True)
 class ColdBox:
-    """What a cold box got: (when, work in ms, from which node)."""
+    """A cold box and the work that it received.
+
+    received: time, work in ms, and the node that sent it.
+    """
 
     name: str
     cold_share: float
     cold_ms: float
-    full_speed: float  # work in ms a ms, when warm
+    full_speed: float  # ms of work per ms, once warm
     started_ms: float
     received: list[tuple[float, float, str]] = field(default_factory=list)
 
     def capacity(self, at_ms: float) -> float:
-        """The part of its full speed that it has."""
+        """The fraction of its full speed at a time."""
         return min(
             1.0,
             self.cold_share
@@ -99,9 +104,9 @@
         )
 
     def peak_budget_use(self) -> float:
-        """The largest part of its budget that came within any span of FALL_MS.
+        """The most work received within BUDGET_WINDOW_MS, as a fraction of the budget.
 
-        Over 1 it would fall.
+        Above 1 the box is overloaded.
         """
         peak, oldest, total = 0.0, 0, 0.0
         for at_ms, work_ms, _ in self.received:
@@ -120,7 +125,7 @@
         return peak
 
     def work_by_node(self) -> dict[str, float]:
-        """Work from each node."""
+        """Work in ms received from each node."""
         sums: dict[str, float] = defaultdict(float)
         for _, work_ms, node in self.received:
             sums[node] += work_ms
--- a/testbed/tier/defects.py
+++ b/testbed/tier/defects.py
@@ -1,4 +1,4 @@
-"""Defects planted in the tier's cores, to check the checkers of the invariant.
+"""Planted defects of the lease protocol, to test that the checks of its invariant find them.
 
 Used by tests/tier and `benchmarks.tier`.
 """
@@ -17,7 +17,7 @@
 
 
 def _expired_lease_counts() -> Any:
-    """A lease that has ended is still held."""
+    """An expired lease still counts as held."""
 
     def lease(self: HeldLeases, limit: int, now: float) -> Optional[Lease]:
         return self.leases.get(limit)
@@ -26,7 +26,11 @@
 
 
 def _regrants_before_expiry() -> Any:
-    """Shares taken back are granted at once, though their holder may not have been notified."""
+    """Only the last grant to a holder counts as outstanding.
+
+    Shares that it withdrew are granted to others at once, though the holder may not have received
+    it and still use an earlier, larger grant.
+    """
 
     def outstanding(self: Ledger, limit: int, now: float) -> dict[ProcessId, int]:
         return {
@@ -39,7 +43,7 @@
 
 
 def _votes_right_after_start() -> Any:
-    """A process that has begun promises its vote though the one before it may have."""
+    """A new process gives its vote at once, though its predecessor may have given one."""
     original = Voter.__init__
 
     def init(self: Voter, vote_ms: float, now: float) -> None:
@@ -50,7 +54,7 @@
 
 
 def _lease_counts_from_arrival() -> Any:
-    """A grant counts from when it comes, and not from when the reply that it answers was sent."""
+    """A lease is timed from the arrival of its grant, not from the reply that the grant answers."""
     original = HeldLeases.accept_grant
 
     def accept_grant(
@@ -72,12 +76,12 @@
 
 
 def _no_clock_safety_factor() -> Any:
-    """Nothing is taken off for clocks that run apart."""
+    """Leases and votes are not shortened to allow for clock drift."""
     return patch.object(leases, "CLOCK_SAFETY_FACTOR", 1.0)
 
 
 def _votes_twice() -> Any:
-    """A promise is forgotten when another asks."""
+    """A vote is given to any process that requests it, while an earlier one is still valid."""
 
     def request_vote(self: Voter, process: ProcessId, number: int, now: float) -> bool:
         self.voted_for, self.until_ms = process, now + self.vote_ms
@@ -97,7 +101,7 @@
 
 
 def _grants_beyond_majority() -> Any:
-    """A leader grants for the usual time, however soon its votes expire."""
+    """A leader counts its majority for 4 x vote_ms too long, so leases may outlast votes."""
     original = Candidacy.majority_until
 
     def majority_until(self: Candidacy) -> float:
@@ -108,12 +112,12 @@
 
 
 def _half_is_majority() -> Any:
-    """Half of the votes pass for more than half."""
+    """Half of the votes count as a majority."""
     return patch.object(leases, "majority", lambda count: max(1, count // 2))
 
 
 def _accepts_grant_for_predecessor() -> Any:
-    """A grant for the process before it is taken by the one that has the node's address now."""
+    """A grant for an earlier process of the node is accepted by the present one."""
     original = Allocator.on_grant
 
     def on_grant(self: Allocator, leader: ProcessId, to: int, *arguments: Any) -> bool:
@@ -138,7 +142,10 @@
 
 @contextmanager
 def planted(name: str) -> Iterator[None]:
-    """With a defect of this name; "" for none. KeyError where there is no such defect."""
+    """Plant a defect during a `with` block, or none for an empty name.
+
+    Raises KeyError for an unknown name.
+    """
     if not name:
         yield
         return
--- a/testbed/tier/virtual.py
+++ b/testbed/tier/virtual.py
@@ -1,6 +1,6 @@
-"""A tier's script on the virtual clock: the same as `processes`, with exact time and order.
+"""Runs a script of a tier on the virtual clock, as `processes` does with real processes.
 
-Whole nodes are run, and all rules are checked.
+Times and order are exact. Complete nodes run, and all rules are checked.
 """
 
 from __future__ import annotations
@@ -13,7 +13,10 @@
 
 
 def run(script: Script, seed: int) -> dict[str, Any]:
-    """Play a script; return a report in the form of that of real processes, as far as known."""
+    """Run a script; return a report like that of `processes.run`.
+
+    Entries that the simulation does not measure are empty or missing.
+    """
     result = run_simulation(script=script, seed=seed)
     totals = result.figures
     return {
@@ -22,8 +25,12 @@
         "real_s": round(result.real_s, 2),
         "failures": [str(failure) for failure in result.failures],
         "requests": {
-            "asked": totals.asked, "served": totals.served, "in_time": totals.in_time, "refused": totals.refused,
-            "failed": totals.failed, "unanswered": totals.unanswered,
+            "asked": totals.asked,
+            "served": totals.served,
+            "in_time": totals.in_time,
+            "refused": totals.refused,
+            "failed": totals.failed,
+            "unanswered": totals.unanswered,
         },
         "usual": round(result.usual, 4),
         "fetches": result.fetches,
@@ -34,5 +41,8 @@
         "cold": {},
         "members": result.members,
         "keepers": result.leaders,
-        "notes": [(round(fault.at_ms / 1000.0, 3), f"{fault.kind} {fault.nodes or fault.target}") for fault in script.fault],
-    }  # fmt: skip
+        "notes": [
+            (round(fault.at_ms / 1000.0, 3), f"{fault.kind} {fault.nodes or fault.target}")
+            for fault in script.fault
+        ],
+    }
