--- a/testbed/tier/model.py
+++ b/testbed/tier/model.py
@@ -1,14 +1,15 @@
-"""The tier's protocol alone: many `Tier`s over a faulty network, each on a clock of its own.
+"""Simulation of the tier's protocol alone: many `Tier`s on a faulty network.
 
-The network loses, delays, duplicates and reorders datagrams, and is partitioned.
+Each has its own clock. The network loses, delays, duplicates and reorders datagrams, and is
+partitioned.
 
-No sockets, no requests: what is drawn here are the faults that leases must bear, at sizes and in
-numbers that whole nodes do not reach. Times in real ms; each process reads them on a clock that is
-off by up to an hour and runs up to `leases.MAX_CLOCK_DRIFT` fast or slow.
+There are no sockets and no requests: the simulation covers the faults that leases must tolerate, in
+larger tiers and more scenarios than is feasible with complete nodes. Times are in real ms. The
+clock of each process is off by up to an hour and runs up to `leases.MAX_CLOCK_DRIFT` fast or slow.
 
-The invariant is checked whenever a lease is taken, which is the only moment at which a sum can
-rise: over all processes that live or stand still, by their own clocks, the shares of each limit sum
-to TOTAL_SHARES at most.
+The invariant: for each limit, the shares held by all running and paused processes, each by its own
+clock, sum to at most TOTAL_SHARES. It is checked whenever a process accepts a lease, as a sum can
+only rise then.
 """
 
 from __future__ import annotations
@@ -25,7 +26,8 @@
 from forkweir.tier.options import TICKS_PER_PERIOD, Options
 from forkweir.tier.tier import Tier
 
-MAX_SOCKET_QUEUE = 200  # datagrams that wait in a socket that nobody reads
+# Datagrams that the socket of a paused process holds; further ones are dropped.
+MAX_SOCKET_QUEUE = 200
 LIMITS = (FETCHES_LIMIT_ID, 11, 12)
 START_UNIX_S = 1_764_547_200
 DEFAULT_OPTIONS = Options()
@@ -49,7 +51,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """What happens when, to whom, for how long and how much."""
+    """One fault. `nodes` are the slots that it affects.
+
+    `value` depends on the kind: the probability that a datagram is lost or late.
+    """
 
     at_ms: float
     kind: FaultKind
@@ -60,7 +65,11 @@
 
 @dataclass(slots=True)
 class Script:
-    """One random scenario of the protocol."""
+    """Size, network and faults of one scenario.
+
+    loss, duplication: probabilities of each datagram. delay_ms: in the mean. drift: the largest
+    relative error of a clock. skewed: whether clocks also differ by offsets.
+    """
 
     nodes: int
     seconds: float
@@ -75,17 +84,17 @@
 
 @dataclass(slots=True)
 class Link:
-    """What the network does to a datagram from one node to another."""
+    """The path of datagrams from one node to another."""
 
     loss: float
     delay_ms: float
     duplication: float
-    late: float = 0.0  # share that comes up to a minute late
-    cut: int = 0  # how many troubles cut it
+    late: float = 0.0  # fraction delayed by up to a minute
+    cut: int = 0  # number of faults that cut it at present
 
 
 class FixedDemand(Demand):
-    """Demand that is given and not counted."""
+    """Demand that is set by the scenario instead of counted from requests."""
 
     __slots__ = ("amounts",)
 
@@ -96,7 +105,7 @@
 
 
 class Node:
-    """One process of a node, with its clock."""
+    """One process of a node, with its own clock."""
 
     def __init__(
         self, scenario: Scenario, slot: int, wall_s: int, offset_ms: float, rate: float
@@ -124,11 +133,11 @@
 
     @property
     def now(self) -> float:
-        """Its own monotonic clock."""
+        """The time on its monotonic clock."""
         return self.offset_ms + self.rate * self.scenario.now
 
     def held_shares(self, limit: int) -> int:
-        """The parts that it believes it may spend now."""
+        """The shares that it may use now, by its own clock."""
         lease = self.tier.allocator.held_leases.lease(limit, self.now)
         return lease.shares if lease is not None else 0
 
@@ -140,7 +149,7 @@
 
 
 class Scenario:
-    """A scenario of a script and a seed; the same to the byte each time."""
+    """One run of a script; the same script and seed send the same bytes."""
 
     def __init__(self, script: Script, seed: int, options: Options = DEFAULT_OPTIONS) -> None:
         self.script = script
@@ -162,7 +171,7 @@
             if a != b
         }
         self.nodes: list[Node] = []
-        self.started_nodes: list[Node] = []  # also those that are gone
+        self.started_nodes: list[Node] = []  # all processes, stopped ones included
         for slot in range(n):
             self.nodes.append(self._start_node(slot))
         for fault in script.faults:
@@ -170,15 +179,15 @@
         if script.demands == "changing":
             self.schedule(self.rng.uniform(500.0, 3_000.0), self._change_demand)
 
-    # -- the world -----------------------------------------------------------------------
+    # -- events and processes ------------------------------------------------------------
 
     def schedule(self, ms: float, action: Callable[..., None], *args: Any) -> None:
-        """Call back after so long."""
+        """Call `action` after `ms`."""
         self._event_count += 1
         heappush(self._events, (self.now + ms, self._event_count, action, args))
 
     def run(self, until_ms: Optional[float] = None) -> Scenario:
-        """Play to the end, or up to a time."""
+        """Run to the end of the script, or up to a time."""
         end = self.script.seconds * 1000.0 if until_ms is None else until_ms
         while self._events and self._events[0][0] <= end:
             self.now, _, action, args = heappop(self._events)
@@ -187,17 +196,18 @@
         return self
 
     def alive(self) -> list[Node]:
-        """Those that run or stand still."""
+        """The processes that run or are paused."""
         return [node for node in self.nodes if node.state != "gone"]
 
     def check_limit(self, limit: int) -> None:
-        """The invariant, for one bound."""
+        """Check the invariant for one limit."""
         total = sum(node.held_shares(limit) for node in self.started_nodes if node.state != "gone")
         if total > self.max_held.get(limit, 0):
             self.max_held[limit] = total
         if total > TOTAL_SHARES:
             self.failures.append(
-                f"{self.now / 1000.0:.3f} s: bound {limit}: {total} parts are held of {TOTAL_SHARES}"
+                f"{self.now / 1000.0:.3f} s: limit {limit}: "
+                f"{total} shares are held of {TOTAL_SHARES}"
             )
 
     def _start_node(self, slot: int, wall_s: Optional[int] = None) -> Node:
@@ -221,7 +231,7 @@
         return node
 
     def _draw_demand(self, node: Node) -> None:
-        """What a node wants of each bound."""
+        """Set a node's demand for each limit."""
         if self.script.demands == "even":
             node.fixed_demand.amounts = dict.fromkeys(LIMITS, 50.0)
         else:
@@ -271,7 +281,7 @@
         elif node.state == "running":
             self._send(node, node.tier.receive(source, data, node.now))
 
-    # -- troubles ------------------------------------------------------------------------
+    # -- faults --------------------------------------------------------------------------
 
     def _apply_fault(self, fault: Fault) -> None:
         getattr(self, f"_do_{fault.kind}")(fault)
@@ -290,13 +300,13 @@
                 self.schedule(fault.for_ms, self._restart, slot)
 
     def _do_half(self, fault: Fault) -> None:
-        """Half of the nodes go at once, and stay away or come back together."""
+        """Kill half of the nodes at once; after for_ms, if it is set, restart them together."""
         self._do_kill(
             Fault(fault.at_ms, "kill", tuple(range(self.script.nodes // 2)), fault.for_ms)
         )
 
     def _do_clock_back(self, fault: Fault) -> None:
-        """Killed, and back with a wall clock that is set back."""
+        """Kill nodes and restart them with a wall clock a day before the scenario's start."""
         for slot in fault.nodes:
             self._kill(slot)
             self.schedule(fault.for_ms, self._restart, slot, START_UNIX_S - 86_400)
@@ -317,7 +327,7 @@
             self._send(node, node.tier.receive(source, data, node.now))
 
     def _links_across(self, fault: Fault, both_ways: bool) -> list[Link]:
-        """Links from these nodes to the others, and back."""
+        """The links from the nodes of a fault to the others, and those back."""
         group = set(fault.nodes)
         return [
             link
@@ -364,7 +374,7 @@
         self._set_all_links(fault, "late", fault.value)
 
     def _do_lie(self, fault: Fault) -> None:
-        """A node says that it wants without end, and takes without end by itself."""
+        """Nodes report unlimited demand and an unlimited own limit on work."""
         for slot in fault.nodes:
             fixed_demand = self.nodes[slot].fixed_demand
             fixed_demand.amounts = dict.fromkeys(LIMITS, float("inf"))
@@ -379,10 +389,10 @@
                 self.schedule(fault.for_ms, self._restart, slot)
 
     def _do_stranger(self, fault: Fault) -> None:
-        """Send invalid datagrams.
+        """Deliver invalid datagrams to nodes.
 
-        They are malformed, from unknown senders, of other tiers, truncated, too long, or in
-        another node's name.
+        They are malformed, empty, truncated or too long, come from an unknown sender or from
+        another tier, or have a sender other than the node that they name.
         """
         other_options = Options(floor=0.25)
         for slot in fault.nodes:
@@ -396,15 +406,23 @@
                 (slot, b"\x00")
             ]
             for sender, data in (
-                (-1, valid[0][1]), (slot, valid[0][1]), ((slot + 1) % self.script.nodes, valid[0][1][:-3]),
-                ((slot + 2) % self.script.nodes, valid[0][1]), (0, b""), (0, b"\xc1" * 65_507), (0, self.rng.randbytes(200)),
-                *(((slot + 1) % self.script.nodes, data) for _, data in foreign.tick(node.now + 1e6)),
-            ):  # fmt: skip
+                (-1, valid[0][1]),
+                (slot, valid[0][1]),
+                ((slot + 1) % self.script.nodes, valid[0][1][:-3]),
+                ((slot + 2) % self.script.nodes, valid[0][1]),
+                (0, b""),
+                (0, b"\xc1" * 65_507),
+                (0, self.rng.randbytes(200)),
+                *(
+                    ((slot + 1) % self.script.nodes, data)
+                    for _, data in foreign.tick(node.now + 1e6)
+                ),
+            ):
                 self._send(node, node.tier.receive(sender, data, node.now))
 
 
 def draw(seed: int) -> Script:
-    """The script of a seed: 2 to 13 nodes, 12 to 25 s, up to eight troubles that overlap."""
+    """Draw the script of a seed: 2 to 13 nodes, 12 to 25 s, up to eight faults that overlap."""
     rng = random.Random(f"tier script/{seed}")
     nodes = rng.choice((2, 3, 3, 4, 5, 6, 8, 13))
     script = Script(
@@ -432,5 +450,5 @@
 
 
 def run_seed(seed: int) -> list[str]:
-    """Run one random scenario; return what broke."""
+    """Run the scenario drawn from a seed; return the violations of the invariant."""
     return Scenario(draw(seed), seed).run().failures
