--- a/tests/tier/test_model.py
+++ b/tests/tier/test_model.py
@@ -1,4 +1,4 @@
-"""Random scenarios of the protocol: the invariant holds, and planted defects break it."""
+"""Random scenarios of the lease protocol: the invariant holds, and planted defects break it."""
 
 from __future__ import annotations
 
@@ -15,10 +15,11 @@
         scenario = Scenario(draw(seed), seed).run()
         assert scenario.failures == [], f"seed {seed}"
         scenarios_with_leases += max(scenario.max_held.values()) > TOTAL_SHARES // 2
-    assert scenarios_with_leases > 120  # in most of them something is dealt
+    assert scenarios_with_leases > 120  # most grant shares
 
 
-# test_leases tests the rules that the first two break; the next test but one finds the third.
+# Random scenarios seldom find these. test_leases tests the rules that the first two break; the last
+# is found by test_grants_beyond_the_majority_are_found_when_the_leader_is_cut_off_with_one_other.
 RARELY_FOUND = (
     "any-process",
     "late-word",
@@ -55,9 +56,10 @@
 
 @pytest.mark.parametrize("count", [4, 12, 37])
 def test_shares_are_even_again_soon_after_half_stopped_and_came_back(count: int) -> None:
-    """`half` takes the first nodes, among them the one whose vote counts twice.
+    """The fault `half` stops the first half of the slots.
 
-    Where the number is even the others have only their floors.
+    With an even number of nodes these include the one whose vote counts twice, so the others have
+    no majority and no shares, only their floors.
     """
     script = Script(count, 40.0, faults=[Fault(10_000.0, "half", (), 10_000.0)], skewed=False)
     scenario = Scenario(script, 3).run(9_000.0)
@@ -86,13 +88,13 @@
         honest = [node.held_shares(limit) for node in scenario.nodes if node.tier.slot != 2]
         assert min(honest) >= 0.99 * TOTAL_SHARES / 6, honest
     sizes = max(node.tier.limit_totals[0] for node in scenario.nodes)
-    assert sizes <= 6.0 + 4.0  # it counts for four times the median at most
+    assert sizes <= 6.0 + 4.0  # its own limit counts as at most four times the median
 
 
 def test_ten_nodes_at_a_time_join_and_stop_again() -> None:
-    """Of 24 `peers` four run, then 14, then all, then 14, then four.
+    """Of 24 `peers`, 4 run, then 14, 24, 14 and 4.
 
-    Four are no majority: they have only their floors, at the end as at the start.
+    Four are no majority, so at the start and at the end they have no shares, only their floors.
     """
     groups = tuple(range(4, 14)), tuple(range(14, 24))
     script = Script(24, 90.0, skewed=False)
@@ -121,7 +123,7 @@
 def test_a_one_way_partition_of_ninety_seconds_and_its_end() -> None:
     """n0 and n1 receive everything, but nothing that they send arrives.
 
-    Their calls are in vain, and they hold no share that another node holds too.
+    Their calls get no answer, and they hold no shares while the others share all of them.
     """
     script = Script(5, 130.0, skewed=True, faults=[Fault(10_000.0, "one_way", (0, 1), 90_000.0)])
     scenario = Scenario(script, 8).run(95_000.0)
