--- a/benchmarks/tier.py
+++ b/benchmarks/tier.py
@@ -2,12 +2,18 @@
 
     python -m benchmarks.tier [--quick] [--json FILE] [--jobs 8] [--part nights --part scopes ...]
 
-The parts: `nights` (the invariant over random scenarios, of the protocol alone and of whole nodes
-on the virtual clock), `scopes` (all interleavings of three nodes, and the planted defects),
-`processes` (random scenarios of 6 to 12 real processes), `times` (how soon a death is known, a
-leader is replaced, and each node has its share; bytes; as distributions over seeds), `line` (reads
-at their key's usual box, and fetches of the order book, with each part and with none, in the same
-scenarios). Exits with 1 where an aim is missed.
+The parts:
+
+- `nights`: the invariant in random scenarios, of the protocol alone and of complete nodes on the
+  virtual clock.
+- `scopes`: the invariant in all interleavings of three nodes, and the planted defects.
+- `processes`: random scenarios of 6 to 12 real processes.
+- `times`: the times until a death is detected, a leader is replaced, and each node has its shares,
+  as distributions over seeds; also bytes sent and CPU time.
+- `line`: the fraction of reads at their key's usual box, and fetches of the order book, with the
+  tier off, on, and with one part of it alone, in the same scenarios.
+
+Exits with 1 if an aim is missed.
 """
 
 from __future__ import annotations
@@ -36,16 +42,24 @@
 from testbed.tier.processes import run as run_processes
 
 SECTIONS = ("nights", "scopes", "processes", "times", "line")
-FIRST_SEED = 1_001  # random scenarios: apart from those of the tests
+# Of random scenarios of the protocol; apart from the seeds of the tests.
+FIRST_SEED = 1_001
 FIRST_PROCESSES_SEED = 30_050_001
-SETTLE_MS = 10_000.0  # by then a scenario is steady, and the measured fault comes
-FAIR_FRACTION = 0.9  # of its part: a node has it
-# Aims, in s, over all seeds of a size: docs/tier.md says how they follow from the constants.
+# A scenario is steady by then, and the measured fault begins.
+SETTLE_MS = 10_000.0
+# A node has its shares if it has this fraction of an even division.
+FAIR_FRACTION = 0.9
+# Aims for the slowest seed of each size: docs/tier.md says how they follow from the constants.
+# By number of nodes: until all others have detected a death.
 DETECTION_AIM_S = {4: 7.0, 37: 8.0, 200: 10.0}
-LEADER_AIM_S = 6.5  # until there is one again, after the last one died
-FAIR_AIM_S = 5.0  # until all have their part, after half of the others went or came
-BYTES_PER_S_AIM = 600.0  # a node, in the mean
-ELSEWHERE_AIM = 0.5  # of the reads that are not at their key's usual box without a common line
+# Until there is a leader again after the last one died.
+LEADER_AIM_S = 6.5
+# Until all nodes have their shares after up to half of the nodes stopped or came back.
+FAIR_AIM_S = 5.0
+# Bytes per second that a node sends, in the mean.
+BYTES_PER_S_AIM = 600.0
+# Reads that are not at their key's usual box, as a fraction of those without a shared line.
+ELSEWHERE_AIM = 0.5
 CLEAN_SCOPES: list[tuple[str, Scope]] = [
     ("one caller, three calls, two units", Scope(span=2, calls=3, callers=(0,))),
     ("two callers, two calls, three units", Scope(span=3, calls=2)),
@@ -67,7 +81,7 @@
 
 
 def check_scenarios(quick: bool, jobs: int) -> tuple[dict[str, Any], bool]:
-    """The invariant over random scenarios, and the seed at which each planted defect breaks it."""
+    """Check the invariant in random scenarios; find the first seed that each defect breaks."""
     protocol_count = 400 if quick else 5_000
     whole_count = 16 if quick else 400
     with ProcessPoolExecutor(jobs) as pool:
@@ -94,7 +108,8 @@
         ]
         first_seeds = dict(zip(names, pool.map(_first_seed, names), strict=True))
     print(
-        f"nights of the protocol: {protocol_count} in {protocol_s:.0f} s, failed: {protocol_failed or 'none'}"
+        f"nights of the protocol: {protocol_count} in {protocol_s:.0f} s, "
+        f"failed: {protocol_failed or 'none'}"
     )
     print(
         f"nights of whole nodes: {whole_count} in {whole_s:.0f} s, failed: {whole_failed or 'none'}"
@@ -128,7 +143,7 @@
 
 
 def check_scopes(quick: bool, jobs: int) -> tuple[dict[str, Any], bool]:
-    """All interleavings of small scopes, and the fewest steps to each planted defect."""
+    """Check all interleavings of small scopes; find the fewest steps to each planted defect."""
     results: dict[str, Any] = {}
     passed = True
     with ProcessPoolExecutor(jobs) as pool:
@@ -139,7 +154,8 @@
             ended = "to its end" if outcome.whole else "as far as this"
             verdict = outcome.trail or "the whole is kept"
             print(
-                f"scope {name}: {outcome.states} states {ended}, in {outcome.granted} of them somebody holds parts; {verdict}"
+                f"scope {name}: {outcome.states} states {ended}, "
+                f"in {outcome.granted} of them somebody holds parts; {verdict}"
             )
             results[name] = {
                 "states": outcome.states,
@@ -163,7 +179,7 @@
 
 
 def check_processes(quick: bool, jobs: int) -> tuple[dict[str, Any], bool]:
-    """Random scenarios of real processes, two at a time."""
+    """Run random scenarios with real processes, two at a time."""
     seeds = list(range(FIRST_PROCESSES_SEED, FIRST_PROCESSES_SEED + (2 if quick else 20)))
     passed = True
     results: dict[str, Any] = {}
@@ -173,15 +189,21 @@
             cold = max((box["worst"] for box in report["cold"].values()), default=0.0)
             requests = report["requests"]
             print(
-                f"processes, seed {seed}: {report['nodes']} nodes, {report['leases']} leases, at most {held:.3f} of a bound held at once, "
-                f"cold boxes at {cold:.2f} of their budget, {requests['in_time']} of {requests['asked']} in time; "
+                f"processes, seed {seed}: {report['nodes']} nodes, {report['leases']} leases, "
+                f"at most {held:.3f} of a bound held at once, "
+                f"cold boxes at {cold:.2f} of their budget, "
+                f"{requests['in_time']} of {requests['asked']} in time; "
                 f"{report['failures'] or 'no rule broken'}",
                 flush=True,
             )
             results[str(seed)] = {
-                "nodes": report["nodes"], "leases": report["leases"], "most_held": held, "cold": cold, "requests": requests,
+                "nodes": report["nodes"],
+                "leases": report["leases"],
+                "most_held": held,
+                "cold": cold,
+                "requests": requests,
                 "failures": report["failures"],
-            }  # fmt: skip
+            }
             passed &= not report["failures"]
     return results, passed
 
@@ -192,7 +214,7 @@
 
 
 def measure_times(quick: bool, jobs: int) -> tuple[dict[str, Any], bool]:
-    """How soon: distributions over seeds, at several sizes."""
+    """Measure times and costs over seeds, at several sizes."""
     seeds = 10 if quick else 100
     sizes = (4, 37) if quick else (4, 37, 200)
     results: dict[str, Any] = {}
@@ -213,7 +235,8 @@
                 missed = values[-1] > aim
                 passed &= not missed
                 print(
-                    f"{count:4} nodes, {name:<16} s: {statistics.median(values):6.2f} median, {_quantile(values, 0.9):6.2f} at 90%, "
+                    f"{count:4} nodes, {name:<16} s: {statistics.median(values):6.2f} median, "
+                    f"{_quantile(values, 0.9):6.2f} at 90%, "
                     f"{values[-1]:6.2f} most (aim {aim:g}{', MISSED' if missed else ''})"
                 )
                 results[f"{count}/{name}"] = {
@@ -226,23 +249,25 @@
             cpu = _measure_cost(count, 20.0)["cpu"]
             passed &= mean <= BYTES_PER_S_AIM
             print(
-                f"{count:4} nodes, each in the mean: {mean:.0f} bytes a second (aim {BYTES_PER_S_AIM:g}), "
+                f"{count:4} nodes, each in the mean: {mean:.0f} bytes a second "
+                f"(aim {BYTES_PER_S_AIM:g}), "
                 f"{1000.0 * cpu:.2f} ms of CPU a second"
             )
             results[f"{count}/cost"] = {"bytes_per_s": mean, "cpu_ms_per_s": 1000.0 * cpu}
     if not quick:
         row = _measure_cost(1_000, 20.0)
         print(
-            f"1000 nodes, each in the mean: {row['bytes']:.0f} bytes a second, {1000.0 * row['cpu']:.2f} ms of CPU a second"
+            f"1000 nodes, each in the mean: {row['bytes']:.0f} bytes a second, "
+            f"{1000.0 * row['cpu']:.2f} ms of CPU a second"
         )
         results["1000/cost"] = row
     return results, passed
 
 
 def measure_line(quick: bool, jobs: int) -> tuple[dict[str, Any], bool]:
-    """Twelve whole nodes before twelve boxes, calm, on the virtual clock.
+    """Run twelve complete nodes and twelve boxes on the virtual clock, without faults.
 
-    With the tier off, on, and with one part of it alone.
+    Compares the tier off, on, and with one part of it alone.
     """
     seeds = range(1, 3 if quick else 9)
     results: dict[str, Any] = {}
@@ -257,7 +282,8 @@
             for name in ("usual", "fetches", "in_time")
         )
         print(
-            f"tier {kind:<7} {usual:.4f} of reads at their key's usual box, {fetches:.0f} fetches, {in_time:.4f} in time"
+            f"tier {kind:<7} {usual:.4f} of reads at their key's usual box, "
+            f"{fetches:.0f} fetches, {in_time:.4f} in time"
         )
         results[kind] = {"usual": usual, "fetches": fetches, "in_time": in_time}
     away = {kind: 1.0 - results[kind]["usual"] for kind in kinds}
@@ -282,8 +308,11 @@
     result = run_simulation(seed, msgspec.convert({"world": world}, ScenarioScript))
     totals = result.figures
     return {
-        "usual": result.usual, "fetches": result.fetches, "in_time": totals.in_time / max(1, totals.asked), "failures": result.failures,
-    }  # fmt: skip
+        "usual": result.usual,
+        "fetches": result.fetches,
+        "in_time": totals.in_time / max(1, totals.asked),
+        "failures": result.failures,
+    }
 
 
 def _quantile(values: list[float], fraction: float) -> float:
@@ -298,11 +327,13 @@
 
 
 def _measure_times(case: tuple[int, int]) -> dict[str, float]:
-    """One seed at one size: the death of a follower, of the leader, half away, half back."""
+    """Measure one seed at one size.
+
+    A follower dies, then the leader, then up to half of the nodes stop and come back.
+    """
     count, seed = case
-    half = tuple(
-        range(count - count // 2 + (count % 2 == 0 and count > 4), count)
-    )  # never more than half of the votes
+    # The others keep more than half of the votes.
+    half = tuple(range(count - count // 2 + (count % 2 == 0 and count > 4), count))
     scenario = Scenario(Script(count, 60.0), seed).run(SETTLE_MS)
     leader = next(node.tier.slot for node in scenario.nodes if node.tier.is_leader(node.now))
     victim = (leader + 1) % count or 1
@@ -351,14 +382,17 @@
 
 
 def _run_until(scenario: Scenario, condition: Callable[[], bool], max_ms: float) -> None:
-    """Play on in steps of 50 ms until something holds, for so long at most."""
+    """Run in steps of 50 ms until the condition holds, for at most max_ms."""
     end = scenario.now + max_ms
     while not condition() and scenario.now < end:
         scenario.run(scenario.now + 50.0)
 
 
 def _shares_are_fair(scenario: Scenario) -> bool:
-    """Whether each node that lives has its part of each bound, by max-min of equal wants."""
+    """Whether each running node has its shares of each limit.
+
+    All demand is equal here, so max-min fairness means an even division.
+    """
     alive = scenario.alive()
     return all(
         node.held_shares(limit) >= FAIR_FRACTION * TOTAL_SHARES / len(alive)
@@ -368,7 +402,7 @@
 
 
 def main() -> int:
-    """Print the figures; the exit code."""
+    """Run the chosen parts and print their results; return the exit code."""
     parser = argparse.ArgumentParser(description=(__doc__ or "").splitlines()[0])
     parser.add_argument("--quick", action="store_true")
     parser.add_argument("--json", type=Path, metavar="FILE")
