--- a/testbed/tier/books.py
+++ b/testbed/tier/books.py
@@ -1,9 +1,9 @@
-"""What is seen of a tier from outside. Pure.
+"""Checks of a tier from outside: the shares that its nodes hold, and the load of cold boxes. Pure.
 
-That is: leases as its nodes took them, and what boxes got from all nodes together.
-
-The leases are read from the nodes (`/admin/tier`), whose clocks are one on one machine; the boxes'
-counts are their own. The first is held against the whole, the second against what a cold box bears.
+Leases are read from the nodes (`/admin/tier`), whose times are comparable, as processes on one
+machine share its monotonic clock. The work that a cold box receives is counted by the box. The
+shares held at once must not exceed the total, and the work of all nodes together must not exceed
+what a cold box bears.
 """
 
 from __future__ import annotations
@@ -14,107 +14,119 @@
 
 from testbed.nights.rules import COLD_BUDGET_SLACK, COLD_BUDGET_WINDOW_US, FALL_MULTIPLE
 
-FALL_MS = COLD_BUDGET_WINDOW_US / 1000.0
+BUDGET_WINDOW_MS = COLD_BUDGET_WINDOW_US / 1000.0
 
 
 @dataclass(frozen=True, slots=True)
-class Span:
-    """A lease as one process took it, up to its end or to the next one. Times in ms."""
+class LeaseInterval:
+    """A lease that one process held, until it expired or the next one replaced it.
+
+    Times in ms.
+    """
 
     node: int
     token: int
-    bound: int
-    parts: int
-    since: float
-    until: float
+    limit: int
+    shares: int
+    start_ms: float
+    end_ms: float
 
 
-def spans_of(
-    node: int, token: int, taken: Iterable[tuple[int, int, float, float]], ended: float
-) -> list[Span]:
-    """The spans of one process.
+def lease_intervals(
+    node: int, token: int, leases: Iterable[tuple[int, int, float, float]], died_ms: float
+) -> list[LeaseInterval]:
+    """The intervals in which one process held leases.
 
-    taken: limit, shares, from when, until when, in the order in which it took them. ended: when it
-    died.
+    leases: limit, shares, start and expiry of each. died_ms: when the process ended, infinite
+    while it runs.
     """
-    by_bound: dict[int, list[tuple[int, float, float]]] = defaultdict(list)
-    for bound, parts, since, until in taken:
-        by_bound[bound].append((parts, since, until))
-    spans = []
-    for bound, rows in by_bound.items():
+    by_limit: dict[int, list[tuple[int, float, float]]] = defaultdict(list)
+    for limit, shares, start_ms, end_ms in leases:
+        by_limit[limit].append((shares, start_ms, end_ms))
+    intervals = []
+    for limit, rows in by_limit.items():
         rows.sort(key=lambda row: row[1])
-        for n, (parts, since, until) in enumerate(rows):
-            following = rows[n + 1][1] if n + 1 < len(rows) else until
-            end = min(until, following, ended)
-            if end > since:
-                spans.append(Span(node, token, bound, parts, since, end))
-    return spans
-
-
-def most_held(spans: Iterable[Span]) -> dict[int, tuple[int, float]]:
-    """Of each bound, the most parts that were held at once, and when that was."""
-    steps: dict[int, list[tuple[float, int, int]]] = defaultdict(list)
-    for span in spans:
-        steps[span.bound].append((span.since, 1, span.parts))
-        steps[span.bound].append(
-            (span.until, 0, -span.parts)
-        )  # what ends in an instant ends before what begins in it
-    most = {}
-    for bound, rows in steps.items():
-        total, best = 0, (0, 0.0)
-        for at, _, parts in sorted(rows):
-            total += parts
-            if total > best[0]:
-                best = total, at
-        most[bound] = best
-    return most
-
-
-def at_time(spans: Iterable[Span], bound: int, at: float) -> dict[int, int]:
-    """Who held how many parts of a bound at a time."""
+        for index, (shares, start_ms, end_ms) in enumerate(rows):
+            next_start_ms = rows[index + 1][1] if index + 1 < len(rows) else end_ms
+            actual_end_ms = min(end_ms, next_start_ms, died_ms)
+            if actual_end_ms > start_ms:
+                intervals.append(LeaseInterval(node, token, limit, shares, start_ms, actual_end_ms))
+    return intervals
+
+
+def max_shares_held(intervals: Iterable[LeaseInterval]) -> dict[int, tuple[int, float]]:
+    """For each limit, the most shares that were held at once, and when."""
+    changes: dict[int, list[tuple[float, int, int]]] = defaultdict(list)
+    for interval in intervals:
+        changes[interval.limit].append((interval.start_ms, 1, interval.shares))
+        # The 0 sorts an end before a start at the same time.
+        changes[interval.limit].append((interval.end_ms, 0, -interval.shares))
+    largest = {}
+    for limit, rows in changes.items():
+        total, peak = 0, (0, 0.0)
+        for at_ms, _, shares in sorted(rows):
+            total += shares
+            if total > peak[0]:
+                peak = total, at_ms
+        largest[limit] = peak
+    return largest
+
+
+def shares_held_at(intervals: Iterable[LeaseInterval], limit: int, at_ms: float) -> dict[int, int]:
+    """The shares of a limit that each node held at a time."""
     return {
-        span.node: span.parts
-        for span in spans
-        if span.bound == bound and span.since <= at < span.until
+        interval.node: interval.shares
+        for interval in intervals
+        if interval.limit == limit and interval.start_ms <= at_ms < interval.end_ms
     }
 
 
 @dataclass(slots=True)
 class ColdBox:
-    """What a cold box got: (when, work in ms, from which node)."""
+    """A cold box and the work that it received.
+
+    received: time, work in ms, and the node that sent it.
+    """
 
     name: str
-    cold_from: float
+    cold_share: float
     cold_ms: float
-    speed: float  # work in ms a ms, when warm
-    started: float
-    got: list[tuple[float, float, str]] = field(default_factory=list)
+    full_speed: float  # ms of work per ms, once warm
+    started_ms: float
+    received: list[tuple[float, float, str]] = field(default_factory=list)
 
-    def capacity(self, at: float) -> float:
-        """The part of its full speed that it has."""
+    def capacity(self, at_ms: float) -> float:
+        """The fraction of its full speed at a time."""
         return min(
             1.0,
-            self.cold_from + (1.0 - self.cold_from) * max(0.0, at - self.started) / self.cold_ms,
+            self.cold_share
+            + (1.0 - self.cold_share) * max(0.0, at_ms - self.started_ms) / self.cold_ms,
         )
 
-    def worst(self) -> float:
-        """The largest part of its budget that came within any span of FALL_MS.
+    def peak_budget_use(self) -> float:
+        """The most work received within BUDGET_WINDOW_MS, as a fraction of the budget.
 
-        Over 1 it would fall.
+        Above 1 the box is overloaded.
         """
-        worst, first, total = 0.0, 0, 0.0
-        for at, work, _ in self.got:
-            total += work
-            while self.got[first][0] < at - FALL_MS:
-                total -= self.got[first][1]
-                first += 1
-            budget = FALL_MULTIPLE * self.capacity(at) * self.speed * FALL_MS * COLD_BUDGET_SLACK
-            worst = max(worst, total / budget)
-        return worst
-
-    def by_node(self) -> dict[str, float]:
-        """Work from each node."""
+        peak, oldest, total = 0.0, 0, 0.0
+        for at_ms, work_ms, _ in self.received:
+            total += work_ms
+            while self.received[oldest][0] < at_ms - BUDGET_WINDOW_MS:
+                total -= self.received[oldest][1]
+                oldest += 1
+            budget = (
+                FALL_MULTIPLE
+                * self.capacity(at_ms)
+                * self.full_speed
+                * BUDGET_WINDOW_MS
+                * COLD_BUDGET_SLACK
+            )
+            peak = max(peak, total / budget)
+        return peak
+
+    def work_by_node(self) -> dict[str, float]:
+        """Work in ms received from each node."""
         sums: dict[str, float] = defaultdict(float)
-        for _, work, node in self.got:
-            sums[node] += work
-        return {node: round(work, 1) for node, work in sorted(sums.items())}
+        for _, work_ms, node in self.received:
+            sums[node] += work_ms
+        return {node: round(work_ms, 1) for node, work_ms in sorted(sums.items())}
--- a/testbed/tier/processes.py
+++ b/testbed/tier/processes.py
@@ -57,7 +57,13 @@
     majority_box_share,
 )
 from testbed.systems.http import Message, fetch_body
-from testbed.tier.books import ColdBox, Span, at_time, most_held, spans_of
+from testbed.tier.books import (
+    ColdBox,
+    LeaseInterval,
+    lease_intervals,
+    max_shares_held,
+    shares_held_at,
+)
 from testbed.tier.relay import Link, Relay
 
 ROOT = Path(__file__).parents[2]
@@ -170,7 +176,7 @@
         self._possible_executions[txn].append(box.name)
         cold = self.cold_boxes.get(box.name)
         if cold is not None:
-            cold.got.append((now_ms(), work_ms, node))
+            cold.received.append((now_ms(), work_ms, node))
 
     def request_turned_away(self, box: CacheBox, txn: str) -> None:
         self._possible_executions[txn].pop()
@@ -454,12 +460,12 @@
         for limit, shares, since, until in view["taken"]:
             node_process.leases[limit, since] = limit, shares, since, until
 
-    def lease_spans(self) -> list[Span]:
+    def lease_spans(self) -> list[LeaseInterval]:
         """Return all leases that nodes took, as far as their views showed them."""
-        spans: list[Span] = []
+        spans: list[LeaseInterval] = []
         for node in self.nodes:
             for node_process in node.processes:
-                spans += spans_of(
+                spans += lease_intervals(
                     node.slot,
                     node_process.token,
                     node_process.leases.values(),
@@ -731,21 +737,21 @@
         assert self.clients is not None
         totals, spans = self.clients.totals, self.lease_spans()
         failures = list(self.observer.failures)
-        max_held = most_held(spans)
+        max_held = max_shares_held(spans)
         for limit, (shares, at) in max_held.items():
             if shares > TOTAL_SHARES:
                 holders = {
                     f"n{node}": held_shares
-                    for node, held_shares in at_time(spans, limit, at).items()
+                    for node, held_shares in shares_held_at(spans, limit, at).items()
                 }
                 failures.append(
                     f"shares add up: of bound {limit} {shares} parts of {TOTAL_SHARES} "
                     f"at {(at - self._started_ms) / 1000.0:.3f} s: {holders}"
                 )
         for name, cold in self.observer.cold_boxes.items():
-            if cold.worst() > 1.0:
+            if cold.peak_budget_use() > 1.0:
                 failures.append(
-                    f"no cold server pushed over: {name} got {cold.worst():.2f} of its budget "
+                    f"no cold server pushed over: {name} got {cold.peak_budget_use():.2f} of its budget "
                     "from all nodes together"
                 )
         for node in self.nodes:
@@ -782,7 +788,7 @@
                 for box, by_node in sorted(self.observer.work_ms.items())
             },
             "cold": {
-                name: {"worst": round(cold.worst(), 3), "work_ms": cold.by_node()}
+                name: {"worst": round(cold.peak_budget_use(), 3), "work_ms": cold.work_by_node()}
                 for name, cold in sorted(self.observer.cold_boxes.items())
             },
             "usual": round(majority_box_share(self.observer.reads), 4),
@@ -798,13 +804,13 @@
             "whole": TOTAL_SHARES,
             "held": [
                 [
-                    round((s.since - self._started_ms) / 1000.0, 3),
-                    round((s.until - self._started_ms) / 1000.0, 3),
+                    round((s.start_ms - self._started_ms) / 1000.0, 3),
+                    round((s.end_ms - self._started_ms) / 1000.0, 3),
                     f"n{s.node}",
-                    s.bound,
-                    s.parts,
+                    s.limit,
+                    s.shares,
                 ]
-                for s in sorted(spans, key=lambda span: span.since)[:MAX_REPORTED_LEASES]
+                for s in sorted(spans, key=lambda span: span.start_ms)[:MAX_REPORTED_LEASES]
             ],
             "keepers": sorted(name for name, view in views.items() if view["keeps"]),
             "members": {
