--- a/corkshift/admin/status.py
+++ b/corkshift/admin/status.py
@@ -29,11 +29,11 @@
 
     def quiesce(self) -> bool:
         """Start to drain; False where the process is about to end."""
-        return self.frontend.duty.quiesce(now_ms())
+        return self.frontend.lifecycle.quiesce(now_ms())
 
     def resume(self) -> bool:
         """End the drain; False where the process is about to end."""
-        return self.frontend.duty.resume(now_ms())
+        return self.frontend.lifecycle.resume(now_ms())
 
     def metrics_text(self) -> str:
         """All metrics, one per line.
--- a/corkshift/frontend.py
+++ b/corkshift/frontend.py
@@ -326,7 +326,7 @@
                 parser,
                 _completed(
                     Response(200, b"ok\n")
-                    if self._frontend.duty.accepts_clients
+                    if self._frontend.lifecycle.accepts_clients
                     else Response(503, b"draining\n")
                 ),
             )
@@ -442,7 +442,7 @@
     async def _send(self, parser: Parser, response: Response) -> bool:
         """Write one response; return whether the connection is kept after it."""
         last = (
-            not self._frontend.duty.keeps_connections
+            not self._frontend.lifecycle.keeps_connections
             and self._pending == 1
             and not self.partial
             and not self._stream.has_input
@@ -513,7 +513,7 @@
         self.loop_lag = loop_lag or LoopLagMonitor()
         self._leave = leave or ShutdownSchedule(MAX_COUNTED_DEADLINE_MS)
         self.budget = BodyBudget(body_bytes)
-        self.duty = Lifecycle()
+        self.lifecycle = Lifecycle()
         self.started = False
         self._shared = shared
         self._limit = limit
@@ -543,7 +543,7 @@
         `answer_ms` get an error response, and connections that remain at its `exit_ms` are reset.
         """
         started_s, leave = asyncio.get_running_loop().time(), self._leave
-        self.duty.end(now_ms())
+        self.lifecycle.end(now_ms())
         if not self.started:
             self._listener.close()  # no connection has been accepted yet
             return
@@ -664,10 +664,10 @@
             if now - connection.since_ms <= EVICTION_GRACE_MS:
                 break
             connection.close_if_no_input("share")
-        if part := self.duty.share_to_close(now, SWEEP_INTERVAL_S * 1000.0):
+        if part := self.lifecycle.share_to_close(now, SWEEP_INTERVAL_S * 1000.0):
             for connection in kept[: ceil(part * len(kept))]:
                 connection.close_if_no_input("draining")
-        if self.duty.drain_over(now):
+        if self.lifecycle.drain_over(now):
             for connection in [c for c in self._unused if now - c.since_ms > EVICTION_GRACE_MS]:
                 connection.close_if_no_input("draining")
 
--- a/corkshift/tier/transport.py
+++ b/corkshift/tier/transport.py
@@ -154,7 +154,7 @@
                 "slot": slot,
                 "state": entry.state,
                 "incarnation": entry.incarnation,
-                "heard_ms_ago": _elapsed_ms(entry.heard_ms, now),
+                "heard_ms_ago": _elapsed_ms(entry.last_contact_ms, now),
             }
             for slot, entry in enumerate(tier.members.entries)
         ]
--- a/forkweir/choice.py
+++ b/forkweir/choice.py
@@ -97,10 +97,10 @@
         "hedge_queue",
         "hedge_timer_set",
         "costs",
-        "allowances",
+        "slow_start",
         "fetches",
         "retry_after",
-        "parts",
+        "tier_shares",
         "_rebuild_planned",
         "_rebuilding",
     )
@@ -124,11 +124,11 @@
         )
         self.costs = Costs()
         values = [spec.value for spec in settings.classes]
-        self.allowances = SlowStart(settings.fall_multiple, max(values, default=1.0), seed)
+        self.slow_start = SlowStart(settings.fall_multiple, max(values, default=1.0), seed)
         self.fetches = FetchBudget(max(values, default=1.0))
         self.retry_after = RetryAfter(settings.backoff_max_ms, seed)
         # Shares of tier-wide limits; None where nodes may not talk to one another.
-        self.parts: Optional[TierShares] = None
+        self.tier_shares: Optional[TierShares] = None
         self.polling = PollSchedule(settings.poll_within_ms, self.random, not settings.poll_list)
         # Estimated share of their aims within which HEDGE_QUANTILE of the attempts are answered.
         self.hedge_share = HEDGE_MAX
@@ -281,13 +281,13 @@
             request_id, spec, key, position, min(aim_at, deadline), deadline, work_ms, write
         )
         request.cost_ms = self.costs.cost_ms(spec, work_ms)
-        self.allowances.record_request(now, request.cost_ms, self.fleet.count_warm_weight(now))
+        self.slow_start.record_request(now, request.cost_ms, self.fleet.count_warm_weight(now))
         self.retry_budget.earn()
         self.error_retry_budget.earn()
         if key is not None:
             self.line.record_arrival(position, key)
-            if self.parts is not None:
-                shared = self.parts.line(position, self.line.ranges, now)
+            if self.tier_shares is not None:
+                shared = self.tier_shares.record_arrival(position, self.line.ranges, now)
                 if shared is not self.line.shared:
                     self.line.use_shared(shared)
         if self.settings.cache_aside and write:
@@ -305,12 +305,12 @@
         # as long as clients send requests, fetches would time out and be given up, and no cache
         # would get anything from them.
         fetches = self.fetches
-        if fetches.limiting or self.parts is not None:
+        if fetches.limiting or self.tier_shares is not None:
             known = fetches.remembers(position, target.info.name, target.cold_since_ms)
             expected = fetches.expected(known, write)
-            if self.parts is not None:
-                self.parts.wants_fetches(expected, fetches.fetch_ms, now)
-                fetches.allocated = self.parts.fetches(fetches.prospective_limit, now)
+            if self.tier_shares is not None:
+                self.tier_shares.record_fetch_demand(expected, fetches.fetch_ms, now)
+                fetches.allocated = self.tier_shares.fetch_limit(fetches.prospective_limit, now)
             if not fetches.may_send(expected, spec.value):
                 return [self._refuse(request, "origin", fetches.wait_ms(expected, spec.value), now)]
         # A write that the origin carries out late has no value and still invalidates the cached
@@ -334,12 +334,12 @@
         fleet, soonest_ms = self.fleet, None
         for member in fleet.placed:
             if (
-                member.account is not None
+                member.token_bucket is not None
                 and fleet.is_cold(member, now)
                 and fleet.usable(member, now)
             ):
-                opens_ms = self.allowances.wait_ms(
-                    member.account, self._cold_rate(member, now), request.cost_ms, now
+                opens_ms = self.slow_start.wait_ms(
+                    member.token_bucket, self._cold_rate(member, now), request.cost_ms, now
                 )
                 soonest_ms = opens_ms if soonest_ms is None else min(soonest_ms, opens_ms)
         return ("no-server", None) if soonest_ms is None else ("cold", soonest_ms)
@@ -537,27 +537,27 @@
         fleet = self.fleet
         if not fleet.is_cold(member, now):
             return True
-        if self.parts is not None:
-            self.parts.wants_work(
+        if self.tier_shares is not None:
+            self.tier_shares.record_work_demand(
                 member.info.name,
                 request.cost_ms / (fleet.weight_of(member) * fleet.cold_capacity(member, now)),
                 now,
             )
         rate = self._cold_rate(member, now)
-        if member.account is None:
-            member.account = self.allowances.open_bucket(
+        if member.token_bucket is None:
+            member.token_bucket = self.slow_start.open_bucket(
                 now, request.cost_ms, rate, member.start_notified_ms
             )
-        return self.allowances.may_send(
-            member.account, rate, request.cost_ms, request.spec.value, now
+        return self.slow_start.may_send(
+            member.token_bucket, rate, request.cost_ms, request.spec.value, now
         )
 
     def _cold_rate(self, member: Member, now: float) -> float:
         """Return the rate at which a cold server may get work now, in ms of work per ms."""
         fleet = self.fleet
-        reference = self.allowances.reference(fleet.weight)
-        if self.parts is not None:
-            reference = self.parts.work(member.info.name, reference, now)
+        reference = self.slow_start.reference(fleet.weight)
+        if self.tier_shares is not None:
+            reference = self.tier_shares.work_limit(member.info.name, reference, now)
         return reference * fleet.weight_of(member) * fleet.cold_capacity(member, now)
 
     def _server_with_capacity(self, request: Request, now: float) -> Optional[Member]:
@@ -579,8 +579,8 @@
         request.servers.append(member)
         request.sent_ms.append(now)
         member.record_sent(request.id, request.spec.aim_ms, now)
-        if member.account is not None and self.fleet.is_cold(member, now):
-            self.allowances.spend(member.account, request.cost_ms, request.spec.value, now)
+        if member.token_bucket is not None and self.fleet.is_cold(member, now):
+            self.slow_start.spend(member.token_bucket, request.cost_ms, request.spec.value, now)
         self.fleet.zones.record_sent(member.info.zone, request.spec.aim_ms, now)
         until = (
             request.aim_at
@@ -734,12 +734,12 @@
             if outcome.reveals_cost:
                 self.costs.record_answer(request.spec, outcome.elapsed_ms)
             if outcome.in_time:
-                self.allowances.record_served(request.cost_ms)
-        elif member.account is not None:
+                self.slow_start.record_served(request.cost_ms)
+        elif member.token_bucket is not None:
             if outcome.overload:
-                self.allowances.record_overload(member.account, now)
+                self.slow_start.record_overload(member.token_bucket, now)
             elif outcome.served:
-                self.allowances.record_success(member.account)
+                self.slow_start.record_success(member.token_bucket)
         longer = outcome.longer_than(self.hedge_share)
         if longer is not None:
             self._learn_hedge_share(longer)
--- a/forkweir/fleet.py
+++ b/forkweir/fleet.py
@@ -64,7 +64,7 @@
         "load_penalty_ms",
         "slow_streak",
         "success_score",
-        "account",
+        "token_bucket",
     )
 
     def __init__(self, info: Server) -> None:
@@ -79,7 +79,7 @@
         self.load_penalty_ms = 0.0
         self.slow_streak = 0  # slow answers in a row
         self.success_score = 0.0  # good answers, decayed like the penalty
-        self.account: Optional[TokenBucket] = None  # allowance while the server is cold
+        self.token_bucket: Optional[TokenBucket] = None  # allowance while the server is cold
 
     def update_entry(self, info: Server) -> None:
         """Replace the list entry and the states that follow from it."""
@@ -192,7 +192,7 @@
         if info.started_ms != member.info.started_ms:
             member.record_restart()
             member.cold_since_ms, member.start_notified_ms = info.started_ms, now
-            member.account = None
+            member.token_bucket = None
         was_present, was_draining = member.present, member.draining
         member.update_entry(info)
         if info.state in ("gone", "unlisted") and (was_present or was_draining):
@@ -471,7 +471,7 @@
             # The server answers again without a notification from the list: treat it as cold. It
             # may have restarted before the list says so, and would get its full range at once.
             member.cold_since_ms = member.start_notified_ms = now
-            member.account = None
+            member.token_bucket = None
             seen.cold = True
         self.zones.record_zone_answer(member.info.zone, seen, now)
 
--- a/forkweir/limits/limit_shares.py
+++ b/forkweir/limits/limit_shares.py
@@ -13,7 +13,7 @@
 class TierShares(Protocol):
     """This node's shares of the limits that all nodes of a tier have together. Times are in ms."""
 
-    def wants_work(self, server: str, work: float, now: float) -> None:
+    def record_work_demand(self, server: str, work: float, now: float) -> None:
         """Record demand for a cold server.
 
         work: the request's work in ms, divided by the fraction of its full capacity that the server
@@ -21,25 +21,25 @@
         """
         ...
 
-    def work(self, server: str, own: float, now: float) -> float:
+    def work_limit(self, server: str, own: float, now: float) -> float:
         """Return the work per ms and unit of weight that a server may get from this node.
 
         own: what this node would allow without the tier.
         """
         ...
 
-    def wants_fetches(self, fetches: float, flight_ms: float, now: float) -> None:
+    def record_fetch_demand(self, fetches: float, flight_ms: float, now: float) -> None:
         """Record demand for a request with so many expected fetches, each taking flight_ms."""
         ...
 
-    def fetches(self, own: float, now: float) -> float:
+    def fetch_limit(self, own: float, now: float) -> float:
         """Return the number of fetches that this node may have in flight.
 
         own: the limit that this node would use without the tier.
         """
         ...
 
-    def line(self, position: float, ranges: int, now: float) -> Optional[SharedLine]:
+    def record_arrival(self, position: float, ranges: int, now: float) -> Optional[SharedLine]:
         """Record a request for a position; return the common line of all nodes, if there is one.
 
         The line has so many ranges. The same object is returned until it changes.
--- a/forkweir/tier/balancer_adapter.py
+++ b/forkweir/tier/balancer_adapter.py
@@ -20,7 +20,7 @@
     def __init__(self, balancer: Balancer, tier: Tier) -> None:
         self.balancer = balancer
         self.tier = tier
-        balancer.parts = tier.demand
+        balancer.tier_shares = tier.demand
         tier.update_demand = self._update_demand
         tier.update_signals = self.update_signals
 
@@ -55,7 +55,7 @@
         balancer, demand = self.balancer, self.tier.demand
         if demand.allocates_work:
             demand.own_work = (
-                balancer.allowances.reference(balancer.fleet.weight)
+                balancer.slow_start.reference(balancer.fleet.weight)
                 if balancer.fleet.weight
                 else 0.0
             )
--- a/forkweir/tier/demand.py
+++ b/forkweir/tier/demand.py
@@ -81,7 +81,7 @@
 
     # -- demand, from the decision module ------------------------------------------------
 
-    def wants_work(self, server: str, work: float, now: float) -> None:
+    def record_work_demand(self, server: str, work: float, now: float) -> None:
         """Record demand for capacity of a cold server.
 
         work: in ms, divided by the fraction of its full capacity that the server has now.
@@ -99,7 +99,7 @@
             return
         self._record(limit, work, now)
 
-    def wants_fetches(self, fetches: float, flight_ms: float, now: float) -> None:
+    def record_fetch_demand(self, fetches: float, flight_ms: float, now: float) -> None:
         """Record demand for so many expected fetches, of flight_ms each."""
         if not self.allocates_fetches:
             return
@@ -116,7 +116,7 @@
         """The names of the servers with a limit, by the limit's id."""
         return {str(limit): server_name for limit, server_name in self._server_names.items()}
 
-    def line(self, position: float, ranges: int, now: float) -> Optional[LineTable]:
+    def record_arrival(self, position: float, ranges: int, now: float) -> Optional[LineTable]:
         """Record a request at `position`; return the shared line, if there is one."""
         if self.shared_line is None:
             return None
@@ -125,7 +125,7 @@
 
     # -- limits, for the decision module -------------------------------------------------
 
-    def work(self, server: str, own: float, now: float) -> float:
+    def work_limit(self, server: str, own: float, now: float) -> float:
         """Work per ms and unit of weight that a cold server may get from this node.
 
         own: what this node would allow by itself.
@@ -140,7 +140,7 @@
             else self.floor * own
         )
 
-    def fetches(self, own: float, now: float) -> float:
+    def fetch_limit(self, own: float, now: float) -> float:
         """Fetches in flight that this node may have while the origin is under pressure.
 
         own: what this node would allow by itself.
--- a/forkweir/tier/members.py
+++ b/forkweir/tier/members.py
@@ -75,7 +75,7 @@
     incarnation: int = 0
     token: int = 0
     since_ms: float = 0.0  # when the state began
-    heard_ms: float = -1e12  # last datagram from the node itself
+    last_contact_ms: float = -1e12  # last datagram from the node itself
     sends_left: int = 0  # datagrams that are still to carry this entry
 
 
@@ -163,7 +163,7 @@
             return False
         if entry.state != "alive" or incarnation > entry.incarnation or token != entry.token:
             self._move(slot, "alive", incarnation, now)
-        entry.token, entry.heard_ms = token, now
+        entry.token, entry.last_contact_ms = token, now
         return True
 
     def apply_updates(self, updates: tuple[MemberUpdate, ...], now: float) -> None:
--- a/testbed/nights/defects.py
+++ b/testbed/nights/defects.py
@@ -248,7 +248,7 @@
 @defect("a planned restart closes connections at once")
 def drops_what_is_held_at_a_drain() -> list[Patch]:
     async def drain(self: Any) -> None:
-        self.duty.end(seam.now_ms())
+        self.lifecycle.end(seam.now_ms())
         self._listener.close()
         for connection in list(self._connections):
             connection.abort()
@@ -310,13 +310,13 @@
         return request.tries > 0 or has_capacity(self, member, request, now)
 
     def sends(self: Any, request: Any, member: Any, now: float) -> Any:
-        account = member.account
+        bucket = member.token_bucket
         if request.tries:
-            member.account = None
+            member.token_bucket = None
         try:
             return send(self, request, member, now)
         finally:
-            member.account = account
+            member.token_bucket = bucket
 
     return [(Balancer, "_has_capacity", has_room), (Balancer, "_send", sends)]
 
@@ -326,18 +326,18 @@
     has_capacity = Balancer._has_capacity
 
     def has_room(self: Any, member: Any, request: Any, now: float) -> bool:
-        account = member.account
-        if account is not None and now - account.at > 150.0:
+        bucket = member.token_bucket
+        if bucket is not None and now - bucket.at > 150.0:
             # 2,000 ms is the window of the rule on cold servers.
-            account.level += self.allowances.reference(self.fleet.weight) * 2_000.0
+            bucket.level += self.slow_start.reference(self.fleet.weight) * 2_000.0
         return has_capacity(self, member, request, now)
 
     def has(
-        self: SlowStart, account: TokenBucket, rate: float, cost: float, worth: float, now: float
+        self: SlowStart, bucket: TokenBucket, rate: float, cost: float, value: float, now: float
     ) -> bool:
-        account.level += rate * (now - account.at)
-        account.at = now
-        return account.level >= cost
+        bucket.level += rate * (now - bucket.at)
+        bucket.at = now
+        return bucket.level >= cost
 
     return [(Balancer, "_has_capacity", has_room), (SlowStart, "may_send", has)]
 
--- a/tests/admin/test_admin.py
+++ b/tests/admin/test_admin.py
@@ -166,7 +166,7 @@
     async def test() -> None:
         async with admin_fixture({"s1": CacheBox()}) as fixture:
             assert status(await fixture.send(data)) == expected
-            assert fixture.rig.frontend.duty.accepts_clients
+            assert fixture.rig.frontend.lifecycle.accepts_clients
             assert await fixture.call("/admin/health") == 200
 
     run_async(test)
@@ -184,7 +184,8 @@
             assert await reader.readuntil(b"\r\n\r\n") == b"HTTP/1.1 100 Continue\r\n\r\n"
             writer.write(b"{}")
             assert (
-                status(await reader.read()) == 200 and not fixture.rig.frontend.duty.accepts_clients
+                status(await reader.read()) == 200
+                and not fixture.rig.frontend.lifecycle.accepts_clients
             )
             writer.transport.abort()
 
--- a/tests/test_narrow_moments.py
+++ b/tests/test_narrow_moments.py
@@ -147,7 +147,7 @@
             await until(lambda: len(requested_paths(made)) == 2)
             waiting = [client(made, request(f"b{n}", path=f"/api/b{n}")) for n in range(3)]
             draining = asyncio.create_task(made.frontend.drain())
-            await until(lambda: not made.frontend.duty.keeps_connections)
+            await until(lambda: not made.frontend.lifecycle.keeps_connections)
             taken = (
                 asyncio.get_running_loop().time() + 0.8
             )  # the drain has found no place for them, again and again
@@ -174,7 +174,7 @@
             )
         )
         async with rig({"s0": box}) as made:
-            made.frontend.duty.end(now_ms())
+            made.frontend.lifecycle.end(now_ms())
             sock = client(made, request("a", path="/api/large"), 4_096)
             await until(
                 lambda: any(c._stream._writer is not None for c in made.frontend._connections)
--- a/tests/tier/test_processes.py
+++ b/tests/tier/test_processes.py
@@ -302,7 +302,7 @@
         async def main():
             return Service(replace(config_of(data, {}), listen=("127.0.0.1", 0)))
         service = asyncio.run(main())
-        assert service.tier is None and service.node._balancer.parts is None
+        assert service.tier is None and service.node._balancer.tier_shares is None
         adapter = forkweir.adapter.Adapter()
         assert adapter.event(0.0, ["INIT", 0, 1, settings]) == (0, [])
         print([name for name in sys.modules if "tier" in name])
--- a/tests/tier/test_wire.py
+++ b/tests/tier/test_wire.py
@@ -101,8 +101,8 @@
 
 def test_a_node_without_leases_has_its_floor_and_with_one_its_share_of_the_total() -> None:
     demand, held_leases = demand_and_leases()
-    demand.wants_work("box-1", 40.0, 0.0)
-    assert demand.work("box-1", 0.8, 0.0) == pytest.approx(0.4) and demand.fetches(
+    demand.record_work_demand("box-1", 40.0, 0.0)
+    assert demand.work_limit("box-1", 0.8, 0.0) == pytest.approx(0.4) and demand.fetch_limit(
         20.0, 0.0
     ) == pytest.approx(10.0)
     number = held_leases.next_reply_number(0.0)
@@ -112,18 +112,18 @@
     held_leases.accept_grant(
         (3, 1), 2, number, 2_000.0, 80.0, FETCHES_LIMIT_ID, TOTAL_SHARES // 2, 10.0
     )
-    assert demand.work("box-1", 0.8, 20.0) == pytest.approx(0.4 + 0.5 * 0.25 * 4.0)
-    assert demand.fetches(20.0, 20.0) == pytest.approx(10.0 + 0.5 * 0.5 * 80.0)
-    assert demand.work("box-2", 0.8, 20.0) == pytest.approx(0.4)
-    assert demand.work("box-1", 0.8, 2_000.0) == pytest.approx(0.4)
+    assert demand.work_limit("box-1", 0.8, 20.0) == pytest.approx(0.4 + 0.5 * 0.25 * 4.0)
+    assert demand.fetch_limit(20.0, 20.0) == pytest.approx(10.0 + 0.5 * 0.5 * 80.0)
+    assert demand.work_limit("box-2", 0.8, 20.0) == pytest.approx(0.4)
+    assert demand.work_limit("box-1", 0.8, 2_000.0) == pytest.approx(0.4)
 
 
 def test_demand_above_the_floor_is_reported_in_the_unit_of_the_own_limit_and_fades() -> None:
     demand, _ = demand_and_leases()
     demand.own_work = 0.01
     for n in range(100):
-        demand.wants_work("box-1", 20.0, 30.0 * n)  # 0.667 a ms
-        demand.wants_fetches(0.5, 200.0, 30.0 * n)  # 3.3 in flight
+        demand.record_work_demand("box-1", 20.0, 30.0 * n)  # 0.667 a ms
+        demand.record_fetch_demand(0.5, 200.0, 30.0 * n)  # 3.3 in flight
     reported = dict(demand.above_floor(3_000.0))
     assert reported[limit_id("box-1")] == pytest.approx(0.667 - 0.005, rel=0.15)
     assert reported[FETCHES_LIMIT_ID] == pytest.approx(3.3, rel=0.15)
@@ -134,10 +134,14 @@
 def test_two_servers_with_one_id_get_no_shares(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("forkweir.tier.demand.limit_id", lambda server: 5)
     demand, held_leases = demand_and_leases()
-    demand.wants_work("a", 20.0, 0.0)
-    demand.wants_work("b", 20.0, 0.0)
+    demand.record_work_demand("a", 20.0, 0.0)
+    demand.record_work_demand("b", 20.0, 0.0)
     held_leases.accept_grant(
         (3, 1), 1, held_leases.next_reply_number(0.0), 2_000.0, 4.0, 5, TOTAL_SHARES, 10.0
     )
     assert demand.above_floor(100.0) == []
-    assert demand.work("a", 1.0, 100.0) == demand.work("b", 1.0, 100.0) == pytest.approx(0.5)
+    assert (
+        demand.work_limit("a", 1.0, 100.0)
+        == demand.work_limit("b", 1.0, 100.0)
+        == pytest.approx(0.5)
+    )
