--- a/benchmarks/overload.py
+++ b/benchmarks/overload.py
@@ -37,9 +37,12 @@
 from testbed.nights.simulation import run
 world = World(seconds={seconds}, nodes={nodes}, boxes={boxes}, cores=1, requests_per_s={rate}, keys=400, worths="site")
 result = run({seed}, Script(world=world))
-demands = [(d.at_ms, d.lane, d.work_ms, d.aim_ms, d.worth, d.write) for d in result.demands]
+demands = [
+    (d.at_ms, d.class_name, d.work_ms, d.aim_ms, d.class_value, d.write) for d in result.demands
+]
 supply = (result.supply.work, result.supply.fetches, result.supply.samples)
-print(json.dumps([sorted(result.good), demands, supply, [str(f) for f in result.failures]]))
+failures = [str(f) for f in result.failures]
+print(json.dumps([sorted(result.served_in_time), demands, supply, failures]))
 """
 
 
@@ -63,13 +66,13 @@
     done = subprocess.run(
         [sys.executable, "-I", "-c", code], capture_output=True, text=True, check=True
     )
-    good, rows, supply, failures = json.loads(done.stdout)
+    served_in_time, rows, supply, failures = json.loads(done.stdout)
     demands = [Demand(*row) for row in rows]
     served, asked = Counter[str](), Counter[str]()
     for demand in demands:
-        asked[demand.lane] += round(demand.value)
-    for n in good:
-        served[demands[n].lane] += round(demands[n].value)
+        asked[demand.class_name] += round(demand.value)
+    for n in served_in_time:
+        served[demands[n].class_name] += round(demands[n].value)
     return served, max_value(demands, Supply(*supply)).by_class, asked, failures
 
 
@@ -104,20 +107,21 @@
                 before.update(future.result()[0])
             broken: list[str] = []
             for future in played[step, ROOT]:
-                good, most, wanted, failures = future.result()
-                now.update(good)
-                for lane, part in most.items():
-                    bound[lane] = bound.get(lane, 0.0) + part
+                served, most, wanted, failures = future.result()
+                now.update(served)
+                for class_name, part in most.items():
+                    bound[class_name] = bound.get(class_name, 0.0) + part
                 asked.update(wanted)
                 broken += failures
-            for lane in (*sorted(asked), "all"):
+            for class_name in (*sorted(asked), "all"):
                 a, b, n = (
-                    c[lane] if lane != "all" else sum(c.values()) for c in (asked, before, now)
+                    c[class_name] if class_name != "all" else sum(c.values())
+                    for c in (asked, before, now)
                 )
-                m = bound.get(lane, 0.0) if lane != "all" else sum(bound.values())
+                m = bound.get(class_name, 0.0) if class_name != "all" else sum(bound.values())
                 row = {
                     "load": step,
-                    "class": lane,
+                    "class": class_name,
                     "asked": a,
                     "before": b,
                     "now": n,
@@ -125,7 +129,7 @@
                 }
                 rows.append(row)
                 print(
-                    f"{step:>5} {lane:12} {a:>7} {b:>7} {n:>7} {m:>7.0f} {n / max(1.0, m):>9.2f}",
+                    f"{step:>5} {class_name:12} {a:>7} {b:>7} {n:>7} {m:>7.0f} {n / max(1.0, m):>9.2f}",
                     flush=True,
                 )
             for failure in broken:
--- a/benchmarks/recovery.py
+++ b/benchmarks/recovery.py
@@ -141,7 +141,7 @@
     for n, demand in enumerate(result.demands):
         at = min(slices - 1, int(demand.at_ms / SLICE_MS))
         asked[at] += demand.value
-        served[at] += demand.value * (n in result.good)
+        served[at] += demand.value * (n in result.served_in_time)
     calm, fault = int(CALM_MS / SLICE_MS), int(FAULT_MS / SLICE_MS)
     level = sum(served[calm:fault]) / max(1e-9, sum(asked[calm:fault]))
     whole = max(1e-9, sum(asked[fault:]))
--- a/benchmarks/tier.py
+++ b/benchmarks/tier.py
@@ -266,7 +266,8 @@
     result = play_whole(seed, msgspec.convert({"world": world}, NightScript))
     figures = result.figures
     return {
-        "usual": result.usual, "fetches": result.fetches, "in_time": figures.in_time / max(1, figures.asked), "failures": result.failures,
+        "usual": result.majority_box_share, "fetches": result.fetches,
+        "in_time": figures.in_time / max(1, figures.asked), "failures": result.failures,
     }  # fmt: skip
 
 
--- a/corkshift/admin/status.py
+++ b/corkshift/admin/status.py
@@ -42,8 +42,8 @@
         servers by health.
         """
         rows = [
-            f"{METRIC_PREFIX}.responses.{lane}.{kind}={count}"
-            for lane, counts in self.figures.responses.items()
+            f"{METRIC_PREFIX}.responses.{class_name}.{kind}={count}"
+            for class_name, counts in self.figures.responses.items()
             for kind, count in zip(KINDS, counts, strict=True)
         ]
         rows += [
--- a/testbed/nights/oracle.py
+++ b/testbed/nights/oracle.py
@@ -31,18 +31,18 @@
     # Virtual time of the request.
     at_ms: float
     # Class of the request.
-    lane: str
+    class_name: str
     work_ms: float
     # Time from the request within which an answer counts as in time.
     aim_ms: float
     # Value of the class per ms of work.
-    worth: float
+    class_value: float
     write: bool
 
     @property
     def value(self) -> float:
         """Value of an answer in time: the value of its class for each ms of work."""
-        return self.worth * self.work_ms
+        return self.class_value * self.work_ms
 
 
 @dataclass(slots=True)
@@ -99,7 +99,7 @@
     for n, (demand, (first, last)) in enumerate(zip(demands, spans, strict=True)):
         for at in range(first, last + 1):
             column = len(gains)
-            gains.append(-demand.worth)
+            gains.append(-demand.class_value)
             owner.append(n)
             rows += (n, jobs + at)
             columns += (column, column)
@@ -112,7 +112,7 @@
     limits = [1.0] * jobs + [work for work, _ in fits] + [writes for _, writes in fits]
     served: dict[str, float] = {}
     for column, fraction in enumerate(_solve(gains, rows, columns, values, limits, 1.0)):
-        class_name = demands[owner[column]].lane
+        class_name = demands[owner[column]].class_name
         served[class_name] = served.get(class_name, 0.0) + fraction
     return served
 
@@ -164,7 +164,7 @@
         return BestSchedule({}, [])
     groups: dict[tuple[int, str], list[Demand]] = {}
     for demand in demands:
-        groups.setdefault((int(demand.at_ms / SLICE_MS), demand.lane), []).append(demand)
+        groups.setdefault((int(demand.at_ms / SLICE_MS), demand.class_name), []).append(demand)
     slices = max(int((d.at_ms + d.aim_ms) / SLICE_MS) for d in demands) + 1
     rows: list[int] = []
     columns: list[int] = []
@@ -178,7 +178,7 @@
         heaviest = max(d.work_ms for d in group)
         for at in range(first, last + 1):
             column = len(gains)
-            gains.append(-group[0].worth)
+            gains.append(-group[0].class_value)
             owners.append((first, class_name))
             rows += (n, len(groups) + at)
             columns += (column, column)
--- a/testbed/nights/simulation.py
+++ b/testbed/nights/simulation.py
@@ -104,7 +104,7 @@
     demands: list[Demand]
     supply: Supply
     # Indexes of the demands that were served in time.
-    good: set[int]
+    served_in_time: set[int]
     # Lines of the trace, where they are kept.
     lines: list[str] = field(default_factory=list)
     # Number of leases on tier-wide limits that nodes took.
@@ -116,7 +116,7 @@
     # Nodes that were leader at the end.
     leaders: list[str] = field(default_factory=list)
     # Fraction of reads that went to the box that got most reads of their key.
-    usual: float = 0.0
+    majority_box_share: float = 0.0
     # Number of fetches from the order book.
     fetches: int = 0
 
@@ -128,7 +128,7 @@
     @property
     def served_value(self) -> float:
         """Value of the work served in time (class value x ms of work); see `oracle.max_value`."""
-        return sum(self.demands[n].value for n in self.good)
+        return sum(self.demands[n].value for n in self.served_in_time)
 
 
 def tier_table(world: WorldTable) -> TierTable:
--- a/testbed/tier/virtual.py
+++ b/testbed/tier/virtual.py
@@ -25,7 +25,7 @@
             "asked": figures.asked, "served": figures.served, "in_time": figures.in_time, "refused": figures.refused,
             "failed": figures.failed, "unanswered": figures.unanswered,
         },
-        "usual": round(result.usual, 4),
+        "usual": round(result.majority_box_share, 4),
         "fetches": result.fetches,
         "leases": result.leases,
         "most_held": {str(bound): parts for bound, parts in sorted(result.max_held.items())},
--- a/tests/testbed/test_oracle.py
+++ b/tests/testbed/test_oracle.py
@@ -17,9 +17,9 @@
 
 
 def reads(
-    count: int, worth: float = 3.0, class_name: str = "read", write: bool = False
+    count: int, class_value: float = 3.0, class_name: str = "read", write: bool = False
 ) -> list[Demand]:
-    return [Demand(0.0, class_name, 10.0, 199.0, worth, write) for _ in range(count)]
+    return [Demand(0.0, class_name, 10.0, 199.0, class_value, write) for _ in range(count)]
 
 
 def test_what_fits_is_all_served_and_what_does_not_is_cut_to_the_capacity() -> None:
