--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -73,7 +73,7 @@
     def usable(self, name: str) -> bool:
         return True
 
-    def on_unlisted_departures(self, addresses: list[Address], whole: bool) -> None:
+    def on_unlisted_departures(self, addresses: list[Address], complete: bool) -> None:
         pass
 
     def on_list(self, form: str, entries: Iterable[Server]) -> None:
--- a/corkshift/address_book.py
+++ b/corkshift/address_book.py
@@ -49,11 +49,11 @@
         """
         ...
 
-    def on_unlisted_departures(self, addresses: list[Address], whole: bool) -> None:
+    def on_unlisted_departures(self, addresses: list[Address], complete: bool) -> None:
         """Servers that are not in the address book drain or are removed.
 
-        whole: a line that was read whole says that they are removed. Otherwise a partial or corrupt
-        line says that they drain or are removed, and this holds until the next whole line. Another
+        complete: a complete line says that they are removed. Otherwise a partial or corrupt line
+        says that they drain or are removed, and this holds until the next complete line. Another
         source may name these servers: without this notification, a node would lose a drain if its
         list had lost the server's addition before it.
         """
@@ -77,7 +77,7 @@
         # When the input being applied may have been written. The grace period of a departure
         # starts then.
         self.written_ms = inf
-        self.has_whole_list = False  # a whole line was applied
+        self.complete_line_applied = False  # a whole line was applied
         self._node = node
         self._pool = pool
         # The entry of each server in the address book: that of the last whole line which named it,
@@ -111,30 +111,30 @@
     # -- whole lines ---------------------------------------------------------------------
 
     def apply_line(
-        self, generation: int, whole: bool, listed: list[Entry], complete: bool
+        self, generation: int, full: bool, listed: list[Entry], gapless: bool
     ) -> Iterator[None]:
         """Apply a line that was read whole. Yields where the loop may run between slices.
 
-        whole: it is a whole list, not a line of changes. complete: it includes every change since
-        the last line, so that servers which unconfirmed entries hold back and which it does not
-        name are released.
+        full: it is a full list, not a line of changes. gapless: it includes every change since the
+        last line, so that servers which unconfirmed entries hold back and which it does not name
+        are released.
         """
-        missing = self._missing(generation, listed) if whole else {}
-        large = whole and len(listed) > SLICE_SERVERS
+        missing = self._missing(generation, listed) if full else {}
+        large = full and len(listed) > SLICE_SERVERS
         shared = _shared_addresses(listed) if large else set()
         pairs = self._without_superseded(
             generation, self._differing(listed, shared) if large else listed
         )
-        if whole and self._superseded:
+        if full and self._superseded:
             for name in self._superseded.keys() - {server.name for server, _ in listed}:
                 del self._superseded[name]
-        released = self._unconfirmed.confirm((server.name for server, _ in pairs), complete)
+        released = self._unconfirmed.confirm((server.name for server, _ in pairs), gapless)
         if self._release_timer is not None and not self._unconfirmed.held_back:
             self._release_timer.cancel()
             self._release_timer = None
         if not large:
             self._notify(
-                "full" if whole else "changes",
+                "full" if full else "changes",
                 [*self._release(released), *self._update(pairs, missing)],
             )
         else:
@@ -146,7 +146,7 @@
                 [*self._release(released), *self._update(urgent, missing)],
             )
             yield from self._add_in_slices(deferred)
-        self.generation, self.has_whole_list = generation, True
+        self.generation, self.complete_line_applied = generation, True
 
     def _add_in_slices(self, pairs: list[Entry]) -> Iterator[None]:
         """Add the new servers of a long list; yields before each slice.
@@ -211,7 +211,7 @@
         Form `hearsay` is the outward name for entries that no whole line has confirmed; they never
         count as those of the first list.
         """
-        first, now = not self.has_whole_list and form != "hearsay", now_ms()
+        first, now = not self.complete_line_applied and form != "hearsay", now_ms()
         self._node.on_list(form, [self._starts.localize(server, first, now) for server in entries])
 
     # -- lines that are not whole --------------------------------------------------------
@@ -261,7 +261,7 @@
                     UnconfirmedEntry(name, state, entry.address in (None, current.address), later)
                 )
         if unknown:
-            self._node.on_unlisted_departures(unknown, whole=False)
+            self._node.on_unlisted_departures(unknown, complete=False)
         if not reports:
             return
         held_before = set(self._unconfirmed.held_back)
@@ -396,7 +396,7 @@
             if server.state == "gone" and server.name not in book
         ]
         if unknown:
-            self._node.on_unlisted_departures(unknown, whole=True)
+            self._node.on_unlisted_departures(unknown, complete=True)
         replaced, kept = self._remove_replaced(pairs)
         if missing is not None and len(kept) < len(pairs):
             names = {server.name for server, _ in kept}
--- a/corkshift/discovery.py
+++ b/corkshift/discovery.py
@@ -302,10 +302,10 @@
             old.cancel()
         for other in [other for other in self._calls if other is not watch]:
             self._calls.pop(other).cancel()
-        complete = raw.whole or not watch.has_whole_line
-        watch.has_whole_line = True
+        gapless = raw.full or not watch.complete_line_received
+        watch.complete_line_received = True
         self._changes_lost = False
-        yield from self.address_book.apply_line(raw.generation, raw.whole, pairs, complete)
+        yield from self.address_book.apply_line(raw.generation, raw.full, pairs, gapless)
         self._first_list_received.set()
 
     def _apply_unconfirmed(self, text: bytes) -> None:
--- a/corkshift/frontend.py
+++ b/corkshift/frontend.py
@@ -447,8 +447,8 @@
             and not self.partial
             and not self._stream.has_input
         )
-        whole = parser.their_state is h11.DONE or parser is self._large_body_parser
-        keep = whole and response.status in KEEP_ALIVE_STATUSES and not last
+        request_complete = parser.their_state is h11.DONE or parser is self._large_body_parser
+        keep = request_complete and response.status in KEEP_ALIVE_STATUSES and not last
         if not keep and self._reader is not None:
             # Reading stops before the write, which may take a while. A request that arrives from
             # now on stays unread, so its client can send it elsewhere; otherwise it could be
@@ -718,8 +718,8 @@
 
 def _parse_number(value: bytes) -> float:
     """Parse a header's decimal number, with an optional fraction."""
-    whole, _, part = value.partition(b".")
-    if not (whole.isdigit() and (part.isdigit() or not part) and len(value) <= 18):
+    integer, _, fraction = value.partition(b".")
+    if not (integer.isdigit() and (fraction.isdigit() or not fraction) and len(value) <= 18):
         raise Rejected(400)
     return float(value)
 
--- a/corkshift/listing.py
+++ b/corkshift/listing.py
@@ -46,7 +46,7 @@
 _OPENING_BRACKETS, _CLOSING_BRACKETS = (b"{", b"["), (b"}", b"]")
 # Ends of a row after which an indented object continues in the next row.
 _CONTINUED_ROW_ENDS = (b"{", b"[", b",")
-_WHOLE_LIST = re.compile(rb'"reset"\s*:\s*true')
+_FULL_LIST = re.compile(rb'"reset"\s*:\s*true')
 
 
 class BadList(Exception):
@@ -195,7 +195,7 @@
         if entry is not None:
             found.append(entry)
     rest += text[position:]
-    if not _WHOLE_LIST.search(rest):
+    if not _FULL_LIST.search(rest):
         known = {entry.server.name for entry in found}
         names = dict.fromkeys(match[1].decode() for match in _INSTANCE_ID.finditer(rest))
         found += [
@@ -217,7 +217,7 @@
     """A whole line whose entries are not parsed yet."""
 
     generation: int
-    whole: bool  # names every server; otherwise the line holds changes
+    full: bool  # names every server; otherwise the line holds changes
     entries: list[Any]
 
 
@@ -268,13 +268,13 @@
     Raises BadList if it is malformed.
     """
     raw = parse_raw_list(line)
-    return raw.generation, raw.whole, read_entries(raw.entries, EntryCache())
+    return raw.generation, raw.full, read_entries(raw.entries, EntryCache())
 
 
 def read(data: dict[str, Any]) -> tuple[int, bool, list[tuple[Server, Address]]]:
     """As `parse`, for an object in discovery's format."""
     raw = raw_list_of(data)
-    return raw.generation, raw.whole, read_entries(raw.entries, EntryCache())
+    return raw.generation, raw.full, read_entries(raw.entries, EntryCache())
 
 
 def _unconfirmed_entry(text: bytes, cache: EntryCache) -> RecoveredEntry | None:
--- a/corkshift/node.py
+++ b/corkshift/node.py
@@ -211,7 +211,7 @@
         self.servers_known = self.servers_known or bool(self.servers)
         self._decide(None, lambda: self._balancer.on_list(now_ms(), form, entries))
 
-    def on_unlisted_departures(self, addresses: list[Address], whole: bool) -> None:
+    def on_unlisted_departures(self, addresses: list[Address], complete: bool) -> None:
         """Ignore departures of servers that the list never named: there is no other source here."""
 
     def _on_backstop(self, request: ClientRequest) -> None:
--- a/corkshift/sources/boxlist.py
+++ b/corkshift/sources/boxlist.py
@@ -56,13 +56,13 @@
         self._unconfirmed_drains: dict[Address, None] = {}  # until a whole line is read
         self._unconfirmed_removals: list[Claim] = []  # of the line being read
 
-    def on_unlisted_departures(self, addresses: list[Address], whole: bool) -> None:
+    def on_unlisted_departures(self, addresses: list[Address], complete: bool) -> None:
         """Receive addresses of servers that drain or are removed but that the list never named.
 
-        Another source may name them (see `corkshift.address_book.ListObserver`). whole: whether the
+        Another source may name them (see `corkshift.address_book.ListObserver`). complete: whether the
         line was read completely. Entries of a partial line never drain the last server in service.
         """
-        if whole:
+        if complete:
             self._unconfirmed_removals += [
                 Claim(address, "gone") for address in addresses[:MAX_UNCONFIRMED]
             ]
--- a/corkshift/watch.py
+++ b/corkshift/watch.py
@@ -45,7 +45,7 @@
         self.generation = generation
         self.answer_timeout_s = answer_timeout_s
         self.answered = False
-        self.has_whole_line = False  # a whole line was received
+        self.complete_line_received = False  # a whole line was received
         # Data was lost and another watch is to replace this one: only removals are applied.
         self.retiring = False
         # Starts a parallel call while this one is unanswered.
--- a/forkweir/choice.py
+++ b/forkweir/choice.py
@@ -154,7 +154,7 @@
             return []
         if form in ("failed", "lost"):
             return [self._poll_at(now + self.polling.next_wait(form == "lost", now))]
-        self.fleet.apply_list(now, entries, form in ("saved", "full"), whole=form != "part")
+        self.fleet.apply_list(now, entries, form in ("saved", "full"), complete=form != "part")
         if form == "part":
             return []
         actions = self._plan_rebuild(now)
--- a/forkweir/fleet.py
+++ b/forkweir/fleet.py
@@ -139,11 +139,11 @@
     # -- the list ------------------------------------------------------------------------
 
     def apply_list(
-        self, now: float, entries: Iterable[Server], full: bool, whole: bool = True
+        self, now: float, entries: Iterable[Server], full: bool, complete: bool = True
     ) -> None:
         """Apply a full list or changes of it.
 
-        whole: False if more changes follow at once; homes are assigned after the last of them.
+        complete: False if more changes follow at once; homes are assigned after the last of them.
         """
         in_service_before = self.in_service
         touched: dict[str, Member] = {}
@@ -165,7 +165,7 @@
             or abs(self.in_service - in_service_before) > RECOUNT_SHARE * in_service_before
         ):
             self.warm_count_due_ms = 0.0
-        self.placement_stale = self.placement_stale or whole
+        self.placement_stale = self.placement_stale or complete
 
     def _apply_entry(self, info: Server, now: float) -> Optional[Member]:
         """Apply one entry and return its member; None for the removal of an unknown server."""
--- a/forkweir/known/unconfirmed.py
+++ b/forkweir/known/unconfirmed.py
@@ -62,8 +62,8 @@
 
         in_service: number of servers that are listed as in service and not held back.
         """
-        back, cold = [], []
-        whole = in_service + len(self._held)
+        held_back, cold = [], []
+        total = in_service + len(self._held)
         for entry in entries:
             if not entry.same_address:
                 continue
@@ -71,37 +71,37 @@
                 if entry.started_later:
                     cold.append(entry.name)
                 continue
-            suspect = entry.state == "unreadable"
+            unreadable = entry.state == "unreadable"
             if entry.name in self._held:
-                if not suspect:
+                if not unreadable:
                     self._held[entry.name] = float("inf")
                 continue
             if in_service <= 1 or (
-                suspect and len(self._held) + 1 > max(1.0, MAX_UNREADABLE_SHARE * whole)
+                unreadable and len(self._held) + 1 > max(1.0, MAX_UNREADABLE_SHARE * total)
             ):
                 continue
             in_service -= 1
-            self._held[entry.name] = now + UNREADABLE_TIMEOUT_MS if suspect else float("inf")
-            back.append(entry.name)
-        return back, cold
+            self._held[entry.name] = now + UNREADABLE_TIMEOUT_MS if unreadable else float("inf")
+            held_back.append(entry.name)
+        return held_back, cold
 
-    def confirm(self, named: Iterable[str], complete: bool) -> list[str]:
+    def confirm(self, named: Iterable[str], gapless: bool) -> list[str]:
         """Apply a line that was read completely; return servers that are no longer held back.
 
         The servers that the line names are as it says. The others are released only where the line
-        covers everything that was missed (complete).
+        covers everything that was missed (gapless).
         """
         for name in named:
             self._held.pop(name, None)
-        if not complete:
+        if not gapless:
             return []
-        free = list(self._held)
+        released = list(self._held)
         self._held.clear()
-        return free
+        return released
 
     def expire(self, now: float) -> list[str]:
         """Release and return servers whose time for an unreadable entry is over."""
-        free = [name for name, until in self._held.items() if until <= now]
-        for name in free:
+        released = [name for name, until in self._held.items() if until <= now]
+        for name in released:
             del self._held[name]
-        return free
+        return released
--- a/testbed/nights/defects.py
+++ b/testbed/nights/defects.py
@@ -80,8 +80,10 @@
 def ignores_a_drain() -> list[Patch]:
     take = Fleet.apply_list
 
-    def without_drains(self: Any, now: float, entries: Any, full: bool, whole: bool = True) -> None:
-        take(self, now, [entry for entry in entries if entry.state == "in"], False, whole)
+    def without_drains(
+        self: Any, now: float, entries: Any, full: bool, complete: bool = True
+    ) -> None:
+        take(self, now, [entry for entry in entries if entry.state == "in"], False, complete)
 
     return [
         (Fleet, "apply_list", without_drains),
--- a/tests/test_address_book.py
+++ b/tests/test_address_book.py
@@ -45,7 +45,7 @@
         self.forms.append(form)
         self.balancer.on_list(1_000.0, form, listed)
 
-    def on_unlisted_departures(self, addresses: list[Address], whole: bool) -> None:
+    def on_unlisted_departures(self, addresses: list[Address], complete: bool) -> None:
         pass
 
     def view(self) -> dict[str, tuple[object, ...]]:
@@ -74,8 +74,8 @@
         pass
 
 
-def line_of(generation: int, whole: bool, entries: list[dict[str, Any]]) -> bytes:
-    return json.dumps({"generation": generation, "reset": whole, "instances": entries}).encode()
+def line_of(generation: int, full: bool, entries: list[dict[str, Any]]) -> bytes:
+    return json.dumps({"generation": generation, "reset": full, "instances": entries}).encode()
 
 
 def listed(
@@ -117,7 +117,7 @@
             return sum(
                 1
                 for _ in self.book.apply_line(
-                    raw.generation, raw.whole, read_entries(raw.entries, self.cache), raw.whole
+                    raw.generation, raw.full, read_entries(raw.entries, self.cache), raw.full
                 )
             )
 
@@ -217,7 +217,7 @@
                 *(entry(name, known.port) for name, known in boxes.items()),
                 *(entry(f"x{n}", 1 + n) for n in range(count)),
             ]
-            whole = line_of(2, True, entries) + b"\n"
+            full = line_of(2, True, entries) + b"\n"
             drain = line_of(3, False, [entry("s0", box.port, "terminating")]) + b"\n"
             seen: list[int] = []
             on_list = made.node.on_list
@@ -229,7 +229,7 @@
 
             made.node.on_list = recording_on_list  # type: ignore[method-assign, assignment]
             for connection in made.registry.watches:
-                data = whole + drain
+                data = full + drain
                 await connection.stream.write(b"%x\r\n%b\r\n" % (len(data), data))
             await until(lambda: len(made.node.servers) == count + 2)
             await until(lambda: made.discovery.address_book.generation == 3)
--- a/tests/test_listing.py
+++ b/tests/test_listing.py
@@ -47,12 +47,12 @@
     text = line(ENTRIES, reset)
     ends = [end + len(text) - len(TEXT) for end in ENDS]
     for cut in range(len(text) - 1):
-        whole = {f"s{n}": STATES[n] for n in range(3) if ends[n] <= cut}
+        complete = {f"s{n}": STATES[n] for n in range(3) if ends[n] <= cut}
         found = states_of(unconfirmed_entries(text[:cut]))
-        assert {name: state for name, state in found.items() if state != "unreadable"} == whole
+        assert {name: state for name, state in found.items() if state != "unreadable"} == complete
         suspects = {name for name, state in found.items() if state == "unreadable"}
-        # Only the cut entry is suspect; in a whole list, which names every server, not even that.
-        assert suspects <= ({f"s{len(whole)}"} if not reset else set())
+        # Only the cut entry is suspect; in a full list, which names every server, not even that.
+        assert suspects <= ({f"s{len(complete)}"} if not reset else set())
 
 
 @pytest.mark.parametrize("noise", NOISE_SAMPLES)
@@ -85,8 +85,8 @@
         got += lines.receive(body[at:cut])
         unconfirmed += lines.unconfirmed_entries()
         at = cut
-    *whole, part = body.split(b"\n")
-    assert got == [text.strip() for text in whole] and lines.rest() == part
+    *complete, part = body.split(b"\n")
+    assert got == [text.strip() for text in complete] and lines.rest() == part
     assert lines.unfinished == bool(part)
     wanted = [
         found_entry
@@ -102,9 +102,9 @@
     text = TEXT[:begin] + noise + TEXT[end:]
     unconfirmed_entries(text)
     lines = LineParser()
-    for whole in lines.receive(text):
+    for line_text in lines.receive(text):
         try:
-            parse(whole)
+            parse(line_text)
         except BadList:
             pass
     lines.unconfirmed_entries()
