--- a/corkshift/tier/transport.py
+++ b/corkshift/tier/transport.py
@@ -40,23 +40,23 @@
 class UdpTransport:
     """Runs one node's part in the tier over UDP."""
 
-    def __init__(self, node: Node, neighbours: TierPeers, options: TierTable) -> None:
+    def __init__(self, node: Node, tier_peers: TierPeers, options: TierTable) -> None:
         """Bind the socket and join `node` to the tier. OSError where the address can't be bound."""
         now = now_ms()
         # Random for each process, as two processes may read one configuration.
         seed = int.from_bytes(seam.random_bytes(8), "big")
         self.tier = Tier(
-            neighbours.slot,
-            len(neighbours.peers),
+            tier_peers.slot,
+            len(tier_peers.peers),
             seed,
             int(now / 1000.0),
             now,
             options.options(),
-            neighbours.tier,
+            tier_peers.tier,
         )
         self.send_failures = 0  # datagrams that could not be sent
-        self._slots = {address: slot for slot, address in enumerate(neighbours.peers)}
-        self._peers = neighbours.peers
+        self._slots = {address: slot for slot, address in enumerate(tier_peers.peers)}
+        self._peers = tier_peers.peers
         # Limit, shares, time of acceptance, expiry.
         self._recent_leases: deque[tuple[int, int, float, float]] = deque(maxlen=MAX_RECENT_LEASES)
         self._timer: Optional[asyncio.TimerHandle] = None
@@ -68,11 +68,11 @@
         self._sock = seam.udp_socket()
         try:
             seam.limit_buffers(self._sock, RECEIVE_BUFFER_BYTES)
-            self._sock.bind(neighbours.listen)
+            self._sock.bind(tier_peers.listen)
         except OSError as error:
             self._sock.close()
             raise OSError(
-                error.errno, f"{neighbours.listen[0]}:{neighbours.listen[1]}: {error.strerror}"
+                error.errno, f"{tier_peers.listen[0]}:{tier_peers.listen[1]}: {error.strerror}"
             ) from None
         node.join(self.tier)
 
@@ -119,14 +119,14 @@
     def _read(self) -> None:
         for _ in range(MAX_READS_PER_TURN):
             try:
-                data, sender = self._sock.recvfrom(MAX_DATAGRAM_BYTES + 1)
+                data, sender_address = self._sock.recvfrom(MAX_DATAGRAM_BYTES + 1)
             except BlockingIOError:
                 return
             except OSError as error:
                 log.debug("tier: receive failed, probably for a datagram sent earlier: %s", error)
                 continue
             try:
-                self._send(self.tier.receive(self._slots.get(sender, -1), data, now_ms()))
+                self._send(self.tier.receive(self._slots.get(sender_address, -1), data, now_ms()))
             except Exception:
                 log.exception("tier: failed to process a datagram, which is dropped")
 
@@ -177,7 +177,7 @@
             "token": tier.token,
             "incarnation": tier.members.incarnation,
             "keeps": tier.is_leader(now),
-            "follows": tier.followed_leader if tier.allocator.voter.voted_for is not None else -1,
+            "follows": tier.followed_slot if tier.allocator.voter.voted_for is not None else -1,
             "disagrees": tier.has_config_conflict(now),
             "whole": TOTAL_SHARES,
             "floor": tier.options.floor,
--- a/forkweir/tier/demand.py
+++ b/forkweir/tier/demand.py
@@ -89,12 +89,12 @@
         if not self.allocates_work:
             return
         limit = limit_id(server)
-        server_name = self._server_names.get(limit)
-        if server_name is None:
+        known = self._server_names.get(limit)
+        if known is None:
             if len(self._server_names) >= MAX_SERVERS:
                 return
             self._server_names[limit] = server
-        elif server_name != server:
+        elif known != server:
             self._server_names[limit] = ""
             return
         self._record(limit, work, now)
@@ -160,17 +160,17 @@
     def above_floor(self, now: float) -> list[tuple[int, float]]:
         """The demand above the floor by limit, the largest first, in the unit of its `own`."""
         demand = []
-        for limit, faded in list(self._requested.items()):
-            faded.add(now, 0.0)
-            rate = faded.rate(DEMAND_EVIDENCE_MS)
+        for limit, requested in list(self._requested.items()):
+            requested.add(now, 0.0)
+            rate = requested.rate(DEMAND_EVIDENCE_MS)
             if rate * DEMAND_DECAY_MS < 1e-6:
                 del self._requested[limit]
                 self._server_names.pop(limit, None)
                 continue
             if limit == FETCHES_LIMIT_ID:
-                beyond = rate * self._fetch_ms - self.floor * self.own_fetches
+                excess = rate * self._fetch_ms - self.floor * self.own_fetches
             else:
-                beyond = rate - self.floor * self.own_work
-            if beyond > 0.0 and self._server_names.get(limit) != "":
-                demand.append((limit, beyond))
-        return sorted(demand, key=lambda want: (-want[1], want[0]))
+                excess = rate - self.floor * self.own_work
+            if excess > 0.0 and self._server_names.get(limit) != "":
+                demand.append((limit, excess))
+        return sorted(demand, key=lambda entry: (-entry[1], entry[0]))
--- a/forkweir/tier/leases.py
+++ b/forkweir/tier/leases.py
@@ -139,7 +139,7 @@
                 break
             del self._calls_sent_ms[first]
 
-    def withdraw(self) -> None:
+    def end(self) -> None:
         """End the candidacy: no vote for any call so far counts.
 
         The node's vote for itself is left as it is; `Allocator.step_down` releases it as well.
@@ -147,9 +147,9 @@
         self._votes.clear()
         self._calls_sent_ms.clear()
 
-    def vote_received(self, slot: int, echo: int) -> bool:
+    def vote_received(self, slot: int, call_number: int) -> bool:
         """Record a node's vote in reply to a call; return whether that call is known."""
-        sent = self._calls_sent_ms.get(echo)
+        sent = self._calls_sent_ms.get(call_number)
         if sent is None:
             return False
         self._votes[slot] = max(
@@ -280,7 +280,7 @@
         self,
         leader: ProcessId,
         number: int,
-        echo: int,
+        reply_number: int,
         lease_ms: float,
         size: float,
         limit: int,
@@ -291,7 +291,7 @@
 
         Of two grants from one leader, the one with the higher number counts.
         """
-        sent = self._replies_sent_ms.get(echo)
+        sent = self._replies_sent_ms.get(reply_number)
         if sent is None:
             return False
         until = sent + CLOCK_SAFETY_FACTOR * lease_ms
@@ -360,35 +360,35 @@
         The number is the one that `step_down` returned if this process, a candidate without a
         majority, has stepped down for a process of a lower slot; else 0.
         """
-        void_number = 0
+        step_down_number = 0
         if (
             leader[0] < self.process[0]
             and self.voter.voted_for == self.process
             and not self.is_leader(now)
         ):
-            void_number = self.step_down(now)
-        return self.voter.request_vote(leader, number, now), void_number
+            step_down_number = self.step_down(now)
+        return self.voter.request_vote(leader, number, now), step_down_number
 
-    def on_vote(self, slot: int, to: int, echo: int) -> None:
-        """Process a node's vote for the call `echo` of the process with token `to`."""
-        if to == self.process[1]:
-            self.candidacy.vote_received(slot, echo)
+    def on_vote(self, slot: int, to_token: int, call_number: int) -> None:
+        """Process a node's vote for a call of the process with token `to_token`."""
+        if to_token == self.process[1]:
+            self.candidacy.vote_received(slot, call_number)
 
     def on_grant(
         self,
         leader: ProcessId,
-        to: int,
+        to_token: int,
         number: int,
-        echo: int,
+        reply_number: int,
         lease_ms: float,
         size: float,
         limit: int,
         shares: int,
         now: float,
     ) -> bool:
-        """Process a grant for the process with token `to`; return whether it is accepted."""
-        return to == self.process[1] and self.held_leases.accept_grant(
-            leader, number, echo, lease_ms, size, limit, shares, now
+        """Process a grant for the process with token `to_token`; return whether it is accepted."""
+        return to_token == self.process[1] and self.held_leases.accept_grant(
+            leader, number, reply_number, lease_ms, size, limit, shares, now
         )
 
     def step_down(self, now: float) -> int:
@@ -400,6 +400,6 @@
         longer than its majority, and a leader that withdraws for a conflict of configurations
         neither calls nor votes for vote_ms (see `Tier._should_call`).
         """
-        self.candidacy.withdraw()
+        self.candidacy.end()
         self.voter.release(self.process, self.call_number, now)
         return self.call_number
--- a/forkweir/tier/members.py
+++ b/forkweir/tier/members.py
@@ -83,14 +83,14 @@
 class Probe:
     """A ping to send. relay: the node that is asked to send it, -1 to send it directly."""
 
-    to: int
+    target: int
     number: int
     relay: int = -1
 
 
 @dataclass(slots=True)
 class _PendingProbe:
-    to: int
+    target: int
     number: int
     sent_ms: float
     relayed: bool = False
@@ -225,14 +225,16 @@
             waited = now - pending.sent_ms
             if waited >= self.period_ms * (1.0 + 0.5 * self.slowness):
                 del self._pending[pending.number]
-                if self.entries[pending.to].state == "alive":
+                if self.entries[pending.target].state == "alive":
                     self.slowness = min(MAX_SLOWNESS, self.slowness + 1)
-                    self._move(pending.to, "suspect", self.entries[pending.to].incarnation, now)
+                    self._move(
+                        pending.target, "suspect", self.entries[pending.target].incarnation, now
+                    )
             elif not pending.relayed and waited >= RELAY_AFTER_PERIODS * self.period_ms:
                 pending.relayed = True
-                others = [s for s in self.participants() if s not in (self.slot, pending.to)]
+                others = [s for s in self.participants() if s not in (self.slot, pending.target)]
                 for other in self._random.sample(others, min(RELAY_COUNT, len(others))):
-                    probes.append(Probe(pending.to, pending.number, other))
+                    probes.append(Probe(pending.target, pending.number, other))
         for slot, since in list(self._suspected_ms.items()):
             if now - since >= self.suspicion_ms:
                 self._move(slot, "dead", self.entries[slot].incarnation, now)
@@ -281,26 +283,26 @@
             self._random.shuffle(self._absent_round)
         return -1
 
-    def updates_for(self, to: int, full: bool = False) -> tuple[MemberUpdate, ...]:
+    def updates_for(self, recipient: int, full: bool = False) -> tuple[MemberUpdate, ...]:
         """The updates to send with a datagram to a node.
 
         First that the node itself is suspect or dead, then the newest updates; with `full` also
         the other entries in turn.
         """
-        entry = self.entries[to]
+        entry = self.entries[recipient]
         chosen: dict[int, MemberUpdate] = {}
         if entry.state in ("suspect", "dead"):
-            chosen[to] = (to, entry.incarnation, STATES.index(entry.state))
+            chosen[recipient] = (recipient, entry.incarnation, STATES.index(entry.state))
         newest = sorted(
             (slot for slot, entry in enumerate(self.entries) if entry.sends_left > 0),
             key=lambda s: -self.entries[s].sends_left,
         )
         for slot in newest[:MAX_UPDATES]:
-            if len(chosen) < MAX_UPDATES and slot != to:
+            if len(chosen) < MAX_UPDATES and slot != recipient:
                 self.entries[slot].sends_left -= 1
                 chosen[slot] = self._update_of(slot)
         if full:
-            for slot in self._known_except(to):
+            for slot in self._known_except(recipient):
                 if len(chosen) >= MAX_UPDATES:
                     break
                 chosen.setdefault(slot, self._update_of(slot))
@@ -310,8 +312,8 @@
         entry = self.entries[slot]
         return slot, entry.incarnation, STATES.index(entry.state)
 
-    def _known_except(self, to: int) -> Iterator[int]:
+    def _known_except(self, excluded: int) -> Iterator[int]:
         for _ in range(self.count):
             self._cursor = (self._cursor + 1) % self.count
-            if self._cursor != to and self.entries[self._cursor].state != "unknown":
+            if self._cursor != excluded and self.entries[self._cursor].state != "unknown":
                 yield self._cursor
--- a/forkweir/tier/shared_line.py
+++ b/forkweir/tier/shared_line.py
@@ -104,22 +104,22 @@
 
 
 def merge(
-    by_node: Mapping[int, tuple[float, Mapping[int, float]]],
+    by_slot: Mapping[int, tuple[float, Mapping[int, float]]],
 ) -> tuple[float, list[tuple[int, float]]]:
     """Merge the windows of all nodes.
 
-    by_node: the fraction of the node's window that consists of arrivals, and the fractions of its
+    by_slot: the fraction of the node's window that consists of arrivals, and the fractions of its
     heavy buckets, whose sum counts as at most that. Returns the same for the merged window, the
     largest bucket first.
     """
-    if not by_node:
+    if not by_slot:
         return 0.0, []
     sums: dict[int, float] = {}
     filled = 0.0
-    for filled_fraction, entries in by_node.values():
+    for filled_fraction, entries in by_slot.values():
         filled_fraction = min(1.0, filled_fraction)
-        filled += filled_fraction / len(by_node)
-        scale = min(1.0, filled_fraction / max(1e-9, sum(entries.values()))) / len(by_node)
+        filled += filled_fraction / len(by_slot)
+        scale = min(1.0, filled_fraction / max(1e-9, sum(entries.values()))) / len(by_slot)
         for bucket, fraction in entries.items():
             sums[bucket] = sums.get(bucket, 0.0) + scale * fraction
     return filled, sorted(sums.items(), key=lambda row: (-row[1], row[0]))[:MAX_HEAVY_BUCKETS]
@@ -187,7 +187,7 @@
 
     def on_page(
         self,
-        leader: int,
+        leader_token: int,
         number: int,
         page: int,
         pages: int,
@@ -199,7 +199,7 @@
 
         Of two tables from one leader the later one counts.
         """
-        name = leader, number
+        name = leader_token, number
         if name[0] == self._incoming_name[0] and number < self._incoming_name[1]:
             return False
         if name != self._incoming_name:
@@ -230,12 +230,12 @@
 
         The same object until it changes.
         """
-        by_node = self.current_entries(now)
-        if by_node is None:
+        current = self.current_entries(now)
+        if current is None:
             return None
         if self._table is None or self._ranges != ranges:
             self._ranges = ranges
             self._table = LineTable(
-                by_node[0], self._filled, dict(by_node[1]), compute_cuts(by_node[1], ranges)
+                current[0], self._filled, dict(current[1]), compute_cuts(current[1], ranges)
             )
         return self._table
--- a/forkweir/tier/signals.py
+++ b/forkweir/tier/signals.py
@@ -122,36 +122,36 @@
         return (bad + good)[:MAX_REPORTED_BOXES]
 
     def on_report(
-        self, member: int, token: int, number: int, reports: Iterable[tuple[int, float]], now: float
+        self, slot: int, token: int, number: int, reports: Iterable[tuple[int, float]], now: float
     ) -> bool:
         """Process a member's report; return whether it is newer than its last one.
 
         It replaces all that the member reported before.
         """
-        last = self._last_reports.get(member)
+        last = self._last_reports.get(slot)
         if last is not None and last[0] == token and number <= last[1]:
             return False
-        self._last_reports[member] = token, number
-        for by_member in self._reports.values():
-            by_member.pop(member, None)
+        self._last_reports[slot] = token, number
+        for by_slot in self._reports.values():
+            by_slot.pop(slot, None)
         for box, odds in reports:
-            by_member = self._reports.setdefault(box, {})
-            if len(by_member) < MAX_REPORTERS:
-                by_member[member] = PeerReport(odds, now)
+            by_slot = self._reports.setdefault(box, {})
+            if len(by_slot) < MAX_REPORTERS:
+                by_slot[slot] = PeerReport(odds, now)
         return True
 
     def evidence(self, now: float) -> dict[int, PeerEvidence]:
         """The current evidence of the peers by box."""
         result = {}
-        for box, by_member in list(self._reports.items()):
-            for member in [
-                m for m, report in by_member.items() if now - report.received_ms > REPORT_TTL_MS
+        for box, by_slot in list(self._reports.items()):
+            for slot in [
+                s for s, report in by_slot.items() if now - report.received_ms > REPORT_TTL_MS
             ]:
-                del by_member[member]
-            if not by_member:
+                del by_slot[slot]
+            if not by_slot:
                 del self._reports[box]
                 continue
-            reports = [report.odds for report in by_member.values()]
+            reports = [report.odds for report in by_slot.values()]
             excess = sorted(
                 min(MAX_ODDS_PER_PEER, odds - PRIOR_LOG_ODDS) for odds in reports if odds > 0.0
             )[:-1]
--- a/forkweir/tier/tier.py
+++ b/forkweir/tier/tier.py
@@ -123,7 +123,7 @@
         # Work and fetches of the whole tier, as the leader last computed them.
         self.limit_totals = (0.0, 0.0)
         # Slot of the node to whose calls this one last answered with its vote, -1 for none.
-        self.followed_leader = -1
+        self.followed_slot = -1
         # Callback that updates `demand` before it is read.
         self.update_demand: Callable[[float], None] = lambda now: None
         self.counts = dict.fromkeys(
@@ -154,7 +154,7 @@
         # Whether the last report on boxes was empty.
         self._nothing_reported = True
         # Last call of an ended candidacy that is still to be announced, 0 for none.
-        self._void_number = 0
+        self._step_down_number = 0
 
     # -- state ---------------------------------------------------------------------------
 
@@ -199,7 +199,7 @@
         if self.has_config_conflict(now):
             # Withheld for a whole vote_ms, by when any lease it granted as leader has expired too.
             self.allocator.voter.withhold(now)
-            self.allocator.candidacy.withdraw()
+            self.allocator.candidacy.end()
             return False
         if self.is_leader(now):
             self._candidate_since_ms = -1.0
@@ -216,7 +216,7 @@
         if self._candidate_since_ms >= 0.0 and now - self._candidate_since_ms > 2.0 * self.vote_ms:
             self._backoff_until_ms = now + self.vote_ms * (1.0 + self._random.random())
             self._candidate_since_ms = -1.0
-            self._void_number = self.allocator.step_down(now)
+            self._step_down_number = self.allocator.step_down(now)
             return False
         if not self.allocator.start_call(now):
             return False
@@ -245,7 +245,7 @@
             if self.members.state(slot) in ("dead", "left") and slot != self.slot:
                 continue
             self._called_slots.add(slot)
-            known = self._reports.get(slot)
+            report = self._reports.get(slot)
             grants = list(allocated.get(slot, {}).items())
             if slot == self.slot:
                 for limit, shares in grants:
@@ -262,8 +262,8 @@
                         now,
                     )
                 continue
-            token, echo = (
-                (known.token, known.reply_number) if known is not None and grants else (0, 0)
+            token, reply_number = (
+                (report.token, report.reply_number) if report is not None and grants else (0, 0)
             )
             for page in range(max(1, min(MAX_CALL_PAGES, -(-len(grants) // MAX_ENTRIES)))):
                 allocator.call_number += page > 0
@@ -273,7 +273,7 @@
                     token,
                     allocator.call_number if page else number,
                     not page,
-                    echo,
+                    reply_number,
                     lease_ms,
                     limit_totals,
                     heavy_wanted,
@@ -315,16 +315,16 @@
         )
         if lines is None:
             return
-        by_node = {
+        by_slot = {
             slot: (report.filled, report.heavy_buckets)
             for slot, report in self._reports.items()
             if report.received_ms >= oldest and slot != self.slot
         }
-        by_node[self.slot] = (
+        by_slot[self.slot] = (
             lines.sketch.weight / WINDOW_ARRIVALS,
             dict(unpack(pack(lines.sketch.heavy_buckets()))),
         )
-        filled, fractions = merge(by_node)
+        filled, fractions = merge(by_slot)
         filled_step = wire.encode_amount(filled)
         data = pack(fractions)
         pages = _pages(data)
@@ -347,22 +347,24 @@
                         ),
                     )
 
-    def _send_heavy(self, leader: int, number: int) -> Iterator[Send]:
+    def _send_heavy(self, leader_slot: int, number: int) -> Iterator[Send]:
         """Send this node's heavy buckets to the leader."""
         if self.demand.shared_line is None:
             return
         sketch = self.demand.shared_line.sketch
         filled = wire.encode_amount(sketch.weight / WINDOW_ARRIVALS)
         for page, page_data in enumerate(_pages(pack(sketch.heavy_buckets()))):
-            yield self._send(leader, wire.Heavy(*self._header(), number, page, filled, page_data))
+            yield self._send(
+                leader_slot, wire.Heavy(*self._header(), number, page, filled, page_data)
+            )
 
     def _announce_step_down(self) -> Iterator[Send]:
         """Announce once to all that this process has ended its candidacy, if it has."""
-        void_number, self._void_number = self._void_number, 0
-        if void_number:
+        step_down_number, self._step_down_number = self._step_down_number, 0
+        if step_down_number:
             for slot in self.members.participants():
                 if slot != self.slot:
-                    yield self._send(slot, wire.Back(*self._header(), void_number))
+                    yield self._send(slot, wire.Back(*self._header(), step_down_number))
 
     def _record_own_report(self, now: float) -> None:
         """Record the leader's own demand like that of any other node."""
@@ -412,13 +414,13 @@
 
     # -- datagrams -----------------------------------------------------------------------
 
-    def receive(self, sender: int, data: bytes, now: float) -> list[Send]:
+    def receive(self, sender_slot: int, data: bytes, now: float) -> list[Send]:
         """Process a datagram; return the datagrams to send.
 
-        sender: the slot that `peers` has at the source address, -1 if the address is not there.
+        sender_slot: the slot of the source address in `peers`, -1 if the address is not there.
         """
         self.counts["in"] += 1
-        if sender < 0 or sender >= self.count:
+        if sender_slot < 0 or sender_slot >= self.count:
             self.counts["stranger"] += 1
             return []
         try:
@@ -430,24 +432,24 @@
             self.counts["foreign"] += 1
             self._conflict_seen_ms = now
             return []
-        if message.slot != sender or sender == self.slot:
+        if message.slot != sender_slot or sender_slot == self.slot:
             self.counts["impostor"] += 1
             self._conflict_seen_ms = now  # the peers lists differ in their order
             return []
-        if not self.members.on_datagram(sender, message.incarnation, message.token, now):
+        if not self.members.on_datagram(sender_slot, message.incarnation, message.token, now):
             self.counts["old"] += 1
             return []
-        return self._count_sends(list(self._receive(sender, message, now)))
+        return self._count_sends(list(self._receive(sender_slot, message, now)))
 
-    def _receive(self, sender: int, message: Message, now: float) -> Iterator[Send]:
+    def _receive(self, sender_slot: int, message: Message, now: float) -> Iterator[Send]:
         if isinstance(message, wire.Ping):
             self.members.apply_updates(message.updates, now)
             yield self._send(
-                sender,
+                sender_slot,
                 wire.Ack(
                     *self._header(),
                     message.number,
-                    self.members.updates_for(sender, full=message.joining),
+                    self.members.updates_for(sender_slot, full=message.joining),
                 ),
             )
         elif isinstance(message, wire.Ack):
@@ -458,10 +460,10 @@
             self.members.on_ack(message.number)
         elif isinstance(message, wire.Relay):
             self.members.apply_updates(message.updates, now)
-            if message.target < self.count and message.target not in (self.slot, sender):
+            if message.target < self.count and message.target not in (self.slot, sender_slot):
                 self._relay_count = (self._relay_count + 1) % 1_000
                 number = 0xFFFF0000 + self._relay_count  # disjoint from our own pings
-                self._pending_relays[number] = sender, message.number
+                self._pending_relays[number] = sender_slot, message.number
                 while len(self._pending_relays) > 64:
                     del self._pending_relays[next(iter(self._pending_relays))]
                 yield self._send(
@@ -471,19 +473,19 @@
                     ),
                 )
         elif isinstance(message, wire.Call):
-            yield from self._on_call(sender, message, now)
+            yield from self._on_call(sender_slot, message, now)
         elif isinstance(message, wire.Reply):
-            self._on_reply(sender, message, now)
+            self._on_reply(sender_slot, message, now)
         elif isinstance(message, wire.Heavy):
-            self._on_heavy(sender, message, now)
+            self._on_heavy(sender_slot, message, now)
         elif isinstance(message, wire.Seen):
             if self.signals is not None:
                 self.signals.on_report(
-                    sender, message.token, message.number, signals.unpack(message.data), now
+                    sender_slot, message.token, message.number, signals.unpack(message.data), now
                 )
         elif isinstance(message, wire.Line):
             if self.demand.shared_line is not None and self.allocator.voter.voted_for == (
-                sender,
+                sender_slot,
                 message.token,
             ):
                 filled = wire.decode_amount(message.filled)
@@ -497,12 +499,12 @@
                     now,
                 )
         elif isinstance(message, wire.Back):
-            self.allocator.voter.release((sender, message.token), message.number, now)
+            self.allocator.voter.release((sender_slot, message.token), message.number, now)
         else:
-            self.members.on_leave(sender, message.incarnation, now)
+            self.members.on_leave(sender_slot, message.incarnation, now)
 
-    def _on_call(self, sender: int, call: wire.Call, now: float) -> Iterator[Send]:
-        leader = sender, call.token
+    def _on_call(self, sender_slot: int, call: wire.Call, now: float) -> Iterator[Send]:
+        leader = sender_slot, call.token
         for limit, shares in call.grants:
             total = self._total_of(limit, call.limit_totals)
             self.allocator.on_grant(
@@ -510,22 +512,22 @@
             )
         if not call.reply_wanted:
             return
-        vote, void_number = (
+        vote, step_down_number = (
             (False, 0)
             if self.has_config_conflict(now)
             else self.allocator.on_call(leader, call.number, now)
         )
-        if void_number:
-            self._void_number, self._candidate_since_ms = void_number, -1.0
+        if step_down_number:
+            self._step_down_number, self._candidate_since_ms = step_down_number, -1.0
             yield from self._announce_step_down()
         if vote:
-            self._last_leader_call_ms, self.followed_leader = now, sender
+            self._last_leader_call_ms, self.followed_slot = now, sender_slot
             self.limit_totals = (
                 wire.decode_amount(call.limit_totals[0]),
                 wire.decode_amount(call.limit_totals[1]),
             )
         if vote and call.heavy_wanted:
-            yield from self._send_heavy(sender, call.number)
+            yield from self._send_heavy(sender_slot, call.number)
         self.update_demand(now)
         demand = [
             (limit, wire.encode_amount(amount)) for limit, amount in self.demand.above_floor(now)
@@ -539,7 +541,7 @@
             number = self.allocator.held_leases.next_reply_number(now) if not page else 0
             entries = tuple(demand[page * MAX_ENTRIES : (page + 1) * MAX_ENTRIES])
             yield self._send(
-                sender,
+                sender_slot,
                 wire.Reply(
                     *self._header(),
                     call.token,
@@ -552,17 +554,17 @@
                 ),
             )
 
-    def _on_reply(self, sender: int, reply: wire.Reply, now: float) -> None:
+    def _on_reply(self, sender_slot: int, reply: wire.Reply, now: float) -> None:
         if reply.to != self.token:
             self.counts["old"] += 1
             return
         if reply.config_conflict:
             self._conflict_reported_ms = now
         if reply.vote:
-            self.allocator.on_vote(sender, reply.to, reply.echo)
-        report = self._reports.get(sender)
+            self.allocator.on_vote(sender_slot, reply.to, reply.echo)
+        report = self._reports.get(sender_slot)
         if report is None or report.token != reply.token:
-            report = self._reports[sender] = NodeReport(reply.token)
+            report = self._reports[sender_slot] = NodeReport(reply.token)
         if reply.number:
             if reply.number <= report.reply_number:
                 self.counts["old"] += 1
@@ -593,8 +595,8 @@
         for slot in self._random.sample(others, min(REPORT_RECIPIENTS, len(others))):
             yield self._send(slot, wire.Seen(*self._header(), self._signals_number, data))
 
-    def _on_heavy(self, sender: int, message: wire.Heavy, now: float) -> None:
-        report = self._reports.get(sender)
+    def _on_heavy(self, sender_slot: int, message: wire.Heavy, now: float) -> None:
+        report = self._reports.get(sender_slot)
         if (
             report is None
             or report.token != message.token
@@ -612,7 +614,7 @@
             relay = wire.Relay(
                 *self._header(),
                 probe.number,
-                probe.to,
+                probe.target,
                 self.members.updates_for(probe.relay),
             )
             yield self._send(probe.relay, relay)
@@ -621,9 +623,9 @@
                 *self._header(),
                 probe.number,
                 self.members.joining,
-                self.members.updates_for(probe.to),
+                self.members.updates_for(probe.target),
             )
-            yield self._send(probe.to, ping)
+            yield self._send(probe.target, ping)
 
     def _header(self) -> tuple[int, int, int, int, int]:
         return FORMAT_VERSION, self.digest, self.slot, self.members.incarnation, self.token
--- a/tests/tier/test_leases.py
+++ b/tests/tier/test_leases.py
@@ -112,7 +112,7 @@
     # Both votes are needed, so the first to expire ends the majority.
     assert candidacy.majority_until() == pytest.approx(CLOCK_SAFETY_FACTOR * 4_000.0)
     assert not candidacy.vote_received(2, 9)  # a call that was never sent
-    candidacy.withdraw()
+    candidacy.end()
     assert not candidacy.vote_received(0, 2) and candidacy.majority_until() < 0.0
 
 
--- a/tests/tier/test_tier_members.py
+++ b/tests/tier/test_tier_members.py
@@ -50,8 +50,8 @@
     probed, relayed, now = set[int](), set[int](), 0.0
     while m.state(1) != "dead":
         for probe in m.tick(now):
-            (relayed if probe.relay >= 0 else probed).add(probe.to)
-            if probe.to == 2 and probe.relay < 0:
+            (relayed if probe.relay >= 0 else probed).add(probe.target)
+            if probe.target == 2 and probe.relay < 0:
                 m.on_ack(probe.number)  # only node 2 answers
         if m.state(1) == "suspect":
             assert (1, 5, SUSPECT) in m.updates_for(1)
@@ -59,7 +59,7 @@
         assert now < 12_000.0
     assert probed == {1, 2} and relayed == {1} and m.state(2) == "alive"
     # A dead node is still probed from time to time.
-    assert any(probe.to == 1 for n in range(40) for probe in m.tick(now + 125.0 * n))
+    assert any(probe.target == 1 for n in range(40) for probe in m.tick(now + 125.0 * n))
 
 
 def test_a_stalled_node_suspects_nobody_for_its_own_pause() -> None:
