--- a/tests/cli/test_check.py
+++ b/tests/cli/test_check.py
@@ -21,13 +21,13 @@
 
 
 def node_file(**changes: Any) -> dict[str, Any]:
-    good = {
+    valid = {
         "listen": "127.0.0.1:8000",
         "discovery": "127.0.0.1:8500",
         "seed": "8c1f",
         "limits": {"cores": 0.5, "memory_mb": 64},
     }
-    return {**good, "settings": OPTIONS, "another": 1, **changes}
+    return {**valid, "settings": OPTIONS, "another": 1, **changes}
 
 
 def paths(path: Path, text: str) -> list[str]:
--- a/tests/forkweir/test_fetch_budget.py
+++ b/tests/forkweir/test_fetch_budget.py
@@ -92,16 +92,16 @@
 
 def test_a_recovered_origin_ends_limiting_after_few_good_fetches() -> None:
     budget = limiting_budget()
-    good = 0
+    successes = 0
     while budget.limiting:
-        good += 1
-        budget.record_fetch(0.3, 5_000.0 + good)
-    assert good <= 30 and budget.slow_share < SLOW_TO_RELEASE < SLOW_TO_LIMIT
+        successes += 1
+        budget.record_fetch(0.3, 5_000.0 + successes)
+    assert successes <= 30 and budget.slow_share < SLOW_TO_RELEASE < SLOW_TO_LIMIT
 
 
 def test_fetches_in_flight_return_to_zero_for_any_outcome() -> None:
-    told = Settings(classes=(READ, ORDER), max_attempts=3, may_cancel=True)
-    balancer = Balancer(told, 1)
+    settings = Settings(classes=(READ, ORDER), max_attempts=3, may_cancel=True)
+    balancer = Balancer(settings, 1)
     balancer.on_list(0.0, "full", [Server(f"s{n}") for n in range(5)])
     ends = (
         "success",
@@ -147,8 +147,8 @@
         nonlocal now, number
         now, number = now + 4.0, number + 1
         while out and out[0][0] <= now:
-            due, earlier, server, how, elapsed, told = out.pop(0)
-            balancer.on_outcome(due, earlier, 0, True, how, server, elapsed, told)
+            due, earlier, server, how, elapsed, earlier_note = out.pop(0)
+            balancer.on_outcome(due, earlier, 0, True, how, server, elapsed, earlier_note)
         action = balancer.on_request(now, number, "read", key, 2500.0)[0]
         if action[0] != "attempt":
             return False
--- a/tests/forkweir/test_health.py
+++ b/tests/forkweir/test_health.py
@@ -144,18 +144,18 @@
             )
         bad = self.table.update_suspicion(server, outcome, self.servers, self.live, self.now)
         assert 0.0 <= bad <= 1.0
-        told = {
+        informative = {
             "success": True,
             "failure": True,
             "timed_out": elapsed_ms >= 500.0,
             "withdrawn": elapsed_ms >= 500.0,
         }.get(status, False)
         # An outcome without information changes nothing.
-        assert told or server.suspicion.log_odds == log_odds
+        assert informative or server.suspicion.log_odds == log_odds
         if status == "failure" or (status == "timed_out" and elapsed_ms > AIM_MS):
             # An adverse outcome never lowers the log odds, apart from their decay.
             assert server.suspicion.log_odds >= min(log_odds, Suspicion().log_odds)
-        if not outcome.adverse and told and not server.ejections:
+        if not outcome.adverse and informative and not server.ejections:
             assert server.ejected_until == 0.0
 
     def hold(self) -> None:
--- a/tests/forkweir/test_outlier_detection.py
+++ b/tests/forkweir/test_outlier_detection.py
@@ -187,8 +187,8 @@
 def test_a_node_with_few_requests_per_server_avoids_failing_servers() -> None:
     failing = {f"s{n}" for n in range(0, 54, 6)}
     balancer, sent = simulate(failing, 0.8, 40_000.0)
-    usual = sum(sent[name] for name in sent if name not in failing) / 51.0
-    assert sum(sent[name] for name in failing) / 9.0 < 0.45 * usual
+    mean_at_others = sum(sent[name] for name in sent if name not in failing) / 51.0
+    assert sum(sent[name] for name in failing) / 9.0 < 0.45 * mean_at_others
     assert balancer.gate.admitted_share == 1.0  # a few bad servers don't close the gate
 
 
@@ -216,9 +216,11 @@
 
     for n in range(500):
         failing = n >= 200  # from 10 s on
-        good = send_request(balancer, 1_000.0 + 50.0 * n, n, f"k{rng.randrange(400)}", 0.0, answer)
-        served += failing and good
-        refused += failing and not good
+        succeeded = send_request(
+            balancer, 1_000.0 + 50.0 * n, n, f"k{rng.randrange(400)}", 0.0, answer
+        )
+        served += failing and succeeded
+        refused += failing and not succeeded
     assert balancer.gate.admitted_share == 1.0
     assert balancer.gate.origin_slowness < 0.6
     assert refused < 0.15 * served, (refused, served)
--- a/tests/forkweir/test_slow_start.py
+++ b/tests/forkweir/test_slow_start.py
@@ -27,10 +27,10 @@
 
 
 def make(servers: list[Server], seed: int = 1) -> Balancer:
-    told = Settings(
+    balancer_settings = Settings(
         classes=(READ, ORDER), max_attempts=3, cold_start_capacity=COLD_FROM, cold_ms=COLD_MS
     )
-    balancer = Balancer(told, seed)
+    balancer = Balancer(balancer_settings, seed)
     balancer.on_list(0.0, "full", servers)
     return balancer
 
@@ -124,7 +124,7 @@
         return worst
 
 
-def cold_as_a_whole(servers: int, strict: bool) -> tuple[float, float]:
+def restart_whole_fleet(servers: int, strict: bool) -> tuple[float, float]:
     """Restart all servers at once; return the highest load and each one's work per ms in 5 s."""
     sim = Simulation(4, servers, strict)
     sim.run(0.0, 4_000.0, 0.9 * servers)
@@ -138,7 +138,7 @@
 def test_a_completely_cold_fleet_gets_what_it_can_serve_and_no_server_fails(
     servers: int,
 ) -> None:
-    worst, got = cold_as_a_whole(servers, strict=False)
+    worst, got = restart_whole_fleet(servers, strict=False)
     assert worst < 0.5
     # The capacity is 0.12 to 0.30 of a warm server's, and these servers accept any load.
     assert 0.08 < got < 0.25 * MAX_BOOST
@@ -146,7 +146,7 @@
 
 @pytest.mark.parametrize("servers", [3, 6, 17])
 def test_rejections_by_cold_servers_limit_the_boost(servers: int) -> None:
-    worst, got = cold_as_a_whole(servers, strict=True)
+    worst, got = restart_whole_fleet(servers, strict=True)
     assert worst < 0.5
     assert 0.1 < got < 0.32  # the capacity is 0.12 to 0.30 of a warm server's
 
@@ -307,10 +307,10 @@
     slow_start, rate = SlowStart(MULTIPLE, 8.0, 1), 0.15
     bucket, now = slow_start.open_bucket(0.0, 30.0), 0.0
     sent: list[tuple[float, float]] = []
-    for gap, cost, worth in steps:
+    for gap, cost, value in steps:
         now += gap
-        if slow_start.may_send(bucket, rate, cost, worth, now):
-            slow_start.spend(bucket, cost, worth, now)
+        if slow_start.may_send(bucket, rate, cost, value, now):
+            slow_start.spend(bucket, cost, value, now)
             sent.append((now, cost))
     for n, (begin, _) in enumerate(sent):
         total = 0.0
@@ -348,10 +348,10 @@
 
 
 def test_a_slow_clock_does_not_prolong_the_warm_up() -> None:
-    told = Server("a", started_ms=3_600_000.0)  # the list's clock is an hour ahead
+    restarted = Server("a", started_ms=3_600_000.0)  # the list's clock is an hour ahead
     balancer = make([Server("a"), Server("b")])
-    balancer.on_list(1_000.0, "changes", [told])
-    balancer.on_list(9_000.0, "full", [told, Server("b")])  # the same start again
+    balancer.on_list(1_000.0, "changes", [restarted])
+    balancer.on_list(9_000.0, "full", [restarted, Server("b")])  # the same start again
     member = balancer.fleet.members["a"]
     assert member.info.started_ms == member.cold_since_ms == 1_000.0
     assert balancer.fleet.is_cold(member, 1_000.0 + COLD_MS - 1.0)
--- a/tests/sources/test_sources.py
+++ b/tests/sources/test_sources.py
@@ -57,7 +57,9 @@
     def __init__(self, sources: Sources) -> None:
         self.box_list = sources.box_list
 
-    def tell(self, form: str, *entries: tuple[str, str], to: dict[str, Any] | None = None) -> None:
+    def notify(
+        self, form: str, *entries: tuple[str, str], to: dict[str, Any] | None = None
+    ) -> None:
         places = to or BOXES
         book = self.box_list.servers
         if form in ("full", "saved"):
@@ -90,7 +92,7 @@
         node, sources, discovery = start_sources(fixture)
         await asyncio.sleep(0.1)
         assert node.serving == {f"{host}:{port}" for host, port in BOXES.values()}
-        discovery.tell("full", *((name, "in") for name in BOXES))
+        discovery.notify("full", *((name, "in") for name in BOXES))
         assert node.serving == set(BOXES) and {
             server.address for server in node.servers.values()
         } == set(BOXES.values())
@@ -103,10 +105,10 @@
     async def test(fixture: DnsFixture) -> None:
         node, sources, discovery = start_sources(fixture)
         await asyncio.sleep(0.1)
-        discovery.tell("full", *((name, "in") for name in BOXES))
-        discovery.tell("changes", ("s1", "draining"))
+        discovery.notify("full", *((name, "in") for name in BOXES))
+        discovery.notify("changes", ("s1", "draining"))
         assert node.serving == {"s0", "s2", "s3"} and node.forgotten[-1] == "s1"
-        discovery.tell("changes", ("s1", "gone"))
+        discovery.notify("changes", ("s1", "gone"))
         await asyncio.sleep(10.0)
         assert (
             node.serving == {"s0", "s2", "s3"}
@@ -122,7 +124,7 @@
     async def test(fixture: DnsFixture) -> None:
         fixture.zone.set_boxes({"s0": BOXES["s0"], "x": ("127.2.0.77", 8001)})
         node, sources, discovery = start_sources(fixture)
-        discovery.tell("full", ("s0", "in"), ("s1", "in"))
+        discovery.notify("full", ("s0", "in"), ("s1", "in"))
         await asyncio.sleep(0.1)
         assert node.serving == {"s0", "s1", "127.2.0.77:8001"}
         sources.close()
@@ -155,7 +157,7 @@
         node, sources, discovery = start_sources(fixture, guard=GuardTable(hold_s=5.0))
         sources.reload(replace_dns(sources, old_s=20.0))
         await asyncio.sleep(0.1)
-        discovery.tell("full", ("s0", "in"), ("s1", "in"))
+        discovery.notify("full", ("s0", "in"), ("s1", "in"))
         assert len(node.serving) == len(BOXES)
         for server in fixture.servers:
             server.how = "silent"
@@ -171,7 +173,7 @@
 def test_the_root_as_srv_target_means_that_the_service_is_not_available() -> None:
     async def test(fixture: DnsFixture) -> None:
         node, sources, discovery = start_sources(fixture)
-        discovery.tell("full", ("s0", "in"))
+        discovery.notify("full", ("s0", "in"))
         await asyncio.sleep(0.1)
         fixture.zone.set_records(SERVICE, "SRV", 2, ["0 0 0 ."])
         await asyncio.sleep(60.0)
@@ -186,14 +188,14 @@
         for server in fixture.servers:
             server.how = "silent"
         node, sources, discovery = start_sources(fixture)
-        discovery.tell("saved", ("s0", "in"), ("s1", "in"))
+        discovery.notify("saved", ("s0", "in"), ("s1", "in"))
         discovery.box_list.on_list("failed", [])
         assert node.serving == {"s0", "s1"} and [
             form for form, _ in node.list_calls if form in ("saved", "failed")
         ] == ["saved", "failed"]
         await asyncio.sleep(5.0)
         assert node.serving == {"s0", "s1"}
-        discovery.tell("full", ("s2", "in"))
+        discovery.notify("full", ("s2", "in"))
         assert node.serving == {"s2"}
         sources.close()
 
@@ -310,7 +312,7 @@
         files["boxes.toml"] = FILE.replace(b"spare", b"other")
         sources.reload(sources._options)
         assert node.serving == {"other"}
-        discovery.tell("full", ("s0", "in"))
+        discovery.notify("full", ("s0", "in"))
         assert node.serving == {"s0"}
         sources.close()
 
@@ -323,9 +325,9 @@
 
         node, sources, discovery = start_sources(fixture, guard=GuardTable(hold_s=5.0))
         await asyncio.sleep(0.1)
-        discovery.tell("full", *((name, "in") for name in BOXES))
+        discovery.notify("full", *((name, "in") for name in BOXES))
         fixture.zone.set_boxes({})
-        discovery.tell("full", ("s0", "in"))
+        discovery.notify("full", ("s0", "in"))
         view = orjson.loads(sources.dump())
         assert [source["name"] for source in view["sources"]] == ["list", "dns", "known"]
         assert {box["rule"] for box in view["boxes"]} == {"agreed", "held: fall"}
--- a/tests/test_address_book.py
+++ b/tests/test_address_book.py
@@ -163,7 +163,7 @@
     run_async(test)
 
 
-def test_an_unchanged_whole_list_notifies_nothing() -> None:
+def test_an_unchanged_full_list_notifies_nothing() -> None:
     tested = BookUnderTest(100)
     entries = [
         listed(n, n % 200, started=n) | {"hostPort": f"127.1.{n >> 8}.{n & 255}:9"}
--- a/tests/test_bulk.py
+++ b/tests/test_bulk.py
@@ -97,7 +97,9 @@
 
 
 @pytest.mark.parametrize("form", [sized, chunked])
-def test_a_large_answer_is_passed_on_from_its_first_bytes_and_comes_whole(form: object) -> None:
+def test_a_large_response_is_streamed_from_its_first_bytes_and_arrives_complete(
+    form: object,
+) -> None:
     # A large response must be streamed, not held until it is complete.
     async def test() -> None:
         data = sized(BODY) if form is sized else chunked(BODY)
@@ -206,7 +208,7 @@
 
 
 @pytest.mark.parametrize("form", ["sized", "chunked"])
-def test_a_large_body_reaches_its_server_whole_and_the_connection_goes_on(form: str) -> None:
+def test_a_large_body_reaches_its_server_complete_and_the_connection_stays_open(form: str) -> None:
     async def test() -> None:
         async with rig({"s0": CacheBox()}) as made:
             reader, writer = await asyncio.open_connection("127.0.0.1", made.port)
@@ -243,9 +245,7 @@
     run_async(test)
 
 
-def test_a_server_that_breaks_in_the_middle_of_a_large_body_never_ran_it_and_the_client_is_told_so() -> (
-    None
-):
+def test_a_connection_lost_within_a_large_body_is_reported_as_a_request_that_did_not_run() -> None:
     class Breaker(CacheBox):
         async def _run(self, connection: Connection) -> None:
             await connection.stream.read()
@@ -410,10 +410,10 @@
     run_async(test)
 
 
-def test_a_small_answer_is_checked_whole_before_any_of_it_goes_out() -> None:
+def test_a_small_response_is_checked_completely_before_any_of_it_is_forwarded() -> None:
     async def test() -> None:
-        spoil = iter([ok_response(b"x" * 5_000)[:-10]])
-        box = CacheBox(lambda head: next(spoil, None) or default_answer(head))
+        truncated = iter([ok_response(b"x" * 5_000)[:-10]])
+        box = CacheBox(lambda head: next(truncated, None) or default_answer(head))
         async with rig({"s0": box}) as made:
             asked = asyncio.create_task(made.ask("a"))
             await until(lambda: len(box.heads) == 1)
--- a/tests/test_customers.py
+++ b/tests/test_customers.py
@@ -346,7 +346,9 @@
     assert balancer.on_list(1_100.0, "lost", []) == [("timer", 1, 1_100.0)]
 
 
-def test_a_node_told_to_end_before_it_serves_ends_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_node_that_is_stopped_before_it_serves_exits_at_once(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     monkeypatch.setattr("corkshift.service.FIRST_LIST_TIMEOUT_S", 30.0)
 
     async def test() -> None:
@@ -427,7 +429,7 @@
     )
 
 
-def test_a_configuration_that_changed_before_anybody_heard_a_sighup_is_in_force(
+def test_a_configuration_that_changed_before_signals_are_handled_takes_effect(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def test() -> None:
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -79,7 +79,7 @@
     run_async(test)
 
 
-def test_a_draining_server_missing_from_a_whole_list_is_forgotten() -> None:
+def test_a_draining_server_missing_from_a_full_list_is_removed() -> None:
     # Guards against the fleet keeping one member for each server that ever drained.
     balancer = Balancer(Settings(), seed=1)
     balancer.on_list(0.0, "full", [Server("s0"), Server("s1")])
--- a/tests/test_plain.py
+++ b/tests/test_plain.py
@@ -53,9 +53,9 @@
     assert dict(event.headers) == head.fields and len(event.headers) == len(head.fields)
     assert event.http_version == b"1.1"
     assert parser.trailing_data[0] == data[head.end :]
-    told = head.fields.get(b"content-length")
+    stated = head.fields.get(b"content-length")
     assert (
-        head.length == (None if told is None else int(told))
+        head.length == (None if stated is None else int(stated))
         and b"transfer-encoding" not in head.fields
     )
     # h11 reads the same body as the length gives.
@@ -102,13 +102,13 @@
     assert request_head(b"\xff" + data) is None and response_head(b"\xff" + data) is None
 
 
-def test_the_usual_heads_are_plain() -> None:
-    # The pattern must not become so narrow that the usual heads miss the fast path.
-    usual = b"GET /api/7f3a?x=1 HTTP/1.1\r\nHost: service.internal\r\nX-Txn: 9b1f\r\nX-Lane: read\r\nX-Remaining-Ms: 480\r\n\r\n"
-    head = request_head(usual + b"GET")
+def test_typical_heads_are_plain() -> None:
+    # The pattern must not become so narrow that the typical heads miss the fast path.
+    typical = b"GET /api/7f3a?x=1 HTTP/1.1\r\nHost: service.internal\r\nX-Txn: 9b1f\r\nX-Lane: read\r\nX-Remaining-Ms: 480\r\n\r\n"
+    head = request_head(typical + b"GET")
     assert (
         head is not None
-        and head.end == len(usual)
+        and head.end == len(typical)
         and head.fields[b"x-lane"] == b"read"
         and head.length is None
     )
--- a/tests/test_silence.py
+++ b/tests/test_silence.py
@@ -149,7 +149,7 @@
                 )
                 return len(boxes["s0"].heads) - before
 
-            usual = [await batch(f"good{n}-") for n in range(10)][-1]
+            typical = [await batch(f"good{n}-") for n in range(10)][-1]
             bad[0] = True
             for n in range(3):
                 await batch(f"bad{n}-")
@@ -157,12 +157,12 @@
             # as some are hedged.
             until_ms = member(made, "s0").ejected_until
             await until(lambda: now_ms() > until_ms)
-            assert 0 < await batch("late") < usual
+            assert 0 < await batch("late") < typical
 
     run_async(test)
 
 
-def test_the_hedge_delay_follows_the_usual_latency() -> None:
+def test_the_hedge_delay_follows_the_typical_latency() -> None:
     # Guards against hedging a large share of all requests when every server has become slow.
     balancer = Balancer(settings_of(OPTIONS), 1)
     balancer.hedge_share = 0.5
--- a/tests/test_unframed_responses.py
+++ b/tests/test_unframed_responses.py
@@ -53,12 +53,12 @@
     head, _, body = answer.partition(b"\r\n\r\n")
     if b"transfer-encoding: chunked" not in head.lower():
         return body
-    whole = b""
+    decoded = b""
     while body:
         size, _, body = body.partition(b"\r\n")
-        whole += body[: int(size, 16)]
+        decoded += body[: int(size, 16)]
         body = body[int(size, 16) + 2 :]
-    return whole
+    return decoded
 
 
 async def ask_through(server: UnframedServer, txn: str, class_name: str = "order") -> bytes:
@@ -79,7 +79,7 @@
     ids=["1.1", "close", "1.0"],
 )
 @pytest.mark.parametrize("size", [0, 10, MAX_BUFFERED_BODY_BYTES, 300_000])
-def test_a_response_that_ends_with_its_connection_is_forwarded_whole(
+def test_a_response_that_ends_with_its_connection_is_forwarded_completely(
     size: int, head: bytes
 ) -> None:
     body = b"x" * size
@@ -134,7 +134,9 @@
 
 
 @pytest.mark.parametrize("class_name", ["brisk", "order"])
-def test_a_response_whose_connection_stays_open_is_never_taken_for_whole(class_name: str) -> None:
+def test_a_response_whose_connection_stays_open_is_never_treated_as_complete(
+    class_name: str,
+) -> None:
     # Such a response may still be completed, so it is not rejected at its head; here it never is. A
     # request that may be repeated is served by another server well before its deadline.
     async def test() -> None:
--- a/tests/testbed/test_hard_cases.py
+++ b/tests/testbed/test_hard_cases.py
@@ -58,7 +58,7 @@
     assert orders == {"ab", "ba"}
 
 
-def test_what_is_called_soon_keeps_its_order() -> None:
+def test_call_soon_keeps_its_order() -> None:
     loop = VirtualLoop(3)
     came: list[int] = []
 
@@ -82,7 +82,7 @@
     assert on(loop, main) == (0.0, 86_400.0)
 
 
-def test_a_spin_and_a_standstill_are_told() -> None:
+def test_a_livelock_and_a_deadlock_are_detected() -> None:
     async def spin() -> None:
         loop = asyncio.get_running_loop()
 
@@ -114,13 +114,17 @@
 class Bystander:
     """Observer of an attempt that allows everything and ignores its events."""
 
-    def may_send(self, call: ClientRequest, server: CacheServer, told_ms: int) -> Denial | None:
+    def may_send(
+        self, call: ClientRequest, server: CacheServer, announced_ms: int
+    ) -> Denial | None:
         return None
 
     def list_unread(self) -> bool:
         return False
 
-    def on_last_byte_written(self, call: ClientRequest, server: CacheServer, told_ms: int) -> None:
+    def on_last_byte_written(
+        self, call: ClientRequest, server: CacheServer, announced_ms: int
+    ) -> None:
         pass
 
     def on_body_consumed(self, call: ClientRequest) -> None:
--- a/tests/tier/test_tier_members.py
+++ b/tests/tier/test_tier_members.py
@@ -62,15 +62,15 @@
     assert any(probe.target == 1 for n in range(40) for probe in m.tick(now + 125.0 * n))
 
 
-def test_a_stalled_node_suspects_nobody_for_its_own_pause() -> None:
+def test_a_stalled_node_suspects_no_other_node_for_its_own_pause() -> None:
     m = members(3)
     m.apply_updates(((1, 5, ALIVE), (2, 5, ALIVE)), 0.0)
     for n in range(4):
         m.tick(125.0 * n)
     m.tick(10_000.0)  # drops the pending probes
     assert {m.state(1), m.state(2)} == {"alive"} and m.slowness == 2
-    usual = members(3).suspicion_ms
-    assert m.suspicion_ms == 2.0 * usual
+    unstalled_ms = members(3).suspicion_ms
+    assert m.suspicion_ms == 2.0 * unstalled_ms
 
 
 def test_a_death_spreads_soon_and_a_short_pause_is_not_one() -> None:
--- a/tests/tier/test_wire.py
+++ b/tests/tier/test_wire.py
@@ -48,7 +48,7 @@
     seeds = [wire.encode(message) for message in LARGEST] + [
         data for _, data in Tier(1, 4, 2, 9, 0.0).tick(0.0)
     ]
-    good = 0
+    valid = 0
     for _ in range(20_000):
         data = bytearray(rng.choice(seeds))
         for _ in range(rng.choice((1, 1, 2, 5))):
@@ -56,11 +56,11 @@
             data[at : at + rng.choice((0, 1, 1, 3))] = rng.randbytes(rng.choice((0, 1, 1, 2)))
         try:
             wire.decode(bytes(data))
-            good += 1
+            valid += 1
         except wire.Malformed:
             pass
         tier.receive(rng.randrange(-1, 5), bytes(data), 10.0)  # must not raise
-    assert 1_000 < good < 19_000
+    assert 1_000 < valid < 19_000
     assert tier.counts["in"] == 20_000
     assert min(tier.counts[why] for why in ("malformed", "foreign", "stranger")) > 500
 
