--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -30,7 +30,7 @@
 
 from corkshift.discovery import Discovery
 from corkshift.seam import Address
-from corkshift.sources.dns import claims_of_records
+from corkshift.sources.dns import claims_from_records
 from corkshift.sources.hub import Sources
 from corkshift.sources.message import (
     Answer,
@@ -237,7 +237,7 @@
             target: CachedAnswer(Answer(life, addresses=addresses), 0.0, 1.0)
             for target, (life, addresses) in answer.additional_addresses.items()
         }
-        merged.update("dns", claims_of_records(answer.srv_records, dict(found)), float(n))
+        merged.update("dns", claims_from_records(answer.srv_records, dict(found)), float(n))
         assert len(merged.merge(float(n))) == BOXES
     return 1_000.0 * (time.process_time() - begun) / rounds
 
--- a/corkshift/admin/status.py
+++ b/corkshift/admin/status.py
@@ -77,14 +77,14 @@
         rows += [
             f"{METRIC_PREFIX}.pool.{state}={count}" for state, count in self.node.health().items()
         ]
-        presence = self.frontend.loop_lag
-        bounds = [f"{most:g}" for most in STALL_BUCKETS_MS] + ["more"]
+        loop_lag = self.frontend.loop_lag
+        bounds = [f"{upper:g}" for upper in STALL_BUCKETS_MS] + ["more"]
         rows += [
             f"{METRIC_PREFIX}.loop.late_ms.{bound}={count}"
-            for bound, count in zip(bounds, presence.stall_counts, strict=True)
+            for bound, count in zip(bounds, loop_lag.stall_counts, strict=True)
         ]
         rows += [
-            f"{METRIC_PREFIX}.loop.longest_ms={presence.longest_stall_ms:.0f}",
-            f"{METRIC_PREFIX}.loop.turn_ms={presence.smoothed_lag_ms:.0f}",
+            f"{METRIC_PREFIX}.loop.longest_ms={loop_lag.longest_stall_ms:.0f}",
+            f"{METRIC_PREFIX}.loop.turn_ms={loop_lag.smoothed_lag_ms:.0f}",
         ]
         return "\n".join(rows) + "\n"
--- a/corkshift/budget.py
+++ b/corkshift/budget.py
@@ -12,7 +12,7 @@
 MAX_BODY_BYTES = 1 << 25
 
 
-class PieceCounter:
+class SmallPieceDetector:
     """Counts the pieces of one body that arrived in the same socket read as another piece.
 
     One read may hold thousands of one-byte chunks, each of which costs a call of the parser. The
--- a/corkshift/cli/demo.py
+++ b/corkshift/cli/demo.py
@@ -25,29 +25,31 @@
 
     def __init__(self, size: DemoTable) -> None:
         self.size = size
-        witness = ServerObserver()
+        observer = ServerObserver()
         self.book = OrderBook((HOST, 0), size.book_places, 15.0)
-        self.registry = DiscoveryServer((HOST, 0), witness)
+        self.discovery = DiscoveryServer((HOST, 0), observer)
         self.boxes: list[CacheBox] = []
         self.service: Optional[Service] = None
         self.clients: Optional[Clients] = None
-        self._witness = witness
+        self._observer = observer
 
     def start(self) -> None:
         """Start everything; OSError where a socket can't be opened."""
         size = self.size
         self.book.listen()
-        self.registry.listen()
+        self.discovery.listen()
         for n in range(size.boxes):
             cold = n < size.cold_boxes
-            box = CacheBox(f"box-{n}", (HOST, 0), self.book.address, BoxSpec(), self._witness, cold)
+            box = CacheBox(
+                f"box-{n}", (HOST, 0), self.book.address, BoxSpec(), self._observer, cold
+            )
             box.listen()
             self.book.invalidations.append(box.invalidate)
             self.boxes.append(box)
-            self.registry.entries[box.name] = DiscoveryServer.entry(
+            self.discovery.entries[box.name] = DiscoveryServer.entry(
                 box.name, box.address, box.started_ms
             )
-        place = f"{HOST}:{self.registry.address[1]}"
+        place = f"{HOST}:{self.discovery.address[1]}"
         config = {
             "name": "demo",
             "listen": place,
@@ -73,7 +75,7 @@
         assert self.service is not None
         rows = [
             ("node", self.service.frontend.address),
-            ("discovery", self.registry.address),
+            ("discovery", self.discovery.address),
             ("order book", self.book.address),
         ]
         rows += [(box.name, box.address) for box in self.boxes]
@@ -141,7 +143,7 @@
         self.clients.close()
         self.service.stop()
         await node_task
-        for server in (*self.boxes, self.registry, self.book):
+        for server in (*self.boxes, self.discovery, self.book):
             server.close()
 
 
--- a/corkshift/discovery.py
+++ b/corkshift/discovery.py
@@ -209,7 +209,9 @@
                     elif line:
                         self._on_line(watch, line)
                 if watch.parser.unfinished and (entries := watch.parser.unconfirmed_entries()):
-                    self.address_book.apply_unconfirmed(entries, generation_of(watch.parser.rest()))
+                    self.address_book.apply_unconfirmed(
+                        entries, generation_of(watch.parser.partial_line())
+                    )
         except (OSError, h11.RemoteProtocolError, BadList):
             await watch.wait_applied()  # lines that were complete before the failure count
             raise
@@ -233,7 +235,7 @@
                 if watch.stream is not None and not watch.stream.no_input:
                     continue  # input arrived while this node was stalled
                 if pausing:
-                    self._apply_unconfirmed(watch.parser.rest())
+                    self._apply_unconfirmed(watch.parser.partial_line())
                     paused = True
                     continue
                 if self._agent and not watch.parser.unfinished:
@@ -246,7 +248,7 @@
                 )
             except h11.RemoteProtocolError as error:
                 # Without framing line ends are unknown, but entries are still delimited by braces.
-                self._apply_unconfirmed(watch.parser.rest())
+                self._apply_unconfirmed(watch.parser.partial_line())
                 self._replace(watch, f"chunked framing lost: {error}")
 
     # -- lines ---------------------------------------------------------------------------
@@ -265,9 +267,9 @@
             return
         steps = self._apply_line(watch, line)
         if next(steps, True) is None:
-            watch.applying = asyncio.create_task(self._apply_rest(watch, steps))
+            watch.applying = asyncio.create_task(self._apply_remaining(watch, steps))
 
-    async def _apply_rest(self, watch: Watch, steps: Iterator[None]) -> None:
+    async def _apply_remaining(self, watch: Watch, steps: Iterator[None]) -> None:
         """Apply the rest of a long line, and the lines queued behind it."""
         try:
             while not watch.retiring:
@@ -314,11 +316,11 @@
             unconfirmed_entries(text, self._cache), generation_of(text)
         )
 
-    def _replace(self, watch: Watch, why: str) -> None:
+    def _replace(self, watch: Watch, reason: str) -> None:
         """Replace a watch that lost data: have another opened at once, and retire this one."""
         if watch.retiring or watch not in self._calls:
             return
-        log.info("watch of discovery at %s:%d is replaced: %s", *watch.address, why)
+        log.info("watch of discovery at %s:%d is replaced: %s", *watch.address, reason)
         self._retire(watch)
         self._changes_lost = True
         self._node.on_list("lost", [])
@@ -327,7 +329,7 @@
         """Handle a watch's end; if nothing replaces it yet, the decisions time the next call."""
         cut = watch.parser.unfinished
         if cut:
-            self._apply_unconfirmed(watch.parser.rest())
+            self._apply_unconfirmed(watch.parser.partial_line())
         if self._calls.pop(watch, None) is not None:
             self._changes_lost = self._changes_lost or cut
             if not self._calls:
--- a/corkshift/frontend.py
+++ b/corkshift/frontend.py
@@ -13,13 +13,13 @@
 
 import h11
 
-from corkshift.budget import MAX_BODY_BYTES, MAX_BUFFERED_BODY_BYTES, BodyBudget, PieceCounter
+from corkshift.budget import MAX_BODY_BYTES, MAX_BUFFERED_BODY_BYTES, BodyBudget, SmallPieceDetector
 from corkshift.listener import Listener
 from corkshift.loop_lag import LoopLagMonitor
 from corkshift.messages import ClientRequest, Response
 from corkshift.node import Node
 from corkshift.plain import COMPLETE_REQUEST, CompleteRequest, request_head
-from corkshift.relay import Relay
+from corkshift.relay import BodyPipe
 from corkshift.seam import Address, Socket, now_ms
 from corkshift.stream import READ_BYTES, Stream
 from forkweir.limits.lifecycle import MAX_COUNTED_DEADLINE_MS, Lifecycle, ShutdownSchedule
@@ -299,7 +299,7 @@
         self.since_ms = now_ms()  # the body has a time limit of its own
         budget, buffered = self._frontend.budget, 0
         try:
-            pieces, marked, rest = PieceCounter(), 0, b""
+            pieces, marked, rest = SmallPieceDetector(), 0, b""
             while not isinstance(event := await self._event(parser), h11.EndOfMessage):
                 if not isinstance(event, h11.Data) or pieces.too_small(
                     len(event.data), self._reads
@@ -387,13 +387,13 @@
         and discarded: a close over unread input would reset the connection before the client has
         read an early response. The cost is the transfer of the whole body.
         """
-        body_rest = request.body_rest = Relay()
+        body_rest = request.body_rest = BodyPipe()
         response = self._admit(request, buffered)
         if response is not request.response:
             body_rest.close()  # the request was refused
         self._large_body_parser = parser
         await self._enqueue(parser, response)
-        size, pieces, marked = buffered + len(piece), PieceCounter(), 0
+        size, pieces, marked = buffered + len(piece), SmallPieceDetector(), 0
         loop = asyncio.get_running_loop()
         due = loop.time() + REQUEST_TIMEOUT_MS / 1000.0
         try:
@@ -473,7 +473,7 @@
             await self._stream.write(data)
 
     async def _send_large(
-        self, parser: Parser, response: Response, rest: Relay, keep: bool
+        self, parser: Parser, response: Response, rest: BodyPipe, keep: bool
     ) -> bool:
         """Stream a response too large to buffer; return whether the connection is kept after it."""
         # HTTP/1.0 has no chunked coding: there a body of unknown length ends with its connection.
--- a/corkshift/listing.py
+++ b/corkshift/listing.py
@@ -167,7 +167,7 @@
                 found.append(entry)
         return found[:MAX_UNCONFIRMED_ENTRIES]
 
-    def rest(self) -> bytes:
+    def partial_line(self) -> bytes:
         """The unfinished line so far."""
         return bytes(self._buffer)
 
@@ -186,18 +186,18 @@
     """
     cache = cache or EntryCache()
     found = []
-    rest = bytearray()
+    remainder = bytearray()
     position = 0
     for match in _ENTRY.finditer(text):
         entry = _unconfirmed_entry(match[0], cache)
-        rest += text[position : match.start() if entry is not None else match.end()]
+        remainder += text[position : match.start() if entry is not None else match.end()]
         position = match.end()
         if entry is not None:
             found.append(entry)
-    rest += text[position:]
-    if not _FULL_LIST.search(rest):
+    remainder += text[position:]
+    if not _FULL_LIST.search(remainder):
         known = {entry.server.name for entry in found}
-        names = dict.fromkeys(match[1].decode() for match in _INSTANCE_ID.finditer(rest))
+        names = dict.fromkeys(match[1].decode() for match in _INSTANCE_ID.finditer(remainder))
         found += [
             RecoveredEntry(Server(name, state="unreadable"), None)
             for name in names
--- a/corkshift/messages.py
+++ b/corkshift/messages.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field
 from typing import Optional
 
-from corkshift.relay import Relay
+from corkshift.relay import BodyPipe
 
 
 @dataclass(frozen=True, slots=True)
@@ -18,7 +18,7 @@
     body: bytes = b""
     retry_after_s: float = 0.0
     # Source of the remaining body if it is too large to buffer; `body` is then its first part.
-    body_rest: Optional[Relay] = None
+    body_rest: Optional[BodyPipe] = None
     # Length in bytes of the whole body where `body_rest` is set, None if unknown.
     length: Optional[int] = None
 
@@ -39,7 +39,7 @@
     repeated: bool
     body: list[bytearray] = field(default_factory=list)
     # Source of the remaining body if it is too large to buffer; `body` is then its first part.
-    body_rest: Optional[Relay] = None
+    body_rest: Optional[BodyPipe] = None
     # Content-Length of the request, None if it has none.
     length: Optional[int] = None
     # Bytes of `body_rest` have been consumed: the request can't be sent again.
--- a/corkshift/node.py
+++ b/corkshift/node.py
@@ -98,7 +98,7 @@
 
     def ejected_count(self) -> int:
         """Return how many listed cache servers outlier detection currently keeps out of use."""
-        return self._balancer.fleet.avoided(now_ms())
+        return self._balancer.fleet.ejected_count(now_ms())
 
     def usable(self, name: str) -> bool:
         """Whether a cache server's health permits requests to it; true for an unknown server."""
--- a/corkshift/relay.py
+++ b/corkshift/relay.py
@@ -10,7 +10,7 @@
     """The producer of the body failed before its end."""
 
 
-class Relay:
+class BodyPipe:
     """A queue of one piece between a producer and a consumer.
 
     `put` waits while a piece is queued, and `get` waits for one. Either side may give up, which
--- a/corkshift/sources/dns.py
+++ b/corkshift/sources/dns.py
@@ -141,7 +141,7 @@
         if failures and len(failures) == len(targets):
             raise LookupFailed(failures[0])
         # A target whose addresses can't be looked up at the moment is not treated as removed.
-        self._sink.update("dns", claims_of_records(records, lookups), full=not failures)
+        self._sink.update("dns", claims_from_records(records, lookups), full=not failures)
         stale = [lookup for lookup in answers if lookup.stale]
         self._last_answer_ms = self._last_answer_ms if srv_answer.stale else now_ms()
         if failures or stale:
@@ -160,7 +160,7 @@
         )
 
 
-def claims_of_records(
+def claims_from_records(
     records: tuple[SrvRecord, ...], lookups: dict[str, CachedAnswer | LookupFailed]
 ) -> list[Claim]:
     """The boxes that SRV records name.
--- a/corkshift/upstream.py
+++ b/corkshift/upstream.py
@@ -10,12 +10,12 @@
 import h11
 
 from corkshift import seam
-from corkshift.budget import MAX_BODY_BYTES, MAX_BUFFERED_BODY_BYTES, PieceCounter
+from corkshift.budget import MAX_BODY_BYTES, MAX_BUFFERED_BODY_BYTES, SmallPieceDetector
 from corkshift.loop_lag import LoopLagMonitor
 from corkshift.messages import ClientRequest, Response
 from corkshift.metrics import Metrics
 from corkshift.plain import response_head
-from corkshift.relay import BodyAborted, Relay
+from corkshift.relay import BodyAborted, BodyPipe
 from corkshift.seam import Address, now_ms
 from corkshift.seam.errors import LOCAL_ERRNOS, error_name
 from corkshift.stream import KERNEL_BUFFER_BYTES, READ_BYTES, Stream
@@ -265,7 +265,7 @@
         self._within_ms = within_ms
         self._owner = owner
         self._timeout = asyncio.timeout(within_ms / 1000.0)
-        self._relay: Optional[Relay] = None  # passes on a response too large to buffer
+        self._response_pipe: Optional[BodyPipe] = None  # passes on a response too large to buffer
         self._stream: Optional[Stream] = None
         # Created only if the response is not in simple form.
         self._parser: Optional[h11.Connection] = None
@@ -281,7 +281,7 @@
     @property
     def response_started(self) -> bool:
         """Whether a response too large to buffer has begun to be passed on."""
-        return self._relay is not None
+        return self._response_pipe is not None
 
     @property
     def elapsed_ms(self) -> float:
@@ -290,8 +290,8 @@
 
     def abort_response(self) -> None:
         """Let the client see that a streamed response is incomplete, unless it has ended."""
-        if self._relay is not None:
-            self._relay.fail()
+        if self._response_pipe is not None:
+            self._response_pipe.fail()
 
     async def run(self) -> Outcome:
         """Send the request and read the whole response."""
@@ -512,7 +512,7 @@
             raise ConnectionResetError("response with status 200 before the request was complete")
         note = _cache_result(headers)
         half_ms = now_ms() + self._within_ms / 2.0
-        body, pieces = bytearray(), PieceCounter()
+        body, pieces = bytearray(), SmallPieceDetector()
         while isinstance(event := await self._event(), h11.Data):
             body += event.data
             if pieces.too_small(len(event.data), self._reads):
@@ -560,15 +560,15 @@
         From here on the response can only be completed or cut off, never replaced.
         """
         assert self._stream is not None
-        relay = Relay()
+        pipe = BodyPipe()
         if not self._owner.on_response_started(
-            self, Response(200, body, body_rest=relay, length=length), note
+            self, Response(200, body, body_rest=pipe, length=length), note
         ):
             raise NotSent("response no longer wanted")
-        self._relay = relay
+        self._response_pipe = pipe
         self._timeout.reschedule(None)
         self._stream.read_limit = LARGE_BODY_READ_BYTES
-        size, pieces = len(body), PieceCounter()
+        size, pieces = len(body), SmallPieceDetector()
         while True:
             async with asyncio.timeout(STALL_TIMEOUT_S):
                 event = await self._event()
@@ -577,9 +577,9 @@
             size += len(event.data)
             if size > MAX_BODY_BYTES or pieces.too_small(len(event.data), self._reads):
                 raise MalformedResponse("body over the size limit or in too small pieces")
-            if not await relay.put(bytes(event.data)):
+            if not await pipe.put(bytes(event.data)):
                 raise ConnectionAbortedError("the client has left")
-        relay.end()
+        pipe.end()
         return Outcome("success", note)
 
     async def _read_error_body(self) -> None:
@@ -628,8 +628,8 @@
 
 def _error_outcome(status: int, headers: dict[bytes, bytes]) -> Outcome:
     """Return the outcome for a response other than 200, from its status and X-Turned-Away."""
-    away = status in (503, 504) and headers.get(b"x-turned-away", b"").strip() == b"1"
-    return Outcome("overloaded" if away else "failure")
+    turned_away = status in (503, 504) and headers.get(b"x-turned-away", b"").strip() == b"1"
+    return Outcome("overloaded" if turned_away else "failure")
 
 
 def _cache_result(headers: dict[bytes, bytes]) -> int:
--- a/forkweir/choice.py
+++ b/forkweir/choice.py
@@ -84,7 +84,7 @@
         "line",
         "held",
         "classes",
-        "hot_key_turn",
+        "hot_key_rotation",
         "retry_budget",
         "error_retry_budget",
         "client_wait",
@@ -113,7 +113,7 @@
         self.held: dict[int, Request] = {}
         self.classes = {spec.name: spec for spec in settings.classes}
         self.unknown_class = ClassSpec("", repeat="unsafe")
-        self.hot_key_turn = 0
+        self.hot_key_rotation = 0
         self.retry_budget = RetryBudget(RETRY_SHARE)
         self.error_retry_budget = RetryBudget(QUICK_ERROR_SHARE)
         self.client_wait = ClientWaits()
@@ -460,8 +460,8 @@
                 request.key, min(len(neighbours), fleet.in_service or 1), request.position
             )
             if copies > 1:
-                self.hot_key_turn += 1
-                start = self.hot_key_turn % copies
+                self.hot_key_rotation += 1
+                start = self.hot_key_rotation % copies
                 key_fraction = self.random.random()
         if request.write and not start:
             # A write gains nothing from its home's cache and goes through to the origin from any
@@ -487,19 +487,19 @@
                 ):
                     return member
             key_fraction = (key_fraction + 0.618034) % 1.0
-        busy: Optional[Member] = None
+        overloaded: Optional[Member] = None
         for member in neighbours:
             if fleet.usable(member, now) and member not in tried and not fleet.is_cold(member, now):
                 if member.rejects_little:
                     return member
-                busy = busy or member
-        if busy is not None:
+                overloaded = overloaded or member
+        if overloaded is not None:
             # All usable warm neighbours reject many requests, so a cold one with capacity takes
             # this request, within its cold-start allowance. Otherwise the last warm server among
             # many cold ones would get, and reject, all requests for the keys of the cold ones that
             # their allowances do not admit.
-            return self._cold_with_capacity(neighbours, request, now) or busy
-        spare: Optional[Member] = None
+            return self._cold_with_capacity(neighbours, request, now) or overloaded
+        soonest_usable: Optional[Member] = None
         cold: list[Member] = []
         for member in fleet.candidates_from(range_number):
             if member.present and member not in tried:
@@ -507,15 +507,15 @@
                     cold.append(member)
                 elif fleet.usable(member, now):
                     return member
-                elif spare is None or member.ejected_until < spare.ejected_until:
-                    spare = member
+                elif soonest_usable is None or member.ejected_until < soonest_usable.ejected_until:
+                    soonest_usable = member
         # No warm server is left: try the nearest cold ones with capacity, home first. Otherwise a
         # fleet that is entirely cold would refuse everything or send it all to one server.
         return (
             self._cold_with_capacity((*neighbours, *cold[:MAX_COLD_CANDIDATES]), request, now)
             if cold
             else None
-        ) or spare
+        ) or soonest_usable
 
     def _cold_with_capacity(
         self, members: Iterable[Member], request: Request, now: float
--- a/forkweir/fleet.py
+++ b/forkweir/fleet.py
@@ -420,7 +420,7 @@
             counts[member.state(now, self.is_cold(member, now))] += 1
         return counts
 
-    def avoided(self, now: float) -> int:
+    def ejected_count(self, now: float) -> int:
         """The number of listed servers that get no requests now because of past outcomes."""
         return sum(
             member.present and not self.usable(member, now) for member in self.members.values()
--- a/forkweir/gate.py
+++ b/forkweir/gate.py
@@ -161,9 +161,11 @@
                 # home that holds them over an answer that no server could have given (reads missed
                 # twice as often away from home). Without the second, throttled servers would be
                 # spared although the origin is fast.
-                origin_trouble = min(1.0, self.origin_slowness / ORIGIN_SLOW_LEVEL) ** 2
+                relative_slowness = min(1.0, self.origin_slowness / ORIGIN_SLOW_LEVEL) ** 2
                 penalty = self.failure_penalty() * (
-                    (1.0 - seen.miss_probability * origin_trouble) ** 2 if seen.timed_out else 1.0
+                    (1.0 - seen.miss_probability * relative_slowness) ** 2
+                    if seen.timed_out
+                    else 1.0
                 )
                 if penalty > 0.0:  # penalize() takes 0 for a good answer
                     self.fleet.penalize(member, now, penalty, seen.timed_out)
--- a/forkweir/known/membership.py
+++ b/forkweir/known/membership.py
@@ -121,7 +121,7 @@
 
 
 @dataclass(slots=True)
-class _Held:
+class _HeldBox:
     """A box that is kept although its source no longer names it."""
 
     claim: Claim
@@ -138,11 +138,11 @@
     claims: dict[Address, Claim] = field(default_factory=dict)
     # Since when each box has been named without interruption.
     since: dict[Address, float] = field(default_factory=dict)
-    held: dict[Address, _Held] = field(default_factory=dict)
+    held: dict[Address, _HeldBox] = field(default_factory=dict)
     # When the source removed a box that it had named; oldest first.
     tombstones: dict[Address, float] = field(default_factory=dict)
     # Those of the tombstones that the source reported as gone by name.
-    by_name: set[Address] = field(default_factory=set)
+    reported_gone: set[Address] = field(default_factory=set)
     # Flap penalty of each box, and as of when.
     penalties: dict[Address, tuple[float, float]] = field(default_factory=dict)
     # When boxes disappeared lately.
@@ -154,8 +154,8 @@
         return not self.failure and now - self.updated_ms <= self.rights.stale_ms
 
     def penalty(self, address: Address, now: float) -> float:
-        much, at = self.penalties.get(address, (0.0, now))
-        return float(much * 0.5 ** (max(0.0, now - at) / FLAP_HALF_LIFE_MS))
+        penalty, at = self.penalties.get(address, (0.0, now))
+        return float(penalty * 0.5 ** (max(0.0, now - at) / FLAP_HALF_LIFE_MS))
 
 
 class Membership:
@@ -197,17 +197,17 @@
             if claim.state == "gone":
                 # This also applies to a box that the source never named: another source may name
                 # it.
-                self._bury(view, address, now, by_name=True)
+                self._add_tombstone(view, address, now, reported_gone=True)
                 continue
             if address not in view.claims and len(view.claims) >= MAX_BOXES:
                 continue
             view.claims[address] = claim
             view.since.setdefault(address, now)
             view.tombstones.pop(address, None)
-            view.by_name.discard(address)
-        self._fall(source, view, missing, moved, now)
+            view.reported_gone.discard(address)
+        self._remove_missing(source, view, missing, moved, now)
 
-    def mark_failed(self, source: str, why: str) -> None:
+    def mark_failed(self, source: str, reason: str) -> None:
         """Record that a source can't be reached or read; its last view stays in force.
 
         Raises KeyError for an unknown source.
@@ -215,45 +215,46 @@
         view = self._views[source]
         if not view.failure:
             self._reports.append(
-                f"{source}: failed: {why}; its {len(view.claims)} boxes are kept as last reported"
+                f"{source}: failed: {reason}; "
+                f"its {len(view.claims)} boxes are kept as last reported"
             )
-        view.failure = why
+        view.failure = reason
 
-    def _fall(
+    def _remove_missing(
         self, source: str, view: _View, missing: list[Address], moved: set[str], now: float
     ) -> None:
         """Remove boxes that a full view no longer names, or hold them on a fall or a flap."""
         guard = self._guard
         view.removals_ms = [at for at in view.removals_ms if now - at < guard.fall_ms]
-        sudden = []
+        disappeared = []
         for address in missing:
             claim = view.claims[address]
             if claim.state == "draining" or (claim.name and claim.name in moved):
-                self._bury(view, address, now)  # it drained or moved to a new address
+                self._add_tombstone(view, address, now)  # it drained or moved to a new address
             else:
-                sudden.append(address)
+                disappeared.append(address)
         peak = len(view.claims) + len(view.removals_ms)
-        held = sudden and len(sudden) + len(view.removals_ms) > guard.most_fall * peak
+        held = disappeared and len(disappeared) + len(view.removals_ms) > guard.most_fall * peak
         if held:
             hold_s = guard.hold_ms / 1000.0
             self._reports.append(
-                f"{source}: {len(sudden)} of {len(view.claims)} boxes fell out at once; "
+                f"{source}: {len(disappeared)} of {len(view.claims)} boxes fell out at once; "
                 f"held for {hold_s:g} s"
             )
-        for address in sudden:
+        for address in disappeared:
             view.removals_ms.append(now)
             claim, since = view.claims[address], view.since[address]
-            self._bury(view, address, now)
+            self._add_tombstone(view, address, now)
             penalty = min(MAX_FLAP_PENALTY, view.penalty(address, now) + 1.0)
             view.penalties[address] = penalty, now
             if held:
-                view.held[address] = _Held(claim, now + guard.hold_ms, "fall", since)
+                view.held[address] = _HeldBox(claim, now + guard.hold_ms, "fall", since)
             elif penalty >= FLAP_SUPPRESS:
-                view.held[address] = _Held(claim, float("inf"), "flapping", since)
+                view.held[address] = _HeldBox(claim, float("inf"), "flapping", since)
                 self._reports.append(f"{source}: {_text(address)} is flapping; kept")
             else:
                 # Used only if nothing else is left in service.
-                view.held[address] = _Held(claim, now, "last", since)
+                view.held[address] = _HeldBox(claim, now, "last", since)
         while len(view.held) > MAX_BOXES:
             del view.held[next(iter(view.held))]
         for address in [a for a in view.penalties if view.penalty(a, now) < MIN_FLAP_PENALTY]:
@@ -261,41 +262,43 @@
         while len(view.penalties) > MAX_BOXES:
             del view.penalties[next(iter(view.penalties))]
 
-    def _bury(self, view: _View, address: Address, now: float, by_name: bool = False) -> None:
+    def _add_tombstone(
+        self, view: _View, address: Address, now: float, reported_gone: bool = False
+    ) -> None:
         """Remove a box from a view and leave a tombstone for it."""
         view.claims.pop(address, None)
         view.since.pop(address, None)
         view.held.pop(address, None)
         view.tombstones.pop(address, None)
         view.tombstones[address] = now
-        view.by_name.discard(address)
-        if by_name:
-            view.by_name.add(address)
+        view.reported_gone.discard(address)
+        if reported_gone:
+            view.reported_gone.add(address)
         while len(view.tombstones) > MAX_BOXES:
             oldest = next(iter(view.tombstones))
             del view.tombstones[oldest]
-            view.by_name.discard(oldest)
+            view.reported_gone.discard(oldest)
 
     # -- the merged set ------------------------------------------------------------------
 
     def merge(self, now: float) -> list[Box]:
         """Return the boxes that are in service or draining, ordered by address."""
         self._expire(now)
-        ordinary = self._boxes(
+        boxes = self._boxes(
             now,
             [name for name, view in self._views.items() if not view.rights.fallback],
             last=False,
         )
-        if not _in_service(ordinary):
-            ordinary = self._boxes(now, list(self._views), last=False)
-        if not _in_service(ordinary):
+        if not _in_service(boxes):
+            boxes = self._boxes(now, list(self._views), last=False)
+        if not _in_service(boxes):
             return self._boxes(now, list(self._views), last=True)
         for view in self._views.values():
             # Others serve, so boxes whose time is over are dropped. A box of long ago must not come
             # back when the set runs empty later.
             for address in [a for a, held in view.held.items() if held.until + TOMBSTONE_MS <= now]:
                 del view.held[address]
-        return ordinary
+        return boxes
 
     def _expire(self, now: float) -> None:
         """End holds of boxes that no longer flap, and drop old tombstones."""
@@ -305,7 +308,7 @@
                     held.until = min(held.until, now)
             for address in [a for a, at in view.tombstones.items() if now - at >= TOMBSTONE_MS]:
                 del view.tombstones[address]
-                view.by_name.discard(address)
+                view.reported_gone.discard(address)
 
     def _boxes(self, now: float, names: list[str], last: bool) -> list[Box]:
         """Return the boxes that these sources give.
@@ -333,12 +336,12 @@
 
         taken: names of the boxes merged so far.
         """
-        says: list[tuple[str, Claim, float, str]] = []  # source, claim, since, state
+        statements: list[tuple[str, Claim, float, str]] = []  # source, claim, since, state
         # The best rank that removed the box, and when: sources that have named it since before then
         # don't count.
         removed: Optional[tuple[int, float]] = None
         # A drain is applied whichever sources count.
-        drained = next(
+        draining_source = next(
             (
                 n
                 for n, v in self._views.items()
@@ -352,16 +355,16 @@
             if claim is not None:
                 since = view.since[address]
                 if (
-                    drained != name
+                    draining_source != name
                     and removed is not None
                     and removed[0] < view.rights.rank
                     and since <= removed[1]
                 ):
                     continue
-                says.append((name, claim, since, claim.state))
+                statements.append((name, claim, since, claim.state))
             elif held is not None and (last or held.until > now):
                 if removed is None:
-                    says.append(
+                    statements.append(
                         (
                             name,
                             held.claim,
@@ -372,41 +375,51 @@
             elif view.rights.remove and address in view.tombstones and removed is None:
                 removed = (
                     view.rights.rank,
-                    float("inf") if address in view.by_name else view.tombstones[address],
+                    float("inf") if address in view.reported_gone else view.tombstones[address],
                 )
-        if not any(self._views[name].rights.add for name, *_ in says):
+        if not any(self._views[name].rights.add for name, *_ in statements):
             return None
-        source, first, since, how = says[0]
+        source, first, since, state = statements[0]
         rule = (
-            f"drain by {drained}"
-            if drained
-            else how
-            if how.startswith("held")
+            f"drain by {draining_source}"
+            if draining_source
+            else state
+            if state.startswith("held")
             else "agreed"
-            if len(says) > 1
+            if len(statements) > 1
             else f"only {source}"
         )
         if rule.startswith("only") and self._views[source].rights.fallback:
             rule = f"fallback {source}"
         name = next(
-            (claim.name for _, claim, _, _ in says if claim.name and claim.name not in taken), ""
+            (claim.name for _, claim, _, _ in statements if claim.name and claim.name not in taken),
+            "",
         )
         weights = [
             c.weight
-            for n, c, _, _ in says
+            for n, c, _, _ in statements
             if c.weight is not None and self._views[n].rights.weigh and self._views[n].fresh(now)
         ]
         server = Server(
             name=name or _text(address),
-            zone=next((claim.zone for _, claim, _, _ in says if claim.zone), ""),
-            kind=next((claim.kind for _, claim, _, _ in says if claim.kind), ""),
-            cell=next((claim.cell for _, claim, _, _ in says if claim.cell), 0),
-            state="draining" if drained else "in",
+            zone=next((claim.zone for _, claim, _, _ in statements if claim.zone), ""),
+            kind=next((claim.kind for _, claim, _, _ in statements if claim.kind), ""),
+            cell=next((claim.cell for _, claim, _, _ in statements if claim.cell), 0),
+            state="draining" if draining_source else "in",
             weight=weights[0] if weights else 1.0,
-            started_ms=next((claim.started_ms for _, claim, _, _ in says if claim.started_ms), 0.0),
+            started_ms=next(
+                (claim.started_ms for _, claim, _, _ in statements if claim.started_ms), 0.0
+            ),
+        )
+        priority = next((claim.priority for _, claim, _, _ in statements if claim.priority), 0)
+        return Box(
+            server,
+            address,
+            priority,
+            rule,
+            tuple((n, state) for n, _, _, state in statements),
+            since,
         )
-        priority = next((claim.priority for _, claim, _, _ in says if claim.priority), 0)
-        return Box(server, address, priority, rule, tuple((n, how) for n, _, _, how in says), since)
 
     def next_change_ms(self, now: float) -> Optional[float]:
         """Return when the merged set may next change without an update.
@@ -437,13 +450,13 @@
         rows = []
         for name, view in self._views.items():
             never = view.updated_ms == float("-inf")
-            how = view.failure or (
+            status = view.failure or (
                 "never heard" if never else "fresh" if view.fresh(now) else "stale"
             )
             rows.append(
                 (
                     name,
-                    how,
+                    status,
                     -1.0 if never else now - view.updated_ms,
                     len(view.claims),
                     len(view.held),
--- a/forkweir/known/outcomes.py
+++ b/forkweir/known/outcomes.py
@@ -273,8 +273,8 @@
 
 # The class of each status.
 OUTCOME_TYPES: dict[str, type[AttemptOutcome]] = {
-    word.status: word
-    for word in (
+    outcome_type.status: outcome_type
+    for outcome_type in (
         Success,
         Overloaded,
         Failure,
@@ -288,4 +288,6 @@
     )
 }
 # Statuses of attempts that the server cannot have executed.
-NOT_EXECUTED = frozenset(word for word, seen in OUTCOME_TYPES.items() if not seen.may_have_run)
+NOT_EXECUTED = frozenset(
+    status for status, outcome_type in OUTCOME_TYPES.items() if not outcome_type.may_have_run
+)
--- a/forkweir/limits/fetch_budget.py
+++ b/forkweir/limits/fetch_budget.py
@@ -51,7 +51,7 @@
 # thresholds cost), and below which it stops.
 SLOW_TO_LIMIT = 0.8
 SLOW_TO_RELEASE = 0.6
-USUAL_WEIGHT = 0.01
+MEAN_IN_FLIGHT_WEIGHT = 0.01
 # Growth of the limit for as many good fetches as it allows.
 LIMIT_INCREASE = 2.0
 LIMIT_DECREASE = 0.8
@@ -74,7 +74,7 @@
         "known_miss_rate",
         "unknown_miss_rate",
         "slow_share",
-        "usual_in_flight",
+        "mean_in_flight",
         "limiting",
         "_decreased_ms",
         "_max_value",
@@ -90,7 +90,7 @@
         self.in_flight = 0.0  # expected
         self.known_miss_rate = INITIAL_KNOWN_MISS_RATE
         self.unknown_miss_rate = INITIAL_UNKNOWN_MISS_RATE
-        self.usual_in_flight = MIN_LIMIT  # moving average over the attempts sent
+        self.mean_in_flight = MIN_LIMIT  # moving average over the attempts sent
         self.limiting = False
         self.slow_share = 0.0  # moving average of the share of slow fetches
         self._decreased_ms = 0.0
@@ -120,9 +120,7 @@
     @property
     def prospective_limit(self) -> float:
         """The limit in force, or the one with which limiting would start."""
-        return (
-            self.limit if self.limiting else max(MIN_LIMIT, LIMIT_DECREASE * self.usual_in_flight)
-        )
+        return self.limit if self.limiting else max(MIN_LIMIT, LIMIT_DECREASE * self.mean_in_flight)
 
     @property
     def fetch_ms(self) -> float:
@@ -133,7 +131,7 @@
     def record_start(self, cost: float) -> None:
         """Record an attempt that is sent."""
         self.in_flight += cost
-        self.usual_in_flight += USUAL_WEIGHT * (self.in_flight - self.usual_in_flight)
+        self.mean_in_flight += MEAN_IN_FLIGHT_WEIGHT * (self.in_flight - self.mean_in_flight)
 
     def record_end(self, cost: float, now: Optional[float] = None) -> None:
         """Record an attempt that ended; now is given if it was answered or its time ran out."""
@@ -176,7 +174,7 @@
         if not self.limiting:
             if self.slow_share > SLOW_TO_LIMIT:
                 self.limiting, self._decreased_ms = True, now
-                self.limit = max(MIN_LIMIT, LIMIT_DECREASE * self.usual_in_flight)
+                self.limit = max(MIN_LIMIT, LIMIT_DECREASE * self.mean_in_flight)
         elif self.slow_share < SLOW_TO_RELEASE:
             self.limiting = False
         elif self.slow_share > SLOW_TO_LIMIT:
--- a/testbed/nights/defects.py
+++ b/testbed/nights/defects.py
@@ -346,11 +346,13 @@
 
 @defect("a source that names no server any more empties the set")
 def believes_an_emptied_source() -> list[Patch]:
-    def fall(self: Any, source: str, view: Any, missing: Any, moved: Any, now: float) -> None:
+    def remove_missing(
+        self: Any, source: str, view: Any, missing: Any, moved: Any, now: float
+    ) -> None:
         for address in missing:
-            self._bury(view, address, now)
+            self._add_tombstone(view, address, now)
 
-    return [(Membership, "_fall", fall)]
+    return [(Membership, "_remove_missing", remove_missing)]
 
 
 @defect("a DNS answer is accepted whichever query it is for")
--- a/tests/forkweir/test_membership.py
+++ b/tests/forkweir/test_membership.py
@@ -310,7 +310,7 @@
             max(len(view.claims), len(view.since), len(view.tombstones), len(view.penalties))
             <= MAX_BOXES
         )
-        assert len(view.held) <= MAX_BOXES and view.by_name <= view.tombstones.keys()
+        assert len(view.held) <= MAX_BOXES and view.reported_gone <= view.tombstones.keys()
     assert any("more than" in line for line in merged.take_reports())
 
 
--- a/tests/test_bulk.py
+++ b/tests/test_bulk.py
@@ -19,7 +19,7 @@
 )
 
 from corkshift.budget import MAX_BODY_BYTES, MAX_BUFFERED_BODY_BYTES
-from corkshift.relay import BodyAborted, Relay
+from corkshift.relay import BodyAborted, BodyPipe
 from testbed.systems.http import Connection, Message
 
 BODY = random.Random(1).randbytes(1 << 20)
@@ -429,7 +429,7 @@
     # Each side pauses at points drawn from the seed: no wake-up may be lost between two waits.
     async def test() -> None:
         rng = random.Random(seed)
-        relay, given, taken = Relay(), [b"%d" % n for n in range(60)], []
+        relay, given, taken = BodyPipe(), [b"%d" % n for n in range(60)], []
         end = rng.choice(("end", "fail", "close"))
 
         async def write() -> bool:
--- a/tests/test_listing.py
+++ b/tests/test_listing.py
@@ -86,7 +86,7 @@
         unconfirmed += lines.unconfirmed_entries()
         at = cut
     *complete, part = body.split(b"\n")
-    assert got == [text.strip() for text in complete] and lines.rest() == part
+    assert got == [text.strip() for text in complete] and lines.partial_line() == part
     assert lines.unfinished == bool(part)
     wanted = [
         found_entry
@@ -108,7 +108,7 @@
         except BadList:
             pass
     lines.unconfirmed_entries()
-    assert len(lines.rest()) <= len(text)
+    assert len(lines.partial_line()) <= len(text)
 
 
 def test_an_endless_line_is_rejected_and_costs_linear_time() -> None:
