--- a/corkshift/cli/members.py
+++ b/corkshift/cli/members.py
@@ -92,7 +92,7 @@
     rows = [["box", "address", "state", "priority", "weight", "known for s", "rule", "said by"]]
     for box in view["boxes"]:
         state = box["state"] if box["in_use"] or box["state"] != "in" else "in, not in use"
-        stated_by = ", ".join(f"{name} ({state})" for name, state in box["said"].items())
+        stated_by = ", ".join(f"{name} ({stated})" for name, stated in box["said"].items())
         age = f"{box['known_for_ms'] / 1000.0:.1f}"
         rows.append(
             [
--- a/forkweir/choice.py
+++ b/forkweir/choice.py
@@ -169,7 +169,7 @@
                 actions.append(("timer", 2, now + PROBE_INTERVAL_MS * 0.2 * self.random.random()))
             return actions
         if form != "hearsay":
-            self.polling.record_line()
+            self.polling.record_complete_line()
         return actions
 
     def _poll_at(self, due: float) -> Action:
--- a/forkweir/known/discovery_polling.py
+++ b/forkweir/known/discovery_polling.py
@@ -81,7 +81,7 @@
             * self._random.random()
         )
 
-    def record_line(self) -> None:
+    def record_complete_line(self) -> None:
         """Record a line that was read completely."""
         self._failures = 0
         self._urgent_call_made = False
--- a/tests/forkweir/test_discovery_polling.py
+++ b/tests/forkweir/test_discovery_polling.py
@@ -87,7 +87,7 @@
         while now < 20_000.0:
             now += schedule.next_wait(True, now)
             calls.append(now)
-            schedule.record_line()
+            schedule.record_complete_line()
             now += 20.0
     assert sum(at < 100.0 for at in calls) <= 40 * (MAX_URGENT_CALLS + 1)
     late = sum(10_000.0 <= at < 20_000.0 for at in calls)
@@ -99,7 +99,7 @@
 def test_a_complete_line_resets_the_waits() -> None:
     schedule = PollSchedule(1_000.0, random.Random(3))
     waits = [schedule.next_wait(False, 0.0) for _ in range(6)]
-    schedule.record_line()
+    schedule.record_complete_line()
     assert schedule.next_wait(False, 0.0) <= 1_000.0 * BASE_WAIT_FRACTION * 2.0 * 1.3 < max(waits)
     assert all(0.0 <= schedule.initial_wait() <= 300.0 for _ in range(50))
 
@@ -111,7 +111,7 @@
     # Late enough not to meet the same refusal.
     assert first < URGENT_JITTER_MS and URGENT_RETRY_MS <= second <= 2.0 * URGENT_RETRY_MS
     assert schedule.next_wait(True, 1_010.0 + first + second) > 250.0  # the budget is spent
-    schedule.record_line()
+    schedule.record_complete_line()
     assert schedule.next_wait(True, 1_000.0 + 3.0 * URGENT_REFILL_MS) < URGENT_JITTER_MS
 
 
@@ -131,5 +131,5 @@
         now += schedule.next_wait(calls % 2 == 0, now)
         calls += 1
     assert 2_000.0 / AGENT_INTERVAL_MS - 2 <= calls <= 2_000.0 / AGENT_INTERVAL_MS + 2
-    schedule.record_line()
+    schedule.record_complete_line()
     assert schedule.next_wait(True, 5_000.0) == 0.0
