--- a/corkshift/cli/tier.py
+++ b/corkshift/cli/tier.py
@@ -55,10 +55,10 @@
     sums: dict[str, int] = defaultdict(int)
     for view in views.values():
         for lease in view["leases"]:
-            sums[_bound_name(lease["bound"], view)] += lease["parts"]
+            sums[_limit_name(lease["bound"], view)] += lease["parts"]
     over = {
-        bound: shares
-        for bound, shares in sums.items()
+        limit: shares
+        for limit, shares in sums.items()
         if shares > max(view["whole"] for view in views.values())
     }
     if as_json:
@@ -75,13 +75,13 @@
             "shares held by these nodes together (read one after the other, "
             "so a share that moved meanwhile may count twice):"
         )
-        for bound, shares in sorted(sums.items()):
-            print(f"  {bound:<24} {100.0 * shares / next(iter(views.values()))['whole']:5.1f}%")
+        for limit, shares in sorted(sums.items()):
+            print(f"  {limit:<24} {100.0 * shares / next(iter(views.values()))['whole']:5.1f}%")
     return 1 if over else code
 
 
-def _bound_name(bound: int, view: dict[str, Any]) -> str:
-    return "fetches" if not bound else f"work of {view['names'].get(str(bound)) or bound}"
+def _limit_name(limit: int, view: dict[str, Any]) -> str:
+    return "fetches" if not limit else f"work of {view['names'].get(str(limit)) or limit}"
 
 
 def _print_view(address: str, view: dict[str, Any]) -> None:
@@ -105,7 +105,7 @@
     for lease in view["leases"]:
         share = 100.0 * lease["parts"] / view["whole"]
         print(
-            f"  {_bound_name(lease['bound'], view):<24} {share:5.1f}% of {lease['size']:.4g}, "
+            f"  {_limit_name(lease['bound'], view):<24} {share:5.1f}% of {lease['size']:.4g}, "
             f"for {max(0.0, lease['ends_in_ms']):.0f} ms more"
         )
     line = view["line"]
@@ -156,10 +156,10 @@
         f"  reads at the usual box of their key: {100.0 * report['usual']:.1f}%, "
         f"fetches of the order book: {report['fetches']}"
     )
-    whole = report["whole"]
-    for bound, shares in report["most_held"].items():
+    total = report["whole"]
+    for limit, shares in report["most_held"].items():
         print(
-            f"  largest share of {bound or 'fetches'} held at once: {100.0 * shares / whole:.1f}%"
+            f"  largest share of {limit or 'fetches'} held at once: {100.0 * shares / total:.1f}%"
         )
     for name, cold in report["cold"].items():
         print(
