--- a/corkshift/address_book.py
+++ b/corkshift/address_book.py
@@ -1,13 +1,24 @@
 """The address book: the cache servers that discovery lists, as the node and its decisions use them.
 
-Applies whole lines, and the unconfirmed entries of corrupt or partial lines
+Applies complete lines, and the unconfirmed entries of corrupt or partial lines
 (`listing.unconfirmed_entries`). Departures outrank older lists (`forkweir.known.departures`), and
 start times are converted to this node's clock (`forkweir.known.start_times`).
 
-A whole list of more than SLICE_SERVERS servers costs a few lookups for each entry, and beyond that
-in proportion to the entries that differ from the known ones. It is applied in slices: at once the
-servers that leave, change or share an address, then new servers in slices of SLICE_SERVERS, between
-which the caller lets the loop run. A shorter list, or a line of changes, is applied at once.
+A full list names all servers. One of more than SLICE_SERVERS servers costs a few lookups for each
+entry, and beyond that in proportion to the entries that differ from the known ones. It is applied
+in slices: at once the servers that leave, change or share an address, then new servers in slices of
+SLICE_SERVERS, between which the caller lets the loop run. A shorter list, or a line of changes, is
+applied at once.
+
+Terms:
+
+- generation: discovery's version number of its list, which grows with each change
+- held back: a server gets no new requests until a complete line confirms or clears what a partial
+  one said of it (`forkweir.known.unconfirmed`)
+- unreadable: state of a server of whose entry only the name could be read
+- unlisted: state of a server that a full list no longer names
+- grace period: the time after the notification of a departure in which requests may still be sent
+  to the server (`forkweir.send_guard`)
 """
 
 from __future__ import annotations
@@ -73,15 +84,15 @@
     """The servers that discovery lists, and what overrides older or partial lists."""
 
     def __init__(self, node: ListObserver, pool: Pool) -> None:
-        self.generation: Optional[int] = None  # of the last whole line, or of the saved list
+        self.generation: Optional[int] = None  # of the last complete line, or of the saved list
         # When the input being applied may have been written. The grace period of a departure
         # starts then.
         self.written_ms = inf
-        self.complete_line_applied = False  # a whole line was applied
+        self.complete_line_applied = False
         self._node = node
         self._pool = pool
-        # The entry of each server in the address book: that of the last whole line which named it,
-        # "draining" instead of "in" if its departure is newer than the line, and with the start
+        # The entry of each server in the address book: that of the last complete line which named
+        # it, "draining" instead of "in" if its departure is newer than the line, and with the start
         # time of a later unconfirmed entry.
         self._known: dict[str, Server] = {}
         self._names_at: dict[Address, dict[str, None]] = {}
@@ -108,12 +119,12 @@
         finally:
             self._notify("saved", entries)
 
-    # -- whole lines ---------------------------------------------------------------------
+    # -- complete lines ------------------------------------------------------------------
 
     def apply_line(
         self, generation: int, full: bool, listed: list[Entry], gapless: bool
     ) -> Iterator[None]:
-        """Apply a line that was read whole. Yields where the loop may run between slices.
+        """Apply a complete line. Yields where the loop may run between slices.
 
         full: it is a full list, not a line of changes. gapless: it includes every change since the
         last line, so that servers which unconfirmed entries hold back and which it does not name
@@ -163,7 +174,7 @@
             self._notify("part" if self._pending_additions else "changes", self._update(part))
 
     def _differing(self, listed: list[Entry], shared: set[Address]) -> list[Entry]:
-        """The entries of a whole list that may differ from the known ones.
+        """The entries of a full list that may differ from the known ones.
 
         An unchanged entry is the same object (`listing.EntryCache`), so each costs one lookup. All
         entries that share an address are included, as they decide together which of them counts.
@@ -192,7 +203,7 @@
         return urgent, deferred
 
     def _missing(self, generation: int, listed: list[Entry]) -> dict[str, Server]:
-        """Record the departure of each known server that a whole list does not name.
+        """Record the departure of each known server that a full list does not name.
 
         Returns these servers as entries in state "unlisted".
         """
@@ -208,13 +219,13 @@
     def _notify(self, form: str, entries: Iterable[Server]) -> None:
         """Pass entries on, with their start times on this node's clock.
 
-        Form `hearsay` is the outward name for entries that no whole line has confirmed; they never
-        count as those of the first list.
+        Form `hearsay` is the outward name for entries that no complete line has confirmed; they
+        never count as those of the first list.
         """
         first, now = not self.complete_line_applied and form != "hearsay", now_ms()
         self._node.on_list(form, [self._starts.localize(server, first, now) for server in entries])
 
-    # -- lines that are not whole --------------------------------------------------------
+    # -- incomplete lines ----------------------------------------------------------------
 
     def apply_unconfirmed(
         self, unconfirmed: list[RecoveredEntry], generation: Optional[int]
@@ -222,12 +233,12 @@
         """Apply the entries of a partial or corrupt line.
 
         Servers that drain, are removed or are unreadable in it are held back, that is, they get no
-        new requests, until a whole line names them or is complete (see `apply_line`). Those that
+        new requests, until a complete line names them or is gapless (see `apply_line`). Those that
         are unreadable are released after UNREADABLE_TIMEOUT_MS at the earliest (see
         `_release_expired`). The limits of `UnconfirmedEntries` apply.
 
         generation: that of the partial or corrupt line. If it is None, it could not be read, and
-        the generation after that of the last whole line is assumed.
+        the generation after that of the last complete line is assumed.
         """
         book = self._node.servers
         reports: list[UnconfirmedEntry] = []
@@ -384,7 +395,7 @@
     ) -> list[Server]:
         """Update the address book, and return the entries for the decisions.
 
-        missing: the servers that a whole list no longer names, as entries; empty for a line of
+        missing: the servers that a full list no longer names, as entries; empty for a line of
         changes. To it are added the servers in the address book whose entries in `pairs` do not
         count by `_remove_replaced`; all of these are removed. None: such servers are left as they
         are (the saved list, slices of new servers and reinstated servers).
--- a/corkshift/budget.py
+++ b/corkshift/budget.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-# Largest body that is buffered whole, in either direction. Larger ones are streamed.
+# Largest body that is buffered completely, in either direction. Larger ones are streamed.
 MAX_BUFFERED_BODY_BYTES = 65_536
 # A body in more pieces than this must have pieces of the minimum average size, since each one-byte
 # chunk costs a call of the parser.
@@ -13,11 +13,12 @@
 
 
 class SmallPieceDetector:
-    """Counts the pieces of one body that arrived in the same socket read as another piece.
+    """Detects a body that comes in too many small pieces.
 
-    One read may hold thousands of one-byte chunks, each of which costs a call of the parser. The
-    first piece of a read is not counted: however short the reads are, each costs its sender a
-    packet, and the time limits bound their number.
+    Counts the pieces that arrived in the same socket read as another one. One read may hold
+    thousands of one-byte chunks, each of which costs a call of the parser. The first piece of a
+    read is not counted: however short the reads are, each costs its sender a packet, and the time
+    limits bound their number.
     """
 
     __slots__ = ("_pieces", "_size", "_reads")
--- a/corkshift/cli/nodefile.py
+++ b/corkshift/cli/nodefile.py
@@ -92,7 +92,7 @@
 
 
 class NodeFile(Table, frozen=True, kw_only=True):
-    """The whole file of a node."""
+    """The complete file of a node."""
 
     listen: str
     admin_addr: Optional[str] = None
--- a/corkshift/cli/operator.py
+++ b/corkshift/cli/operator.py
@@ -50,7 +50,7 @@
 
 
 class OperatorFile(Table, frozen=True, kw_only=True):
-    """The whole file. A feature whose table is missing is off."""
+    """The complete file. A feature whose table is missing is off."""
 
     format: Literal[1]
     demo: Optional[DemoTable] = None
--- a/corkshift/discovery.py
+++ b/corkshift/discovery.py
@@ -44,7 +44,7 @@
 # The removals in a line that has stopped for this long are applied as those of a broken line.
 LINE_PAUSE_S = 0.1
 MAX_QUEUED_LINES = 1_024  # lines waiting behind one that is applied in slices
-# Lossy watches that are still read until another one delivers a whole line.
+# Lossy watches that are still read until another one delivers a complete line.
 MAX_RETIRING = 2
 RETIRING_S = 10.0  # how long such a watch is read at most
 
@@ -52,7 +52,7 @@
 class Discovery:
     """Keeps the node's server list up to date through one watch, opened when the decisions ask.
 
-    A call that is not answered soon gets a parallel one; the first watch to deliver a whole line
+    A call that is not answered soon gets a parallel one; the first watch to deliver a complete line
     replaces all others. A watch that lost data, or fell silent, is read until then (make before
     break, because what discovery writes to it meanwhile counts as notified), but only entries that
     remove servers are applied (`listing.unconfirmed_entries`).
@@ -80,7 +80,7 @@
         self._calls: dict[Watch, asyncio.Task[None]] = {}
         # Watches that lost data, oldest first.
         self._retiring: dict[asyncio.Task[None], Watch] = {}
-        # Some changes were lost, and no whole line has arrived since.
+        # Some changes were lost, and no complete line has arrived since.
         self._changes_lost = False
         self._checked_ms = 0.0  # when all watches were last found to have no unread input
 
@@ -103,7 +103,7 @@
         return False
 
     async def wait_first_list(self) -> None:
-        """Wait for the first whole line.
+        """Wait for the first complete line.
 
         Guards against a new process that serves from an old list while a newer one is available.
         """
@@ -115,7 +115,7 @@
             self._call()
 
     def move(self, address: Address) -> None:
-        """Switch to discovery at another address: call it at once, for the whole list.
+        """Switch to discovery at another address: call it at once, for the full list.
 
         Guards against a list that is no longer updated, because a service that has moved lets its
         old watches lapse. Another service need not count generations in the same way, so the
@@ -254,7 +254,7 @@
     # -- lines ---------------------------------------------------------------------------
 
     def _on_line(self, watch: Watch, line: bytes) -> None:
-        """Apply a whole line: a short one now, a long one in slices between which the loop runs.
+        """Apply a complete line: a short one now, a long one in slices between which the loop runs.
 
         Lines behind a long one are queued, but their removals are applied at once (guards against a
         drain that waits while a list of thousands of servers is applied).
@@ -286,7 +286,7 @@
             watch.applying = None
 
     def _apply_line(self, watch: Watch, line: bytes) -> Iterator[None]:
-        """Apply a whole line; yields between the slices of a long one.
+        """Apply a complete line; yields between the slices of a long one.
 
         The caller stops iterating when the watch is replaced meanwhile.
         """
--- a/corkshift/frontend.py
+++ b/corkshift/frontend.py
@@ -506,9 +506,15 @@
     """
 
     def __init__(
-        self, node: Node, listener: Socket, limit: int, body_bytes: int, shared: bool = False, leave: Optional[ShutdownSchedule] = None,
+        self,
+        node: Node,
+        listener: Socket,
+        limit: int,
+        body_bytes: int,
+        shared: bool = False,
+        leave: Optional[ShutdownSchedule] = None,
         loop_lag: Optional[LoopLagMonitor] = None,
-    ) -> None:  # fmt: skip
+    ) -> None:
         self.node = node
         self.loop_lag = loop_lag or LoopLagMonitor()
         self._leave = leave or ShutdownSchedule(MAX_COUNTED_DEADLINE_MS)
--- a/corkshift/listing.py
+++ b/corkshift/listing.py
@@ -1,10 +1,11 @@
 """Parser of discovery's lists: JSON lines, and the entries of a corrupt or partial line. Sans-I/O.
 
-Bytes go in; whole lines and unconfirmed entries come out. Everything that depends on discovery's
+Bytes go in; complete lines and unconfirmed entries come out. Everything that depends on discovery's
 format is in this module. `forkweir.known` decides whether an unconfirmed entry is applied, and
-`address_book` what a whole list changes.
+`address_book` what a full list changes. A full list names all servers, a line of changes only
+some.
 
-An unconfirmed entry is complete, from brace to brace, in bytes that are not yet a whole line or
+An unconfirmed entry is complete, from brace to brace, in bytes that are not yet a complete line or
 never will be. It is what can still be used of a line whose rest is lost, since by the protocol a
 change counts as notified once discovery has written it. From an entry that is cut or overwritten at
 most its server's name can be read (state "unreadable").
@@ -64,7 +65,7 @@
 class EntryCache:
     """Cache of parsed entries, so that a repeated entry costs one lookup.
 
-    Most entries of a whole list are unchanged, and each is first read from the unfinished line.
+    Most entries of a full list are unchanged, and each is first read from the unfinished line.
     Equal fields give the same `Server` object.
 
     Bound: MAX_CACHED_ENTRIES; a full cache is cleared.
@@ -182,7 +183,7 @@
     """The complete entries of a corrupt or partial line, and in a line of changes the servers that
     broken entries name.
 
-    A whole list names every server, so a broken entry in one gives no information.
+    A full list names every server, so a broken entry in one gives no information.
     """
     cache = cache or EntryCache()
     found = []
@@ -207,22 +208,22 @@
 
 
 def generation_of(text: bytes) -> int | None:
-    """The generation stated in a line, whole or not; None where it cannot be read."""
+    """The generation stated in a line, complete or not; None where it cannot be read."""
     match = _GENERATION.search(text)
     return int(match[1]) if match is not None else None
 
 
 @dataclass(frozen=True, slots=True)
 class RawList:
-    """A whole line whose entries are not parsed yet."""
+    """A complete line whose entries are not parsed yet."""
 
-    generation: int
+    generation: int  # version number of discovery's list
     full: bool  # names every server; otherwise the line holds changes
     entries: list[Any]
 
 
 def parse_raw_list(line: bytes) -> RawList:
-    """Parse the JSON of a whole line. BadList if it is malformed."""
+    """Parse the JSON of a complete line. BadList if it is malformed."""
     try:
         data = orjson.loads(line)
     except orjson.JSONDecodeError as error:
@@ -249,7 +250,7 @@
 def read_entries(entries: Iterable[Any], cache: EntryCache) -> list[tuple[Server, Address]]:
     """The servers and addresses of entries, without malformed ones.
 
-    Guards against one malformed entry that discards the whole list.
+    Guards against one malformed entry that discards all others.
     """
     pairs = []
     for entry in entries:
@@ -263,7 +264,7 @@
 
 
 def parse(line: bytes) -> tuple[int, bool, list[tuple[Server, Address]]]:
-    """The generation of a line, whether it is a whole list, and its entries.
+    """The generation of a line, whether it is a full list, and its entries.
 
     Raises BadList if it is malformed.
     """
--- a/corkshift/messages.py
+++ b/corkshift/messages.py
@@ -19,7 +19,7 @@
     retry_after_s: float = 0.0
     # Source of the remaining body if it is too large to buffer; `body` is then its first part.
     body_rest: Optional[BodyPipe] = None
-    # Length in bytes of the whole body where `body_rest` is set, None if unknown.
+    # Length in bytes of the complete body where `body_rest` is set, None if unknown.
     length: Optional[int] = None
 
 
--- a/corkshift/relay.py
+++ b/corkshift/relay.py
@@ -11,7 +11,7 @@
 
 
 class BodyPipe:
-    """A queue of one piece between a producer and a consumer.
+    """A queue of one piece of a body, between its producer and its consumer.
 
     `put` waits while a piece is queued, and `get` waits for one. Either side may give up, which
     wakes the other at once. The producer bounds the size of the pieces.
--- a/corkshift/sources/boxlist.py
+++ b/corkshift/sources/boxlist.py
@@ -53,14 +53,15 @@
         self._has_alternative = has_alternative
         self._entries: dict[str, Server] = {}
         self._addresses: dict[str, Address] = {}
-        self._unconfirmed_drains: dict[Address, None] = {}  # until a whole line is read
+        self._unconfirmed_drains: dict[Address, None] = {}  # until a complete line is read
         self._unconfirmed_removals: list[Claim] = []  # of the line being read
 
     def on_unlisted_departures(self, addresses: list[Address], complete: bool) -> None:
         """Receive addresses of servers that drain or are removed but that the list never named.
 
-        Another source may name them (see `corkshift.address_book.ListObserver`). complete: whether the
-        line was read completely. Entries of a partial line never drain the last server in service.
+        Another source may name them (see `corkshift.address_book.ListObserver`). complete: whether
+        the line was read to its end. Entries of a partial line never drain the last server in
+        service.
         """
         if complete:
             self._unconfirmed_removals += [
@@ -85,7 +86,7 @@
             return
         removals, self._unconfirmed_removals = self._unconfirmed_removals, []
         if form in ("full", "part", "changes"):
-            # A line that was read whole states these drains again if they still hold.
+            # A complete line states these drains again if they still hold.
             self._unconfirmed_drains.clear()
         for server in entries:
             if server.state == "gone":
--- a/corkshift/sources/file.py
+++ b/corkshift/sources/file.py
@@ -35,7 +35,7 @@
 
 
 class BoxFile(Table, frozen=True, kw_only=True):
-    """The whole file of boxes."""
+    """The complete file of boxes."""
 
     box: list[BoxTable]
 
@@ -59,11 +59,16 @@
         raise ValueError("; ".join(map(str, faults)))
     return [
         Claim(
-            address_of(box.address), "draining" if box.draining else "in", box.name, box.zone, box.kind,
-            weight=box.weight, priority=box.priority,
+            address_of(box.address),
+            "draining" if box.draining else "in",
+            box.name,
+            box.zone,
+            box.kind,
+            weight=box.weight,
+            priority=box.priority,
         )
         for box in msgspec.convert(data, BoxFile).box
-    ]  # fmt: skip
+    ]
 
 
 class FileSource:
--- a/corkshift/upstream.py
+++ b/corkshift/upstream.py
@@ -46,7 +46,8 @@
 # Share of an attempt's time for connecting again after a shortage on this machine; the rest is left
 # for another attempt.
 LOCAL_RETRY_SHARE = 0.7
-# Values of the X-Found header, as the balancer counts them; 0 stands for unknown.
+# Values of the X-Found header, as the balancer counts them; 0 stands for unknown. "pending": the
+# object was not in the cache, and was already being fetched for another request.
 CACHE_RESULTS = {b"hit": 1, b"miss": 2, b"pending": 3}
 
 
@@ -70,7 +71,8 @@
 
     name: str
     address: Address
-    # When this node was notified that the server drains or was removed.
+    # When this node was notified that the server drains or was removed. Its grace period, in which
+    # requests may still be sent to it, starts then (`forkweir.send_guard`).
     leaving_ms: Optional[float] = None
     # Idle connections and the time from which each is idle, oldest first.
     idle: list[tuple[float, Stream]] = field(default_factory=list)
@@ -78,7 +80,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Outcome:
-    """How an attempt ended: `status` as the balancer takes it, `note` a value of CACHE_RESULTS."""
+    """How an attempt ended.
+
+    status: a key of `forkweir.known.outcomes.OUTCOME_TYPES`. Of these, "void" means that the
+    attempt ended without an outcome of the server (`NotSent`), "withdrawn" that the node cancelled
+    it, and "spoilt" that the response was malformed. note: a value of CACHE_RESULTS, or 0.
+    """
 
     status: str
     note: int = 0
@@ -294,7 +301,7 @@
             self._response_pipe.fail()
 
     async def run(self) -> Outcome:
-        """Send the request and read the whole response."""
+        """Send the request and read the complete response."""
         outcome, cause = Outcome("withdrawn"), "cancelled"
         try:
             async with self._timeout:
@@ -310,7 +317,7 @@
                 str(error) or "timeout",
             )
         except (h11.RemoteProtocolError, MalformedResponse) as error:
-            # After the whole request, the server's response is malformed, which the balancer
+            # After the complete request, the server's response is malformed, which the balancer
             # distinguishes from a broken connection. Before, the request cannot have run.
             outcome, cause = Outcome("spoilt" if self._all_sent else "unreachable"), str(error)
         except OSError as error:
@@ -627,7 +634,11 @@
 
 
 def _error_outcome(status: int, headers: dict[bytes, bytes]) -> Outcome:
-    """Return the outcome for a response other than 200, from its status and X-Turned-Away."""
+    """Return the outcome for a response other than 200, from its status and X-Turned-Away.
+
+    That header has the value 1 where the server rejected the request for overload and did not run
+    it.
+    """
     turned_away = status in (503, 504) and headers.get(b"x-turned-away", b"").strip() == b"1"
     return Outcome("overloaded" if turned_away else "failure")
 
--- a/corkshift/watch.py
+++ b/corkshift/watch.py
@@ -37,7 +37,7 @@
         loop_lag: LoopLagMonitor,
         cache: Optional[EntryCache] = None,
     ) -> None:
-        """generation: of the node's list; None asks for a whole list.
+        """generation: of the node's list; None asks for a full list.
 
         answer_timeout_s: how long the answer may take, in active time.
         """
@@ -45,7 +45,7 @@
         self.generation = generation
         self.answer_timeout_s = answer_timeout_s
         self.answered = False
-        self.complete_line_received = False  # a whole line was received
+        self.complete_line_received = False
         # Data was lost and another watch is to replace this one: only removals are applied.
         self.retiring = False
         # Starts a parallel call while this one is unanswered.
@@ -53,7 +53,7 @@
         self.parser = LineParser(cache)
         # Applies a long line in slices.
         self.applying: Optional[asyncio.Task[None]] = None
-        self.queued_lines: deque[bytes] = deque()  # whole lines behind the one being applied
+        self.queued_lines: deque[bytes] = deque()  # complete lines behind the one being applied
         self._loop_lag = loop_lag
         self.stream: Optional[Stream] = None
         self._http = h11.Connection(h11.CLIENT)
@@ -153,7 +153,7 @@
             self.parallel_call_timer = None
 
     async def wait_applied(self) -> None:
-        """Wait until all whole lines have been applied."""
+        """Wait until all complete lines have been applied."""
         if self.applying is not None:
             await asyncio.wait([self.applying])
 
--- a/forkweir/choice.py
+++ b/forkweir/choice.py
@@ -1,9 +1,13 @@
 """The balancer: every decision of forkweir. Pure, deterministic, no I/O and no clock of its own.
 
-The ordinary path is DEMB (Lee et al., "DEMB: Cache-Aware Scheduling for Distributed Query
-Processing"; see docs/design.md): a key is hashed to a position on a line, a window of recent
-positions is cut into ranges of equal count, each new set of cuts is blended into the earlier cuts,
-and a request goes to the home server of its position's range.
+The ordinary path is DEMB (distributed exponential moving boundary; Lee et al., "DEMB: Cache-Aware
+Scheduling for Distributed Query Processing"; see docs/design.md): a key is hashed to a position on
+a line, a window of recent positions is cut into ranges of equal count, each new set of cuts is
+blended into the earlier cuts, and a request goes to the home server of its position's range.
+
+The aim of a request is the time by which its response counts as in time (`ClassSpec.aim_ms`); its
+deadline is when the client stops waiting. A server that fails, hangs or is suspect is ejected:
+it gets no requests for a while, and then a single trial request (see `known.health`).
 
 Submodules: `line` (positions and cuts), `fleet` (servers, homes, health), `gate` (admission
 control), `request` (state of one request) and `settings` (shared types). Times are in ms.
@@ -225,7 +229,11 @@
     # -- timers --------------------------------------------------------------------------
 
     def on_timer(self, now: float, token: int) -> list[Action]:
-        """Handle a timer that is due. Tokens: 1 poll, 2 probe, 3 hedge, 5 placement build."""
+        """Handle a timer that is due.
+
+        token: 1 to poll discovery, 2 to ask a server for a load report by a probe, 3 to check the
+        hedge queue, 5 (REBUILD_TIMER) to continue a placement build. 4 is `adapter.TIER_TIMER`.
+        """
         if token == 1:
             return [("follow", True)]
         if token == 3:
@@ -495,9 +503,9 @@
                 overloaded = overloaded or member
         if overloaded is not None:
             # All usable warm neighbours reject many requests, so a cold one with capacity takes
-            # this request, within its cold-start allowance. Otherwise the last warm server among
-            # many cold ones would get, and reject, all requests for the keys of the cold ones that
-            # their allowances do not admit.
+            # this request. Otherwise the last warm server among many cold ones would get, and
+            # reject, all requests for the keys of the cold ones that their token buckets do not
+            # admit.
             return self._cold_with_capacity(neighbours, request, now) or overloaded
         soonest_usable: Optional[Member] = None
         cold: list[Member] = []
@@ -533,7 +541,7 @@
         return None
 
     def _has_capacity(self, member: Member, request: Request, now: float) -> bool:
-        """Whether the cold-start allowance of a server admits a request; warm servers have none."""
+        """Whether the token bucket of a cold server admits a request; warm servers have none."""
         fleet = self.fleet
         if not fleet.is_cold(member, now):
             return True
@@ -640,7 +648,8 @@
             return []
         if request.body_consumed:
             return [self._give_up(request, now)]
-        # The server does not have the object, which a cache-aside site then reads from the origin.
+        # "absent": the server does not have the object, which a cache-aside site then reads from
+        # the origin.
         if (
             status == "absent"
             and self.fleet.origin is not None
@@ -703,9 +712,16 @@
         return [self._give_up(request, now)]
 
     def _evaluate_outcome(
-        self, request: Optional[Request], attempt: int, member: Optional[Member], status: str, note: int, elapsed_ms: float,
-        request_id: int, now: float,
-    ) -> AttemptOutcome:  # fmt: skip
+        self,
+        request: Optional[Request],
+        attempt: int,
+        member: Optional[Member],
+        status: str,
+        note: int,
+        elapsed_ms: float,
+        request_id: int,
+        now: float,
+    ) -> AttemptOutcome:
         """Combine an outcome with what is known of its attempt."""
         outcome_class = OUTCOME_TYPES.get(status, AttemptOutcome)
         trial = member is not None and member.trial_request == request_id
@@ -729,7 +745,7 @@
     def _record_load(
         self, request: Request, member: Member, outcome: AttemptOutcome, now: float
     ) -> None:
-        """Update costs, allowances and the hedge delay from an outcome."""
+        """Update costs, slow start and the hedge delay from an outcome."""
         if not outcome.cold:
             if outcome.reveals_cost:
                 self.costs.record_answer(request.spec, outcome.elapsed_ms)
--- a/forkweir/fleet.py
+++ b/forkweir/fleet.py
@@ -79,7 +79,7 @@
         self.load_penalty_ms = 0.0
         self.slow_streak = 0  # slow answers in a row
         self.success_score = 0.0  # good answers, decayed like the penalty
-        self.token_bucket: Optional[TokenBucket] = None  # allowance while the server is cold
+        self.token_bucket: Optional[TokenBucket] = None  # of slow start, while cold
 
     def update_entry(self, info: Server) -> None:
         """Replace the list entry and the states that follow from it."""
@@ -365,7 +365,7 @@
     def accepted_share(self, member: Member, now: float) -> float:
         """The share of its keys that a server takes now; neighbours get the rest.
 
-        The allowance of a cold server reduces it further.
+        The token bucket of a cold server reduces it further.
         """
         share = self.speeds.relative_capacity(member.info.kind, member.pace, self.weight_of(member))
         if member.load_penalty:
--- a/forkweir/known/health.py
+++ b/forkweir/known/health.py
@@ -81,9 +81,19 @@
     """The health of one server, which decides what the server may get. Times are in ms."""
 
     __slots__ = (
-        "present", "draining", "ejections", "consecutive_faults", "rejection_rate", "unanswered", "unanswered_since_ms",
-        "last_answer_ms", "trial_request", "ejected_until", "ejected_since", "suspicion",
-    )  # fmt: skip
+        "present",
+        "draining",
+        "ejections",
+        "consecutive_faults",
+        "rejection_rate",
+        "unanswered",
+        "unanswered_since_ms",
+        "last_answer_ms",
+        "trial_request",
+        "ejected_until",
+        "ejected_since",
+        "suspicion",
+    )
 
     def __init__(self, present: bool, draining: bool) -> None:
         self.present = present  # listed as in service
--- a/forkweir/known/outcomes.py
+++ b/forkweir/known/outcomes.py
@@ -45,9 +45,20 @@
     """
 
     __slots__ = (
-        "elapsed_ms", "aim_ms", "work_ms", "request_open", "write", "served_last", "miss_probability", "cold", "trial", "tries",
-        "reported_hit", "reported_miss", "brief",
-    )  # fmt: skip
+        "elapsed_ms",
+        "aim_ms",
+        "work_ms",
+        "request_open",
+        "write",
+        "served_last",
+        "miss_probability",
+        "cold",
+        "trial",
+        "tries",
+        "reported_hit",
+        "reported_miss",
+        "brief",
+    )
 
     status = ""
     served = overloaded = error = timed_out = False
@@ -61,9 +72,18 @@
     zone_answers: Optional[bool] = None  # whether the server's zone answers; None if unknown
 
     def __init__(
-        self, note: int, elapsed_ms: float, spec: Optional[ClassSpec], work_ms: float = 0.0, write: bool = False,
-        served_last: bool = False, miss_probability: float = 0.0, cold: bool = False, trial: bool = False, tries: int = 0,
-    ) -> None:  # fmt: skip
+        self,
+        note: int,
+        elapsed_ms: float,
+        spec: Optional[ClassSpec],
+        work_ms: float = 0.0,
+        write: bool = False,
+        served_last: bool = False,
+        miss_probability: float = 0.0,
+        cold: bool = False,
+        trial: bool = False,
+        tries: int = 0,
+    ) -> None:
         """Classify an attempt.
 
         note: 0 for none, 1 for a hit, 2 or 3 for a miss (as on the wire). spec: the class of the
@@ -217,7 +237,10 @@
 
 
 class Absent(AttemptOutcome):
-    """The server answered that it does not have the object."""
+    """The server answered that it does not have the object.
+
+    Only the simulator's wire reports it; `corkshift.upstream` never does.
+    """
 
     __slots__ = ()
     status, alive, response_received, may_have_run, zone_answers = "absent", True, True, False, True
@@ -271,7 +294,7 @@
     status, may_have_run = "void", False
 
 
-# The class of each status.
+# The class of each status, as `corkshift.upstream` and the simulator report it.
 OUTCOME_TYPES: dict[str, type[AttemptOutcome]] = {
     outcome_type.status: outcome_type
     for outcome_type in (
--- a/forkweir/known/unconfirmed.py
+++ b/forkweir/known/unconfirmed.py
@@ -2,7 +2,7 @@
 
 When a line from discovery is corrupt or truncated, the notice that a server drains may be lost with
 it. The rule on drains counts from the moment at which discovery wrote the line, so whatever can
-still be read is applied at once and confirmed by the next list that is read completely:
+still be read is applied at once and confirmed by the next complete list:
 
 - a complete entry that says that a server drains or is gone: the server is held back, that is, it
   gets nothing new;
@@ -86,7 +86,7 @@
         return held_back, cold
 
     def confirm(self, named: Iterable[str], gapless: bool) -> list[str]:
-        """Apply a line that was read completely; return servers that are no longer held back.
+        """Apply a complete line; return servers that are no longer held back.
 
         The servers that the line names are as it says. The others are released only where the line
         covers everything that was missed (gapless).
--- a/forkweir/request.py
+++ b/forkweir/request.py
@@ -11,7 +11,9 @@
 class Request:
     """An open request: its class, its times in ms, its attempts, and which may have run first.
 
-    `servers` and `sent_ms` are indexed by attempt; `outstanding` holds the attempts that are out.
+    aim_at: the time after which its response counts as late; deadline: when its client stops
+    waiting. `servers` and `sent_ms` are indexed by attempt; `outstanding` holds the attempts that
+    are out.
     """
 
     __slots__ = (
--- a/forkweir/settings.py
+++ b/forkweir/settings.py
@@ -12,7 +12,8 @@
 Refuse = tuple[Literal["refuse"], int, float, RefusalCause]
 Fail = tuple[Literal["fail"], int]  # request
 Cancel = tuple[Literal["cancel"], int, int]  # request, which attempt (from 0)
-Timer = tuple[Literal["timer"], int, float]  # token, time in ms at which it is due
+# Token (what the timer is for, see `Balancer.on_timer`), time in ms at which it is due.
+Timer = tuple[Literal["timer"], int, float]
 Probe = tuple[Literal["probe"], str]  # server
 Follow = tuple[Literal["follow"], bool]  # poll discovery for changes of the server list
 # Recipient (a node of the tier), datagram in hex; used only on the simulator's wire.
@@ -26,7 +27,7 @@
     """A class of requests, as configured."""
 
     name: str
-    aim_ms: float = 1000.0  # response time after which an answer counts as late
+    aim_ms: float = 1000.0  # promised response time, after which an answer counts as late
     deadline_ms: float = 1000.0  # how long clients wait
     repeat: str = "safe"  # whether a request that may have run can be retried: safe, keyed, unsafe
     group: str = "all"  # for keyed: servers that share deduplication of retries (all, zone, cell)
--- a/forkweir/tier/leases.py
+++ b/forkweir/tier/leases.py
@@ -7,6 +7,10 @@
 and that all nodes agree on the number of nodes. Nodes that do not agree are recognized by their
 digest (see `Tier`).
 
+A slot is a node's place in `peers`, the same at all nodes, and a token is a random number that
+identifies one process of that node (`ProcessId`). Each limit has an id; its size is the amount that
+TOTAL_SHARES of it stand for. vote_ms and lease_ms are how long a vote and a lease last.
+
 The leader, which alone may grant, is decided by votes that expire (as in the leases of Gray and
 Cheriton 1989, and Lampson's leases for a master). There is no log and nothing is stored on disk:
 
@@ -63,7 +67,7 @@
 MAX_PENDING_REPLIES = 16
 
 ProcessId = tuple[int, int]
-"""A process: the slot of its node, and its token."""
+"""A process: the slot of its node, and the token that it drew at its start."""
 
 
 def majority(count: int) -> int:
@@ -148,7 +152,10 @@
         self._calls_sent_ms.clear()
 
     def vote_received(self, slot: int, call_number: int) -> bool:
-        """Record a node's vote in reply to a call; return whether that call is known."""
+        """Record a node's vote in reply to a call; return whether that call is known.
+
+        call_number: of this process's call that the vote answers.
+        """
         sent = self._calls_sent_ms.get(call_number)
         if sent is None:
             return False
@@ -249,7 +256,11 @@
 
 @dataclass(slots=True)
 class Lease:
-    """Shares of one limit. size: the whole limit at the time of the grant, in its own unit."""
+    """Shares of one limit.
+
+    size: what all TOTAL_SHARES of the limit stood for at the time of the grant, in the unit of the
+    limit (work per ms, or fetches in flight); leader and number: of the call that granted it.
+    """
 
     shares: int
     until_ms: float
@@ -289,6 +300,9 @@
     ) -> bool:
         """Process a grant; return whether it is accepted.
 
+        number: of the leader's call that has the grant; reply_number: of this process's reply that
+        the call answers, from whose sending the lease counts.
+
         Of two grants from one leader, the one with the higher number counts.
         """
         sent = self._replies_sent_ms.get(reply_number)
--- a/forkweir/tier/members.py
+++ b/forkweir/tier/members.py
@@ -73,7 +73,7 @@
 
     state: MemberState = "unknown"
     incarnation: int = 0
-    token: int = 0
+    token: int = 0  # of the node's process
     since_ms: float = 0.0  # when the state began
     last_contact_ms: float = -1e12  # last datagram from the node itself
     sends_left: int = 0  # datagrams that are still to carry this entry
--- a/forkweir/tier/wire.py
+++ b/forkweir/tier/wire.py
@@ -9,7 +9,7 @@
 | heavy | any, the leader | the most requested buckets of the line at this node |
 | line | the leader, to all | the most requested buckets of the line at all nodes |
 | seen | any, some | boxes that the sender considers bad, and those that it no longer does |
-| back | a former candidate, to all | the candidacy ended: votes up to this call are void |
+| back | a former candidate, to all | the candidacy ended: votes up to this call do not count |
 | leave | a node that drains, to some | orderly shutdown |
 
 Every datagram begins with its kind, FORMAT_VERSION and the tier's digest (the number of nodes and
@@ -62,6 +62,12 @@
 
 
 class _Header(msgspec.Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
+    """The fields with which every datagram begins.
+
+    slot: the sender's place in `peers`; incarnation: of its node (see `members`); token: a random
+    number that identifies the sending process.
+    """
+
     format_version: Number
     digest: Number
     slot: Slot
@@ -96,9 +102,10 @@
     """A heartbeat of the leader, or of a candidate, to one process.
 
     to: token of that process, 0 where unknown (nothing is granted then). number: rises with each
-    call of a caller. reply_wanted: false for further pages of a call. echo: the number of the reply
-    at whose sending `lease_ms` start, 0 for none. limit_totals: work and fetches of the whole tier
-    (`encode_amount`). heavy_wanted: whether the caller also wants `Heavy`.
+    call of a caller. reply_wanted: false for further pages of a call. echo: the number of the last
+    reply from that process, at whose sending `lease_ms` start, 0 for none. lease_ms: how long the
+    granted leases last. limit_totals: work and fetches of the whole tier (`encode_amount`).
+    heavy_wanted: whether the caller also wants `Heavy`.
     """
 
     to: Number
@@ -114,7 +121,8 @@
 class Reply(_Header, frozen=True, tag=5):
     """The answer to a call.
 
-    to: the caller's token; number: of this reply, 0 for a further page; echo: number of the call;
+    to: the caller's token; number: of this reply, 0 for a further page; echo: the number of the
+    call that it answers; vote: whether the caller gets the sender's vote, for vote_ms;
     own_limits: the node's own limits of work and fetches (`encode_amount`); config_conflict:
     whether the sender itself has lately received another digest.
     """
@@ -133,7 +141,7 @@
 
 
 class Back(_Header, frozen=True, tag=7):
-    """Ends a candidacy. number: of the sender's last call, up to which votes are void."""
+    """Ends a candidacy. number: of the sender's last call, up to which votes do not count."""
 
     number: Number
 
