--- a/corkshift/admin/status.py
+++ b/corkshift/admin/status.py
@@ -21,7 +21,7 @@
     node: Node
     frontend: Frontend
     discovery: Discovery
-    figures: Metrics
+    metrics: Metrics
 
     def can_serve(self) -> bool:
         """Whether the node accepts clients and has received a cache server at least once."""
@@ -43,31 +43,31 @@
         """
         rows = [
             f"{METRIC_PREFIX}.responses.{class_name}.{kind}={count}"
-            for class_name, counts in self.figures.responses.items()
+            for class_name, counts in self.metrics.responses.items()
             for kind, count in zip(KINDS, counts, strict=True)
         ]
         rows += [
             f"{METRIC_PREFIX}.refused.{cause}={count}"
-            for cause, count in self.figures.refusals.items()
+            for cause, count in self.metrics.refusals.items()
         ]
         rows += [
-            f"{METRIC_PREFIX}.tries={self.figures.attempts_sent}",
+            f"{METRIC_PREFIX}.tries={self.metrics.attempts_sent}",
             f"{METRIC_PREFIX}.active={self.node.open}",
             f"{METRIC_PREFIX}.pool_size={len(self.node.servers)}",
             f"{METRIC_PREFIX}.pool_ejected={self.node.ejected_count()}",
         ]
-        figures, guard = self.figures, self.node.guard
+        metrics, guard = self.metrics, self.node.guard
         rows += [
             f"{METRIC_PREFIX}.attempts.{status}={count}"
-            for status, count in sorted(figures.attempt_outcomes.items())
+            for status, count in sorted(metrics.attempt_outcomes.items())
         ]
         rows += [
             f"{METRIC_PREFIX}.local_errors.{cause}={count}"
-            for cause, count in sorted(figures.local_errors.items())
+            for cause, count in sorted(metrics.local_errors.items())
         ]
         rows += [
             f"{METRIC_PREFIX}.closed.{cause}={count}"
-            for cause, count in sorted(figures.closed_connections.items())
+            for cause, count in sorted(metrics.closed_connections.items())
         ]
         rows += [f"{METRIC_PREFIX}.denied.{cause}={count}" for cause, count in guard.denied.items()]
         rows += [
--- a/corkshift/frontend.py
+++ b/corkshift/frontend.py
@@ -219,7 +219,7 @@
             log.exception("cannot read a client request; answering it with status 500")
             status = 500
         if status:
-            response = self._frontend.node.busy if status == 503 else Response(status)
+            response = self._frontend.node.busy_response if status == 503 else Response(status)
             # The new parser counts as incomplete, so that the connection closes after the response.
             await self._enqueue(h11.Connection(h11.SERVER), _completed(response))
         await self._queue.put(None)
@@ -345,7 +345,7 @@
         if self._frontend.node.full:
             budget.release(buffered)
             self._frontend.node.count_unadmitted(request.class_name, "full")
-            return _completed(self._frontend.node.busy)
+            return _completed(self._frontend.node.busy_response)
         # A client may have left while its connection waited in the backlog, as happens when the
         # node cannot accept for lack of descriptors: its FIN follows its request directly. The
         # check costs one socket read for each new connection and keeps the node from working for
--- a/corkshift/node.py
+++ b/corkshift/node.py
@@ -64,9 +64,9 @@
         self._id_memory_ms = max(
             MIN_ID_MEMORY_MS, max(self._deadlines.values(), default=0.0) + ID_MEMORY_MARGIN_MS
         )
-        self._calls: dict[int, ClientRequest] = {}
+        self._requests: dict[int, ClientRequest] = {}
         self._recent_ids: dict[bytes, float] = {}  # arrival time by request id, oldest first
-        self.busy = Response(503, retry_after_s=config.settings.backoff_max_ms / 1000.0)
+        self.busy_response = Response(503, retry_after_s=config.settings.backoff_max_ms / 1000.0)
         self._attempts: dict[tuple[int, int], asyncio.Task[Outcome]] = {}
         self._running: dict[tuple[int, int], Attempt] = {}
         self._tries: dict[int, int] = {}
@@ -88,7 +88,7 @@
     @property
     def open(self) -> int:
         """The number of accepted requests without a complete response."""
-        return len(self._calls) + len(self._streams)
+        return len(self._requests) + len(self._streams)
 
     def join(self, tier: Tier) -> None:
         """Apply this node's shares of the tier-wide limits from now on."""
@@ -147,7 +147,7 @@
         if request.body_rest is None:
             budget -= waited_ms
         request.since_ms, request.deadline_ms = now - waited_ms, now + budget
-        self._calls[request.id] = request
+        self._requests[request.id] = request
         self._tries[request.id] = 0
         if budget <= 0.0 or (
             request.body_rest is None
@@ -157,7 +157,7 @@
             # node would otherwise work on requests that it can only fail. After a brief pause of
             # the event loop, some are refused that might have been served.
             self.count_refusal("late" if budget <= 0.0 else "behind")
-            self._respond(request, self.busy)
+            self._respond(request, self.busy_response)
             return
         if request.body_rest is None:
             self._set_backstop(request, budget)
@@ -180,7 +180,7 @@
         """Cancel a request whose client has left; nothing more is sent for it."""
         if request.open:
             request.response.cancel()
-        if self._calls.pop(request.id, None) is not None:
+        if self._requests.pop(request.id, None) is not None:
             self._close(request)
             self._decide(None, lambda: self._balancer.on_departure(now_ms(), request.id))
         elif self._streams.pop(request.id, None) is not None:
@@ -192,7 +192,7 @@
         Requests with more time left than the process would otherwise get no response. A refusal
         (503) would state that they have not run, which is unknown.
         """
-        for request in list(self._calls.values()):
+        for request in list(self._requests.values()):
             self.end(request, Response(504))
 
     def end(self, request: ClientRequest, response: Response) -> None:
@@ -242,7 +242,7 @@
             except Exception:
                 log.exception("action %r of the balancer failed", action[0])
                 self._fail_after_error(
-                    self._calls.get(action[1])
+                    self._requests.get(action[1])
                     if action[0] in ("attempt", "refuse", "fail")
                     else None
                 )
@@ -260,10 +260,10 @@
         elif action[0] == "refuse":
             self.count_refusal(action[3])
             self._respond(
-                self._calls.get(action[1]), Response(503, retry_after_s=action[2] / 1000.0)
+                self._requests.get(action[1]), Response(503, retry_after_s=action[2] / 1000.0)
             )
         elif action[0] == "fail":
-            self._respond(self._calls.get(action[1]), Response(502))
+            self._respond(self._requests.get(action[1]), Response(502))
         elif action[0] == "cancel":
             self._end_attempt((action[1], action[2]))
         elif action[0] == "timer":
@@ -303,7 +303,7 @@
 
     def _respond(self, request: Optional[ClientRequest], response: Response) -> None:
         """Give a request its response, unless it has one."""
-        if request is not None and self._calls.pop(request.id, None) is not None:
+        if request is not None and self._requests.pop(request.id, None) is not None:
             self.metrics.count_response(request.class_name, response.status)
             if request.open:
                 request.response.set_result(response)
@@ -329,7 +329,7 @@
     # -- attempts ------------------------------------------------------------------------
 
     def _start(self, request_id: int, name: str, within_ms: float) -> None:
-        request = self._calls.get(request_id)
+        request = self._requests.get(request_id)
         if request is None:
             return
         n = self._tries[request_id]
@@ -434,7 +434,7 @@
 
     def on_fully_sent(self, request: ClientRequest) -> None:
         """See AttemptOwner. Restarts the request's deadline and its timer."""
-        if request.id in self._calls:
+        if request.id in self._requests:
             budget = request.deadline_ms - request.since_ms
             request.since_ms, request.fully_sent = now_ms(), True
             request.deadline_ms = request.since_ms + budget
@@ -443,7 +443,7 @@
     def on_response_started(self, attempt: Attempt, response: Response, note: int) -> bool:
         """See AttemptOwner. Reports a success to the balancer and ends the other attempts."""
         request = attempt.request
-        if not request.open or self._calls.pop(request.id, None) is None:
+        if not request.open or self._requests.pop(request.id, None) is None:
             return False
         self._streams[request.id] = request
         if request.backstop is not None:
@@ -469,7 +469,7 @@
     ) -> None:
         if outcome.status == "success":
             self._respond(request, Response(200, outcome.body))
-        finished = request.id not in self._calls
+        finished = request.id not in self._requests
         self._decide(
             None if finished else request,
             lambda: self._balancer.on_outcome(
--- a/corkshift/service.py
+++ b/corkshift/service.py
@@ -55,10 +55,10 @@
         sockets = max(16, config.sockets - min(24, config.sockets // 4))
         upstream = sockets * 7 // 16
         self.config = config
-        self.figures = Metrics(spec.name for spec in config.settings.classes)
+        self.metrics = Metrics(spec.name for spec in config.settings.classes)
         self.loop_lag = LoopLagMonitor()
         self.pool = Pool(
-            upstream, config.dial_timeout_ms, config.conn_idle_ms, self.figures, self.loop_lag
+            upstream, config.dial_timeout_ms, config.conn_idle_ms, self.metrics, self.loop_lag
         )
         self.node = Node(config, self.pool, min(config.max_open, upstream))
         longest_ms = max((spec.deadline_ms for spec in config.settings.classes), default=0.0)
@@ -99,7 +99,7 @@
             from corkshift.admin import Admin, Status
 
             self.admin = Admin(
-                Status(self.node, self.frontend, self.discovery, self.figures), config.admin
+                Status(self.node, self.frontend, self.discovery, self.metrics), config.admin
             )
             if self.tier is not None:
                 self.admin.add_view("/admin/tier", self.tier.view)
--- a/forkweir/fleet.py
+++ b/forkweir/fleet.py
@@ -465,19 +465,19 @@
                 return member
         return None
 
-    def evaluate(self, member: Member, seen: AttemptOutcome, now: float) -> None:
+    def evaluate(self, member: Member, outcome: AttemptOutcome, now: float) -> None:
         """Update the reachability and capacity of a server and its zone by an outcome."""
-        if self.health.record_outcome(member, seen, now):
+        if self.health.record_outcome(member, outcome, now):
             # The server answers again without a notification from the list: treat it as cold. It
             # may have restarted before the list says so, and would get its full range at once.
             member.cold_since_ms = member.start_notified_ms = now
             member.token_bucket = None
-            seen.cold = True
-        self.zones.record_zone_answer(member.info.zone, seen, now)
+            outcome.cold = True
+        self.zones.record_zone_answer(member.info.zone, outcome, now)
 
-    def update_suspicion(self, member: Member, seen: AttemptOutcome, now: float) -> float:
+    def update_suspicion(self, member: Member, outcome: AttemptOutcome, now: float) -> float:
         """Update outlier detection by an outcome; return the likelihood that its server is bad."""
-        return self.health.update_suspicion(member, seen, self.placed, self.in_service, now)
+        return self.health.update_suspicion(member, outcome, self.placed, self.in_service, now)
 
     def note_unresponsive(self, member: Member, sent_ms: float, aim_ms: float, now: float) -> bool:
         """Record an attempt without an answer; return whether to eject its server for that."""
--- a/forkweir/gate.py
+++ b/forkweir/gate.py
@@ -59,17 +59,17 @@
         self.slow_hit_share = 0.0  # of recent hits
 
     def evaluate(
-        self, member: Member, seen: AttemptOutcome, fault_likelihood: float, now: float
+        self, member: Member, outcome: AttemptOutcome, fault_likelihood: float, now: float
     ) -> None:
         """Update the gate by an outcome: hits and misses separate slow servers from a slow origin.
 
         fault_likelihood: likelihood that the server is faulty, 0 to 1.
         """
-        if seen.brief:
+        if outcome.brief:
             return
-        aim, elapsed_ms = seen.aim_ms, seen.elapsed_ms
-        hit = seen.served and seen.reported_hit
-        if seen.served:
+        aim, elapsed_ms = outcome.aim_ms, outcome.elapsed_ms
+        hit = outcome.served and outcome.reported_hit
+        if outcome.served:
             # While many attempts fail the gate opens by time and not by answers. Otherwise nodes
             # with many requests would admit keys faster than the origin can fetch them.
             open_step = (
@@ -90,9 +90,9 @@
                 # at a server that is already penalized, which says nothing new of the others unless
                 # many hits are slow (then the whole fleet may be penalized), and except in a zone
                 # where nothing answers, since a cut link is no overload.
-                (seen.overloaded and seen.tries > 1)
+                (outcome.overloaded and outcome.tries > 1)
                 or (
-                    seen.timed_out
+                    outcome.timed_out
                     and fault_likelihood <= 0.5
                     and (
                         self.slow_hit_share > HIGH_SLOW_HIT_SHARE
@@ -110,7 +110,7 @@
             # of their value, so servers full of reads would refuse orders.
             min_share = (
                 MIN_ADMITTED_SHARE
-                if self.slow_hit_share > NORMAL_SLOW_HIT_SHARE or seen.overloaded
+                if self.slow_hit_share > NORMAL_SLOW_HIT_SHARE or outcome.overloaded
                 else MIN_ADMITTED_SHARE_FAST_HITS
             )
             self.admitted_share = min(
@@ -118,29 +118,29 @@
             )
         # What all servers do alike says nothing against one of them. Penalizing it would scatter
         # keys over servers that are no better, which turns hits into misses.
-        slow_hit = hit and elapsed_ms > SLOW_HIT_SHARE * aim + 2.0 * seen.work_ms and aim > 0.0
-        if seen.served or seen.timed_out or seen.overloaded:
+        slow_hit = hit and elapsed_ms > SLOW_HIT_SHARE * aim + 2.0 * outcome.work_ms and aim > 0.0
+        if outcome.served or outcome.timed_out or outcome.overloaded:
             self.failure_share += (
                 OUTCOME_LEARNING_RATE
                 * (1.0 - fault_likelihood)
-                * ((not seen.served) - self.failure_share)
+                * ((not outcome.served) - self.failure_share)
             )
-        if seen.served or seen.timed_out or seen.overloaded or seen.error:
+        if outcome.served or outcome.timed_out or outcome.overloaded or outcome.error:
             self.hit_share += OUTCOME_LEARNING_RATE * (hit - self.hit_share)
         if hit:
             self.slow_hit_share += OUTCOME_LEARNING_RATE * (slow_hit - self.slow_hit_share)
         # A faulty server says nothing of the origin; else quick errors of a few servers would close
         # the gate for all. An overloaded origin shows at many servers.
-        if seen.error or seen.reported_miss:
-            slowness = 1.0 if seen.error or not aim else min(1.0, elapsed_ms / aim)
+        if outcome.error or outcome.reported_miss:
+            slowness = 1.0 if outcome.error or not aim else min(1.0, elapsed_ms / aim)
             # An error counts against the origin as far as a miss was likely. A faulty server fails
             # hits as well; counted in full, errors of half the fleet would pass for an overloaded
             # origin, which stops retries and closes the gate while the other half has capacity.
             # The cost: where every answer is an error, detection takes a few more of them.
             miss_likelihood = (
                 1.0
-                if seen.reported_miss
-                else max(seen.miss_probability, LOW_HIT_SHARE - self.hit_share)
+                if outcome.reported_miss
+                else max(outcome.miss_probability, LOW_HIT_SHARE - self.hit_share)
             )
             self.origin_slowness += (
                 ORIGIN_LEARNING_RATE
@@ -152,7 +152,7 @@
             # so the collapse would outlast its cause.
             if self.origin_slowness > ORIGIN_DOWN_LEVEL and self.hit_share < LOW_HIT_SHARE:
                 self.admitted_share = min(self.admitted_share, MIN_ADMITTED_SHARE)
-        elif seen.timed_out or seen.overloaded or seen.error:
+        elif outcome.timed_out or outcome.overloaded or outcome.error:
             # While the origin is slow keys stay where they are. Scattered keys would turn hits into
             # misses and keep the origin down.
             if self.origin_slowness < ORIGIN_SLOW_LEVEL:
@@ -163,15 +163,15 @@
                 # spared although the origin is fast.
                 relative_slowness = min(1.0, self.origin_slowness / ORIGIN_SLOW_LEVEL) ** 2
                 penalty = self.failure_penalty() * (
-                    (1.0 - seen.miss_probability * relative_slowness) ** 2
-                    if seen.timed_out
+                    (1.0 - outcome.miss_probability * relative_slowness) ** 2
+                    if outcome.timed_out
                     else 1.0
                 )
                 if penalty > 0.0:  # penalize() takes 0 for a good answer
-                    self.fleet.penalize(member, now, penalty, seen.timed_out)
+                    self.fleet.penalize(member, now, penalty, outcome.timed_out)
         elif hit and aim:
-            if seen.work_ms:
-                self.fleet.speeds.record_hit(member.info.kind, seen.work_ms, elapsed_ms)
+            if outcome.work_ms:
+                self.fleet.speeds.record_hit(member.info.kind, outcome.work_ms, elapsed_ms)
             if slow_hit:
                 self.fleet.penalize(
                     member, now, 0.5 * max(0.05, 1.0 - 5.0 * self.slow_hit_share), True
--- a/forkweir/known/health.py
+++ b/forkweir/known/health.py
@@ -183,16 +183,18 @@
         self.trial_request = -1
         if not self.ejections:
             return False
-        back = bool(self.ejected_until) and now - self.ejected_since > PRESUMED_RESTART_MS
+        may_have_restarted = (
+            bool(self.ejected_until) and now - self.ejected_since > PRESUMED_RESTART_MS
+        )
         self.ejections = 0
         self.ejected_until = 0.0
-        return back
+        return may_have_restarted
 
 
 class HealthTable:
     """Health decisions that depend on all servers of a node.
 
-    The parameter `servers` holds those that may own keys; `live` is how many of them are in
+    The parameter `servers` holds those that may own keys; `in_service` is how many of them are in
     service.
     """
 
@@ -206,9 +208,9 @@
 
         Returns whether the server may have restarted unannounced (see `Health.record_answer`).
         """
-        back = False
+        may_have_restarted = False
         if outcome.alive:
-            back = server.record_answer(now)
+            may_have_restarted = server.record_answer(now)
         elif outcome.fault:
             server.record_fault(outcome.status, now)
         elif outcome.hung and outcome.trial and server.ejections:
@@ -217,7 +219,7 @@
             server.unanswered, server.last_answer_ms = 0, now
         if outcome.rejected is not None:
             server.rejection_rate += REJECTION_WEIGHT * (outcome.rejected - server.rejection_rate)
-        return back
+        return may_have_restarted
 
     def record_unanswered(
         self,
@@ -225,7 +227,7 @@
         sent_ms: float,
         aim_ms: float,
         servers: Sequence[Health],
-        live: int,
+        in_service: int,
         now: float,
     ) -> bool:
         """Record a request that has long been unanswered; return whether to eject the server.
@@ -248,7 +250,7 @@
             return False
         return (
             sum(1 for other in servers if other.present and other.ejected_until > now)
-            < MAX_UNRESPONSIVE_SHARE * live
+            < MAX_UNRESPONSIVE_SHARE * in_service
         )
 
     def update_suspicion(
@@ -256,7 +258,7 @@
         server: Health,
         outcome: AttemptOutcome,
         servers: Sequence[Health],
-        live: int,
+        in_service: int,
         now: float,
     ) -> float:
         """Update a server's suspicion by an outcome; return the probability that it is bad.
@@ -268,7 +270,8 @@
             return 0.0
         common = adverse and self.detector.is_common_cause(
             category,
-            sum(other.present and other.suspicion.suspect for other in servers) / max(1, live),
+            sum(other.present and other.suspicion.suspect for other in servers)
+            / max(1, in_service),
         )
         bad = self.detector.update(server.suspicion, category, adverse, now, common)
         if common:
@@ -291,16 +294,16 @@
         self,
         server: Health,
         log_odds: float,
-        back: bool,
+        recovered: bool,
         servers: Sequence[Health],
-        live: int,
+        in_service: int,
         now: float,
     ) -> None:
         """Apply what other nodes report of a server (`forkweir/tier/signals`).
 
-        log_odds is added to the result of this node's own test; back means that the server answers
-        again. A server that is more likely bad than good by both is ejected and then tried, as
-        after an attempt of this node, unless so many servers are suspect that the cause must be
+        log_odds is added to the result of this node's own test; recovered means that the server
+        answers again. A server that is more likely bad than good by both is ejected and then tried,
+        as after an attempt of this node, unless so many servers are suspect that the cause must be
         common. A suspect server that answers other nodes is tried at once. Reports of peers never
         change the state of a server that drains, is gone or is unresponsive.
         """
@@ -310,9 +313,9 @@
         if server.suspicion.suspect and log_odds and not server.suspicion.detections:
             if sum(
                 other.present and other.suspicion.suspect for other in servers
-            ) <= MAX_PEER_SUSPECT_SHARE * max(1, live):
+            ) <= MAX_PEER_SUSPECT_SHARE * max(1, in_service):
                 server.ejected_until = max(
                     server.ejected_until, now + self.detector.next_trial_wait(server.suspicion)
                 )
-        elif back and server.suspicion.detections and server.trial_request < 0:
+        elif recovered and server.suspicion.detections and server.trial_request < 0:
             server.ejected_until = min(server.ejected_until, now)
--- a/forkweir/known/speeds.py
+++ b/forkweir/known/speeds.py
@@ -78,5 +78,5 @@
 
     def work_rate(self, kind: str) -> float:
         """Return the hinted work done in a ms by servers of a kind; 0 while unknown."""
-        work, took = self.served.get(kind, (0.0, 0.0))
-        return work / took if took > MIN_SERVED_MS else 0.0
+        work, elapsed_ms = self.served.get(kind, (0.0, 0.0))
+        return work / elapsed_ms if elapsed_ms > MIN_SERVED_MS else 0.0
--- a/forkweir/limits/fetch_budget.py
+++ b/forkweir/limits/fetch_budget.py
@@ -16,7 +16,7 @@
 The budget limits fetches while most of them are slow: from the moment at which more than
 SLOW_TO_LIMIT of them lately failed, timed out or took longer than SLOW_AIM_FRACTION of their aims,
 until fewer than SLOW_TO_RELEASE do. Meanwhile the expected number of fetches in flight is kept
-under a limit. The limit starts at LIMIT_DECREASE times the usual number in flight. While fetches
+under a limit. The limit starts at LIMIT_DECREASE times the mean number in flight. While fetches
 are that slow it is decreased again once in DECREASE_INTERVAL_MS, the time that the effect of a
 decrease may take to show. It grows by LIMIT_INCREASE for each round of fetches answered in time.
 Requests that are expected to hit go on, requests that would not be answered in time are refused at
@@ -146,7 +146,7 @@
         return max(0.0, excess) / end_rate if end_rate > 0.0 else None
 
     def record_served(self, position: float, server: str, write: bool, now: float) -> None:
-        """Record an answer: the server now caches the key, or a write has voided all copies."""
+        """Record an answer: the server caches the key now, or a write invalidated all copies."""
         entry = self._last_server.get(position)
         if entry is not None:
             if not write and entry[0] == server and now - entry[1] < REFRESH_MS:
--- a/testbed/nights/defects.py
+++ b/testbed/nights/defects.py
@@ -280,7 +280,7 @@
     start = Node._start
 
     def forever(self: Any, call_id: int, name: str, within_ms: float) -> None:
-        call = self._calls.get(call_id)
+        call = self._requests.get(call_id)
         if call is not None:
             call.deadline_ms += 60_000.0
             if call.backstop is not None:
--- a/testbed/nights/rules.py
+++ b/testbed/nights/rules.py
@@ -230,7 +230,7 @@
             ):
                 continue
             txn = ask.txn.encode()
-            if any(call.txn == txn for call in service.node._calls.values()):
+            if any(call.txn == txn for call in service.node._requests.values()):
                 self.report("nothing after the end", f"{process.name} still holds {ask.txn}")
             if any(attempt.request.txn == txn for attempt in service.node._running.values()):
                 self.report(
@@ -606,7 +606,7 @@
             node = service.node
             extra_tasks = 0 if service.sources is None else 1 + MAX_CONCURRENT_LOOKUPS
             remaining = {
-                "requests": len(node._calls),
+                "requests": len(node._requests),
                 "tries": len(node._tries),
                 "attempts": len(node._attempts) + len(node._running),
                 "requests of the module": len(node._balancer.held),
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -169,7 +169,7 @@
             await until(lambda: not frontend._connections)
             await until(lambda: not node._running)
             assert not (
-                node._calls
+                node._requests
                 or node._tries
                 or node._attempts
                 or node._balancer.held
--- a/tests/test_departures.py
+++ b/tests/test_departures.py
@@ -83,7 +83,9 @@
 
 async def wait_idle(made: Rig) -> None:
     """Wait until no request or attempt is open, and 20 loop iterations more."""
-    await until(lambda: not (made.node._calls or made.node._attempts or made.node._balancer.held))
+    await until(
+        lambda: not (made.node._requests or made.node._attempts or made.node._balancer.held)
+    )
     for _ in range(20):
         await asyncio.sleep(0)
 
@@ -115,7 +117,7 @@
             sock = client(made, request("a"))
             await until(lambda: bool(made.node._running))
             leave(sock, closing, before)
-            await until(lambda: not made.node._calls)
+            await until(lambda: not made.node._requests)
             complete_connects()
             await wait_idle(made)
             assert requested_paths(made) == []
@@ -134,7 +136,7 @@
         ):
             sock = client(made, request("a"))
             await until(lambda: bool(made.node._running))
-            made.node._calls[1].since_ms -= 400.0
+            made.node._requests[1].since_ms -= 400.0
             complete_connects()
             leave(sock, "end")
             await wait_idle(made)
@@ -245,7 +247,7 @@
             loop = asyncio.get_running_loop()
             box, _ = await loop.sock_accept(listener)
             await loop.sock_recv(box, 4_096)
-            made.node._calls[1].since_ms -= 400.0
+            made.node._requests[1].since_ms -= 400.0
             box.setblocking(True)
             box.sendall(b"HTTP/1.1 503 -\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n")
             leave(sock, closing)
@@ -277,7 +279,7 @@
             sock = client(made, request("a", class_name="brisk"))
             await until(lambda: bool(requested_paths(made)))
             await open_idle_connections(made)
-            call = made.node._calls[1]
+            call = made.node._requests[1]
             call.since_ms -= 400.0
             balancer.hedge_queue[:] = [(0.0, call.id)]
             leave(sock, closing)
@@ -295,7 +297,7 @@
         async with rig({"s0": CacheBox(lambda head: None)}, 256) as made:
             sock = client(made, b"".join(request(f"a{n}", path=f"/api/{n}") for n in range(20)))
             await until(lambda: len(requested_paths(made)) >= 5)
-            await until(lambda: len(requested_paths(made)) == len(made.node._calls))
+            await until(lambda: len(requested_paths(made)) == len(made.node._requests))
             before = requested_paths(made)
             leave(sock, closing)
             await wait_idle(made)
@@ -320,7 +322,7 @@
                 sock.sendall(request("b"))
                 await until(lambda: len(made.node._running) == 2)
                 leave(sock, closing)
-                await until(lambda: not made.node._calls)
+                await until(lambda: not made.node._requests)
                 complete_connects()
             await wait_idle(made)
             assert requested_paths(made) == [b"/api/large"]
@@ -345,7 +347,7 @@
             sock.sendall(b"\r\n" * 45_000)
             await until(lambda: connection.reading_paused)
             leave(sock, closing)
-            await until(lambda: not made.node._calls)  # found by the periodic sweep
+            await until(lambda: not made.node._requests)  # found by the periodic sweep
             complete_connects()
             await wait_idle(made)
             assert requested_paths(made) == []
@@ -392,7 +394,7 @@
             sock = client(made, head + b"x" * 150_000)
             await until(lambda: bool(made.node._running))
             leave(sock, closing)
-            await until(lambda: not made.node._calls)
+            await until(lambda: not made.node._requests)
             complete_connects()
             await wait_idle(made)
             assert requested_paths(made) == []
--- a/tests/test_narrow_moments.py
+++ b/tests/test_narrow_moments.py
@@ -269,7 +269,7 @@
                 now_ms() - 400.0
             )  # its grace of 250 ms is over as the dial comes up
             come_up()
-            await until(lambda: not made.node._calls)
+            await until(lambda: not made.node._requests)
             assert received == b""
             asking.cancel()
             server.close()
@@ -300,7 +300,7 @@
                 await until(lambda: bool(made.node._running))
                 # As if an earlier attempt had gone out: this one is dialed within the window, and
                 # comes up when that is over.
-                made.node._calls[1].first_attempt_sent_ms = now_ms() - 2_100.0
+                made.node._requests[1].first_attempt_sent_ms = now_ms() - 2_100.0
                 come_up()
                 await asking
             assert requested_paths(made) == []
