--- a/corkshift/frontend.py
+++ b/corkshift/frontend.py
@@ -241,8 +241,8 @@
             self._mark_idle()
             if not (data := await self._stream.read()):
                 return None
-        if (rest := await self._read_simple(data)) is not None:
-            return rest
+        if (following := await self._read_simple(data)) is not None:
+            return following
         self.partial = True
         if self.served or self._pending:
             self.since_ms = now_ms()
@@ -299,22 +299,22 @@
         self.since_ms = now_ms()  # the body has a time limit of its own
         budget, buffered = self._frontend.budget, 0
         try:
-            pieces, marked, rest = SmallPieceDetector(), 0, b""
+            pieces, progress_bytes, unbuffered = SmallPieceDetector(), 0, b""
             while not isinstance(event := await self._event(parser), h11.EndOfMessage):
                 if not isinstance(event, h11.Data) or pieces.too_small(
                     len(event.data), self._reads
                 ):
                     raise Rejected(400)
-                more = len(event.data)
-                if buffered + more > MAX_BUFFERED_BODY_BYTES:
+                piece_bytes = len(event.data)
+                if buffered + piece_bytes > MAX_BUFFERED_BODY_BYTES:
                     if request is None or request.method != b"PUT":
                         raise Rejected(413)
-                    rest = bytes(event.data)
+                    unbuffered = bytes(event.data)
                     break
-                self._reserve_body(request, more)
-                buffered += more
-                if buffered - marked >= MIN_PROGRESS_BYTES:
-                    marked, self.since_ms = buffered, now_ms()
+                self._reserve_body(request, piece_bytes)
+                buffered += piece_bytes
+                if buffered - progress_bytes >= MIN_PROGRESS_BYTES:
+                    progress_bytes, self.since_ms = buffered, now_ms()
                 if request is not None:
                     _append_body(request.body, event.data)
         except BaseException:
@@ -330,8 +330,8 @@
                     else Response(503, b"draining\n")
                 ),
             )
-        elif rest:
-            return await self._read_large_body(parser, request, buffered, rest)
+        elif unbuffered:
+            return await self._read_large_body(parser, request, buffered, unbuffered)
         else:
             await self._enqueue(parser, self._admit(request, buffered))
         return True
@@ -393,7 +393,7 @@
             body_rest.close()  # the request was refused
         self._large_body_parser = parser
         await self._enqueue(parser, response)
-        size, pieces, marked = buffered + len(piece), SmallPieceDetector(), 0
+        size, pieces, progress_bytes = buffered + len(piece), SmallPieceDetector(), 0
         loop = asyncio.get_running_loop()
         due = loop.time() + REQUEST_TIMEOUT_MS / 1000.0
         try:
@@ -409,8 +409,8 @@
                         raise Rejected(413)
                     limit.reschedule(None)
                     await body_rest.put(bytes(event.data))
-                    if size - marked >= MIN_PROGRESS_BYTES:
-                        marked, due = size, loop.time() + REQUEST_TIMEOUT_MS / 1000.0
+                    if size - progress_bytes >= MIN_PROGRESS_BYTES:
+                        progress_bytes, due = size, loop.time() + REQUEST_TIMEOUT_MS / 1000.0
                     limit.reschedule(due)
             body_rest.end()
             self._large_body_parser = None
@@ -473,7 +473,7 @@
             await self._stream.write(data)
 
     async def _send_large(
-        self, parser: Parser, response: Response, rest: BodyPipe, keep: bool
+        self, parser: Parser, response: Response, body_rest: BodyPipe, keep: bool
     ) -> bool:
         """Stream a response too large to buffer; return whether the connection is kept after it."""
         # HTTP/1.0 has no chunked coding: there a body of unknown length ends with its connection.
@@ -486,7 +486,7 @@
                 data = b"%x\r\n%b\r\n" % (len(piece), piece) if chunked and piece else piece
                 await self._write(head + data)
                 head = b""
-                piece = await rest.get()
+                piece = await body_rest.get()
             if chunked:
                 await self._write(b"0\r\n\r\n")
         except BaseException:
@@ -494,7 +494,7 @@
             self._stream.abort()
             raise
         finally:
-            rest.close()
+            body_rest.close()
         return keep
 
 
--- a/corkshift/sources/file.py
+++ b/corkshift/sources/file.py
@@ -40,12 +40,12 @@
     box: list[BoxTable]
 
     def cross_field_faults(self) -> Iterator[Fault]:
-        for what in ("address", "name"):
+        for field in ("address", "name"):
             seen: set[str] = set()
             for n, box in enumerate(self.box):
-                value = getattr(box, what)
+                value = getattr(box, field)
                 if value and value in seen:
-                    yield Fault(f"box[{n}].{what}", f"duplicate value: {value!r:.80}")
+                    yield Fault(f"box[{n}].{field}", f"duplicate value: {value!r:.80}")
                 seen.add(value)
 
 
