--- a/tests/test_address_book.py
+++ b/tests/test_address_book.py
@@ -111,7 +111,7 @@
             names["SLICE_SERVERS"], names["now_ms"] = before
 
     def apply_line(self, line: bytes) -> int:
-        """Apply a whole line and return the number of slices."""
+        """Apply a complete line and return the number of slices."""
         with self._bounds():
             raw = parse_raw_list(line)
             return sum(
--- a/tests/test_listing.py
+++ b/tests/test_listing.py
@@ -1,4 +1,4 @@
-"""The list parser on whole, partial and corrupt lines: it finds complete entries only."""
+"""The list parser on complete, partial and corrupt lines: it finds complete entries only."""
 
 from __future__ import annotations
 
--- a/tests/test_lost_lines.py
+++ b/tests/test_lost_lines.py
@@ -225,7 +225,7 @@
             )
             await until(lambda: len(serving(made)) == 1)
             last = serving(made)
-            # The next whole list has arrived.
+            # The next full list has arrived.
             await until(lambda: bool(made.discovery.address_book._superseded))
             assert serving(made) == last and status(await made.ask("a")) == 200
 
