--- a/tests/test_lost_lines.py
+++ b/tests/test_lost_lines.py
@@ -213,7 +213,7 @@
 
 
 def test_an_unreadable_line_does_not_remove_the_last_server_from_a_later_list() -> None:
-    # Guards against entries of a corrupt line, whatever its generation, that outrank the next whole
+    # Guards against entries of a corrupt line, whatever its generation, that outrank the next full
     # list and leave no server in service.
     async def test() -> None:
         async with rig(boxes()) as made:
