--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -30,7 +30,7 @@
 
 from corkshift.discovery import Discovery
 from corkshift.seam import Address
-from corkshift.sources.dns import claims_of_records
+from corkshift.sources.dns import claims_from_records
 from corkshift.sources.hub import Sources
 from corkshift.sources.message import (
     Answer,
@@ -78,7 +78,7 @@
     def usable(self, name: str) -> bool:
         return True
 
-    def on_unlisted_departures(self, addresses: list[Address], whole: bool) -> None:
+    def on_unlisted_departures(self, addresses: list[Address], complete: bool) -> None:
         pass
 
     def on_list(self, form: str, entries: Iterable[Server]) -> None:
@@ -262,7 +262,7 @@
             target: CachedAnswer(Answer(ttl, addresses=addresses), 0.0, 1.0)
             for target, (ttl, addresses) in answer.additional_addresses.items()
         }
-        membership.update("dns", claims_of_records(answer.srv_records, dict(cached)), float(n))
+        membership.update("dns", claims_from_records(answer.srv_records, dict(cached)), float(n))
         assert len(membership.merge(float(n))) == BOXES
     return 1_000.0 * (time.process_time() - started_s) / rounds
 
--- a/benchmarks/overload.py
+++ b/benchmarks/overload.py
@@ -39,9 +39,12 @@
 world = World(seconds={seconds}, nodes={nodes}, boxes={boxes}, cores=1, requests_per_s={rate}, \
 keys=400, worths="site")
 result = run({seed}, Script(world=world))
-demands = [(d.at_ms, d.lane, d.work_ms, d.aim_ms, d.worth, d.write) for d in result.demands]
+demands = [
+    (d.at_ms, d.class_name, d.work_ms, d.aim_ms, d.class_value, d.write) for d in result.demands
+]
 supply = (result.supply.work, result.supply.fetches, result.supply.samples)
-print(json.dumps([sorted(result.good), demands, supply, [str(f) for f in result.failures]]))
+failures = [str(f) for f in result.failures]
+print(json.dumps([sorted(result.served_in_time), demands, supply, failures]))
 """
 
 
@@ -70,9 +73,9 @@
     demands = [Demand(*row) for row in rows]
     served, requested = Counter[str](), Counter[str]()
     for demand in demands:
-        requested[demand.lane] += round(demand.value)
+        requested[demand.class_name] += round(demand.value)
     for n in in_time:
-        served[demands[n].lane] += round(demands[n].value)
+        served[demands[n].class_name] += round(demands[n].value)
     return served, max_value(demands, Supply(*supply)).by_class, requested, failures
 
 
--- a/benchmarks/recovery.py
+++ b/benchmarks/recovery.py
@@ -147,7 +147,7 @@
     for n, demand in enumerate(result.demands):
         at = min(slices - 1, int(demand.at_ms / SLICE_MS))
         requested[at] += demand.value
-        served[at] += demand.value * (n in result.good)
+        served[at] += demand.value * (n in result.served_in_time)
     baseline_from, fault = int(BASELINE_FROM_MS / SLICE_MS), int(FAULT_AT_MS / SLICE_MS)
     baseline = sum(served[baseline_from:fault]) / max(1e-9, sum(requested[baseline_from:fault]))
     total = max(1e-9, sum(requested[fault:]))
--- a/benchmarks/tier.py
+++ b/benchmarks/tier.py
@@ -173,7 +173,8 @@
             planted_scopes, pool.map(_walk_planted, planted_scopes), strict=True
         ):
             print(
-                f"  planted {name}: {len(outcome.counterexample)} steps after {outcome.states} states"
+                f"  planted {name}: {len(outcome.counterexample)} steps "
+                f"after {outcome.states} states"
             )
             results[f"planted {name}"] = {
                 "states": outcome.states,
@@ -318,7 +319,7 @@
     result = run_simulation(seed, msgspec.convert({"world": world}, ScenarioScript))
     totals = result.figures
     return {
-        "usual": result.usual,
+        "usual": result.majority_box_share,
         "fetches": result.fetches,
         "in_time": totals.in_time / max(1, totals.asked),
         "failures": result.failures,
--- a/corkshift/admin/status.py
+++ b/corkshift/admin/status.py
@@ -21,7 +21,7 @@
     node: Node
     frontend: Frontend
     discovery: Discovery
-    figures: Metrics
+    metrics: Metrics
 
     def can_serve(self) -> bool:
         """Whether the node accepts clients and has received a cache server at least once."""
@@ -29,11 +29,11 @@
 
     def quiesce(self) -> bool:
         """Start to drain; False where the process is about to end."""
-        return self.frontend.duty.quiesce(now_ms())
+        return self.frontend.lifecycle.quiesce(now_ms())
 
     def resume(self) -> bool:
         """End the drain; False where the process is about to end."""
-        return self.frontend.duty.resume(now_ms())
+        return self.frontend.lifecycle.resume(now_ms())
 
     def metrics_text(self) -> str:
         """All metrics, one per line.
@@ -42,32 +42,32 @@
         servers by health.
         """
         rows = [
-            f"{METRIC_PREFIX}.responses.{lane}.{kind}={count}"
-            for lane, counts in self.figures.responses.items()
+            f"{METRIC_PREFIX}.responses.{class_name}.{kind}={count}"
+            for class_name, counts in self.metrics.responses.items()
             for kind, count in zip(KINDS, counts, strict=True)
         ]
         rows += [
             f"{METRIC_PREFIX}.refused.{cause}={count}"
-            for cause, count in self.figures.refusals.items()
+            for cause, count in self.metrics.refusals.items()
         ]
         rows += [
-            f"{METRIC_PREFIX}.tries={self.figures.attempts_sent}",
+            f"{METRIC_PREFIX}.tries={self.metrics.attempts_sent}",
             f"{METRIC_PREFIX}.active={self.node.open}",
             f"{METRIC_PREFIX}.pool_size={len(self.node.servers)}",
             f"{METRIC_PREFIX}.pool_ejected={self.node.ejected_count()}",
         ]
-        figures, guard = self.figures, self.node.guard
+        metrics, guard = self.metrics, self.node.guard
         rows += [
             f"{METRIC_PREFIX}.attempts.{status}={count}"
-            for status, count in sorted(figures.attempt_outcomes.items())
+            for status, count in sorted(metrics.attempt_outcomes.items())
         ]
         rows += [
             f"{METRIC_PREFIX}.local_errors.{cause}={count}"
-            for cause, count in sorted(figures.local_errors.items())
+            for cause, count in sorted(metrics.local_errors.items())
         ]
         rows += [
             f"{METRIC_PREFIX}.closed.{cause}={count}"
-            for cause, count in sorted(figures.closed_connections.items())
+            for cause, count in sorted(metrics.closed_connections.items())
         ]
         rows += [f"{METRIC_PREFIX}.denied.{cause}={count}" for cause, count in guard.denied.items()]
         rows += [
@@ -77,14 +77,14 @@
         rows += [
             f"{METRIC_PREFIX}.pool.{state}={count}" for state, count in self.node.health().items()
         ]
-        presence = self.frontend.loop_lag
-        bounds = [f"{most:g}" for most in STALL_BUCKETS_MS] + ["more"]
+        loop_lag = self.frontend.loop_lag
+        bounds = [f"{upper:g}" for upper in STALL_BUCKETS_MS] + ["more"]
         rows += [
             f"{METRIC_PREFIX}.loop.late_ms.{bound}={count}"
-            for bound, count in zip(bounds, presence.stall_counts, strict=True)
+            for bound, count in zip(bounds, loop_lag.stall_counts, strict=True)
         ]
         rows += [
-            f"{METRIC_PREFIX}.loop.longest_ms={presence.longest_stall_ms:.0f}",
-            f"{METRIC_PREFIX}.loop.turn_ms={presence.smoothed_lag_ms:.0f}",
+            f"{METRIC_PREFIX}.loop.longest_ms={loop_lag.longest_stall_ms:.0f}",
+            f"{METRIC_PREFIX}.loop.turn_ms={loop_lag.smoothed_lag_ms:.0f}",
         ]
         return "\n".join(rows) + "\n"
--- a/corkshift/discovery.py
+++ b/corkshift/discovery.py
@@ -44,7 +44,7 @@
 # The removals in a line that has stopped for this long are applied as those of a broken line.
 LINE_PAUSE_S = 0.1
 MAX_QUEUED_LINES = 1_024  # lines waiting behind one that is applied in slices
-# Lossy watches that are still read until another one delivers a whole line.
+# Lossy watches that are still read until another one delivers a complete line.
 MAX_RETIRING = 2
 RETIRING_S = 10.0  # how long such a watch is read at most
 
@@ -52,7 +52,7 @@
 class Discovery:
     """Keeps the node's server list up to date through one watch, opened when the decisions ask.
 
-    A call that is not answered soon gets a parallel one; the first watch to deliver a whole line
+    A call that is not answered soon gets a parallel one; the first watch to deliver a complete line
     replaces all others. A watch that lost data, or fell silent, is read until then (make before
     break, because what discovery writes to it meanwhile counts as notified), but only entries that
     remove servers are applied (`listing.unconfirmed_entries`).
@@ -80,7 +80,7 @@
         self._calls: dict[Watch, asyncio.Task[None]] = {}
         # Watches that lost data, oldest first.
         self._retiring: dict[asyncio.Task[None], Watch] = {}
-        # Some changes were lost, and no whole line has arrived since.
+        # Some changes were lost, and no complete line has arrived since.
         self._changes_lost = False
         self._checked_ms = 0.0  # when all watches were last found to have no unread input
 
@@ -103,7 +103,7 @@
         return False
 
     async def wait_first_list(self) -> None:
-        """Wait for the first whole line.
+        """Wait for the first complete line.
 
         Guards against a new process that serves from an old list while a newer one is available.
         """
@@ -115,7 +115,7 @@
             self._call()
 
     def move(self, address: Address) -> None:
-        """Switch to discovery at another address: call it at once, for the whole list.
+        """Switch to discovery at another address: call it at once, for the full list.
 
         Guards against a list that is no longer updated, because a service that has moved lets its
         old watches lapse. Another service need not count generations in the same way, so the
@@ -209,7 +209,9 @@
                     elif line:
                         self._on_line(watch, line)
                 if watch.parser.unfinished and (entries := watch.parser.unconfirmed_entries()):
-                    self.address_book.apply_unconfirmed(entries, generation_of(watch.parser.rest()))
+                    self.address_book.apply_unconfirmed(
+                        entries, generation_of(watch.parser.partial_line())
+                    )
         except (OSError, h11.RemoteProtocolError, BadList):
             await watch.wait_applied()  # lines that were complete before the failure count
             raise
@@ -233,7 +235,7 @@
                 if watch.stream is not None and not watch.stream.no_input:
                     continue  # input arrived while this node was stalled
                 if pausing:
-                    self._apply_unconfirmed(watch.parser.rest())
+                    self._apply_unconfirmed(watch.parser.partial_line())
                     paused = True
                     continue
                 if self._agent and not watch.parser.unfinished:
@@ -246,13 +248,13 @@
                 )
             except h11.RemoteProtocolError as error:
                 # Without framing line ends are unknown, but entries are still delimited by braces.
-                self._apply_unconfirmed(watch.parser.rest())
+                self._apply_unconfirmed(watch.parser.partial_line())
                 self._replace(watch, f"chunked framing lost: {error}")
 
     # -- lines ---------------------------------------------------------------------------
 
     def _on_line(self, watch: Watch, line: bytes) -> None:
-        """Apply a whole line: a short one now, a long one in slices between which the loop runs.
+        """Apply a complete line: a short one now, a long one in slices between which the loop runs.
 
         Lines behind a long one are queued, but their removals are applied at once (guards against a
         drain that waits while a list of thousands of servers is applied).
@@ -265,9 +267,9 @@
             return
         steps = self._apply_line(watch, line)
         if next(steps, True) is None:
-            watch.applying = asyncio.create_task(self._apply_rest(watch, steps))
+            watch.applying = asyncio.create_task(self._apply_remaining(watch, steps))
 
-    async def _apply_rest(self, watch: Watch, steps: Iterator[None]) -> None:
+    async def _apply_remaining(self, watch: Watch, steps: Iterator[None]) -> None:
         """Apply the rest of a long line, and the lines queued behind it."""
         try:
             while not watch.retiring:
@@ -284,7 +286,7 @@
             watch.applying = None
 
     def _apply_line(self, watch: Watch, line: bytes) -> Iterator[None]:
-        """Apply a whole line; yields between the slices of a long one.
+        """Apply a complete line; yields between the slices of a long one.
 
         The caller stops iterating when the watch is replaced meanwhile.
         """
@@ -302,10 +304,10 @@
             old.cancel()
         for other in [other for other in self._calls if other is not watch]:
             self._calls.pop(other).cancel()
-        complete = raw.whole or not watch.has_whole_line
-        watch.has_whole_line = True
+        gapless = raw.full or not watch.complete_line_received
+        watch.complete_line_received = True
         self._changes_lost = False
-        yield from self.address_book.apply_line(raw.generation, raw.whole, pairs, complete)
+        yield from self.address_book.apply_line(raw.generation, raw.full, pairs, gapless)
         self._first_list_received.set()
 
     def _apply_unconfirmed(self, text: bytes) -> None:
@@ -314,11 +316,11 @@
             unconfirmed_entries(text, self._cache), generation_of(text)
         )
 
-    def _replace(self, watch: Watch, why: str) -> None:
+    def _replace(self, watch: Watch, reason: str) -> None:
         """Replace a watch that lost data: have another opened at once, and retire this one."""
         if watch.retiring or watch not in self._calls:
             return
-        log.info("watch of discovery at %s:%d is replaced: %s", *watch.address, why)
+        log.info("watch of discovery at %s:%d is replaced: %s", *watch.address, reason)
         self._retire(watch)
         self._changes_lost = True
         self._node.on_list("lost", [])
@@ -327,7 +329,7 @@
         """Handle a watch's end; if nothing replaces it yet, the decisions time the next call."""
         cut = watch.parser.unfinished
         if cut:
-            self._apply_unconfirmed(watch.parser.rest())
+            self._apply_unconfirmed(watch.parser.partial_line())
         if self._calls.pop(watch, None) is not None:
             self._changes_lost = self._changes_lost or cut
             if not self._calls:
--- a/corkshift/frontend.py
+++ b/corkshift/frontend.py
@@ -13,13 +13,13 @@
 
 import h11
 
-from corkshift.budget import MAX_BODY_BYTES, MAX_BUFFERED_BODY_BYTES, BodyBudget, PieceCounter
+from corkshift.budget import MAX_BODY_BYTES, MAX_BUFFERED_BODY_BYTES, BodyBudget, SmallPieceDetector
 from corkshift.listener import Listener
 from corkshift.loop_lag import LoopLagMonitor
 from corkshift.messages import ClientRequest, Response
 from corkshift.node import Node
 from corkshift.plain import COMPLETE_REQUEST, CompleteRequest, request_head
-from corkshift.relay import Relay
+from corkshift.relay import BodyPipe
 from corkshift.seam import Address, Socket, now_ms
 from corkshift.stream import READ_BYTES, Stream
 from forkweir.limits.lifecycle import MAX_COUNTED_DEADLINE_MS, Lifecycle, ShutdownSchedule
@@ -219,7 +219,7 @@
             log.exception("cannot read a client request; answering it with status 500")
             status = 500
         if status:
-            response = self._frontend.node.busy if status == 503 else Response(status)
+            response = self._frontend.node.busy_response if status == 503 else Response(status)
             # The new parser counts as incomplete, so that the connection closes after the response.
             await self._enqueue(h11.Connection(h11.SERVER), _completed(response))
         await self._queue.put(None)
@@ -241,8 +241,8 @@
             self._mark_idle()
             if not (data := await self._stream.read()):
                 return None
-        if (rest := await self._read_simple(data)) is not None:
-            return rest
+        if (following := await self._read_simple(data)) is not None:
+            return following
         self.partial = True
         if self.served or self._pending:
             self.since_ms = now_ms()
@@ -299,22 +299,22 @@
         self.since_ms = now_ms()  # the body has a time limit of its own
         budget, buffered = self._frontend.budget, 0
         try:
-            pieces, marked, rest = PieceCounter(), 0, b""
+            pieces, progress_bytes, unbuffered = SmallPieceDetector(), 0, b""
             while not isinstance(event := await self._event(parser), h11.EndOfMessage):
                 if not isinstance(event, h11.Data) or pieces.too_small(
                     len(event.data), self._reads
                 ):
                     raise Rejected(400)
-                more = len(event.data)
-                if buffered + more > MAX_BUFFERED_BODY_BYTES:
+                piece_bytes = len(event.data)
+                if buffered + piece_bytes > MAX_BUFFERED_BODY_BYTES:
                     if request is None or request.method != b"PUT":
                         raise Rejected(413)
-                    rest = bytes(event.data)
+                    unbuffered = bytes(event.data)
                     break
-                self._reserve_body(request, more)
-                buffered += more
-                if buffered - marked >= MIN_PROGRESS_BYTES:
-                    marked, self.since_ms = buffered, now_ms()
+                self._reserve_body(request, piece_bytes)
+                buffered += piece_bytes
+                if buffered - progress_bytes >= MIN_PROGRESS_BYTES:
+                    progress_bytes, self.since_ms = buffered, now_ms()
                 if request is not None:
                     _append_body(request.body, event.data)
         except BaseException:
@@ -326,12 +326,12 @@
                 parser,
                 _completed(
                     Response(200, b"ok\n")
-                    if self._frontend.duty.accepts_clients
+                    if self._frontend.lifecycle.accepts_clients
                     else Response(503, b"draining\n")
                 ),
             )
-        elif rest:
-            return await self._read_large_body(parser, request, buffered, rest)
+        elif unbuffered:
+            return await self._read_large_body(parser, request, buffered, unbuffered)
         else:
             await self._enqueue(parser, self._admit(request, buffered))
         return True
@@ -345,7 +345,7 @@
         if self._frontend.node.full:
             budget.release(buffered)
             self._frontend.node.count_unadmitted(request.class_name, "full")
-            return _completed(self._frontend.node.busy)
+            return _completed(self._frontend.node.busy_response)
         # A client may have left while its connection waited in the backlog, as happens when the
         # node cannot accept for lack of descriptors: its FIN follows its request directly. The
         # check costs one socket read for each new connection and keeps the node from working for
@@ -387,13 +387,13 @@
         and discarded: a close over unread input would reset the connection before the client has
         read an early response. The cost is the transfer of the whole body.
         """
-        body_rest = request.body_rest = Relay()
+        body_rest = request.body_rest = BodyPipe()
         response = self._admit(request, buffered)
         if response is not request.response:
             body_rest.close()  # the request was refused
         self._large_body_parser = parser
         await self._enqueue(parser, response)
-        size, pieces, marked = buffered + len(piece), PieceCounter(), 0
+        size, pieces, progress_bytes = buffered + len(piece), SmallPieceDetector(), 0
         loop = asyncio.get_running_loop()
         due = loop.time() + REQUEST_TIMEOUT_MS / 1000.0
         try:
@@ -409,8 +409,8 @@
                         raise Rejected(413)
                     limit.reschedule(None)
                     await body_rest.put(bytes(event.data))
-                    if size - marked >= MIN_PROGRESS_BYTES:
-                        marked, due = size, loop.time() + REQUEST_TIMEOUT_MS / 1000.0
+                    if size - progress_bytes >= MIN_PROGRESS_BYTES:
+                        progress_bytes, due = size, loop.time() + REQUEST_TIMEOUT_MS / 1000.0
                     limit.reschedule(due)
             body_rest.end()
             self._large_body_parser = None
@@ -442,13 +442,13 @@
     async def _send(self, parser: Parser, response: Response) -> bool:
         """Write one response; return whether the connection is kept after it."""
         last = (
-            not self._frontend.duty.keeps_connections
+            not self._frontend.lifecycle.keeps_connections
             and self._pending == 1
             and not self.partial
             and not self._stream.has_input
         )
-        whole = parser.their_state is h11.DONE or parser is self._large_body_parser
-        keep = whole and response.status in KEEP_ALIVE_STATUSES and not last
+        request_complete = parser.their_state is h11.DONE or parser is self._large_body_parser
+        keep = request_complete and response.status in KEEP_ALIVE_STATUSES and not last
         if not keep and self._reader is not None:
             # Reading stops before the write, which may take a while. A request that arrives from
             # now on stays unread, so its client can send it elsewhere; otherwise it could be
@@ -473,7 +473,7 @@
             await self._stream.write(data)
 
     async def _send_large(
-        self, parser: Parser, response: Response, rest: Relay, keep: bool
+        self, parser: Parser, response: Response, body_rest: BodyPipe, keep: bool
     ) -> bool:
         """Stream a response too large to buffer; return whether the connection is kept after it."""
         # HTTP/1.0 has no chunked coding: there a body of unknown length ends with its connection.
@@ -486,7 +486,7 @@
                 data = b"%x\r\n%b\r\n" % (len(piece), piece) if chunked and piece else piece
                 await self._write(head + data)
                 head = b""
-                piece = await rest.get()
+                piece = await body_rest.get()
             if chunked:
                 await self._write(b"0\r\n\r\n")
         except BaseException:
@@ -494,7 +494,7 @@
             self._stream.abort()
             raise
         finally:
-            rest.close()
+            body_rest.close()
         return keep
 
 
@@ -506,14 +506,20 @@
     """
 
     def __init__(
-        self, node: Node, listener: Socket, limit: int, body_bytes: int, shared: bool = False, leave: Optional[ShutdownSchedule] = None,
+        self,
+        node: Node,
+        listener: Socket,
+        limit: int,
+        body_bytes: int,
+        shared: bool = False,
+        leave: Optional[ShutdownSchedule] = None,
         loop_lag: Optional[LoopLagMonitor] = None,
-    ) -> None:  # fmt: skip
+    ) -> None:
         self.node = node
         self.loop_lag = loop_lag or LoopLagMonitor()
         self._leave = leave or ShutdownSchedule(MAX_COUNTED_DEADLINE_MS)
         self.budget = BodyBudget(body_bytes)
-        self.duty = Lifecycle()
+        self.lifecycle = Lifecycle()
         self.started = False
         self._shared = shared
         self._limit = limit
@@ -543,7 +549,7 @@
         `answer_ms` get an error response, and connections that remain at its `exit_ms` are reset.
         """
         started_s, leave = asyncio.get_running_loop().time(), self._leave
-        self.duty.end(now_ms())
+        self.lifecycle.end(now_ms())
         if not self.started:
             self._listener.close()  # no connection has been accepted yet
             return
@@ -664,10 +670,10 @@
             if now - connection.since_ms <= EVICTION_GRACE_MS:
                 break
             connection.close_if_no_input("share")
-        if part := self.duty.share_to_close(now, SWEEP_INTERVAL_S * 1000.0):
+        if part := self.lifecycle.share_to_close(now, SWEEP_INTERVAL_S * 1000.0):
             for connection in kept[: ceil(part * len(kept))]:
                 connection.close_if_no_input("draining")
-        if self.duty.drain_over(now):
+        if self.lifecycle.drain_over(now):
             for connection in [c for c in self._unused if now - c.since_ms > EVICTION_GRACE_MS]:
                 connection.close_if_no_input("draining")
 
@@ -718,8 +724,8 @@
 
 def _parse_number(value: bytes) -> float:
     """Parse a header's decimal number, with an optional fraction."""
-    whole, _, part = value.partition(b".")
-    if not (whole.isdigit() and (part.isdigit() or not part) and len(value) <= 18):
+    integer, _, fraction = value.partition(b".")
+    if not (integer.isdigit() and (fraction.isdigit() or not fraction) and len(value) <= 18):
         raise Rejected(400)
     return float(value)
 
--- a/corkshift/listing.py
+++ b/corkshift/listing.py
@@ -1,10 +1,11 @@
 """Parser of discovery's lists: JSON lines, and the entries of a corrupt or partial line. Sans-I/O.
 
-Bytes go in; whole lines and unconfirmed entries come out. Everything that depends on discovery's
+Bytes go in; complete lines and unconfirmed entries come out. Everything that depends on discovery's
 format is in this module. `forkweir.known` decides whether an unconfirmed entry is applied, and
-`address_book` what a whole list changes.
+`address_book` what a full list changes. A full list names all servers, a line of changes only
+some.
 
-An unconfirmed entry is complete, from brace to brace, in bytes that are not yet a whole line or
+An unconfirmed entry is complete, from brace to brace, in bytes that are not yet a complete line or
 never will be. It is what can still be used of a line whose rest is lost, since by the protocol a
 change counts as notified once discovery has written it. From an entry that is cut or overwritten at
 most its server's name can be read (state "unreadable").
@@ -46,7 +47,7 @@
 _OPENING_BRACKETS, _CLOSING_BRACKETS = (b"{", b"["), (b"}", b"]")
 # Ends of a row after which an indented object continues in the next row.
 _CONTINUED_ROW_ENDS = (b"{", b"[", b",")
-_WHOLE_LIST = re.compile(rb'"reset"\s*:\s*true')
+_FULL_LIST = re.compile(rb'"reset"\s*:\s*true')
 
 
 class BadList(Exception):
@@ -64,7 +65,7 @@
 class EntryCache:
     """Cache of parsed entries, so that a repeated entry costs one lookup.
 
-    Most entries of a whole list are unchanged, and each is first read from the unfinished line.
+    Most entries of a full list are unchanged, and each is first read from the unfinished line.
     Equal fields give the same `Server` object.
 
     Bound: MAX_CACHED_ENTRIES; a full cache is cleared.
@@ -167,7 +168,7 @@
                 found.append(entry)
         return found[:MAX_UNCONFIRMED_ENTRIES]
 
-    def rest(self) -> bytes:
+    def partial_line(self) -> bytes:
         """The unfinished line so far."""
         return bytes(self._buffer)
 
@@ -182,22 +183,22 @@
     """The complete entries of a corrupt or partial line, and in a line of changes the servers that
     broken entries name.
 
-    A whole list names every server, so a broken entry in one gives no information.
+    A full list names every server, so a broken entry in one gives no information.
     """
     cache = cache or EntryCache()
     found = []
-    rest = bytearray()
+    remainder = bytearray()
     position = 0
     for match in _ENTRY.finditer(text):
         entry = _unconfirmed_entry(match[0], cache)
-        rest += text[position : match.start() if entry is not None else match.end()]
+        remainder += text[position : match.start() if entry is not None else match.end()]
         position = match.end()
         if entry is not None:
             found.append(entry)
-    rest += text[position:]
-    if not _WHOLE_LIST.search(rest):
+    remainder += text[position:]
+    if not _FULL_LIST.search(remainder):
         known = {entry.server.name for entry in found}
-        names = dict.fromkeys(match[1].decode() for match in _INSTANCE_ID.finditer(rest))
+        names = dict.fromkeys(match[1].decode() for match in _INSTANCE_ID.finditer(remainder))
         found += [
             RecoveredEntry(Server(name, state="unreadable"), None)
             for name in names
@@ -207,22 +208,22 @@
 
 
 def generation_of(text: bytes) -> int | None:
-    """The generation stated in a line, whole or not; None where it cannot be read."""
+    """The generation stated in a line, complete or not; None where it cannot be read."""
     match = _GENERATION.search(text)
     return int(match[1]) if match is not None else None
 
 
 @dataclass(frozen=True, slots=True)
 class RawList:
-    """A whole line whose entries are not parsed yet."""
+    """A complete line whose entries are not parsed yet."""
 
-    generation: int
-    whole: bool  # names every server; otherwise the line holds changes
+    generation: int  # version number of discovery's list
+    full: bool  # names every server; otherwise the line holds changes
     entries: list[Any]
 
 
 def parse_raw_list(line: bytes) -> RawList:
-    """Parse the JSON of a whole line. BadList if it is malformed."""
+    """Parse the JSON of a complete line. BadList if it is malformed."""
     try:
         data = orjson.loads(line)
     except orjson.JSONDecodeError as error:
@@ -249,7 +250,7 @@
 def read_entries(entries: Iterable[Any], cache: EntryCache) -> list[tuple[Server, Address]]:
     """The servers and addresses of entries, without malformed ones.
 
-    Guards against one malformed entry that discards the whole list.
+    Guards against one malformed entry that discards all others.
     """
     pairs = []
     for entry in entries:
@@ -263,18 +264,18 @@
 
 
 def parse(line: bytes) -> tuple[int, bool, list[tuple[Server, Address]]]:
-    """The generation of a line, whether it is a whole list, and its entries.
+    """The generation of a line, whether it is a full list, and its entries.
 
     Raises BadList if it is malformed.
     """
     raw = parse_raw_list(line)
-    return raw.generation, raw.whole, read_entries(raw.entries, EntryCache())
+    return raw.generation, raw.full, read_entries(raw.entries, EntryCache())
 
 
 def read(data: dict[str, Any]) -> tuple[int, bool, list[tuple[Server, Address]]]:
     """As `parse`, for an object in discovery's format."""
     raw = raw_list_of(data)
-    return raw.generation, raw.whole, read_entries(raw.entries, EntryCache())
+    return raw.generation, raw.full, read_entries(raw.entries, EntryCache())
 
 
 def _unconfirmed_entry(text: bytes, cache: EntryCache) -> RecoveredEntry | None:
--- a/corkshift/relay.py
+++ b/corkshift/relay.py
@@ -10,8 +10,8 @@
     """The producer of the body failed before its end."""
 
 
-class Relay:
-    """A queue of one piece between a producer and a consumer.
+class BodyPipe:
+    """A queue of one piece of a body, between its producer and its consumer.
 
     `put` waits while a piece is queued, and `get` waits for one. Either side may give up, which
     wakes the other at once. The producer bounds the size of the pieces.
--- a/corkshift/sources/file.py
+++ b/corkshift/sources/file.py
@@ -35,17 +35,17 @@
 
 
 class BoxFile(Table, frozen=True, kw_only=True):
-    """The whole file of boxes."""
+    """The complete file of boxes."""
 
     box: list[BoxTable]
 
     def cross_field_faults(self) -> Iterator[Fault]:
-        for what in ("address", "name"):
+        for field in ("address", "name"):
             seen: set[str] = set()
             for n, box in enumerate(self.box):
-                value = getattr(box, what)
+                value = getattr(box, field)
                 if value and value in seen:
-                    yield Fault(f"box[{n}].{what}", f"duplicate value: {value!r:.80}")
+                    yield Fault(f"box[{n}].{field}", f"duplicate value: {value!r:.80}")
                 seen.add(value)
 
 
@@ -59,11 +59,16 @@
         raise ValueError("; ".join(map(str, faults)))
     return [
         Claim(
-            address_of(box.address), "draining" if box.draining else "in", box.name, box.zone, box.kind,
-            weight=box.weight, priority=box.priority,
+            address_of(box.address),
+            "draining" if box.draining else "in",
+            box.name,
+            box.zone,
+            box.kind,
+            weight=box.weight,
+            priority=box.priority,
         )
         for box in msgspec.convert(data, BoxFile).box
-    ]  # fmt: skip
+    ]
 
 
 class FileSource:
--- a/corkshift/upstream.py
+++ b/corkshift/upstream.py
@@ -10,12 +10,12 @@
 import h11
 
 from corkshift import seam
-from corkshift.budget import MAX_BODY_BYTES, MAX_BUFFERED_BODY_BYTES, PieceCounter
+from corkshift.budget import MAX_BODY_BYTES, MAX_BUFFERED_BODY_BYTES, SmallPieceDetector
 from corkshift.loop_lag import LoopLagMonitor
 from corkshift.messages import ClientRequest, Response
 from corkshift.metrics import Metrics
 from corkshift.plain import response_head
-from corkshift.relay import BodyAborted, Relay
+from corkshift.relay import BodyAborted, BodyPipe
 from corkshift.seam import Address, now_ms
 from corkshift.seam.errors import LOCAL_ERRNOS, error_name
 from corkshift.stream import KERNEL_BUFFER_BYTES, READ_BYTES, Stream
@@ -46,7 +46,8 @@
 # Share of an attempt's time for connecting again after a shortage on this machine; the rest is left
 # for another attempt.
 LOCAL_RETRY_SHARE = 0.7
-# Values of the X-Found header, as the balancer counts them; 0 stands for unknown.
+# Values of the X-Found header, as the balancer counts them; 0 stands for unknown. "pending": the
+# object was not in the cache, and was already being fetched for another request.
 CACHE_RESULTS = {b"hit": 1, b"miss": 2, b"pending": 3}
 
 
@@ -70,7 +71,8 @@
 
     name: str
     address: Address
-    # When this node was notified that the server drains or was removed.
+    # When this node was notified that the server drains or was removed. Its grace period, in which
+    # requests may still be sent to it, starts then (`forkweir.send_guard`).
     leaving_ms: Optional[float] = None
     # Idle connections and the time from which each is idle, oldest first.
     idle: list[tuple[float, Stream]] = field(default_factory=list)
@@ -78,7 +80,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Outcome:
-    """How an attempt ended: `status` as the balancer takes it, `note` a value of CACHE_RESULTS."""
+    """How an attempt ended.
+
+    status: a key of `forkweir.known.outcomes.OUTCOME_TYPES`. Of these, "void" means that the
+    attempt ended without an outcome of the server (`NotSent`), "withdrawn" that the node cancelled
+    it, and "spoilt" that the response was malformed. note: a value of CACHE_RESULTS, or 0.
+    """
 
     status: str
     note: int = 0
@@ -265,7 +272,7 @@
         self._within_ms = within_ms
         self._owner = owner
         self._timeout = asyncio.timeout(within_ms / 1000.0)
-        self._relay: Optional[Relay] = None  # passes on a response too large to buffer
+        self._response_pipe: Optional[BodyPipe] = None  # passes on a response too large to buffer
         self._stream: Optional[Stream] = None
         # Created only if the response is not in simple form.
         self._parser: Optional[h11.Connection] = None
@@ -281,7 +288,7 @@
     @property
     def response_started(self) -> bool:
         """Whether a response too large to buffer has begun to be passed on."""
-        return self._relay is not None
+        return self._response_pipe is not None
 
     @property
     def elapsed_ms(self) -> float:
@@ -290,11 +297,11 @@
 
     def abort_response(self) -> None:
         """Let the client see that a streamed response is incomplete, unless it has ended."""
-        if self._relay is not None:
-            self._relay.fail()
+        if self._response_pipe is not None:
+            self._response_pipe.fail()
 
     async def run(self) -> Outcome:
-        """Send the request and read the whole response."""
+        """Send the request and read the complete response."""
         outcome, cause = Outcome("withdrawn"), "cancelled"
         try:
             async with self._timeout:
@@ -310,7 +317,7 @@
                 str(error) or "timeout",
             )
         except (h11.RemoteProtocolError, MalformedResponse) as error:
-            # After the whole request, the server's response is malformed, which the balancer
+            # After the complete request, the server's response is malformed, which the balancer
             # distinguishes from a broken connection. Before, the request cannot have run.
             outcome, cause = Outcome("spoilt" if self._all_sent else "unreachable"), str(error)
         except OSError as error:
@@ -512,7 +519,7 @@
             raise ConnectionResetError("response with status 200 before the request was complete")
         note = _cache_result(headers)
         half_ms = now_ms() + self._within_ms / 2.0
-        body, pieces = bytearray(), PieceCounter()
+        body, pieces = bytearray(), SmallPieceDetector()
         while isinstance(event := await self._event(), h11.Data):
             body += event.data
             if pieces.too_small(len(event.data), self._reads):
@@ -560,15 +567,15 @@
         From here on the response can only be completed or cut off, never replaced.
         """
         assert self._stream is not None
-        relay = Relay()
+        pipe = BodyPipe()
         if not self._owner.on_response_started(
-            self, Response(200, body, body_rest=relay, length=length), note
+            self, Response(200, body, body_rest=pipe, length=length), note
         ):
             raise NotSent("response no longer wanted")
-        self._relay = relay
+        self._response_pipe = pipe
         self._timeout.reschedule(None)
         self._stream.read_limit = LARGE_BODY_READ_BYTES
-        size, pieces = len(body), PieceCounter()
+        size, pieces = len(body), SmallPieceDetector()
         while True:
             async with asyncio.timeout(STALL_TIMEOUT_S):
                 event = await self._event()
@@ -577,9 +584,9 @@
             size += len(event.data)
             if size > MAX_BODY_BYTES or pieces.too_small(len(event.data), self._reads):
                 raise MalformedResponse("body over the size limit or in too small pieces")
-            if not await relay.put(bytes(event.data)):
+            if not await pipe.put(bytes(event.data)):
                 raise ConnectionAbortedError("the client has left")
-        relay.end()
+        pipe.end()
         return Outcome("success", note)
 
     async def _read_error_body(self) -> None:
@@ -627,9 +634,13 @@
 
 
 def _error_outcome(status: int, headers: dict[bytes, bytes]) -> Outcome:
-    """Return the outcome for a response other than 200, from its status and X-Turned-Away."""
-    away = status in (503, 504) and headers.get(b"x-turned-away", b"").strip() == b"1"
-    return Outcome("overloaded" if away else "failure")
+    """Return the outcome for a response other than 200, from its status and X-Turned-Away.
+
+    That header has the value 1 where the server rejected the request for overload and did not run
+    it.
+    """
+    turned_away = status in (503, 504) and headers.get(b"x-turned-away", b"").strip() == b"1"
+    return Outcome("overloaded" if turned_away else "failure")
 
 
 def _cache_result(headers: dict[bytes, bytes]) -> int:
--- a/forkweir/choice.py
+++ b/forkweir/choice.py
@@ -1,9 +1,13 @@
 """The balancer: every decision of forkweir. Pure, deterministic, no I/O and no clock of its own.
 
-The ordinary path is DEMB (Lee et al., "DEMB: Cache-Aware Scheduling for Distributed Query
-Processing"; see docs/design.md): a key is hashed to a position on a line, a window of recent
-positions is cut into ranges of equal count, each new set of cuts is blended into the earlier cuts,
-and a request goes to the home server of its position's range.
+The ordinary path is DEMB (distributed exponential moving boundary; Lee et al., "DEMB: Cache-Aware
+Scheduling for Distributed Query Processing"; see docs/design.md): a key is hashed to a position on
+a line, a window of recent positions is cut into ranges of equal count, each new set of cuts is
+blended into the earlier cuts, and a request goes to the home server of its position's range.
+
+The aim of a request is the time by which its response counts as in time (`ClassSpec.aim_ms`); its
+deadline is when the client stops waiting. A server that fails, hangs or is suspect is ejected:
+it gets no requests for a while, and then a single trial request (see `known.health`).
 
 Submodules: `line` (positions and cuts), `fleet` (servers, homes, health), `gate` (admission
 control), `request` (state of one request) and `settings` (shared types). Times are in ms.
@@ -84,7 +88,7 @@
         "line",
         "held",
         "classes",
-        "hot_key_turn",
+        "hot_key_rotation",
         "retry_budget",
         "error_retry_budget",
         "client_wait",
@@ -97,10 +101,10 @@
         "hedge_queue",
         "hedge_timer_set",
         "costs",
-        "allowances",
+        "slow_start",
         "fetches",
         "retry_after",
-        "parts",
+        "tier_shares",
         "_rebuild_planned",
         "_rebuilding",
     )
@@ -113,7 +117,7 @@
         self.held: dict[int, Request] = {}
         self.classes = {spec.name: spec for spec in settings.classes}
         self.unknown_class = ClassSpec("", repeat="unsafe")
-        self.hot_key_turn = 0
+        self.hot_key_rotation = 0
         self.retry_budget = RetryBudget(RETRY_SHARE)
         self.error_retry_budget = RetryBudget(QUICK_ERROR_SHARE)
         self.client_wait = ClientWaits()
@@ -124,11 +128,11 @@
         )
         self.costs = Costs()
         values = [spec.value for spec in settings.classes]
-        self.allowances = SlowStart(settings.fall_multiple, max(values, default=1.0), seed)
+        self.slow_start = SlowStart(settings.fall_multiple, max(values, default=1.0), seed)
         self.fetches = FetchBudget(max(values, default=1.0))
         self.retry_after = RetryAfter(settings.backoff_max_ms, seed)
         # Shares of tier-wide limits; None where nodes may not talk to one another.
-        self.parts: Optional[TierShares] = None
+        self.tier_shares: Optional[TierShares] = None
         self.polling = PollSchedule(settings.poll_within_ms, self.random, not settings.poll_list)
         # Estimated share of their aims within which HEDGE_QUANTILE of the attempts are answered.
         self.hedge_share = HEDGE_MAX
@@ -154,7 +158,7 @@
             return []
         if form in ("failed", "lost"):
             return [self._poll_at(now + self.polling.next_wait(form == "lost", now))]
-        self.fleet.apply_list(now, entries, form in ("saved", "full"), whole=form != "part")
+        self.fleet.apply_list(now, entries, form in ("saved", "full"), complete=form != "part")
         if form == "part":
             return []
         actions = self._plan_rebuild(now)
@@ -169,7 +173,7 @@
                 actions.append(("timer", 2, now + PROBE_INTERVAL_MS * 0.2 * self.random.random()))
             return actions
         if form != "hearsay":
-            self.polling.record_line()
+            self.polling.record_complete_line()
         return actions
 
     def _poll_at(self, due: float) -> Action:
@@ -225,7 +229,11 @@
     # -- timers --------------------------------------------------------------------------
 
     def on_timer(self, now: float, token: int) -> list[Action]:
-        """Handle a timer that is due. Tokens: 1 poll, 2 probe, 3 hedge, 5 placement build."""
+        """Handle a timer that is due.
+
+        token: 1 to poll discovery, 2 to ask a server for a load report by a probe, 3 to check the
+        hedge queue, 5 (REBUILD_TIMER) to continue a placement build. 4 is `adapter.TIER_TIMER`.
+        """
         if token == 1:
             return [("follow", True)]
         if token == 3:
@@ -281,13 +289,13 @@
             request_id, spec, key, position, min(aim_at, deadline), deadline, work_ms, write
         )
         request.cost_ms = self.costs.cost_ms(spec, work_ms)
-        self.allowances.record_request(now, request.cost_ms, self.fleet.count_warm_weight(now))
+        self.slow_start.record_request(now, request.cost_ms, self.fleet.count_warm_weight(now))
         self.retry_budget.earn()
         self.error_retry_budget.earn()
         if key is not None:
             self.line.record_arrival(position, key)
-            if self.parts is not None:
-                shared = self.parts.line(position, self.line.ranges, now)
+            if self.tier_shares is not None:
+                shared = self.tier_shares.record_arrival(position, self.line.ranges, now)
                 if shared is not self.line.shared:
                     self.line.use_shared(shared)
         if self.settings.cache_aside and write:
@@ -305,12 +313,12 @@
         # as long as clients send requests, fetches would time out and be given up, and no cache
         # would get anything from them.
         fetches = self.fetches
-        if fetches.limiting or self.parts is not None:
+        if fetches.limiting or self.tier_shares is not None:
             known = fetches.remembers(position, target.info.name, target.cold_since_ms)
             expected = fetches.expected(known, write)
-            if self.parts is not None:
-                self.parts.wants_fetches(expected, fetches.fetch_ms, now)
-                fetches.allocated = self.parts.fetches(fetches.prospective_limit, now)
+            if self.tier_shares is not None:
+                self.tier_shares.record_fetch_demand(expected, fetches.fetch_ms, now)
+                fetches.allocated = self.tier_shares.fetch_limit(fetches.prospective_limit, now)
             if not fetches.may_send(expected, spec.value):
                 return [self._refuse(request, "origin", fetches.wait_ms(expected, spec.value), now)]
         # A write that the origin carries out late has no value and still invalidates the cached
@@ -334,12 +342,12 @@
         fleet, soonest_ms = self.fleet, None
         for member in fleet.placed:
             if (
-                member.account is not None
+                member.token_bucket is not None
                 and fleet.is_cold(member, now)
                 and fleet.usable(member, now)
             ):
-                opens_ms = self.allowances.wait_ms(
-                    member.account, self._cold_rate(member, now), request.cost_ms, now
+                opens_ms = self.slow_start.wait_ms(
+                    member.token_bucket, self._cold_rate(member, now), request.cost_ms, now
                 )
                 soonest_ms = opens_ms if soonest_ms is None else min(soonest_ms, opens_ms)
         return ("no-server", None) if soonest_ms is None else ("cold", soonest_ms)
@@ -460,8 +468,8 @@
                 request.key, min(len(neighbours), fleet.in_service or 1), request.position
             )
             if copies > 1:
-                self.hot_key_turn += 1
-                start = self.hot_key_turn % copies
+                self.hot_key_rotation += 1
+                start = self.hot_key_rotation % copies
                 key_fraction = self.random.random()
         if request.write and not start:
             # A write gains nothing from its home's cache and goes through to the origin from any
@@ -487,19 +495,19 @@
                 ):
                     return member
             key_fraction = (key_fraction + 0.618034) % 1.0
-        busy: Optional[Member] = None
+        overloaded: Optional[Member] = None
         for member in neighbours:
             if fleet.usable(member, now) and member not in tried and not fleet.is_cold(member, now):
                 if member.rejects_little:
                     return member
-                busy = busy or member
-        if busy is not None:
+                overloaded = overloaded or member
+        if overloaded is not None:
             # All usable warm neighbours reject many requests, so a cold one with capacity takes
-            # this request, within its cold-start allowance. Otherwise the last warm server among
-            # many cold ones would get, and reject, all requests for the keys of the cold ones that
-            # their allowances do not admit.
-            return self._cold_with_capacity(neighbours, request, now) or busy
-        spare: Optional[Member] = None
+            # this request. Otherwise the last warm server among many cold ones would get, and
+            # reject, all requests for the keys of the cold ones that their token buckets do not
+            # admit.
+            return self._cold_with_capacity(neighbours, request, now) or overloaded
+        soonest_usable: Optional[Member] = None
         cold: list[Member] = []
         for member in fleet.candidates_from(range_number):
             if member.present and member not in tried:
@@ -507,15 +515,15 @@
                     cold.append(member)
                 elif fleet.usable(member, now):
                     return member
-                elif spare is None or member.ejected_until < spare.ejected_until:
-                    spare = member
+                elif soonest_usable is None or member.ejected_until < soonest_usable.ejected_until:
+                    soonest_usable = member
         # No warm server is left: try the nearest cold ones with capacity, home first. Otherwise a
         # fleet that is entirely cold would refuse everything or send it all to one server.
         return (
             self._cold_with_capacity((*neighbours, *cold[:MAX_COLD_CANDIDATES]), request, now)
             if cold
             else None
-        ) or spare
+        ) or soonest_usable
 
     def _cold_with_capacity(
         self, members: Iterable[Member], request: Request, now: float
@@ -533,31 +541,31 @@
         return None
 
     def _has_capacity(self, member: Member, request: Request, now: float) -> bool:
-        """Whether the cold-start allowance of a server admits a request; warm servers have none."""
+        """Whether the token bucket of a cold server admits a request; warm servers have none."""
         fleet = self.fleet
         if not fleet.is_cold(member, now):
             return True
-        if self.parts is not None:
-            self.parts.wants_work(
+        if self.tier_shares is not None:
+            self.tier_shares.record_work_demand(
                 member.info.name,
                 request.cost_ms / (fleet.weight_of(member) * fleet.cold_capacity(member, now)),
                 now,
             )
         rate = self._cold_rate(member, now)
-        if member.account is None:
-            member.account = self.allowances.open_bucket(
+        if member.token_bucket is None:
+            member.token_bucket = self.slow_start.open_bucket(
                 now, request.cost_ms, rate, member.start_notified_ms
             )
-        return self.allowances.may_send(
-            member.account, rate, request.cost_ms, request.spec.value, now
+        return self.slow_start.may_send(
+            member.token_bucket, rate, request.cost_ms, request.spec.value, now
         )
 
     def _cold_rate(self, member: Member, now: float) -> float:
         """Return the rate at which a cold server may get work now, in ms of work per ms."""
         fleet = self.fleet
-        reference = self.allowances.reference(fleet.weight)
-        if self.parts is not None:
-            reference = self.parts.work(member.info.name, reference, now)
+        reference = self.slow_start.reference(fleet.weight)
+        if self.tier_shares is not None:
+            reference = self.tier_shares.work_limit(member.info.name, reference, now)
         return reference * fleet.weight_of(member) * fleet.cold_capacity(member, now)
 
     def _server_with_capacity(self, request: Request, now: float) -> Optional[Member]:
@@ -579,8 +587,8 @@
         request.servers.append(member)
         request.sent_ms.append(now)
         member.record_sent(request.id, request.spec.aim_ms, now)
-        if member.account is not None and self.fleet.is_cold(member, now):
-            self.allowances.spend(member.account, request.cost_ms, request.spec.value, now)
+        if member.token_bucket is not None and self.fleet.is_cold(member, now):
+            self.slow_start.spend(member.token_bucket, request.cost_ms, request.spec.value, now)
         self.fleet.zones.record_sent(member.info.zone, request.spec.aim_ms, now)
         until = (
             request.aim_at
@@ -640,7 +648,8 @@
             return []
         if request.body_consumed:
             return [self._give_up(request, now)]
-        # The server does not have the object, which a cache-aside site then reads from the origin.
+        # "absent": the server does not have the object, which a cache-aside site then reads from
+        # the origin.
         if (
             status == "absent"
             and self.fleet.origin is not None
@@ -703,9 +712,16 @@
         return [self._give_up(request, now)]
 
     def _evaluate_outcome(
-        self, request: Optional[Request], attempt: int, member: Optional[Member], status: str, note: int, elapsed_ms: float,
-        request_id: int, now: float,
-    ) -> AttemptOutcome:  # fmt: skip
+        self,
+        request: Optional[Request],
+        attempt: int,
+        member: Optional[Member],
+        status: str,
+        note: int,
+        elapsed_ms: float,
+        request_id: int,
+        now: float,
+    ) -> AttemptOutcome:
         """Combine an outcome with what is known of its attempt."""
         outcome_class = OUTCOME_TYPES.get(status, AttemptOutcome)
         trial = member is not None and member.trial_request == request_id
@@ -729,17 +745,17 @@
     def _record_load(
         self, request: Request, member: Member, outcome: AttemptOutcome, now: float
     ) -> None:
-        """Update costs, allowances and the hedge delay from an outcome."""
+        """Update costs, slow start and the hedge delay from an outcome."""
         if not outcome.cold:
             if outcome.reveals_cost:
                 self.costs.record_answer(request.spec, outcome.elapsed_ms)
             if outcome.in_time:
-                self.allowances.record_served(request.cost_ms)
-        elif member.account is not None:
+                self.slow_start.record_served(request.cost_ms)
+        elif member.token_bucket is not None:
             if outcome.overload:
-                self.allowances.record_overload(member.account, now)
+                self.slow_start.record_overload(member.token_bucket, now)
             elif outcome.served:
-                self.allowances.record_success(member.account)
+                self.slow_start.record_success(member.token_bucket)
         longer = outcome.longer_than(self.hedge_share)
         if longer is not None:
             self._learn_hedge_share(longer)
--- a/forkweir/fleet.py
+++ b/forkweir/fleet.py
@@ -64,7 +64,7 @@
         "load_penalty_ms",
         "slow_streak",
         "success_score",
-        "account",
+        "token_bucket",
     )
 
     def __init__(self, info: Server) -> None:
@@ -79,7 +79,7 @@
         self.load_penalty_ms = 0.0
         self.slow_streak = 0  # slow answers in a row
         self.success_score = 0.0  # good answers, decayed like the penalty
-        self.account: Optional[TokenBucket] = None  # allowance while the server is cold
+        self.token_bucket: Optional[TokenBucket] = None  # of slow start, while cold
 
     def update_entry(self, info: Server) -> None:
         """Replace the list entry and the states that follow from it."""
@@ -139,11 +139,11 @@
     # -- the list ------------------------------------------------------------------------
 
     def apply_list(
-        self, now: float, entries: Iterable[Server], full: bool, whole: bool = True
+        self, now: float, entries: Iterable[Server], full: bool, complete: bool = True
     ) -> None:
         """Apply a full list or changes of it.
 
-        whole: False if more changes follow at once; homes are assigned after the last of them.
+        complete: False if more changes follow at once; homes are assigned after the last of them.
         """
         in_service_before = self.in_service
         touched: dict[str, Member] = {}
@@ -165,7 +165,7 @@
             or abs(self.in_service - in_service_before) > RECOUNT_SHARE * in_service_before
         ):
             self.warm_count_due_ms = 0.0
-        self.placement_stale = self.placement_stale or whole
+        self.placement_stale = self.placement_stale or complete
 
     def _apply_entry(self, info: Server, now: float) -> Optional[Member]:
         """Apply one entry and return its member; None for the removal of an unknown server."""
@@ -192,7 +192,7 @@
         if info.started_ms != member.info.started_ms:
             member.record_restart()
             member.cold_since_ms, member.start_notified_ms = info.started_ms, now
-            member.account = None
+            member.token_bucket = None
         was_present, was_draining = member.present, member.draining
         member.update_entry(info)
         if info.state in ("gone", "unlisted") and (was_present or was_draining):
@@ -365,7 +365,7 @@
     def accepted_share(self, member: Member, now: float) -> float:
         """The share of its keys that a server takes now; neighbours get the rest.
 
-        The allowance of a cold server reduces it further.
+        The token bucket of a cold server reduces it further.
         """
         share = self.speeds.relative_capacity(member.info.kind, member.pace, self.weight_of(member))
         if member.load_penalty:
@@ -420,7 +420,7 @@
             counts[member.state(now, self.is_cold(member, now))] += 1
         return counts
 
-    def avoided(self, now: float) -> int:
+    def ejected_count(self, now: float) -> int:
         """The number of listed servers that get no requests now because of past outcomes."""
         return sum(
             member.present and not self.usable(member, now) for member in self.members.values()
@@ -465,19 +465,19 @@
                 return member
         return None
 
-    def evaluate(self, member: Member, seen: AttemptOutcome, now: float) -> None:
+    def evaluate(self, member: Member, outcome: AttemptOutcome, now: float) -> None:
         """Update the reachability and capacity of a server and its zone by an outcome."""
-        if self.health.record_outcome(member, seen, now):
+        if self.health.record_outcome(member, outcome, now):
             # The server answers again without a notification from the list: treat it as cold. It
             # may have restarted before the list says so, and would get its full range at once.
             member.cold_since_ms = member.start_notified_ms = now
-            member.account = None
-            seen.cold = True
-        self.zones.record_zone_answer(member.info.zone, seen, now)
+            member.token_bucket = None
+            outcome.cold = True
+        self.zones.record_zone_answer(member.info.zone, outcome, now)
 
-    def update_suspicion(self, member: Member, seen: AttemptOutcome, now: float) -> float:
+    def update_suspicion(self, member: Member, outcome: AttemptOutcome, now: float) -> float:
         """Update outlier detection by an outcome; return the likelihood that its server is bad."""
-        return self.health.update_suspicion(member, seen, self.placed, self.in_service, now)
+        return self.health.update_suspicion(member, outcome, self.placed, self.in_service, now)
 
     def note_unresponsive(self, member: Member, sent_ms: float, aim_ms: float, now: float) -> bool:
         """Record an attempt without an answer; return whether to eject its server for that."""
--- a/forkweir/limits/fetch_budget.py
+++ b/forkweir/limits/fetch_budget.py
@@ -16,7 +16,7 @@
 The budget limits fetches while most of them are slow: from the moment at which more than
 SLOW_TO_LIMIT of them lately failed, timed out or took longer than SLOW_AIM_FRACTION of their aims,
 until fewer than SLOW_TO_RELEASE do. Meanwhile the expected number of fetches in flight is kept
-under a limit. The limit starts at LIMIT_DECREASE times the usual number in flight. While fetches
+under a limit. The limit starts at LIMIT_DECREASE times the mean number in flight. While fetches
 are that slow it is decreased again once in DECREASE_INTERVAL_MS, the time that the effect of a
 decrease may take to show. It grows by LIMIT_INCREASE for each round of fetches answered in time.
 Requests that are expected to hit go on, requests that would not be answered in time are refused at
@@ -51,7 +51,7 @@
 # thresholds cost), and below which it stops.
 SLOW_TO_LIMIT = 0.8
 SLOW_TO_RELEASE = 0.6
-USUAL_WEIGHT = 0.01
+MEAN_IN_FLIGHT_WEIGHT = 0.01
 # Growth of the limit for as many good fetches as it allows.
 LIMIT_INCREASE = 2.0
 LIMIT_DECREASE = 0.8
@@ -74,7 +74,7 @@
         "known_miss_rate",
         "unknown_miss_rate",
         "slow_share",
-        "usual_in_flight",
+        "mean_in_flight",
         "limiting",
         "_decreased_ms",
         "_max_value",
@@ -90,7 +90,7 @@
         self.in_flight = 0.0  # expected
         self.known_miss_rate = INITIAL_KNOWN_MISS_RATE
         self.unknown_miss_rate = INITIAL_UNKNOWN_MISS_RATE
-        self.usual_in_flight = MIN_LIMIT  # moving average over the attempts sent
+        self.mean_in_flight = MIN_LIMIT  # moving average over the attempts sent
         self.limiting = False
         self.slow_share = 0.0  # moving average of the share of slow fetches
         self._decreased_ms = 0.0
@@ -120,9 +120,7 @@
     @property
     def prospective_limit(self) -> float:
         """The limit in force, or the one with which limiting would start."""
-        return (
-            self.limit if self.limiting else max(MIN_LIMIT, LIMIT_DECREASE * self.usual_in_flight)
-        )
+        return self.limit if self.limiting else max(MIN_LIMIT, LIMIT_DECREASE * self.mean_in_flight)
 
     @property
     def fetch_ms(self) -> float:
@@ -133,7 +131,7 @@
     def record_start(self, cost: float) -> None:
         """Record an attempt that is sent."""
         self.in_flight += cost
-        self.usual_in_flight += USUAL_WEIGHT * (self.in_flight - self.usual_in_flight)
+        self.mean_in_flight += MEAN_IN_FLIGHT_WEIGHT * (self.in_flight - self.mean_in_flight)
 
     def record_end(self, cost: float, now: Optional[float] = None) -> None:
         """Record an attempt that ended; now is given if it was answered or its time ran out."""
@@ -148,7 +146,7 @@
         return max(0.0, excess) / end_rate if end_rate > 0.0 else None
 
     def record_served(self, position: float, server: str, write: bool, now: float) -> None:
-        """Record an answer: the server now caches the key, or a write has voided all copies."""
+        """Record an answer: the server caches the key now, or a write invalidated all copies."""
         entry = self._last_server.get(position)
         if entry is not None:
             if not write and entry[0] == server and now - entry[1] < REFRESH_MS:
@@ -176,7 +174,7 @@
         if not self.limiting:
             if self.slow_share > SLOW_TO_LIMIT:
                 self.limiting, self._decreased_ms = True, now
-                self.limit = max(MIN_LIMIT, LIMIT_DECREASE * self.usual_in_flight)
+                self.limit = max(MIN_LIMIT, LIMIT_DECREASE * self.mean_in_flight)
         elif self.slow_share < SLOW_TO_RELEASE:
             self.limiting = False
         elif self.slow_share > SLOW_TO_LIMIT:
--- a/testbed/nights/defects.py
+++ b/testbed/nights/defects.py
@@ -80,8 +80,10 @@
 def ignores_a_drain() -> list[Patch]:
     take = Fleet.apply_list
 
-    def without_drains(self: Any, now: float, entries: Any, full: bool, whole: bool = True) -> None:
-        take(self, now, [entry for entry in entries if entry.state == "in"], False, whole)
+    def without_drains(
+        self: Any, now: float, entries: Any, full: bool, complete: bool = True
+    ) -> None:
+        take(self, now, [entry for entry in entries if entry.state == "in"], False, complete)
 
     return [
         (Fleet, "apply_list", without_drains),
@@ -248,7 +250,7 @@
 @defect("a planned restart closes connections at once")
 def drops_what_is_held_at_a_drain() -> list[Patch]:
     async def drain(self: Any) -> None:
-        self.duty.end(seam.now_ms())
+        self.lifecycle.end(seam.now_ms())
         self._listener.close()
         for connection in list(self._connections):
             connection.abort()
@@ -278,7 +280,7 @@
     start = Node._start
 
     def forever(self: Any, call_id: int, name: str, within_ms: float) -> None:
-        call = self._calls.get(call_id)
+        call = self._requests.get(call_id)
         if call is not None:
             call.deadline_ms += 60_000.0
             if call.backstop is not None:
@@ -310,13 +312,13 @@
         return request.tries > 0 or has_capacity(self, member, request, now)
 
     def sends(self: Any, request: Any, member: Any, now: float) -> Any:
-        account = member.account
+        bucket = member.token_bucket
         if request.tries:
-            member.account = None
+            member.token_bucket = None
         try:
             return send(self, request, member, now)
         finally:
-            member.account = account
+            member.token_bucket = bucket
 
     return [(Balancer, "_has_capacity", has_room), (Balancer, "_send", sends)]
 
@@ -326,29 +328,31 @@
     has_capacity = Balancer._has_capacity
 
     def has_room(self: Any, member: Any, request: Any, now: float) -> bool:
-        account = member.account
-        if account is not None and now - account.at > 150.0:
+        bucket = member.token_bucket
+        if bucket is not None and now - bucket.at > 150.0:
             # 2,000 ms is the window of the rule on cold servers.
-            account.level += self.allowances.reference(self.fleet.weight) * 2_000.0
+            bucket.level += self.slow_start.reference(self.fleet.weight) * 2_000.0
         return has_capacity(self, member, request, now)
 
     def has(
-        self: SlowStart, account: TokenBucket, rate: float, cost: float, worth: float, now: float
+        self: SlowStart, bucket: TokenBucket, rate: float, cost: float, value: float, now: float
     ) -> bool:
-        account.level += rate * (now - account.at)
-        account.at = now
-        return account.level >= cost
+        bucket.level += rate * (now - bucket.at)
+        bucket.at = now
+        return bucket.level >= cost
 
     return [(Balancer, "_has_capacity", has_room), (SlowStart, "may_send", has)]
 
 
 @defect("a source that names no server any more empties the set")
 def believes_an_emptied_source() -> list[Patch]:
-    def fall(self: Any, source: str, view: Any, missing: Any, moved: Any, now: float) -> None:
+    def remove_missing(
+        self: Any, source: str, view: Any, missing: Any, moved: Any, now: float
+    ) -> None:
         for address in missing:
-            self._bury(view, address, now)
+            self._add_tombstone(view, address, now)
 
-    return [(Membership, "_fall", fall)]
+    return [(Membership, "_remove_missing", remove_missing)]
 
 
 @defect("a DNS answer is accepted whichever query it is for")
--- a/testbed/tier/processes.py
+++ b/testbed/tier/processes.py
@@ -751,8 +751,8 @@
         for name, cold in self.observer.cold_boxes.items():
             if cold.peak_budget_use() > 1.0:
                 failures.append(
-                    f"no cold server pushed over: {name} got {cold.peak_budget_use():.2f} of its budget "
-                    "from all nodes together"
+                    f"no cold server pushed over: {name} got {cold.peak_budget_use():.2f} "
+                    "of its budget from all nodes together"
                 )
         for node in self.nodes:
             for node_process in node.processes:
--- a/testbed/tier/virtual.py
+++ b/testbed/tier/virtual.py
@@ -32,7 +32,7 @@
             "failed": totals.failed,
             "unanswered": totals.unanswered,
         },
-        "usual": round(result.usual, 4),
+        "usual": round(result.majority_box_share, 4),
         "fetches": result.fetches,
         "leases": result.leases,
         "most_held": {str(limit): shares for limit, shares in sorted(result.max_held.items())},
--- a/tests/test_bulk.py
+++ b/tests/test_bulk.py
@@ -19,7 +19,7 @@
 )
 
 from corkshift.budget import MAX_BODY_BYTES, MAX_BUFFERED_BODY_BYTES
-from corkshift.relay import BodyAborted, Relay
+from corkshift.relay import BodyAborted, BodyPipe
 from testbed.systems.http import Connection, Message
 
 BODY = random.Random(1).randbytes(1 << 20)
@@ -97,7 +97,9 @@
 
 
 @pytest.mark.parametrize("form", [sized, chunked])
-def test_a_large_answer_is_passed_on_from_its_first_bytes_and_comes_whole(form: object) -> None:
+def test_a_large_response_is_streamed_from_its_first_bytes_and_arrives_complete(
+    form: object,
+) -> None:
     # A large response must be streamed, not held until it is complete.
     async def test() -> None:
         data = sized(BODY) if form is sized else chunked(BODY)
@@ -206,7 +208,7 @@
 
 
 @pytest.mark.parametrize("form", ["sized", "chunked"])
-def test_a_large_body_reaches_its_server_whole_and_the_connection_goes_on(form: str) -> None:
+def test_a_large_body_reaches_its_server_complete_and_the_connection_stays_open(form: str) -> None:
     async def test() -> None:
         async with rig({"s0": CacheBox()}) as made:
             reader, writer = await asyncio.open_connection("127.0.0.1", made.port)
@@ -409,10 +411,10 @@
     run_async(test)
 
 
-def test_a_small_answer_is_checked_whole_before_any_of_it_goes_out() -> None:
+def test_a_small_response_is_checked_completely_before_any_of_it_is_forwarded() -> None:
     async def test() -> None:
-        spoil = iter([ok_response(b"x" * 5_000)[:-10]])
-        box = CacheBox(lambda head: next(spoil, None) or default_answer(head))
+        truncated = iter([ok_response(b"x" * 5_000)[:-10]])
+        box = CacheBox(lambda head: next(truncated, None) or default_answer(head))
         async with rig({"s0": box}) as made:
             asked = asyncio.create_task(made.ask("a"))
             await until(lambda: len(box.heads) == 1)
@@ -428,7 +430,7 @@
     # Each side pauses at points drawn from the seed: no wake-up may be lost between two waits.
     async def test() -> None:
         rng = random.Random(seed)
-        relay, given, taken = Relay(), [b"%d" % n for n in range(60)], []
+        relay, given, taken = BodyPipe(), [b"%d" % n for n in range(60)], []
         end = rng.choice(("end", "fail", "close"))
 
         async def write() -> bool:
--- a/tests/test_lost_lines.py
+++ b/tests/test_lost_lines.py
@@ -217,7 +217,7 @@
 
 
 def test_an_unreadable_line_does_not_remove_the_last_server_from_a_later_list() -> None:
-    # Guards against entries of a corrupt line, whatever its generation, that outrank the next whole
+    # Guards against entries of a corrupt line, whatever its generation, that outrank the next full
     # list and leave no server in service.
     async def test() -> None:
         async with rig(boxes()) as made:
@@ -229,7 +229,7 @@
             )
             await until(lambda: len(serving(made)) == 1)
             last = serving(made)
-            # The next whole list has arrived.
+            # The next full list has arrived.
             await until(lambda: bool(made.discovery.address_book._superseded))
             assert serving(made) == last and status(await made.ask("a")) == 200
 
--- a/tests/test_narrow_moments.py
+++ b/tests/test_narrow_moments.py
@@ -148,7 +148,7 @@
             await until(lambda: len(requested_paths(made)) == 2)
             queued = [client(made, request(f"b{n}", path=f"/api/b{n}")) for n in range(3)]
             draining = asyncio.create_task(made.frontend.drain())
-            await until(lambda: not made.frontend.duty.keeps_connections)
+            await until(lambda: not made.frontend.lifecycle.keeps_connections)
             # By then the drain has tried several times to accept them, without capacity.
             retried_until = asyncio.get_running_loop().time() + 0.8
             await until(lambda: asyncio.get_running_loop().time() > retried_until)
@@ -174,7 +174,7 @@
             )
         )
         async with rig({"s0": box}) as made:
-            made.frontend.duty.end(now_ms())
+            made.frontend.lifecycle.end(now_ms())
             sock = client(made, request("a", path="/api/large"), 4_096)
             await until(
                 lambda: any(
@@ -283,7 +283,7 @@
             # The server's drain grace of 250 ms is over when the connect completes.
             made.node.servers["s0"].leaving_ms = now_ms() - 400.0
             complete_connects()
-            await until(lambda: not made.node._calls)
+            await until(lambda: not made.node._requests)
             assert received == b""
             request_task.cancel()
             listener.close()
@@ -314,7 +314,7 @@
                 await until(lambda: bool(made.node._running))
                 # As if an earlier attempt had been sent: this one starts its connect within the
                 # repeat window of 2 s, which is over when the connect completes.
-                made.node._calls[1].first_attempt_sent_ms = now_ms() - 2_100.0
+                made.node._requests[1].first_attempt_sent_ms = now_ms() - 2_100.0
                 complete_connects()
                 await request_task
             assert requested_paths(made) == []
--- a/tests/tier/test_tier_members.py
+++ b/tests/tier/test_tier_members.py
@@ -50,8 +50,8 @@
     probed, relayed, now = set[int](), set[int](), 0.0
     while m.state(1) != "dead":
         for probe in m.tick(now):
-            (relayed if probe.relay >= 0 else probed).add(probe.to)
-            if probe.to == 2 and probe.relay < 0:
+            (relayed if probe.relay >= 0 else probed).add(probe.target)
+            if probe.target == 2 and probe.relay < 0:
                 m.on_ack(probe.number)  # only node 2 answers
         if m.state(1) == "suspect":
             assert (1, 5, SUSPECT) in m.updates_for(1)
@@ -59,18 +59,18 @@
         assert now < 12_000.0
     assert probed == {1, 2} and relayed == {1} and m.state(2) == "alive"
     # A dead node is still probed from time to time.
-    assert any(probe.to == 1 for n in range(40) for probe in m.tick(now + 125.0 * n))
+    assert any(probe.target == 1 for n in range(40) for probe in m.tick(now + 125.0 * n))
 
 
-def test_a_stalled_node_suspects_nobody_for_its_own_pause() -> None:
+def test_a_stalled_node_suspects_no_other_node_for_its_own_pause() -> None:
     m = members(3)
     m.apply_updates(((1, 5, ALIVE), (2, 5, ALIVE)), 0.0)
     for n in range(4):
         m.tick(125.0 * n)
     m.tick(10_000.0)  # drops the pending probes
     assert {m.state(1), m.state(2)} == {"alive"} and m.slowness == 2
-    usual = members(3).suspicion_ms
-    assert m.suspicion_ms == 2.0 * usual
+    unstalled_ms = members(3).suspicion_ms
+    assert m.suspicion_ms == 2.0 * unstalled_ms
 
 
 def test_a_death_spreads_soon_and_a_short_pause_is_not_one() -> None:
