--- a/benchmarks/tier.py
+++ b/benchmarks/tier.py
@@ -277,15 +277,15 @@
         rows = dict(zip(cases, pool.map(_run_calm_scenario, cases), strict=True))
     for kind in kinds:
         kind_rows = [rows[kind, seed] for seed in seeds]
-        usual, fetches, in_time = (
+        at_usual_box, fetches, in_time = (
             statistics.fmean(row[name] for row in kind_rows)
             for name in ("usual", "fetches", "in_time")
         )
         print(
-            f"tier {kind:<7} {usual:.4f} of reads at their key's usual box, "
+            f"tier {kind:<7} {at_usual_box:.4f} of reads at their key's usual box, "
             f"{fetches:.0f} fetches, {in_time:.4f} in time"
         )
-        results[kind] = {"usual": usual, "fetches": fetches, "in_time": in_time}
+        results[kind] = {"usual": at_usual_box, "fetches": fetches, "in_time": in_time}
     away = {kind: 1.0 - results[kind]["usual"] for kind in kinds}
     print(
         f"reads elsewhere: {away['on'] / away['off']:.2f} of those without (aim {ELSEWHERE_AIM:g})"
