--- a/corkshift/discovery.py
+++ b/corkshift/discovery.py
@@ -232,7 +232,7 @@
                 async with self.loop_lag.timeout(LINE_PAUSE_S if pausing else None):
                     return await watch.next_data()
             except TimeoutError:
-                if watch.stream is not None and not watch.stream.no_input:
+                if watch.stream is not None and not watch.stream.open_without_input:
                     continue  # input arrived while this node was stalled
                 if pausing:
                     self._apply_unconfirmed(watch.parser.partial_line())
--- a/corkshift/frontend.py
+++ b/corkshift/frontend.py
@@ -108,7 +108,10 @@
     def idle(self) -> bool:
         """Whether no request is open or partly read, and no input waits."""
         return not (
-            self._pending or self.partial or self._large_body_parser or self._stream.has_input
+            self._pending
+            or self.partial
+            or self._large_body_parser
+            or self._stream.has_buffered_input
         )
 
     @property
@@ -126,7 +129,7 @@
         """
         if (
             not self.lingering and (self._pending or self._large_body_parser)
-        ) or not self._stream.no_input:
+        ) or not self._stream.open_without_input:
             return False
         self._stream.close()
         self._task.cancel()
@@ -163,7 +166,11 @@
         A FIN stays unread while the process was paused or while the read buffer is full.
         """
         stream = self._stream
-        if self._requests and not (stream.reading and stream.no_input) and stream.peer_left:
+        if (
+            self._requests
+            and not (stream.reading and stream.open_without_input)
+            and stream.peer_left
+        ):
             self._cancel_requests()
             self.abort()
 
@@ -241,8 +248,8 @@
             self._mark_idle()
             if not (data := await self._stream.read()):
                 return None
-        if (following := await self._read_simple(data)) is not None:
-            return following
+        if (next_data := await self._read_simple(data)) is not None:
+            return next_data
         self.partial = True
         if self.served or self._pending:
             self.since_ms = now_ms()
@@ -283,7 +290,7 @@
 
     def _reserve_body(self, request: Optional[ClientRequest], size: int) -> None:
         """Reserve `size` bytes of the body budget, or reject the request with status 503."""
-        if not self._frontend.budget.reserve(size):
+        if not self._frontend.body_budget.reserve(size):
             if request is not None:
                 self._frontend.node.count_unadmitted(request.class_name, "no-room")
             raise Rejected(503)
@@ -297,11 +304,11 @@
         if request is None and head.method != b"GET":
             raise Rejected(405)
         self.since_ms = now_ms()  # the body has a time limit of its own
-        budget, buffered = self._frontend.budget, 0
+        body_budget, buffered = self._frontend.body_budget, 0
         try:
-            pieces, progress_bytes, unbuffered = SmallPieceDetector(), 0, b""
+            detector, progress_bytes, unbuffered = SmallPieceDetector(), 0, b""
             while not isinstance(event := await self._event(parser), h11.EndOfMessage):
-                if not isinstance(event, h11.Data) or pieces.too_small(
+                if not isinstance(event, h11.Data) or detector.too_small(
                     len(event.data), self._reads
                 ):
                     raise Rejected(400)
@@ -318,10 +325,10 @@
                 if request is not None:
                     _append_body(request.body, event.data)
         except BaseException:
-            budget.release(buffered)
+            body_budget.release(buffered)
             raise
         if request is None:
-            budget.release(buffered)
+            body_budget.release(buffered)
             await self._enqueue(
                 parser,
                 _completed(
@@ -338,12 +345,12 @@
 
     def _admit(self, request: ClientRequest, buffered: int) -> asyncio.Future[Response]:
         """Submit a request with `buffered` bytes of body; return its response's future."""
-        budget = self._frontend.budget
+        body_budget = self._frontend.body_budget
         if self._frontend.node.is_recent_id(request.txn):
-            budget.release(buffered)
+            body_budget.release(buffered)
             raise Rejected(409)
         if self._frontend.node.full:
-            budget.release(buffered)
+            body_budget.release(buffered)
             self._frontend.node.count_unadmitted(request.class_name, "full")
             return _completed(self._frontend.node.busy_response)
         # A client may have left while its connection waited in the backlog, as happens when the
@@ -352,8 +359,8 @@
         # clients that have left. If more bytes precede the FIN than were read, only the kernel
         # knows of it.
         stream, new = self._stream, not (self.served or self._pending)
-        if (stream.last_read_full or (new and not stream.no_input)) and stream.peer_left:
-            budget.release(buffered)
+        if (stream.last_read_full or (new and not stream.open_without_input)) and stream.peer_left:
+            body_budget.release(buffered)
             raise ConnectionAbortedError("the client has left")
         if buffered:  # nearly all requests have no body, so nothing to release
             request.response.add_done_callback(lambda _: self._release_body(request, buffered))
@@ -375,8 +382,8 @@
         bound_ms = max(queued_ms, self._frontend.loop_lag.unread_ms())
         if not bound_ms:
             return 0.0
-        unread_ms = self._stream.unread_ms
-        return bound_ms if unread_ms is None else min(bound_ms, unread_ms)
+        since_last_receive_ms = self._stream.unread_ms
+        return bound_ms if since_last_receive_ms is None else min(bound_ms, since_last_receive_ms)
 
     async def _read_large_body(
         self, parser: h11.Connection, request: ClientRequest, buffered: int, piece: bytes
@@ -393,25 +400,25 @@
             body_rest.close()  # the request was refused
         self._large_body_parser = parser
         await self._enqueue(parser, response)
-        size, pieces, progress_bytes = buffered + len(piece), SmallPieceDetector(), 0
+        size, detector, progress_bytes = buffered + len(piece), SmallPieceDetector(), 0
         loop = asyncio.get_running_loop()
         due = loop.time() + REQUEST_TIMEOUT_MS / 1000.0
         try:
             await body_rest.put(piece)
-            async with asyncio.timeout_at(due) as limit:
+            async with asyncio.timeout_at(due) as timeout:
                 while not isinstance(event := await self._event(parser), h11.EndOfMessage):
-                    if not isinstance(event, h11.Data) or pieces.too_small(
+                    if not isinstance(event, h11.Data) or detector.too_small(
                         len(event.data), self._reads
                     ):
                         raise Rejected(400)
                     size += len(event.data)
                     if size > MAX_BODY_BYTES:
                         raise Rejected(413)
-                    limit.reschedule(None)
+                    timeout.reschedule(None)
                     await body_rest.put(bytes(event.data))
                     if size - progress_bytes >= MIN_PROGRESS_BYTES:
                         progress_bytes, due = size, loop.time() + REQUEST_TIMEOUT_MS / 1000.0
-                    limit.reschedule(due)
+                    timeout.reschedule(due)
             body_rest.end()
             self._large_body_parser = None
             self._mark_idle()
@@ -423,7 +430,7 @@
 
     def _release_body(self, request: ClientRequest, buffered: int) -> None:
         request.body.clear()
-        self._frontend.budget.release(buffered)
+        self._frontend.body_budget.release(buffered)
 
     async def _event(self, parser: h11.Connection) -> object:
         if parser.they_are_waiting_for_100_continue and not self._pending:
@@ -445,10 +452,10 @@
             not self._frontend.lifecycle.keeps_connections
             and self._pending == 1
             and not self.partial
-            and not self._stream.has_input
+            and not self._stream.has_buffered_input
         )
-        request_complete = parser.their_state is h11.DONE or parser is self._large_body_parser
-        keep = request_complete and response.status in KEEP_ALIVE_STATUSES and not last
+        can_read_on = parser.their_state is h11.DONE or parser is self._large_body_parser
+        keep = can_read_on and response.status in KEEP_ALIVE_STATUSES and not last
         if not keep and self._reader is not None:
             # Reading stops before the write, which may take a while. A request that arrives from
             # now on stays unread, so its client can send it elsewhere; otherwise it could be
@@ -502,7 +509,8 @@
     """All client connections of a node.
 
     limit: maximum number of connections. body_bytes: budget of buffered request bodies.
-    shared: whether other processes accept on the same socket. leave: the phases of a drain.
+    shared: whether other processes accept on the same socket.
+    shutdown_schedule: the phases of the shutdown.
     """
 
     def __init__(
@@ -512,13 +520,13 @@
         limit: int,
         body_bytes: int,
         shared: bool = False,
-        leave: Optional[ShutdownSchedule] = None,
+        shutdown_schedule: Optional[ShutdownSchedule] = None,
         loop_lag: Optional[LoopLagMonitor] = None,
     ) -> None:
         self.node = node
         self.loop_lag = loop_lag or LoopLagMonitor()
-        self._leave = leave or ShutdownSchedule(MAX_COUNTED_DEADLINE_MS)
-        self.budget = BodyBudget(body_bytes)
+        self._shutdown_schedule = shutdown_schedule or ShutdownSchedule(MAX_COUNTED_DEADLINE_MS)
+        self.body_budget = BodyBudget(body_bytes)
         self.lifecycle = Lifecycle()
         self.started = False
         self._shared = shared
@@ -528,7 +536,7 @@
         self._unused: dict[ClientConnection, None] = {}  # nothing received yet
         self._partial: dict[ClientConnection, None] = {}  # a request read in part
         self._idle: dict[ClientConnection, None] = {}  # idle after a response
-        self._empty = asyncio.Event()
+        self._all_closed = asyncio.Event()
         self._listener = Listener(listener, self._has_capacity, self._accept)
 
     @property
@@ -542,13 +550,13 @@
         self.started = True
         self._sweep()
 
-    async def drain(self) -> None:
+    async def shut_down(self) -> None:
         """Drain: accept for a while longer, finish the open requests, then close all connections.
 
         The phases end at the times of `ShutdownSchedule`. Requests that are still open at its
         `answer_ms` get an error response, and connections that remain at its `exit_ms` are reset.
         """
-        started_s, leave = asyncio.get_running_loop().time(), self._leave
+        started_s, schedule = asyncio.get_running_loop().time(), self._shutdown_schedule
         self.lifecycle.end(now_ms())
         if not self.started:
             self._listener.close()  # no connection has been accepted yet
@@ -556,12 +564,12 @@
         if self._shared:
             # The next process accepts what waits in the shared queue.
             self._listener.close()
-        await asyncio.sleep(leave.accept_ms / 1000.0)
+        await asyncio.sleep(schedule.accept_ms / 1000.0)
         if not self._shared:
             # Connections in the kernel's queue may hold requests that count as accepted, so all
             # of them are accepted as capacity allows.
             with suppress(TimeoutError):
-                async with asyncio.timeout_at(started_s + leave.answer_ms / 1000.0):
+                async with asyncio.timeout_at(started_s + schedule.answer_ms / 1000.0):
                     await self._listener.accept_queued()
             self._listener.close()
         await asyncio.sleep(LAST_READ_DELAY_S)
@@ -569,9 +577,9 @@
         for connection in list(self._connections):
             if not connection.partial:
                 connection.close_if_no_input("ending")
-        await self._wait_until_closed(started_s + leave.answer_ms / 1000.0)
+        await self._wait_until_closed(started_s + schedule.answer_ms / 1000.0)
         self.node.fail_open_requests()
-        await self._wait_until_closed(started_s + leave.exit_ms / 1000.0)
+        await self._wait_until_closed(started_s + schedule.exit_ms / 1000.0)
         for connection in list(self._connections):
             connection.abort()
 
@@ -580,8 +588,8 @@
         with suppress(TimeoutError):
             async with asyncio.timeout_at(end):
                 while self._connections:
-                    self._empty.clear()
-                    await self._empty.wait()
+                    self._all_closed.clear()
+                    await self._all_closed.wait()
 
     # -- bookkeeping ---------------------------------------------------------------------
 
@@ -605,7 +613,7 @@
         self.mark_busy(connection)
         self._connections.pop(connection, None)
         if not self._connections:
-            self._empty.set()
+            self._all_closed.set()
         self._listener.resume()
 
     # -- accepting -----------------------------------------------------------------------
@@ -639,12 +647,12 @@
         REQUEST_TIMEOUT_MS gets status 408.
         """
         now = now_ms()
-        for waiting, limit, cause in (
+        for waiting, limit_ms, cause in (
             (self._unused, FIRST_BYTE_TIMEOUT_MS, "silent"),
             (self._idle, IDLE_TIMEOUT_MS, "idle"),
         ):
             for connection in list(waiting):
-                if now - connection.since_ms <= limit:
+                if now - connection.since_ms <= limit_ms:
                     break
                 connection.close_if_no_input(cause)
         self._close_surplus(now)
@@ -665,13 +673,13 @@
         only just become idle are kept. During a drain, idle and unused connections are closed
         step by step.
         """
-        kept = [connection for connection in self._idle if not connection.lingering]
-        for connection in kept[: max(0, len(kept) - int(self._limit * MAX_IDLE_SHARE))]:
+        idle = [connection for connection in self._idle if not connection.lingering]
+        for connection in idle[: max(0, len(idle) - int(self._limit * MAX_IDLE_SHARE))]:
             if now - connection.since_ms <= EVICTION_GRACE_MS:
                 break
             connection.close_if_no_input("share")
-        if part := self.lifecycle.share_to_close(now, SWEEP_INTERVAL_S * 1000.0):
-            for connection in kept[: ceil(part * len(kept))]:
+        if share := self.lifecycle.share_to_close(now, SWEEP_INTERVAL_S * 1000.0):
+            for connection in idle[: ceil(share * len(idle))]:
                 connection.close_if_no_input("draining")
         if self.lifecycle.drain_over(now):
             for connection in [c for c in self._unused if now - c.since_ms > EVICTION_GRACE_MS]:
@@ -772,7 +780,7 @@
         raise Rejected(404)
     if not REQUEST_ID_PATTERN.fullmatch(txn) or not has_class(class_name):
         raise Rejected(400)
-    budget = headers.get(b"x-remaining-ms")
+    remaining_ms = headers.get(b"x-remaining-ms")
     return ClientRequest(
         method=method,
         target=target,
@@ -781,7 +789,7 @@
         class_name=class_name,
         org=headers.get(b"x-org", b"").decode("latin-1"),
         key=target.partition(b"?")[0].rpartition(b"/")[2].decode("latin-1") or None,
-        budget_ms=None if budget is None else _parse_number(budget),
+        budget_ms=None if remaining_ms is None else _parse_number(remaining_ms),
         work_ms=_parse_number(headers.get(b"x-estimate", b"0")) / 1000.0,
         repeated=headers.get(b"x-resent") == b"1",
         length=int(headers[b"content-length"]) if b"content-length" in headers else None,
--- a/corkshift/service.py
+++ b/corkshift/service.py
@@ -139,7 +139,7 @@
             if self.admin is not None:
                 self.admin.start()
         await self._stop.wait()
-        await self.frontend.drain()
+        await self.frontend.shut_down()
         self.loop_lag.close()
         if self.sources is not None:
             self.sources.close()
--- a/corkshift/stream.py
+++ b/corkshift/stream.py
@@ -77,12 +77,12 @@
         return None if self.closed else seam.ms_since_last_receive(self._sock)
 
     @property
-    def has_input(self) -> bool:
+    def has_buffered_input(self) -> bool:
         """Whether the buffer holds input."""
         return bool(self._in)
 
     @property
-    def no_input(self) -> bool:
+    def open_without_input(self) -> bool:
         """Whether the connection is open without any input, in the kernel's buffer either."""
         if not (self.closed or self.ended or self._in):
             self._readable()
--- a/corkshift/upstream.py
+++ b/corkshift/upstream.py
@@ -129,7 +129,7 @@
                 continue
             self._remove_idle(stream)
             # With short idle timeouts the periodic sweep alone would be too late.
-            if since_ms >= expired_before_ms and stream.no_input:
+            if since_ms >= expired_before_ms and stream.open_without_input:
                 return stream
             self.drop(stream)
         pause_s = LOCAL_RETRY_DELAY_S
@@ -168,7 +168,7 @@
 
     def keep(self, server: CacheServer, stream: Stream) -> None:
         """Keep a connection idle for the next attempt; close it if the server sends or closes."""
-        if server.leaving_ms is not None or not stream.no_input:
+        if server.leaving_ms is not None or not stream.open_without_input:
             self.drop(stream)
             return
         server.idle.append((now_ms(), stream))
--- a/corkshift/watch.py
+++ b/corkshift/watch.py
@@ -142,8 +142,8 @@
             self.answered
             and stream is not None
             and not stream.closed
-            and not stream.no_input
-            and stream.has_input
+            and not stream.open_without_input
+            and stream.has_buffered_input
         )
 
     def cancel_parallel_call(self) -> None:
--- a/testbed/nights/defects.py
+++ b/testbed/nights/defects.py
@@ -227,7 +227,7 @@
 
     return [
         (Attempt, "_release", release),
-        (Stream, "no_input", property(lambda self: not (self.closed or self.ended))),
+        (Stream, "open_without_input", property(lambda self: not (self.closed or self.ended))),
         (upstream, "MIN_IDLE_MS", 0.0),
     ]
 
@@ -249,13 +249,13 @@
 
 @defect("a planned restart closes connections at once")
 def drops_what_is_held_at_a_drain() -> list[Patch]:
-    async def drain(self: Any) -> None:
+    async def shut_down(self: Any) -> None:
         self.lifecycle.end(seam.now_ms())
         self._listener.close()
         for connection in list(self._connections):
             connection.abort()
 
-    return [(Frontend, "drain", drain)]
+    return [(Frontend, "shut_down", shut_down)]
 
 
 @defect("an idle connection is never closed")
--- a/testbed/nights/rules.py
+++ b/testbed/nights/rules.py
@@ -610,7 +610,7 @@
                 "tries": len(node._tries),
                 "attempts": len(node._attempts) + len(node._running),
                 "requests of the module": len(node._balancer.held),
-                "bytes of bodies": service.frontend.budget.used,
+                "bytes of bodies": service.frontend.body_budget.used,
                 "client connections": len(service.frontend._connections),
                 # A watch that lost a line is read on until another has received one, whose call
                 # may be due only after the end (seed 10101004).
--- a/testbed/systems/clients.py
+++ b/testbed/systems/clients.py
@@ -308,7 +308,7 @@
             connection = idle.pop()
             if connection.has_no_unsolicited_input:
                 return connection
-            if connection.stream.has_input:
+            if connection.stream.has_buffered_input:
                 self._observer.unsolicited_input(node)
             connection.stream.close()
         return await open_connection(self.nodes[node], 1.0)
--- a/testbed/systems/http.py
+++ b/testbed/systems/http.py
@@ -58,7 +58,7 @@
     @property
     def has_no_unsolicited_input(self) -> bool:
         """Whether no input has arrived since the last message."""
-        return not self._extra_input and self.stream.no_input
+        return not self._extra_input and self.stream.open_without_input
 
     def start_next_exchange(self) -> None:
         """Prepare for the next exchange on this connection."""
--- a/testbed/tier/processes.py
+++ b/testbed/tier/processes.py
@@ -285,7 +285,7 @@
 
     # -- setup ---------------------------------------------------------------------------
 
-    async def _open(self) -> None:
+    async def _set_up(self) -> None:
         world = self.script.world
         self.book.listen()
         self.discovery.listen()
@@ -485,7 +485,7 @@
         world = self.script.world
         started_s = time.monotonic()
         try:
-            await self._open()
+            await self._set_up()
             joining_slots = {
                 n
                 for fault in self.script.fault
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -166,7 +166,7 @@
         sockets: int,
         options: dict[str, Any],
         clients: int,
-        leave: ShutdownSchedule | None,
+        shutdown_schedule: ShutdownSchedule | None,
         dial_s: float,
     ) -> None:
         config = Config(
@@ -193,7 +193,12 @@
         self.node = Node(config, self.pool, sockets)
         listener = seam.bind_listener(config.listen, KERNEL_BUFFER_BYTES)
         self.frontend = Frontend(
-            self.node, listener, clients, 1 << 20, leave=leave, loop_lag=self.loop_lag
+            self.node,
+            listener,
+            clients,
+            1 << 20,
+            shutdown_schedule=shutdown_schedule,
+            loop_lag=self.loop_lag,
         )
         self.discovery = Discovery(self.node, self.pool, config.discovery, loop_lag=self.loop_lag)
         self.node.follow = self.discovery.follow
@@ -245,7 +250,7 @@
     sockets: int = 64,
     options: dict[str, Any] = OPTIONS,
     clients: int = 0,
-    leave: ShutdownSchedule | None = None,
+    shutdown_schedule: ShutdownSchedule | None = None,
     dial_s: float = 5.0,
 ) -> AsyncIterator[Rig]:
     """Run a node with these cache servers.
@@ -256,7 +261,9 @@
         box.listen()
     registry = Registry(boxes)
     registry.start()
-    made = Rig(boxes, registry, sockets, options, clients or sockets // 2, leave, dial_s)
+    made = Rig(
+        boxes, registry, sockets, options, clients or sockets // 2, shutdown_schedule, dial_s
+    )
     made.discovery.start({})
     made.discovery.follow()
     made.frontend.start()
--- a/tests/test_bulk.py
+++ b/tests/test_bulk.py
@@ -92,7 +92,9 @@
 
 async def until_idle(made: Rig) -> None:
     await until(
-        lambda: not made.node._attempts and not made.node.open and not made.frontend.budget.used
+        lambda: (
+            not made.node._attempts and not made.node.open and not made.frontend.body_budget.used
+        )
     )
 
 
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -65,7 +65,7 @@
             assert 400 <= status(answer) < 600 and answer.count(b"HTTP/1.1") == 1
             assert status(await made.ask("fine")) == 200
             assert [b"X-Txn: fine" in head for head in box.heads] == [True]
-            assert made.frontend.budget.used == 0
+            assert made.frontend.body_budget.used == 0
 
     run_async(test)
 
@@ -132,7 +132,7 @@
                 == 200
             )
             assert box.bodies == [body]
-            await until(lambda: made.frontend.budget.used == 0)
+            await until(lambda: made.frontend.body_budget.used == 0)
 
     run_async(test)
 
@@ -173,7 +173,7 @@
                 or node._tries
                 or node._attempts
                 or node._balancer.held
-                or frontend.budget.used
+                or frontend.body_budget.used
             )
             assert not (frontend._unused or frontend._partial or frontend._idle)
             made.pool.close()
--- a/tests/test_customers.py
+++ b/tests/test_customers.py
@@ -192,9 +192,11 @@
     assert set(node._windows) == {
         name for name, c in classes.items() if c["idempotency"] == "keyed"
     }
-    leave = ShutdownSchedule(longest)
-    assert leave.accept_ms < leave.answer_ms < leave.exit_ms < min(longest, 3_000.0) + 700.0
-    assert leave.accept_ms + longest < leave.answer_ms or longest > 3_000.0
+    schedule = ShutdownSchedule(longest)
+    assert (
+        schedule.accept_ms < schedule.answer_ms < schedule.exit_ms < min(longest, 3_000.0) + 700.0
+    )
+    assert schedule.accept_ms + longest < schedule.answer_ms or longest > 3_000.0
 
 
 @pytest.mark.parametrize("path", SITES, ids=lambda path: path.stem)
@@ -421,12 +423,12 @@
     # With deadlines of 20 s, SIGKILL comes long before: connections must not close without a
     # response.
     async def test() -> None:
-        leave = ShutdownSchedule(1_000.0)
-        leave.accept_ms, leave.answer_ms, leave.exit_ms = 20.0, 100.0, 25_000.0
-        async with rig({"s0": CacheBox(lambda head: None)}, leave=leave) as made:
+        schedule = ShutdownSchedule(1_000.0)
+        schedule.accept_ms, schedule.answer_ms, schedule.exit_ms = 20.0, 100.0, 25_000.0
+        async with rig({"s0": CacheBox(lambda head: None)}, shutdown_schedule=schedule) as made:
             asking = asyncio.create_task(made.send(request("a")))
             await until(lambda: bool(made.boxes["s0"].heads))
-            await made.frontend.drain()
+            await made.frontend.shut_down()
             assert status(await asking) == 504
 
     run_async(test)
--- a/tests/test_narrow_moments.py
+++ b/tests/test_narrow_moments.py
@@ -117,23 +117,23 @@
 # -- SIGTERM -------------------------------------------------------------------------------------
 
 
-def test_a_request_completed_after_the_drain_began_is_answered() -> None:
+def test_a_request_completed_after_the_shutdown_began_is_answered() -> None:
     async def test() -> None:
-        async with rig({"s0": CacheBox()}, leave=shutdown_schedule()) as made:
+        async with rig({"s0": CacheBox()}, shutdown_schedule=shutdown_schedule()) as made:
             sock, rest = await send_partial_request(made)
-            draining = asyncio.create_task(made.frontend.drain())
+            shutting_down = asyncio.create_task(made.frontend.shut_down())
             await until(lambda: made.frontend._listener._sock.fileno() == -1)
             # By then the drain has closed all idle connections.
             idle_closed_at = asyncio.get_running_loop().time() + 0.1
             await until(lambda: asyncio.get_running_loop().time() > idle_closed_at)
             sock.sendall(rest)
             assert status(await read(sock)) == 200
-            await draining
+            await shutting_down
 
     run_async(test)
 
 
-def test_connections_queued_when_the_drain_begins_are_served() -> None:
+def test_connections_queued_when_the_shutdown_begins_are_served() -> None:
     async def test() -> None:
         release = asyncio.Event()
 
@@ -142,12 +142,12 @@
             return default_answer(head)
 
         async with rig(
-            {"s0": CacheBox(respond_late)}, clients=2, leave=shutdown_schedule()
+            {"s0": CacheBox(respond_late)}, clients=2, shutdown_schedule=shutdown_schedule()
         ) as made:
             admitted = [client(made, request(f"a{n}", path=f"/api/{n}")) for n in range(2)]
             await until(lambda: len(requested_paths(made)) == 2)
             queued = [client(made, request(f"b{n}", path=f"/api/b{n}")) for n in range(3)]
-            draining = asyncio.create_task(made.frontend.drain())
+            shutting_down = asyncio.create_task(made.frontend.shut_down())
             await until(lambda: not made.frontend.lifecycle.keeps_connections)
             # By then the drain has tried several times to accept them, without capacity.
             retried_until = asyncio.get_running_loop().time() + 0.8
@@ -156,7 +156,7 @@
             for sock in (*admitted, *queued):
                 assert status(await read(sock)) == 200
                 sock.close()
-            await draining
+            await shutting_down
 
     run_async(test)
 
@@ -184,7 +184,9 @@
             )
             connection = only_connection(made)
             sock.sendall(request("b"))
-            await until(lambda: connection._stream.has_input or len(requested_paths(made)) == 2)
+            await until(
+                lambda: connection._stream.has_buffered_input or len(requested_paths(made)) == 2
+            )
             received = b""
             while chunk := await read(sock):
                 received += chunk
--- a/tests/testbed/test_parity.py
+++ b/tests/testbed/test_parity.py
@@ -244,7 +244,7 @@
     a, b = await raw_pair()
     other = Stream(b)
     a.send(b"before")
-    await until(lambda: other.has_input)
+    await until(lambda: other.has_buffered_input)
     a.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     a.close()
     await until(lambda: other.ended)
@@ -368,7 +368,11 @@
 @scenario
 async def an_unresponsive_peer_is_a_timeout_and_nothing_else() -> Seen:
     a, b = await pair()
-    seen: Seen = [await result_or_error(asyncio.wait_for(a.read(), 0.05)), a.ended, a.no_input]
+    seen: Seen = [
+        await result_or_error(asyncio.wait_for(a.read(), 0.05)),
+        a.ended,
+        a.open_without_input,
+    ]
     a.expire()
     return [*seen, await result_or_error(a.read()), await b.write(b"late"), await a.read()]
 
@@ -428,7 +432,7 @@
     job = asyncio.create_task(a.write(bytes(2_000_000), until_input=True))
     await b.read()
     await b.write(b"enough")
-    await until(lambda: a.has_input)
+    await until(lambda: a.has_buffered_input)
     while not job.done():
         await b.read()
     return [await job, await a.read()]
