--- a/corkshift/frontend.py
+++ b/corkshift/frontend.py
@@ -1,4 +1,9 @@
-"""Client side of the node: client connections, their limits, and the drain at a planned restart."""
+"""Client side of the node: client connections, their limits, drain and shutdown.
+
+While the node is quiesced, a drain closes idle connections step by step; it can be undone. The
+shutdown after SIGTERM ends all connections and cannot be undone. `forkweir.limits.lifecycle` has
+the times of both.
+"""
 
 from __future__ import annotations
 
@@ -41,13 +46,14 @@
 MIN_PROGRESS_BYTES = 16_384
 # A connection that stays idle after a response for this long is closed.
 IDLE_TIMEOUT_MS = 10_000.0
-# Largest share of the client connection limit that idle connections may hold.
+# Largest share of the client connection limit that idle connections may hold, so that the rest is
+# left for active clients; see `Frontend._close_surplus`.
 MAX_IDLE_SHARE = 1 / 3
 # Interval at which the time limits are enforced.
 SWEEP_INTERVAL_S = 0.2
 # At the connection limit, a new connection that has sent nothing for this long may be evicted.
 EVICTION_GRACE_MS = 100.0
-# Wait during a drain in which the connections accepted last deliver their first bytes.
+# Wait during a shutdown in which the connections accepted last deliver their first bytes.
 LAST_READ_DELAY_S = 0.02
 
 REQUEST_ID_PATTERN = re.compile(rb"[!-~]{1,128}")
@@ -64,9 +70,11 @@
 # A connection is kept after these responses if the request was read completely.
 KEEP_ALIVE_STATUSES = {200, 500, 502, 503, 504}
 REASON_PHRASES = {status.value: status.phrase.encode() for status in HTTPStatus}
+# Known methods that the node does not support get status 405; unknown ones get 501.
 UNSUPPORTED_METHODS = {b"HEAD", b"POST", b"DELETE", b"OPTIONS", b"PATCH", b"TRACE", b"CONNECT"}
 
 
+# What read a request: h11, or COMPLETE_REQUEST in place of it where `plain` parsed the head.
 Parser = h11.Connection | CompleteRequest
 
 
@@ -85,7 +93,9 @@
         """queued_ms: upper bound of the time that the connection waited to be accepted."""
         self._frontend = frontend
         self._queued_ms = queued_ms
-        # When the connection became idle, or when the request that is being read began.
+        # Start of the time limit that applies to the connection. It is set when the connection is
+        # accepted and when it becomes idle, at the start of a later request that is read in part,
+        # at the start of a body and at each MIN_PROGRESS_BYTES of a buffered one.
         self.since_ms = now_ms()
         self.partial = False  # a request has been read in part
         self.served = False  # a response has been written
@@ -120,12 +130,13 @@
         return not self._stream.reading
 
     def close_if_no_input(self, cause: str) -> bool:
-        """Close the connection, also with a request partly read, if the kernel has no input for it.
+        """Close the connection if it has no open request and no input; return whether it did.
 
-        Without this check a request could be dropped whose remaining bytes are already in the
-        socket buffer: a request counts as accepted once its client has written its last byte.
-        Closing over unread input would also reset the last response on its way; the time that
-        the connection lingers for it is short.
+        A request that is partly read does not keep it open, and neither does any request once the
+        connection lingers. Input includes what the kernel holds: a request counts as accepted once
+        its client has written its last byte, so one whose remaining bytes are in the socket buffer
+        must not be dropped. A lingering connection with unread input is left open too, as closing
+        it would reset its last response; LINGER_TIMEOUT_S bounds how long it stays.
         """
         if (
             not self.lingering and (self._pending or self._large_body_parser)
@@ -147,9 +158,13 @@
         self._task.cancel()
 
     def _on_input(self) -> None:
-        # A client that closes its side has left, so its requests are cancelled at once. Otherwise
-        # an attempt started in the same turn of the event loop, as happens after a pause of the
-        # process, would still go out.
+        """Cancel the requests at once if the input has ended: the client has left.
+
+        Stream calls this while it reads the socket, before tasks that are ready to run. A task that
+        runs in the same turn of the event loop, as happens after a pause of the process, would
+        otherwise still send an attempt to a cache server. Input that arrives needs nothing here:
+        `_read_requests` reads it.
+        """
         if self._stream.ended:
             self._cancel_requests()
             self._task.cancel()
@@ -166,6 +181,8 @@
         A FIN stays unread while the process was paused or while the read buffer is full.
         """
         stream = self._stream
+        # An open connection without input whose reading is not paused has no unread FIN, so the
+        # kernel is asked about the peer only in all other cases.
         if (
             self._requests
             and not (stream.reading and stream.open_without_input)
@@ -193,6 +210,7 @@
             # Only a fault leaves requests here; they must not go on while the connection lingers.
             self._cancel_requests()
             self.lingering = True
+            # Counts as idle, so that it can be evicted.
             self._frontend.mark_idle(self)
             await self._stream.close_gracefully()
         except (OSError, asyncio.CancelledError):
@@ -227,7 +245,8 @@
             status = 500
         if status:
             response = self._frontend.node.busy_response if status == 503 else Response(status)
-            # The new parser counts as incomplete, so that the connection closes after the response.
+            # The state of the new parser is IDLE, not DONE, so the connection closes after the
+            # response.
             await self._enqueue(h11.Connection(h11.SERVER), _completed(response))
         await self._queue.put(None)
 
@@ -267,10 +286,12 @@
         return parser.trailing_data[0]
 
     async def _read_simple(self, data: bytes) -> Optional[bytes]:
-        """Submit the complete request in simple form at the start of `data`; return what follows.
+        """Submit the request at the start of `data` if it is complete and its head simple.
 
-        Returns None if there is none; then h11 parses the request. Nearly all requests take this
-        path, which saves most of the cost of parsing.
+        Returns the bytes behind it, b"" if there are none, or None if nothing was submitted and h11
+        must parse the request: the head is not in the simple form of `plain`, the request is
+        incomplete, or it is a health check. Nearly all requests take this path, which saves most of
+        the cost of parsing.
         """
         head = request_head(data)
         if head is None or head.target == b"/up":
@@ -296,6 +317,8 @@
             raise Rejected(503)
 
     async def _read_body(self, parser: h11.Connection, head: h11.Request) -> bool:
+        # None stands for a health check at `/up`, which the front end answers by itself. Its body
+        # is read and dropped.
         request = None
         if _origin_form(head.target) != b"/up":
             request = _parse_request(
@@ -344,7 +367,11 @@
         return True
 
     def _admit(self, request: ClientRequest, buffered: int) -> asyncio.Future[Response]:
-        """Submit a request with `buffered` bytes of body; return its response's future."""
+        """Submit a request with `buffered` bytes of body, or refuse it while the node is full.
+
+        Returns the future of its response, which is complete already for a refusal. Raises Rejected
+        for a recent id, and ConnectionAbortedError if the client has left.
+        """
         body_budget = self._frontend.body_budget
         if self._frontend.node.is_recent_id(request.txn):
             body_budget.release(buffered)
@@ -357,7 +384,8 @@
         # node cannot accept for lack of descriptors: its FIN follows its request directly. The
         # check costs one socket read for each new connection and keeps the node from working for
         # clients that have left. If more bytes precede the FIN than were read, only the kernel
-        # knows of it.
+        # knows of it. So the kernel is asked if the last read was full, or if a new connection has
+        # ended or has more input.
         stream, new = self._stream, not (self.served or self._pending)
         if (stream.last_read_full or (new and not stream.open_without_input)) and stream.peer_left:
             body_budget.release(buffered)
@@ -370,12 +398,12 @@
         return request.response
 
     def _waited_ms(self) -> float:
-        """Return how long the request waited in the kernel.
+        """Return an upper bound of the time that the request waited in the kernel.
 
-        It waits there while the event loop lags or accepting is paused.
-
-        The client's time ran meanwhile, so the request must not get its full deadline. Both
-        values are upper bounds; the smaller one counts.
+        It waits there while the event loop lags or accepting is paused. The client's time ran
+        meanwhile, so the request must not get its full deadline. There are two bounds: how long the
+        node may have left input unread, and how long ago the last bytes of this connection arrived,
+        if the system can tell. The smaller one is returned.
         """
         # Only the first request of a connection can have waited for the accept.
         queued_ms, self._queued_ms = self._queued_ms, 0.0
@@ -454,6 +482,8 @@
             and not self.partial
             and not self._stream.has_buffered_input
         )
+        # Whether another request can be read behind this one: it is complete, or its large body is
+        # still read to its end, forwarded or discarded.
         can_read_on = parser.their_state is h11.DONE or parser is self._large_body_parser
         keep = can_read_on and response.status in KEEP_ALIVE_STATUSES and not last
         if not keep and self._reader is not None:
@@ -508,9 +538,9 @@
 class Frontend:
     """All client connections of a node.
 
-    limit: maximum number of connections. body_bytes: budget of buffered request bodies.
-    shared: whether other processes accept on the same socket.
-    shutdown_schedule: the phases of the shutdown.
+    limit: maximum number of connections. body_bytes: memory limit of buffered request bodies.
+    shared: whether other processes accept on the same socket. shutdown_schedule: the times at which
+    the phases of the shutdown end.
     """
 
     def __init__(
@@ -532,10 +562,12 @@
         self._shared = shared
         self._limit = limit
         self._connections: dict[ClientConnection, None] = {}  # oldest first
-        # Connections without an open request, longest wait first.
+        # Connections without an open request, in the order in which they were added. That is about
+        # longest wait first, but not in `_partial`, where progress of a body renews `since_ms`.
         self._unused: dict[ClientConnection, None] = {}  # nothing received yet
         self._partial: dict[ClientConnection, None] = {}  # a request read in part
         self._idle: dict[ClientConnection, None] = {}  # idle after a response
+        # Set when the last connection is removed; meaningful only in `_wait_until_closed`.
         self._all_closed = asyncio.Event()
         self._listener = Listener(listener, self._has_capacity, self._accept)
 
@@ -551,7 +583,7 @@
         self._sweep()
 
     async def shut_down(self) -> None:
-        """Drain: accept for a while longer, finish the open requests, then close all connections.
+        """Accept for a while longer, finish the open requests, then close all connections.
 
         The phases end at the times of `ShutdownSchedule`. Requests that are still open at its
         `answer_ms` get an error response, and connections that remain at its `exit_ms` are reset.
@@ -604,7 +636,10 @@
         self._partial[connection] = None
 
     def mark_busy(self, connection: ClientConnection) -> None:
-        """Record that a connection has an open request, which exempts it from eviction."""
+        """Remove a connection from those without an open request, which exempts it from eviction.
+
+        This is also the first step of the other marks and of `remove`.
+        """
         for waiting in (self._unused, self._partial, self._idle):
             waiting.pop(connection, None)
 
@@ -640,11 +675,12 @@
         return False
 
     def _sweep(self) -> None:
-        """Enforce the time limits of connections without an open request.
+        """Enforce the time limits of connections without an open request; find clients that left.
 
-        Otherwise clients that send nothing, never complete a request or never disconnect would
-        hold descriptors. A client behind a link so slow that its request takes longer than
-        REQUEST_TIMEOUT_MS gets status 408.
+        Without the limits, clients that send nothing, never complete a request or never disconnect
+        would hold descriptors. A client behind a link so slow that its request takes longer than
+        REQUEST_TIMEOUT_MS gets status 408. Surplus connections are closed too. Where reading is
+        paused, a client's FIN would go unnoticed, so the kernel is asked about it.
         """
         now = now_ms()
         for waiting, limit_ms, cause in (
@@ -665,13 +701,13 @@
         asyncio.get_running_loop().call_later(SWEEP_INTERVAL_S, self._sweep)
 
     def _close_surplus(self, now: float) -> None:
-        """Close idle connections beyond MAX_IDLE_SHARE, longest idle first.
+        """Close idle connections beyond MAX_IDLE_SHARE, longest idle first, and those to drain.
 
-        Connections kept after a single request hold places, at the node and at the clients, that
-        active clients need long before IDLE_TIMEOUT_MS is over. This also releases sockets after a
-        burst. A client with more connections than it uses has to reconnect; connections that have
-        only just become idle are kept. During a drain, idle and unused connections are closed
-        step by step.
+        Connections kept open after a single request count towards the connection limits of the node
+        and of the clients, and active clients need them long before IDLE_TIMEOUT_MS is over. This
+        also releases sockets after a burst. A client with more connections than it uses has to
+        reconnect; connections that became idle within EVICTION_GRACE_MS are kept. During a drain,
+        idle connections are closed step by step, and at its end also those that have sent nothing.
         """
         idle = [connection for connection in self._idle if not connection.lingering]
         for connection in idle[: max(0, len(idle) - int(self._limit * MAX_IDLE_SHARE))]:
@@ -731,7 +767,10 @@
 
 
 def _parse_number(value: bytes) -> float:
-    """Parse a header's decimal number, with an optional fraction."""
+    """Parse a header's decimal number, with an optional fraction.
+
+    The check comes first because float() also accepts signs, exponents, `nan` and `inf`.
+    """
     integer, _, fraction = value.partition(b".")
     if not (integer.isdigit() and (fraction.isdigit() or not fraction) and len(value) <= 18):
         raise Rejected(400)
@@ -790,6 +829,7 @@
         org=headers.get(b"x-org", b"").decode("latin-1"),
         key=target.partition(b"?")[0].rpartition(b"/")[2].decode("latin-1") or None,
         budget_ms=None if remaining_ms is None else _parse_number(remaining_ms),
+        # The header is in microseconds.
         work_ms=_parse_number(headers.get(b"x-estimate", b"0")) / 1000.0,
         repeated=headers.get(b"x-resent") == b"1",
         length=int(headers[b"content-length"]) if b"content-length" in headers else None,
--- a/corkshift/plain.py
+++ b/corkshift/plain.py
@@ -38,7 +38,11 @@
 
 
 class CompleteRequest:
-    """Stands in for the h11 connection of a complete request that was parsed here."""
+    """Takes the place of an h11 connection as the parser of a request whose head was parsed here.
+
+    The request has been read to its end. Of an h11 connection it has only what the front end reads
+    after that: the state DONE and the version.
+    """
 
     their_state = h11.DONE
     their_http_version = b"1.1"
--- a/corkshift/service.py
+++ b/corkshift/service.py
@@ -1,4 +1,4 @@
-"""Lifecycle of one node: builds its components, reloads on SIGHUP and drains on SIGTERM.
+"""Lifecycle of one node: builds its components, reloads on SIGHUP and shuts down on SIGTERM.
 
 Runs on the real system and on the simulated one (`corkshift.seam`).
 """
@@ -37,7 +37,7 @@
 
 
 class Service:
-    """A node and its components, from its start to the end of its drain."""
+    """A node and its components, from its start to the end of its shutdown."""
 
     def __init__(
         self,
@@ -117,7 +117,7 @@
         return seam.bind_listener(self.config.listen, KERNEL_BUFFER_BYTES)
 
     async def run(self) -> None:
-        """Serve until SIGTERM or SIGINT, then drain."""
+        """Serve until SIGTERM or SIGINT, then shut down."""
         loop = asyncio.get_running_loop()
         loop.add_signal_handler(signal.SIGHUP, self.reload)
         for number in (signal.SIGTERM, signal.SIGINT):
@@ -171,7 +171,7 @@
             wait.cancel()
 
     def stop(self) -> None:
-        """Start the drain."""
+        """Start the shutdown."""
         self._stop.set()
 
     def reload(self) -> None:
@@ -210,7 +210,7 @@
     reread_sources: Callable[[], Optional[SourcesTable]] = lambda: None,
     tier: Optional[TierTable] = None,
 ) -> None:
-    """Serve until SIGTERM or SIGINT, then drain. OSError if it cannot listen.
+    """Serve until SIGTERM or SIGINT, then shut down. OSError if it cannot listen.
 
     The parameters are those of `Service`.
     """
--- a/corkshift/stream.py
+++ b/corkshift/stream.py
@@ -78,12 +78,15 @@
 
     @property
     def has_buffered_input(self) -> bool:
-        """Whether the buffer holds input."""
+        """Whether the buffer holds input; the kernel's buffer is not looked at."""
         return bool(self._in)
 
     @property
     def open_without_input(self) -> bool:
-        """Whether the connection is open without any input, in the kernel's buffer either."""
+        """Whether the connection is open and has no input, after reading the socket once.
+
+        So input that only the kernel held counts, and so does the peer's FIN.
+        """
         if not (self.closed or self.ended or self._in):
             self._readable()
         return not (self.closed or self.ended or self._in)
--- a/testbed/tier/books.py
+++ b/testbed/tier/books.py
@@ -85,7 +85,7 @@
 class ColdBox:
     """A cold box and the work that it received.
 
-    received: time, work in ms, and the node that sent it.
+    received: time, work in ms and node of each request, also of those that the box turned away.
     """
 
     name: str
--- a/testbed/tier/processes.py
+++ b/testbed/tier/processes.py
@@ -10,8 +10,15 @@
 
 Everything ends by itself: the kernel kills the nodes when this process ends, however it ends
 (PR_SET_PDEATHSIG), and everything else runs in this process. The system chooses the ports.
-Datagrams of a node arrive at an address in 127.0.0.0/8 that is derived from one of its ports, which
-is reserved as long as the rig runs.
+Datagrams of a node arrive at 127.77.H.L, port PEER_PORT, where H and L are the high and the low
+byte of the TCP port on which it listens. That port is reserved as long as the rig runs, so no other
+rig on the machine uses the address.
+
+Terms: the nodes form the tier, and the order book is the origin behind the boxes, which are cache
+servers. A tier-wide limit consists of TOTAL_SHARES shares, and a lease gives a node some of them
+for a time. A limit has an id: 0 is the limit on fetches from the origin, any other the limit on the
+work of one cold box (`forkweir/tier/demand.py`). A view is what a process reports of the tier at
+`/admin/tier`. Its token is a random number that tells the processes of a node apart.
 """
 
 from __future__ import annotations
@@ -69,10 +76,10 @@
 ROOT = Path(__file__).parents[2]
 HOST = "127.0.0.1"
 PEER_PORT = 7946
-# Between two reads of each node's view of the tier.
+# Interval at which each node's view of the tier is read.
 POLL_INTERVAL_S = 0.1
 READY_TIMEOUT_S = 30.0
-# Time from SIGTERM to the end of the process.
+# A process that has not ended this long after SIGTERM is a failure and is killed.
 SHUTDOWN_LIMIT_S = 4.3
 # The longest time for which a request is open.
 MAX_REQUEST_MS = 2_600.0
@@ -112,7 +119,8 @@
         self.failures: list[str] = []
         self.cold_boxes: dict[str, ColdBox] = {}
         self.is_excused: Callable[[ClientRequest], bool] = lambda request: False
-        self.work_ms: dict[str, Counter[str]] = defaultdict(Counter)  # by box and node
+        # By box and node, including requests that the box then turned away.
+        self.work_ms: dict[str, Counter[str]] = defaultdict(Counter)
         self.reads: dict[str, Counter[str]] = defaultdict(Counter)  # by key and box
         self._requests: dict[str, ClientRequest] = {}
         # By request id: the boxes where it may have run.
@@ -145,6 +153,11 @@
             )
 
     def no_answer(self, request: ClientRequest, how: str) -> bool:
+        """See ClientObserver. Returns whether the client may send the request once more.
+
+        It may if the connection had carried an earlier request, unless an outage of the node
+        excuses the request.
+        """
         if self.is_excused(request):
             return False
         if how == "no answer":
@@ -176,6 +189,7 @@
         self._possible_executions[txn].append(box.name)
         cold = self.cold_boxes.get(box.name)
         if cold is not None:
+            # Requests that the box then turns away stay in its figures.
             cold.received.append((now_ms(), work_ms, node))
 
     def request_turned_away(self, box: CacheBox, txn: str) -> None:
@@ -212,7 +226,9 @@
     config_path: Path
     processes: list[NodeProcess] = field(default_factory=list)
     starting: bool = False
-    # Start and end (ms) of the periods in which it was killed, paused or shutting down.
+    # Start and end (ms) of the periods in which its requests may stay unanswered: while it is
+    # paused or shuts down, and for CRASH_DETECTION_MS after a kill and after the restart that ends
+    # a `node_kill`.
     outages: list[tuple[float, float]] = field(default_factory=list)
 
     @property
@@ -273,6 +289,7 @@
         world = script.world
         self.classes = SITE_CLASSES if world.worths == "site" else CLASSES
         self.ports = Ports()
+        # It works on 8 requests at once, for 15 ms each.
         self.book = OrderBook((HOST, 0), 8, 15.0)
         self.discovery = DiscoveryServer((HOST, 0), self.observer)
         self.boxes: list[CacheBox] = []
@@ -286,6 +303,7 @@
     # -- setup ---------------------------------------------------------------------------
 
     async def _set_up(self) -> None:
+        """Start the emulated systems and the relay, configure the nodes and create the clients."""
         world = self.script.world
         self.book.listen()
         self.discovery.listen()
@@ -306,6 +324,7 @@
         node_addresses: list[Address] = []
         for slot in range(world.nodes):
             listen, admin = self.ports.take(), self.ports.take()
+            # The address encodes the reserved port, so that it is unique too.
             node_addresses.append((f"127.77.{listen >> 8}.{listen & 255}", PEER_PORT))
             self.nodes.append(
                 Node(slot, (HOST, listen), (HOST, admin), {}, self.folder / f"n{slot}.json")
@@ -420,6 +439,10 @@
         self.notes.append((round((now_ms() - self._started_ms) / 1000.0, 3), event))
 
     def _is_known_down(self, name: str) -> bool:
+        """Return whether clients know that a node is down.
+
+        They do before its first process starts, and CRASH_DETECTION_MS after the end of the last.
+        """
         node = self.nodes[int(name[1:])]
         if not node.processes:
             return True
@@ -429,7 +452,11 @@
         )
 
     def _is_excused(self, request: ClientRequest) -> bool:
-        """Return whether a request may stay unanswered because of an outage of its node."""
+        """Return whether a request may stay unanswered because of an outage of its node.
+
+        That is so if an outage overlaps the time from MAX_REQUEST_MS before the request was sent
+        until now.
+        """
         since, now = request.sent_ms - MAX_REQUEST_MS, now_ms()
         return any(
             begin <= now and end >= since
@@ -446,7 +473,12 @@
             await asyncio.sleep(POLL_INTERVAL_S)
 
     async def _poll_view(self, node: Node, node_process: NodeProcess) -> None:
-        """Read the view of a process and record its leases, unless another one has answered."""
+        """Read the view of a process and record its leases.
+
+        The next process of the node answers at the same admin port. If the process has ended since,
+        a view with another token than that of its earlier views comes from the next one, and is
+        dropped.
+        """
         body = await fetch_body(node.admin, "/admin/tier")
         if body is None:
             return
@@ -530,6 +562,7 @@
             await result
 
     def _after_fault(self, fault: Fault, action: Callable[..., Any], *args: Any) -> None:
+        """Run an action when a fault ends; a fault without `for_ms` is permanent and never ends."""
         if fault.for_ms:
             self._spawn(self._run_at(now_ms() - self._started_ms + fault.for_ms, action, *args))
 
@@ -601,6 +634,8 @@
         node_process = node.running_process
         if node_process is None:
             return
+        # It still serves at first. The outage counts until CRASH_DETECTION_MS after the latest time
+        # at which the process may end.
         node.outages.append(
             (now_ms() + 300.0, now_ms() + 1000.0 * SHUTDOWN_LIMIT_S + CRASH_DETECTION_MS)
         )
@@ -657,6 +692,7 @@
         self._set_links(fault, double=fault.value)
 
     def _do_peer_late(self, fault: Fault) -> None:
+        # A third of the datagrams are late, by up to the fault's value or 500 ms.
         self._set_links(fault, late=0.33, late_ms=fault.value or 500.0)
 
     def _do_peer_junk(self, fault: Fault) -> None:
@@ -761,6 +797,7 @@
                     failures.append(f"{node.name} ended with {code}: {self.log_tail(node)}")
             if "Traceback" in (self.folder / f"{node.name}.log").read_text():
                 failures.append(f"{node.name} logs an exception: {self.log_tail(node)}")
+        # The views name the limits of cold boxes only; "" stands for the limit on fetches, id 0.
         limit_names = {"0": ""}
         for node in self.nodes:
             for node_process in node.processes:
--- a/tests/test_narrow_moments.py
+++ b/tests/test_narrow_moments.py
@@ -123,7 +123,7 @@
             sock, rest = await send_partial_request(made)
             shutting_down = asyncio.create_task(made.frontend.shut_down())
             await until(lambda: made.frontend._listener._sock.fileno() == -1)
-            # By then the drain has closed all idle connections.
+            # By then the shutdown has closed all idle connections.
             idle_closed_at = asyncio.get_running_loop().time() + 0.1
             await until(lambda: asyncio.get_running_loop().time() > idle_closed_at)
             sock.sendall(rest)
@@ -149,7 +149,7 @@
             queued = [client(made, request(f"b{n}", path=f"/api/b{n}")) for n in range(3)]
             shutting_down = asyncio.create_task(made.frontend.shut_down())
             await until(lambda: not made.frontend.lifecycle.keeps_connections)
-            # By then the drain has tried several times to accept them, without capacity.
+            # By then the shutdown has tried several times to accept them, without capacity.
             retried_until = asyncio.get_running_loop().time() + 0.8
             await until(lambda: asyncio.get_running_loop().time() > retried_until)
             release.set()
