--- a/corkshift/frontend.py
+++ b/corkshift/frontend.py
@@ -1,4 +1,9 @@
-"""Client side of the node: client connections, their limits, and the drain at a planned restart."""
+"""Client side of the node: client connections, their limits, drain and shutdown.
+
+While the node is quiesced, a drain closes idle connections step by step; it can be undone. The
+shutdown after SIGTERM ends all connections and cannot be undone. `forkweir.limits.lifecycle` has
+the times of both.
+"""
 
 from __future__ import annotations
 
@@ -41,13 +46,14 @@
 MIN_PROGRESS_BYTES = 16_384
 # A connection that stays idle after a response for this long is closed.
 IDLE_TIMEOUT_MS = 10_000.0
-# Largest share of the client connection limit that idle connections may hold.
+# Largest share of the client connection limit that idle connections may hold, so that the rest is
+# left for active clients; see `Frontend._close_surplus`.
 MAX_IDLE_SHARE = 1 / 3
 # Interval at which the time limits are enforced.
 SWEEP_INTERVAL_S = 0.2
 # At the connection limit, a new connection that has sent nothing for this long may be evicted.
 EVICTION_GRACE_MS = 100.0
-# Wait during a drain in which the connections accepted last deliver their first bytes.
+# Wait during a shutdown in which the connections accepted last deliver their first bytes.
 LAST_READ_DELAY_S = 0.02
 
 REQUEST_ID_PATTERN = re.compile(rb"[!-~]{1,128}")
@@ -64,9 +70,11 @@
 # A connection is kept after these responses if the request was read completely.
 KEEP_ALIVE_STATUSES = {200, 500, 502, 503, 504}
 REASON_PHRASES = {status.value: status.phrase.encode() for status in HTTPStatus}
+# Known methods that the node does not support get status 405; unknown ones get 501.
 UNSUPPORTED_METHODS = {b"HEAD", b"POST", b"DELETE", b"OPTIONS", b"PATCH", b"TRACE", b"CONNECT"}
 
 
+# What read a request: h11, or COMPLETE_REQUEST in place of it where `plain` parsed the head.
 Parser = h11.Connection | CompleteRequest
 
 
@@ -85,7 +93,9 @@
         """queued_ms: upper bound of the time that the connection waited to be accepted."""
         self._frontend = frontend
         self._queued_ms = queued_ms
-        # When the connection became idle, or when the request that is being read began.
+        # Start of the time limit that applies to the connection. It is set when the connection is
+        # accepted and when it becomes idle, at the start of a later request that is read in part,
+        # at the start of a body and at each MIN_PROGRESS_BYTES of a buffered one.
         self.since_ms = now_ms()
         self.partial = False  # a request has been read in part
         self.served = False  # a response has been written
@@ -108,7 +118,10 @@
     def idle(self) -> bool:
         """Whether no request is open or partly read, and no input waits."""
         return not (
-            self._pending or self.partial or self._large_body_parser or self._stream.has_input
+            self._pending
+            or self.partial
+            or self._large_body_parser
+            or self._stream.has_buffered_input
         )
 
     @property
@@ -117,16 +130,17 @@
         return not self._stream.reading
 
     def close_if_no_input(self, cause: str) -> bool:
-        """Close the connection, also with a request partly read, if the kernel has no input for it.
+        """Close the connection if it has no open request and no input; return whether it did.
 
-        Without this check a request could be dropped whose remaining bytes are already in the
-        socket buffer: a request counts as accepted once its client has written its last byte.
-        Closing over unread input would also reset the last response on its way; the time that
-        the connection lingers for it is short.
+        A request that is partly read does not keep it open, and neither does any request once the
+        connection lingers. Input includes what the kernel holds: a request counts as accepted once
+        its client has written its last byte, so one whose remaining bytes are in the socket buffer
+        must not be dropped. A lingering connection with unread input is left open too, as closing
+        it would reset its last response; LINGER_TIMEOUT_S bounds how long it stays.
         """
         if (
             not self.lingering and (self._pending or self._large_body_parser)
-        ) or not self._stream.no_input:
+        ) or not self._stream.open_without_input:
             return False
         self._stream.close()
         self._task.cancel()
@@ -144,9 +158,13 @@
         self._task.cancel()
 
     def _on_input(self) -> None:
-        # A client that closes its side has left, so its requests are cancelled at once. Otherwise
-        # an attempt started in the same turn of the event loop, as happens after a pause of the
-        # process, would still go out.
+        """Cancel the requests at once if the input has ended: the client has left.
+
+        Stream calls this while it reads the socket, before tasks that are ready to run. A task that
+        runs in the same turn of the event loop, as happens after a pause of the process, would
+        otherwise still send an attempt to a cache server. Input that arrives needs nothing here:
+        `_read_requests` reads it.
+        """
         if self._stream.ended:
             self._cancel_requests()
             self._task.cancel()
@@ -163,7 +181,13 @@
         A FIN stays unread while the process was paused or while the read buffer is full.
         """
         stream = self._stream
-        if self._requests and not (stream.reading and stream.no_input) and stream.peer_left:
+        # An open connection without input whose reading is not paused has no unread FIN, so the
+        # kernel is asked about the peer only in all other cases.
+        if (
+            self._requests
+            and not (stream.reading and stream.open_without_input)
+            and stream.peer_left
+        ):
             self._cancel_requests()
             self.abort()
 
@@ -186,6 +210,7 @@
             # Only a fault leaves requests here; they must not go on while the connection lingers.
             self._cancel_requests()
             self.lingering = True
+            # Counts as idle, so that it can be evicted.
             self._frontend.mark_idle(self)
             await self._stream.close_gracefully()
         except (OSError, asyncio.CancelledError):
@@ -220,7 +245,8 @@
             status = 500
         if status:
             response = self._frontend.node.busy_response if status == 503 else Response(status)
-            # The new parser counts as incomplete, so that the connection closes after the response.
+            # The state of the new parser is IDLE, not DONE, so the connection closes after the
+            # response.
             await self._enqueue(h11.Connection(h11.SERVER), _completed(response))
         await self._queue.put(None)
 
@@ -241,8 +267,8 @@
             self._mark_idle()
             if not (data := await self._stream.read()):
                 return None
-        if (following := await self._read_simple(data)) is not None:
-            return following
+        if (next_data := await self._read_simple(data)) is not None:
+            return next_data
         self.partial = True
         if self.served or self._pending:
             self.since_ms = now_ms()
@@ -260,10 +286,12 @@
         return parser.trailing_data[0]
 
     async def _read_simple(self, data: bytes) -> Optional[bytes]:
-        """Submit the complete request in simple form at the start of `data`; return what follows.
+        """Submit the request at the start of `data` if it is complete and its head simple.
 
-        Returns None if there is none; then h11 parses the request. Nearly all requests take this
-        path, which saves most of the cost of parsing.
+        Returns the bytes behind it, b"" if there are none, or None if nothing was submitted and h11
+        must parse the request: the head is not in the simple form of `plain`, the request is
+        incomplete, or it is a health check. Nearly all requests take this path, which saves most of
+        the cost of parsing.
         """
         head = request_head(data)
         if head is None or head.target == b"/up":
@@ -283,12 +311,14 @@
 
     def _reserve_body(self, request: Optional[ClientRequest], size: int) -> None:
         """Reserve `size` bytes of the body budget, or reject the request with status 503."""
-        if not self._frontend.budget.reserve(size):
+        if not self._frontend.body_budget.reserve(size):
             if request is not None:
                 self._frontend.node.count_unadmitted(request.class_name, "no-room")
             raise Rejected(503)
 
     async def _read_body(self, parser: h11.Connection, head: h11.Request) -> bool:
+        # None stands for a health check at `/up`, which the front end answers by itself. Its body
+        # is read and dropped.
         request = None
         if _origin_form(head.target) != b"/up":
             request = _parse_request(
@@ -297,11 +327,11 @@
         if request is None and head.method != b"GET":
             raise Rejected(405)
         self.since_ms = now_ms()  # the body has a time limit of its own
-        budget, buffered = self._frontend.budget, 0
+        body_budget, buffered = self._frontend.body_budget, 0
         try:
-            pieces, progress_bytes, unbuffered = SmallPieceDetector(), 0, b""
+            detector, progress_bytes, unbuffered = SmallPieceDetector(), 0, b""
             while not isinstance(event := await self._event(parser), h11.EndOfMessage):
-                if not isinstance(event, h11.Data) or pieces.too_small(
+                if not isinstance(event, h11.Data) or detector.too_small(
                     len(event.data), self._reads
                 ):
                     raise Rejected(400)
@@ -318,10 +348,10 @@
                 if request is not None:
                     _append_body(request.body, event.data)
         except BaseException:
-            budget.release(buffered)
+            body_budget.release(buffered)
             raise
         if request is None:
-            budget.release(buffered)
+            body_budget.release(buffered)
             await self._enqueue(
                 parser,
                 _completed(
@@ -337,23 +367,28 @@
         return True
 
     def _admit(self, request: ClientRequest, buffered: int) -> asyncio.Future[Response]:
-        """Submit a request with `buffered` bytes of body; return its response's future."""
-        budget = self._frontend.budget
+        """Submit a request with `buffered` bytes of body, or refuse it while the node is full.
+
+        Returns the future of its response, which is complete already for a refusal. Raises Rejected
+        for a recent id, and ConnectionAbortedError if the client has left.
+        """
+        body_budget = self._frontend.body_budget
         if self._frontend.node.is_recent_id(request.txn):
-            budget.release(buffered)
+            body_budget.release(buffered)
             raise Rejected(409)
         if self._frontend.node.full:
-            budget.release(buffered)
+            body_budget.release(buffered)
             self._frontend.node.count_unadmitted(request.class_name, "full")
             return _completed(self._frontend.node.busy_response)
         # A client may have left while its connection waited in the backlog, as happens when the
         # node cannot accept for lack of descriptors: its FIN follows its request directly. The
         # check costs one socket read for each new connection and keeps the node from working for
         # clients that have left. If more bytes precede the FIN than were read, only the kernel
-        # knows of it.
+        # knows of it. So the kernel is asked if the last read was full, or if a new connection has
+        # ended or has more input.
         stream, new = self._stream, not (self.served or self._pending)
-        if (stream.last_read_full or (new and not stream.no_input)) and stream.peer_left:
-            budget.release(buffered)
+        if (stream.last_read_full or (new and not stream.open_without_input)) and stream.peer_left:
+            body_budget.release(buffered)
             raise ConnectionAbortedError("the client has left")
         if buffered:  # nearly all requests have no body, so nothing to release
             request.response.add_done_callback(lambda _: self._release_body(request, buffered))
@@ -363,20 +398,20 @@
         return request.response
 
     def _waited_ms(self) -> float:
-        """Return how long the request waited in the kernel.
-
-        It waits there while the event loop lags or accepting is paused.
+        """Return an upper bound of the time that the request waited in the kernel.
 
-        The client's time ran meanwhile, so the request must not get its full deadline. Both
-        values are upper bounds; the smaller one counts.
+        It waits there while the event loop lags or accepting is paused. The client's time ran
+        meanwhile, so the request must not get its full deadline. There are two bounds: how long the
+        node may have left input unread, and how long ago the last bytes of this connection arrived,
+        if the system can tell. The smaller one is returned.
         """
         # Only the first request of a connection can have waited for the accept.
         queued_ms, self._queued_ms = self._queued_ms, 0.0
         bound_ms = max(queued_ms, self._frontend.loop_lag.unread_ms())
         if not bound_ms:
             return 0.0
-        unread_ms = self._stream.unread_ms
-        return bound_ms if unread_ms is None else min(bound_ms, unread_ms)
+        since_last_receive_ms = self._stream.unread_ms
+        return bound_ms if since_last_receive_ms is None else min(bound_ms, since_last_receive_ms)
 
     async def _read_large_body(
         self, parser: h11.Connection, request: ClientRequest, buffered: int, piece: bytes
@@ -393,25 +428,25 @@
             body_rest.close()  # the request was refused
         self._large_body_parser = parser
         await self._enqueue(parser, response)
-        size, pieces, progress_bytes = buffered + len(piece), SmallPieceDetector(), 0
+        size, detector, progress_bytes = buffered + len(piece), SmallPieceDetector(), 0
         loop = asyncio.get_running_loop()
         due = loop.time() + REQUEST_TIMEOUT_MS / 1000.0
         try:
             await body_rest.put(piece)
-            async with asyncio.timeout_at(due) as limit:
+            async with asyncio.timeout_at(due) as timeout:
                 while not isinstance(event := await self._event(parser), h11.EndOfMessage):
-                    if not isinstance(event, h11.Data) or pieces.too_small(
+                    if not isinstance(event, h11.Data) or detector.too_small(
                         len(event.data), self._reads
                     ):
                         raise Rejected(400)
                     size += len(event.data)
                     if size > MAX_BODY_BYTES:
                         raise Rejected(413)
-                    limit.reschedule(None)
+                    timeout.reschedule(None)
                     await body_rest.put(bytes(event.data))
                     if size - progress_bytes >= MIN_PROGRESS_BYTES:
                         progress_bytes, due = size, loop.time() + REQUEST_TIMEOUT_MS / 1000.0
-                    limit.reschedule(due)
+                    timeout.reschedule(due)
             body_rest.end()
             self._large_body_parser = None
             self._mark_idle()
@@ -423,7 +458,7 @@
 
     def _release_body(self, request: ClientRequest, buffered: int) -> None:
         request.body.clear()
-        self._frontend.budget.release(buffered)
+        self._frontend.body_budget.release(buffered)
 
     async def _event(self, parser: h11.Connection) -> object:
         if parser.they_are_waiting_for_100_continue and not self._pending:
@@ -445,10 +480,12 @@
             not self._frontend.lifecycle.keeps_connections
             and self._pending == 1
             and not self.partial
-            and not self._stream.has_input
+            and not self._stream.has_buffered_input
         )
-        request_complete = parser.their_state is h11.DONE or parser is self._large_body_parser
-        keep = request_complete and response.status in KEEP_ALIVE_STATUSES and not last
+        # Whether another request can be read behind this one: it is complete, or its large body is
+        # still read to its end, forwarded or discarded.
+        can_read_on = parser.their_state is h11.DONE or parser is self._large_body_parser
+        keep = can_read_on and response.status in KEEP_ALIVE_STATUSES and not last
         if not keep and self._reader is not None:
             # Reading stops before the write, which may take a while. A request that arrives from
             # now on stays unread, so its client can send it elsewhere; otherwise it could be
@@ -501,8 +538,9 @@
 class Frontend:
     """All client connections of a node.
 
-    limit: maximum number of connections. body_bytes: budget of buffered request bodies.
-    shared: whether other processes accept on the same socket. leave: the phases of a drain.
+    limit: maximum number of connections. body_bytes: memory limit of buffered request bodies.
+    shared: whether other processes accept on the same socket. shutdown_schedule: the times at which
+    the phases of the shutdown end.
     """
 
     def __init__(
@@ -512,23 +550,25 @@
         limit: int,
         body_bytes: int,
         shared: bool = False,
-        leave: Optional[ShutdownSchedule] = None,
+        shutdown_schedule: Optional[ShutdownSchedule] = None,
         loop_lag: Optional[LoopLagMonitor] = None,
     ) -> None:
         self.node = node
         self.loop_lag = loop_lag or LoopLagMonitor()
-        self._leave = leave or ShutdownSchedule(MAX_COUNTED_DEADLINE_MS)
-        self.budget = BodyBudget(body_bytes)
+        self._shutdown_schedule = shutdown_schedule or ShutdownSchedule(MAX_COUNTED_DEADLINE_MS)
+        self.body_budget = BodyBudget(body_bytes)
         self.lifecycle = Lifecycle()
         self.started = False
         self._shared = shared
         self._limit = limit
         self._connections: dict[ClientConnection, None] = {}  # oldest first
-        # Connections without an open request, longest wait first.
+        # Connections without an open request, in the order in which they were added. That is about
+        # longest wait first, but not in `_partial`, where progress of a body renews `since_ms`.
         self._unused: dict[ClientConnection, None] = {}  # nothing received yet
         self._partial: dict[ClientConnection, None] = {}  # a request read in part
         self._idle: dict[ClientConnection, None] = {}  # idle after a response
-        self._empty = asyncio.Event()
+        # Set when the last connection is removed; meaningful only in `_wait_until_closed`.
+        self._all_closed = asyncio.Event()
         self._listener = Listener(listener, self._has_capacity, self._accept)
 
     @property
@@ -542,13 +582,13 @@
         self.started = True
         self._sweep()
 
-    async def drain(self) -> None:
-        """Drain: accept for a while longer, finish the open requests, then close all connections.
+    async def shut_down(self) -> None:
+        """Accept for a while longer, finish the open requests, then close all connections.
 
         The phases end at the times of `ShutdownSchedule`. Requests that are still open at its
         `answer_ms` get an error response, and connections that remain at its `exit_ms` are reset.
         """
-        started_s, leave = asyncio.get_running_loop().time(), self._leave
+        started_s, schedule = asyncio.get_running_loop().time(), self._shutdown_schedule
         self.lifecycle.end(now_ms())
         if not self.started:
             self._listener.close()  # no connection has been accepted yet
@@ -556,12 +596,12 @@
         if self._shared:
             # The next process accepts what waits in the shared queue.
             self._listener.close()
-        await asyncio.sleep(leave.accept_ms / 1000.0)
+        await asyncio.sleep(schedule.accept_ms / 1000.0)
         if not self._shared:
             # Connections in the kernel's queue may hold requests that count as accepted, so all
             # of them are accepted as capacity allows.
             with suppress(TimeoutError):
-                async with asyncio.timeout_at(started_s + leave.answer_ms / 1000.0):
+                async with asyncio.timeout_at(started_s + schedule.answer_ms / 1000.0):
                     await self._listener.accept_queued()
             self._listener.close()
         await asyncio.sleep(LAST_READ_DELAY_S)
@@ -569,9 +609,9 @@
         for connection in list(self._connections):
             if not connection.partial:
                 connection.close_if_no_input("ending")
-        await self._wait_until_closed(started_s + leave.answer_ms / 1000.0)
+        await self._wait_until_closed(started_s + schedule.answer_ms / 1000.0)
         self.node.fail_open_requests()
-        await self._wait_until_closed(started_s + leave.exit_ms / 1000.0)
+        await self._wait_until_closed(started_s + schedule.exit_ms / 1000.0)
         for connection in list(self._connections):
             connection.abort()
 
@@ -580,8 +620,8 @@
         with suppress(TimeoutError):
             async with asyncio.timeout_at(end):
                 while self._connections:
-                    self._empty.clear()
-                    await self._empty.wait()
+                    self._all_closed.clear()
+                    await self._all_closed.wait()
 
     # -- bookkeeping ---------------------------------------------------------------------
 
@@ -596,7 +636,10 @@
         self._partial[connection] = None
 
     def mark_busy(self, connection: ClientConnection) -> None:
-        """Record that a connection has an open request, which exempts it from eviction."""
+        """Remove a connection from those without an open request, which exempts it from eviction.
+
+        This is also the first step of the other marks and of `remove`.
+        """
         for waiting in (self._unused, self._partial, self._idle):
             waiting.pop(connection, None)
 
@@ -605,7 +648,7 @@
         self.mark_busy(connection)
         self._connections.pop(connection, None)
         if not self._connections:
-            self._empty.set()
+            self._all_closed.set()
         self._listener.resume()
 
     # -- accepting -----------------------------------------------------------------------
@@ -632,19 +675,20 @@
         return False
 
     def _sweep(self) -> None:
-        """Enforce the time limits of connections without an open request.
+        """Enforce the time limits of connections without an open request; find clients that left.
 
-        Otherwise clients that send nothing, never complete a request or never disconnect would
-        hold descriptors. A client behind a link so slow that its request takes longer than
-        REQUEST_TIMEOUT_MS gets status 408.
+        Without the limits, clients that send nothing, never complete a request or never disconnect
+        would hold descriptors. A client behind a link so slow that its request takes longer than
+        REQUEST_TIMEOUT_MS gets status 408. Surplus connections are closed too. Where reading is
+        paused, a client's FIN would go unnoticed, so the kernel is asked about it.
         """
         now = now_ms()
-        for waiting, limit, cause in (
+        for waiting, limit_ms, cause in (
             (self._unused, FIRST_BYTE_TIMEOUT_MS, "silent"),
             (self._idle, IDLE_TIMEOUT_MS, "idle"),
         ):
             for connection in list(waiting):
-                if now - connection.since_ms <= limit:
+                if now - connection.since_ms <= limit_ms:
                     break
                 connection.close_if_no_input(cause)
         self._close_surplus(now)
@@ -657,21 +701,21 @@
         asyncio.get_running_loop().call_later(SWEEP_INTERVAL_S, self._sweep)
 
     def _close_surplus(self, now: float) -> None:
-        """Close idle connections beyond MAX_IDLE_SHARE, longest idle first.
+        """Close idle connections beyond MAX_IDLE_SHARE, longest idle first, and those to drain.
 
-        Connections kept after a single request hold places, at the node and at the clients, that
-        active clients need long before IDLE_TIMEOUT_MS is over. This also releases sockets after a
-        burst. A client with more connections than it uses has to reconnect; connections that have
-        only just become idle are kept. During a drain, idle and unused connections are closed
-        step by step.
+        Connections kept open after a single request count towards the connection limits of the node
+        and of the clients, and active clients need them long before IDLE_TIMEOUT_MS is over. This
+        also releases sockets after a burst. A client with more connections than it uses has to
+        reconnect; connections that became idle within EVICTION_GRACE_MS are kept. During a drain,
+        idle connections are closed step by step, and at its end also those that have sent nothing.
         """
-        kept = [connection for connection in self._idle if not connection.lingering]
-        for connection in kept[: max(0, len(kept) - int(self._limit * MAX_IDLE_SHARE))]:
+        idle = [connection for connection in self._idle if not connection.lingering]
+        for connection in idle[: max(0, len(idle) - int(self._limit * MAX_IDLE_SHARE))]:
             if now - connection.since_ms <= EVICTION_GRACE_MS:
                 break
             connection.close_if_no_input("share")
-        if part := self.lifecycle.share_to_close(now, SWEEP_INTERVAL_S * 1000.0):
-            for connection in kept[: ceil(part * len(kept))]:
+        if share := self.lifecycle.share_to_close(now, SWEEP_INTERVAL_S * 1000.0):
+            for connection in idle[: ceil(share * len(idle))]:
                 connection.close_if_no_input("draining")
         if self.lifecycle.drain_over(now):
             for connection in [c for c in self._unused if now - c.since_ms > EVICTION_GRACE_MS]:
@@ -723,7 +767,10 @@
 
 
 def _parse_number(value: bytes) -> float:
-    """Parse a header's decimal number, with an optional fraction."""
+    """Parse a header's decimal number, with an optional fraction.
+
+    The check comes first because float() also accepts signs, exponents, `nan` and `inf`.
+    """
     integer, _, fraction = value.partition(b".")
     if not (integer.isdigit() and (fraction.isdigit() or not fraction) and len(value) <= 18):
         raise Rejected(400)
@@ -772,7 +819,7 @@
         raise Rejected(404)
     if not REQUEST_ID_PATTERN.fullmatch(txn) or not has_class(class_name):
         raise Rejected(400)
-    budget = headers.get(b"x-remaining-ms")
+    remaining_ms = headers.get(b"x-remaining-ms")
     return ClientRequest(
         method=method,
         target=target,
@@ -781,7 +828,8 @@
         class_name=class_name,
         org=headers.get(b"x-org", b"").decode("latin-1"),
         key=target.partition(b"?")[0].rpartition(b"/")[2].decode("latin-1") or None,
-        budget_ms=None if budget is None else _parse_number(budget),
+        budget_ms=None if remaining_ms is None else _parse_number(remaining_ms),
+        # The header is in microseconds.
         work_ms=_parse_number(headers.get(b"x-estimate", b"0")) / 1000.0,
         repeated=headers.get(b"x-resent") == b"1",
         length=int(headers[b"content-length"]) if b"content-length" in headers else None,
--- a/corkshift/stream.py
+++ b/corkshift/stream.py
@@ -77,13 +77,16 @@
         return None if self.closed else seam.ms_since_last_receive(self._sock)
 
     @property
-    def has_input(self) -> bool:
-        """Whether the buffer holds input."""
+    def has_buffered_input(self) -> bool:
+        """Whether the buffer holds input; the kernel's buffer is not looked at."""
         return bool(self._in)
 
     @property
-    def no_input(self) -> bool:
-        """Whether the connection is open without any input, in the kernel's buffer either."""
+    def open_without_input(self) -> bool:
+        """Whether the connection is open and has no input, after reading the socket once.
+
+        So input that only the kernel held counts, and so does the peer's FIN.
+        """
         if not (self.closed or self.ended or self._in):
             self._readable()
         return not (self.closed or self.ended or self._in)
