--- a/benchmarks/module.py
+++ b/benchmarks/module.py
@@ -54,8 +54,10 @@
     for n in range(requests):
         now_ms = 18.0 * n
         while in_flight and in_flight[0][0] <= now_ms:
-            due_ms, number, server, elapsed_ms, note = in_flight.pop(0)
-            balancer.on_outcome(due_ms, number, 0, True, "success", server, elapsed_ms, note)
+            due_ms, number, server, elapsed_ms, cache_result = in_flight.pop(0)
+            balancer.on_outcome(
+                due_ms, number, 0, True, "success", server, elapsed_ms, cache_result
+            )
         write = draws[n][0] < 0.08
         request_class = "order-place" if write else "menu-read"
         for action in balancer.on_request(
--- a/corkshift/address_book.py
+++ b/corkshift/address_book.py
@@ -276,13 +276,13 @@
         if not reports:
             return
         held_before = set(self._unconfirmed.held_back)
-        in_service = sum(server.leaving_ms is None for server in book.values())
+        in_service_count = sum(server.leaving_ms is None for server in book.values())
         reports = [
             report
             for report in reports
             if report.name in held_before or book[report.name].leaving_ms is None
         ]
-        held_back, restarted = self._unconfirmed.apply(reports, in_service, now_ms())
+        held_back, restarted = self._unconfirmed.apply(reports, in_service_count, now_ms())
         held = set(self._unconfirmed.held_back)
         for entry in unconfirmed:
             # Only for held-back servers, so that an older list can still reinstate the last server,
--- a/corkshift/frontend.py
+++ b/corkshift/frontend.py
@@ -781,7 +781,7 @@
         class_name=class_name,
         org=headers.get(b"x-org", b"").decode("latin-1"),
         key=target.partition(b"?")[0].rpartition(b"/")[2].decode("latin-1") or None,
-        budget_ms=None if budget is None else _parse_number(budget),
+        client_wait_ms=None if budget is None else _parse_number(budget),
         work_ms=_parse_number(headers.get(b"x-estimate", b"0")) / 1000.0,
         repeated=headers.get(b"x-resent") == b"1",
         length=int(headers[b"content-length"]) if b"content-length" in headers else None,
--- a/corkshift/messages.py
+++ b/corkshift/messages.py
@@ -34,7 +34,7 @@
     class_name: str
     org: str
     key: Optional[str]
-    budget_ms: Optional[float]
+    client_wait_ms: Optional[float]
     work_ms: float
     repeated: bool
     body: list[bytearray] = field(default_factory=list)
--- a/corkshift/node.py
+++ b/corkshift/node.py
@@ -143,7 +143,7 @@
         # The class's deadline bounds what the client announces; otherwise a request could be held
         # for days.
         longest = self._deadlines[request.class_name]
-        budget = longest if request.budget_ms is None else min(request.budget_ms, longest)
+        budget = longest if request.client_wait_ms is None else min(request.client_wait_ms, longest)
         if request.body_rest is None:
             budget -= waited_ms
         request.since_ms, request.deadline_ms = now - waited_ms, now + budget
@@ -182,7 +182,7 @@
             request.response.cancel()
         if self._requests.pop(request.id, None) is not None:
             self._close(request)
-            self._decide(None, lambda: self._balancer.on_departure(now_ms(), request.id))
+            self._decide(None, lambda: self._balancer.on_client_gone(now_ms(), request.id))
         elif self._streams.pop(request.id, None) is not None:
             self._close(request)
 
@@ -198,12 +198,12 @@
     def end(self, request: ClientRequest, response: Response) -> None:
         """Answer a request without a decision of the balancer: it failed, or its time is over."""
         self._respond(request, response)
-        self._decide(None, lambda: self._balancer.on_departure(now_ms(), request.id))
+        self._decide(None, lambda: self._balancer.on_client_gone(now_ms(), request.id))
 
-    def _set_backstop(self, request: ClientRequest, budget_ms: float) -> None:
+    def _set_backstop(self, request: ClientRequest, client_wait_ms: float) -> None:
         """Schedule the timer that fails a request left without a response by any fault."""
         request.backstop = asyncio.get_running_loop().call_later(
-            (budget_ms + BACKSTOP_MARGIN_MS) / 1000.0, self._on_backstop, request
+            (client_wait_ms + BACKSTOP_MARGIN_MS) / 1000.0, self._on_backstop, request
         )
 
     def on_list(self, form: str, entries: Iterable[Server]) -> None:
@@ -252,7 +252,7 @@
         if request is not None:
             self._respond(request, Response(500))
             with suppress(Exception):
-                self._balancer.on_departure(now_ms(), request.id)
+                self._balancer.on_client_gone(now_ms(), request.id)
 
     def _perform(self, action: Action) -> None:
         if action[0] == "attempt":
@@ -440,7 +440,7 @@
             request.deadline_ms = request.since_ms + budget
             self._set_backstop(request, budget)
 
-    def on_response_started(self, attempt: Attempt, response: Response, note: int) -> bool:
+    def on_response_started(self, attempt: Attempt, response: Response, cache_result: int) -> bool:
         """See AttemptOwner. Reports a success to the balancer and ends the other attempts."""
         request = attempt.request
         if not request.open or self._requests.pop(request.id, None) is None:
@@ -459,7 +459,14 @@
         self._decide(
             None,
             lambda: self._balancer.on_outcome(
-                now_ms(), request.id, winner, True, "success", attempt.server.name, elapsed_ms, note
+                now_ms(),
+                request.id,
+                winner,
+                True,
+                "success",
+                attempt.server.name,
+                elapsed_ms,
+                cache_result,
             ),
         )
         return True
@@ -473,6 +480,13 @@
         self._decide(
             None if finished else request,
             lambda: self._balancer.on_outcome(
-                now_ms(), request.id, n, finished, outcome.status, name, elapsed_ms, outcome.note
+                now_ms(),
+                request.id,
+                n,
+                finished,
+                outcome.status,
+                name,
+                elapsed_ms,
+                outcome.cache_result,
             ),
         )
--- a/corkshift/upstream.py
+++ b/corkshift/upstream.py
@@ -88,7 +88,7 @@
     """
 
     status: str
-    note: int = 0
+    cache_result: int = 0
     body: bytes = b""
 
 
@@ -249,7 +249,7 @@
     def on_fully_sent(self, request: ClientRequest) -> None:
         """Called when the last byte of a large request is written; its deadline runs from now."""
 
-    def on_response_started(self, attempt: Attempt, response: Response, note: int) -> bool:
+    def on_response_started(self, attempt: Attempt, response: Response, cache_result: int) -> bool:
         """Called when a response too large to buffer begins; returns whether it is still wanted."""
 
 
@@ -517,7 +517,7 @@
             return _error_outcome(response.status_code, headers)
         if early:
             raise ConnectionResetError("response with status 200 before the request was complete")
-        note = _cache_result(headers)
+        cache_result = _cache_result(headers)
         half_ms = now_ms() + self._within_ms / 2.0
         body, pieces = bytearray(), SmallPieceDetector()
         while isinstance(event := await self._event(), h11.Data):
@@ -529,8 +529,8 @@
                 or (length is not None and length > MAX_BUFFERED_BODY_BYTES)
                 or (length is None and now_ms() > half_ms)
             ):
-                return await self._stream_response(bytes(body), length, note)
-        return Outcome("success", note, bytes(body))
+                return await self._stream_response(bytes(body), length, cache_result)
+        return Outcome("success", cache_result, bytes(body))
 
     async def _receive_simple(self, data: bytes) -> Optional[Outcome]:
         """Return the outcome of a short response in simple form; None leaves `data` to h11."""
@@ -561,7 +561,9 @@
             raise ConnectionResetError("connection closed before the end of the response")
         return data
 
-    async def _stream_response(self, body: bytes, length: Optional[int], note: int) -> Outcome:
+    async def _stream_response(
+        self, body: bytes, length: Optional[int], cache_result: int
+    ) -> Outcome:
         """Pass on what has been read, then the rest as it arrives.
 
         From here on the response can only be completed or cut off, never replaced.
@@ -569,7 +571,7 @@
         assert self._stream is not None
         pipe = BodyPipe()
         if not self._owner.on_response_started(
-            self, Response(200, body, body_rest=pipe, length=length), note
+            self, Response(200, body, body_rest=pipe, length=length), cache_result
         ):
             raise NotSent("response no longer wanted")
         self._response_pipe = pipe
@@ -587,7 +589,7 @@
             if not await pipe.put(bytes(event.data)):
                 raise ConnectionAbortedError("the client has left")
         pipe.end()
-        return Outcome("success", note)
+        return Outcome("success", cache_result)
 
     async def _read_error_body(self) -> None:
         """Read a short error response to its end, so that the connection can be kept.
--- a/forkweir/choice.py
+++ b/forkweir/choice.py
@@ -113,7 +113,7 @@
         self.settings = settings
         self.random = random.Random(seed)
         self.fleet = Fleet(settings, seed)
-        self.line = Line(self.fleet.ranges)
+        self.line = Line(self.fleet.range_count)
         self.held: dict[int, Request] = {}
         self.classes = {spec.name: spec for spec in settings.classes}
         self.unknown_class = ClassSpec("", repeat="unsafe")
@@ -158,7 +158,9 @@
             return []
         if form in ("failed", "lost"):
             return [self._poll_at(now + self.polling.next_wait(form == "lost", now))]
-        self.fleet.apply_list(now, entries, form in ("saved", "full"), complete=form != "part")
+        self.fleet.apply_list(
+            now, entries, form in ("saved", "full"), last_of_series=form != "part"
+        )
         if form == "part":
             return []
         actions = self._plan_rebuild(now)
@@ -181,7 +183,7 @@
 
     # -- homes of ranges -----------------------------------------------------------------
 
-    def _prepare(self, now: float) -> bool:
+    def _ensure_placement(self, now: float) -> bool:
         """Return `Fleet.ready`; update a small fleet's placement first if that is due.
 
         Ready means that some range has a home, or that a large fleet without a placement has
@@ -192,7 +194,7 @@
             fleet.placement_stale
             and self._rebuilding is None
             and not fleet.large
-            and fleet.rebuild_at(now) <= now
+            and fleet.next_build_due(now) <= now
         ):
             for _ in self._rebuild(now):
                 pass
@@ -203,7 +205,7 @@
         if self._rebuild_planned or not (self.fleet.placement_stale and self.fleet.large):
             return []
         self._rebuild_planned = True
-        return [("timer", REBUILD_TIMER, self.fleet.rebuild_at(now))]
+        return [("timer", REBUILD_TIMER, self.fleet.next_build_due(now))]
 
     def _rebuild(self, now: float) -> Iterator[None]:
         """Build the next placement and a line with as many ranges; put both in force together."""
@@ -211,8 +213,8 @@
         if placement is None:
             return
         line = self.line
-        if placement.ranges != line.ranges:
-            line = yield from Line.build(placement.ranges)
+        if placement.range_count != line.range_count:
+            line = yield from Line.build(placement.range_count)
         self.fleet.placement, self.line = placement, line
 
     def _rebuild_slice(self, now: float) -> list[Action]:
@@ -244,18 +246,20 @@
             self.probes_sent += 1
             wait = PROBE_INTERVAL_MS * (0.2 if self.probes_sent < FAST_PROBES else 1.0)
             actions: list[Action] = [("timer", 2, now + wait)]
-            if self._prepare(now):
-                member = self._any_server()
+            if self._ensure_placement(now):
+                member = self._random_server()
                 if member.present:
                     actions.append(("probe", member.info.name))
             return actions
         return []
 
-    def _any_server(self) -> Member:
+    def _random_server(self) -> Member:
         """Return a random server that is home to ranges, or any candidate while none is."""
         placement = self.fleet.placement
         if placement is None or not placement.owners:
-            return self.fleet.placed[self.random.randrange(len(self.fleet.placed))]
+            return self.fleet.home_candidates[
+                self.random.randrange(len(self.fleet.home_candidates))
+            ]
         return placement.ring.member(self.random.randrange(len(placement.ring.points)))
 
     # -- requests ----------------------------------------------------------------------
@@ -266,7 +270,7 @@
         request_id: int,
         class_name: str,
         key: Optional[str],
-        budget_ms: float,
+        client_wait_ms: float,
         work_ms: float = 0.0,
         tenant: str = "",
         write: bool = False,
@@ -275,10 +279,10 @@
         """Handle a new request: return its first attempt or a refusal."""
         spec = self.classes.get(class_name, self.unknown_class)
         position = self.random.random() if key is None else position_of(key)
-        deadline = now + budget_ms
+        deadline = now + client_wait_ms
         # A client that retries has waited since its first try. Without this, full servers would
         # work on requests that are late already.
-        waited = self.client_wait.waited_ms(spec.name, budget_ms, repeated, spec.deadline_ms)
+        waited = self.client_wait.waited_ms(spec.name, client_wait_ms, repeated, spec.deadline_ms)
         aim_at = (
             now - waited + spec.aim_ms + spec.aim_stretch * work_ms - 2.0 * self.settings.tick_ms
         )
@@ -289,15 +293,15 @@
             request_id, spec, key, position, min(aim_at, deadline), deadline, work_ms, write
         )
         request.cost_ms = self.costs.cost_ms(spec, work_ms)
-        self.slow_start.record_request(now, request.cost_ms, self.fleet.count_warm_weight(now))
+        self.slow_start.record_request(now, request.cost_ms, self.fleet.update_warm_weight(now))
         self.retry_budget.earn()
         self.error_retry_budget.earn()
         if key is not None:
             self.line.record_arrival(position, key)
             if self.tier_shares is not None:
-                shared = self.tier_shares.record_arrival(position, self.line.ranges, now)
-                if shared is not self.line.shared:
-                    self.line.use_shared(shared)
+                shared_line = self.tier_shares.record_arrival(position, self.line.range_count, now)
+                if shared_line is not self.line.shared:
+                    self.line.use_shared(shared_line)
         if self.settings.cache_aside and write:
             target: Optional[Member] = self.fleet.origin
         else:
@@ -314,13 +318,17 @@
         # would get anything from them.
         fetches = self.fetches
         if fetches.limiting or self.tier_shares is not None:
-            known = fetches.remembers(position, target.info.name, target.cold_since_ms)
-            expected = fetches.expected(known, write)
+            served_last = fetches.remembers(position, target.info.name, target.cold_since_ms)
+            miss_probability = fetches.expected(served_last, write)
             if self.tier_shares is not None:
-                self.tier_shares.record_fetch_demand(expected, fetches.fetch_ms, now)
+                self.tier_shares.record_fetch_demand(miss_probability, fetches.fetch_ms, now)
                 fetches.allocated = self.tier_shares.fetch_limit(fetches.prospective_limit, now)
-            if not fetches.may_send(expected, spec.value):
-                return [self._refuse(request, "origin", fetches.wait_ms(expected, spec.value), now)]
+            if not fetches.may_send(miss_probability, spec.value):
+                return [
+                    self._refuse(
+                        request, "origin", fetches.wait_ms(miss_probability, spec.value), now
+                    )
+                ]
         # A write that the origin carries out late has no value and still invalidates the cached
         # object, so an overloaded origin would also cost the hits.
         if (
@@ -340,7 +348,7 @@
     def _unserved_cause(self, request: Request, now: float) -> tuple[RefusalCause, Optional[float]]:
         """Return why no server can take a request, and in how many ms one may."""
         fleet, soonest_ms = self.fleet, None
-        for member in fleet.placed:
+        for member in fleet.home_candidates:
             if (
                 member.token_bucket is not None
                 and fleet.is_cold(member, now)
@@ -412,11 +420,11 @@
         on_trial = member.trial_request == request.id
         # On trial because the server is suspect. A server with ejections is on trial for faults or
         # for not responding.
-        trial = on_trial and not member.ejections
-        if not trial and (
+        suspect_trial = on_trial and not member.ejections
+        if not suspect_trial and (
             on_trial
             or origin_healthy
-            and self.fleet.note_unresponsive(
+            and self.fleet.record_unanswered(
                 member, request.sent_ms[last], request.spec.aim_ms, now
             )
         ):
@@ -425,8 +433,8 @@
             not self.retry_budget.may_retry or self.hedge_share > HEDGE_MAX or not origin_healthy
         )
         if (
-            (hedging_unwise and not trial)
-            or request.tries >= self.settings.max_attempts
+            (hedging_unwise and not suspect_trial)
+            or request.attempt_count >= self.settings.max_attempts
             or not self.settings.parallel_attempts
         ):
             return []
@@ -444,7 +452,7 @@
             request.first_run_server, request.first_run_ms = member, request.sent_ms[last]
         if not self._may_retry(request, target, now):
             return []
-        if not trial:
+        if not suspect_trial:
             self.retry_budget.spend()
         return [self._send(request, target, now)]
 
@@ -455,29 +463,31 @@
         penalized or already tried.
         """
         fleet = self.fleet
-        if not self._prepare(now):
+        if not self._ensure_placement(now):
             return None
         range_number = self.line.range_of(request.position)
-        neighbours = fleet.neighbours(range_number)
+        preference_list = fleet.preference_list(range_number)
         tried = request.servers
         start = 0
         # The low bits of the position decide which keys a penalized server gives up.
         key_fraction = request.position * 65536.0 % 1.0
         if request.key is not None:
-            copies = self.line.servers_for_key(
-                request.key, min(len(neighbours), fleet.in_service or 1), request.position
+            server_count = self.line.server_count_for_key(
+                request.key,
+                min(len(preference_list), fleet.in_service_count or 1),
+                request.position,
             )
-            if copies > 1:
+            if server_count > 1:
                 self.hot_key_rotation += 1
-                start = self.hot_key_rotation % copies
+                start = self.hot_key_rotation % server_count
                 key_fraction = self.random.random()
         if request.write and not start:
             # A write gains nothing from its home's cache and goes through to the origin from any
             # server, so a faster server takes it. Otherwise slow homes would make the class with
             # the most work per request late.
-            min_speed = WRITE_SPEED_FACTOR * fleet.speeds.work_rate(neighbours[0].info.kind)
-            for step in range(1, len(neighbours) if min_speed else 0):
-                member = neighbours[step]
+            min_speed = WRITE_SPEED_FACTOR * fleet.speeds.work_rate(preference_list[0].info.kind)
+            for step in range(1, len(preference_list) if min_speed else 0):
+                member = preference_list[step]
                 if (
                     fleet.speeds.work_rate(member.info.kind) >= min_speed
                     and not member.load_penalty
@@ -485,8 +495,8 @@
                 ):
                     start = step
                     break
-        for step in range(len(neighbours)):
-            member = neighbours[(start + step) % len(neighbours)]
+        for step in range(len(preference_list)):
+            member = preference_list[(start + step) % len(preference_list)]
             if fleet.usable(member, now) and member not in tried:
                 # Cold servers take no keys of other homes, which could overload them.
                 warm = not fleet.is_cold(member, now)
@@ -495,18 +505,18 @@
                 ):
                     return member
             key_fraction = (key_fraction + 0.618034) % 1.0
-        overloaded: Optional[Member] = None
-        for member in neighbours:
+        first_rejecting: Optional[Member] = None
+        for member in preference_list:
             if fleet.usable(member, now) and member not in tried and not fleet.is_cold(member, now):
                 if member.rejects_little:
                     return member
-                overloaded = overloaded or member
-        if overloaded is not None:
+                first_rejecting = first_rejecting or member
+        if first_rejecting is not None:
             # All usable warm neighbours reject many requests, so a cold one with capacity takes
             # this request. Otherwise the last warm server among many cold ones would get, and
             # reject, all requests for the keys of the cold ones that their token buckets do not
             # admit.
-            return self._cold_with_capacity(neighbours, request, now) or overloaded
+            return self._cold_with_capacity(preference_list, request, now) or first_rejecting
         soonest_usable: Optional[Member] = None
         cold: list[Member] = []
         for member in fleet.candidates_from(range_number):
@@ -520,7 +530,7 @@
         # No warm server is left: try the nearest cold ones with capacity, home first. Otherwise a
         # fleet that is entirely cold would refuse everything or send it all to one server.
         return (
-            self._cold_with_capacity((*neighbours, *cold[:MAX_COLD_CANDIDATES]), request, now)
+            self._cold_with_capacity((*preference_list, *cold[:MAX_COLD_CANDIDATES]), request, now)
             if cold
             else None
         ) or soonest_usable
@@ -563,7 +573,7 @@
     def _cold_rate(self, member: Member, now: float) -> float:
         """Return the rate at which a cold server may get work now, in ms of work per ms."""
         fleet = self.fleet
-        reference = self.slow_start.reference(fleet.weight)
+        reference = self.slow_start.reference(fleet.total_weight)
         if self.tier_shares is not None:
             reference = self.tier_shares.work_limit(member.info.name, reference, now)
         return reference * fleet.weight_of(member) * fleet.cold_capacity(member, now)
@@ -572,18 +582,20 @@
         """Return a server with capacity for what another turned away, None while hits are slow."""
         if self.gate.slow_hit_share > NORMAL_SLOW_HIT_SHARE:
             return None
-        self._prepare(now)
+        self._ensure_placement(now)
         return self.fleet.nearest_with_capacity(
             self.line.range_of(request.position), request.servers, now
         )
 
     def _send(self, request: Request, member: Member, now: float) -> Action:
-        request.outstanding.add(request.tries)
-        known = self.fetches.remembers(request.position, member.info.name, member.cold_since_ms)
-        expected = self.fetches.expected(known, request.write)
-        request.expected_fetches[request.tries] = expected, known
-        self.fetches.record_start(expected)
-        request.tries += 1
+        request.outstanding.add(request.attempt_count)
+        served_last = self.fetches.remembers(
+            request.position, member.info.name, member.cold_since_ms
+        )
+        miss_probability = self.fetches.expected(served_last, request.write)
+        request.expected_fetches[request.attempt_count] = miss_probability, served_last
+        self.fetches.record_start(miss_probability)
+        request.attempt_count += 1
         request.servers.append(member)
         request.sent_ms.append(now)
         member.record_sent(request.id, request.spec.aim_ms, now)
@@ -606,7 +618,7 @@
         status: str,
         server: str,
         elapsed_ms: float,
-        note: int = 0,
+        cache_result: int = 0,
         load: Optional[list[float]] = None,
     ) -> list[Action]:
         """Handle the end of an attempt: retry, refuse, fail, or close the request.
@@ -616,17 +628,17 @@
         """
         member = self.fleet.members.get(server)
         request = self.held.get(request_id)
-        outcome = self._evaluate_outcome(
-            request, attempt, member, status, note, elapsed_ms, request_id, now
+        outcome = self._classify_outcome(
+            request, attempt, member, status, cache_result, elapsed_ms, request_id, now
         )
         if member is not None:
-            self.fleet.evaluate(member, outcome, now)
-            fault_likelihood = self.fleet.update_suspicion(member, outcome, now)
-            self.gate.evaluate(member, outcome, fault_likelihood, now)
+            self.fleet.record_outcome(member, outcome, now)
+            fault_probability = self.fleet.update_suspicion(member, outcome, now)
+            self.gate.record_outcome(member, outcome, fault_probability, now)
             if request is not None:
-                self._record_load(request, member, outcome, now)
+                self._update_load_estimates(request, member, outcome, now)
             if load:
-                self.fleet.record_load(member, load, now)
+                self.fleet.record_load_report(member, load, now)
         if request is None:
             return []
         self._record_fetch(request, attempt, outcome, server, now)
@@ -653,7 +665,7 @@
         if (
             status == "absent"
             and self.fleet.origin is not None
-            and request.tries < self.settings.max_attempts
+            and request.attempt_count < self.settings.max_attempts
         ):
             return [self._send(request, self.fleet.origin, now)]
         left_ms = request.aim_at - now
@@ -671,9 +683,9 @@
         ):
             same_server = None
         if (
-            outcome.overloaded
+            outcome.rejected_for_overload
             and left_ms > 0.25 * request.spec.aim_ms
-            and request.tries < self.settings.max_attempts
+            and request.attempt_count < self.settings.max_attempts
         ):
             available = self._server_with_capacity(request, now)
             if available is not None and self._may_retry(request, available, now):
@@ -697,7 +709,7 @@
         if (
             retry_useful
             and left_ms > 0.25 * request.spec.aim_ms
-            and request.tries < self.settings.max_attempts
+            and request.attempt_count < self.settings.max_attempts
             and (without_budget or budget.may_retry)
         ):
             target = same_server or self._select_server(request, now)
@@ -711,13 +723,13 @@
                 return [self._send(request, target, now)]
         return [self._give_up(request, now)]
 
-    def _evaluate_outcome(
+    def _classify_outcome(
         self,
         request: Optional[Request],
         attempt: int,
         member: Optional[Member],
         status: str,
-        note: int,
+        cache_result: int,
         elapsed_ms: float,
         request_id: int,
         now: float,
@@ -726,23 +738,23 @@
         outcome_class = OUTCOME_TYPES.get(status, AttemptOutcome)
         trial = member is not None and member.trial_request == request_id
         if request is None:
-            return outcome_class(note, elapsed_ms, None, trial=trial)
-        expected, known = request.expected_fetches.get(attempt, NO_FETCH)
+            return outcome_class(cache_result, elapsed_ms, None, trial=trial)
+        miss_probability, served_last = request.expected_fetches.get(attempt, NO_FETCH)
         cold = member is not None and self.fleet.is_cold(member, now)
         return outcome_class(
-            note,
+            cache_result,
             elapsed_ms,
             request.spec,
             request.work_ms,
             request.write,
-            known,
-            expected,
+            served_last,
+            miss_probability,
             cold,
             trial,
-            request.tries,
+            request.attempt_count,
         )
 
-    def _record_load(
+    def _update_load_estimates(
         self, request: Request, member: Member, outcome: AttemptOutcome, now: float
     ) -> None:
         """Update costs, slow start and the hedge delay from an outcome."""
@@ -752,7 +764,7 @@
             if outcome.in_time:
                 self.slow_start.record_served(request.cost_ms)
         elif member.token_bucket is not None:
-            if outcome.overload:
+            if outcome.exceeded_capacity:
                 self.slow_start.record_overload(member.token_bucket, now)
             elif outcome.served:
                 self.slow_start.record_success(member.token_bucket)
@@ -783,8 +795,8 @@
 
     def _release_fetches(self, request: Request) -> None:
         """Release the expected fetches of a request that is over."""
-        for expected, _ in request.expected_fetches.values():
-            self.fetches.record_end(expected)
+        for miss_probability, _ in request.expected_fetches.values():
+            self.fetches.record_end(miss_probability)
         request.expected_fetches.clear()
 
     def _learn_hedge_share(self, longer: bool) -> None:
@@ -807,7 +819,7 @@
             member = request.servers[attempt]
             if attempt < winner:
                 self._learn_hedge_share(True)
-                outcome = self._evaluate_outcome(
+                outcome = self._classify_outcome(
                     request,
                     attempt,
                     member,
@@ -823,7 +835,7 @@
                 and self.gate.origin_slowness < ORIGIN_SLOW_LEVEL
                 and member is not request.servers[winner]
             ):
-                self.fleet.penalize(member, now, self.gate.failure_penalty(), True)
+                self.fleet.update_load_penalty(member, now, self.gate.failure_penalty(), True)
 
     def _may_retry(self, request: Request, target: Member, now: float) -> bool:
         """Whether the request may have one more attempt, at `target`.
@@ -873,7 +885,7 @@
             request.body_consumed = True
         return []
 
-    def on_departure(self, now: float, request_id: int) -> list[Action]:
+    def on_client_gone(self, now: float, request_id: int) -> list[Action]:
         """Handle a client that left: cancel its attempts where that is allowed."""
         request = self.held.pop(request_id, None)
         if request is not None:
@@ -888,5 +900,5 @@
         """Handle the answer to a probe: take its load report."""
         member = self.fleet.members.get(server)
         if member is not None and load:
-            self.fleet.record_load(member, load, now)
+            self.fleet.record_load_report(member, load, now)
         return []
--- a/forkweir/fleet.py
+++ b/forkweir/fleet.py
@@ -23,7 +23,7 @@
 from forkweir.known.speeds import LoadTotals, Speeds
 from forkweir.known.zones import Zones
 from forkweir.limits.slow_start import TokenBucket
-from forkweir.placement import MAX_NEIGHBOURS, MIN_RANGES, Placement, build, ranges_for
+from forkweir.placement import MAX_PREFERRED_SERVERS, MIN_RANGES, Placement, build, range_count_for
 from forkweir.settings import Server, Settings
 
 # Least time between two placements of up to REBUILD_SERVERS servers; longer in proportion beyond.
@@ -41,9 +41,9 @@
 # How much one good answer reduces the effect of the load penalty.
 SUCCESS_RELIEF = 0.6
 # Least time between two counts of warm servers; longer in proportion beyond REBUILD_SERVERS.
-WARM_COUNT_INTERVAL_MS = 1_000.0
+WARM_WEIGHT_INTERVAL_MS = 1_000.0
 # A change of this share of a large fleet's servers causes a count at once.
-RECOUNT_SHARE = 0.1
+RECOMPUTE_SHARE = 0.1
 # Servers that are inserted one by one into the sorted list; for more, sorting is cheaper.
 MAX_SINGLE_INSERTS = 8
 # Time constant of the decay of load penalties (docs/cold-and-full.md: what a longer one costs).
@@ -59,7 +59,7 @@
         "cold_since_ms",
         "listed_start_ms",
         "start_notified_ms",
-        "pace",
+        "load_totals",
         "load_penalty",
         "load_penalty_ms",
         "slow_streak",
@@ -74,7 +74,7 @@
         self.cold_since_ms = info.started_ms  # when the warm-up began; 0: long ago
         self.listed_start_ms = info.started_ms  # start time in the latest list
         self.start_notified_ms = 0.0  # when this node was notified of the start
-        self.pace = LoadTotals()
+        self.load_totals = LoadTotals()
         self.load_penalty = 0.0  # of slow and unanswered attempts, as of load_penalty_ms
         self.load_penalty_ms = 0.0
         self.slow_streak = 0  # slow answers in a row
@@ -94,15 +94,15 @@
         "settings",
         "members",
         "placement",
-        "placed",
+        "home_candidates",
         "zones",
         "speeds",
         "placement_stale",
-        "rebuilt_ms",
+        "build_started_ms",
         "origin",
-        "weight",
+        "total_weight",
         "warm_weight",
-        "warm_count_due_ms",
+        "warm_weight_due_ms",
         "health",
         "_present",
         "_departed",
@@ -116,15 +116,15 @@
         self.zones = Zones(settings.zone)
         self.speeds = Speeds(settings)
         # Members that may be home to ranges, sorted by name; never changed in place.
-        self.placed: list[Member] = []
+        self.home_candidates: list[Member] = []
         # Homes of ranges, for the members of `placed` when the build began.
         self.placement: Optional[Placement[Member]] = None
         self.placement_stale = False  # the list has changed since the last build began
-        self.rebuilt_ms = 0.0  # when the last build began
+        self.build_started_ms = 0.0  # when the last build began
         self.origin: Optional[Member] = None
-        self.weight = 0.0  # of all present members, as of the last count
+        self.total_weight = 0.0  # of all present members, as of the last count
         self.warm_weight = 0.0  # of the present members that are warm and in use
-        self.warm_count_due_ms = 0.0
+        self.warm_weight_due_ms = 0.0
         self._present: set[Member] = set()  # of `placed`
         # Members that left without draining, oldest first; they keep their ranges for
         # DEPARTED_HOLD_MS.
@@ -132,20 +132,20 @@
         self._max_departed = 0
 
     @property
-    def in_service(self) -> int:
+    def in_service_count(self) -> int:
         """How many servers that may be home to ranges are in service."""
         return len(self._present)
 
     # -- the list ------------------------------------------------------------------------
 
     def apply_list(
-        self, now: float, entries: Iterable[Server], full: bool, complete: bool = True
+        self, now: float, entries: Iterable[Server], full: bool, last_of_series: bool = True
     ) -> None:
         """Apply a full list or changes of it.
 
         complete: False if more changes follow at once; homes are assigned after the last of them.
         """
-        in_service_before = self.in_service
+        in_service_before = self.in_service_count
         touched: dict[str, Member] = {}
         listed_names: set[str] = set()
         for info in entries:
@@ -162,10 +162,10 @@
         self._forget_departed(now, in_service_before)
         if (
             not self.large
-            or abs(self.in_service - in_service_before) > RECOUNT_SHARE * in_service_before
+            or abs(self.in_service_count - in_service_before) > RECOMPUTE_SHARE * in_service_before
         ):
-            self.warm_count_due_ms = 0.0
-        self.placement_stale = self.placement_stale or complete
+            self.warm_weight_due_ms = 0.0
+        self.placement_stale = self.placement_stale or last_of_series
 
     def _apply_entry(self, info: Server, now: float) -> Optional[Member]:
         """Apply one entry and return its member; None for the removal of an unknown server."""
@@ -174,12 +174,12 @@
             # The start lies in the future by this node's clock, which is behind. The server has
             # started by the time of the notification; without this it would stay cold for as long
             # as the clocks differ. The warm-up is then taken to begin later than it did: no harm.
-            already_listed = member is not None and member.listed_start_ms == listed_start_ms
+            start_unchanged = member is not None and member.listed_start_ms == listed_start_ms
             # At least 1, as 0 stands for a start long ago.
             info = replace(
                 info,
                 started_ms=member.info.started_ms
-                if member is not None and already_listed
+                if member is not None and start_unchanged
                 else max(now, 1.0),
             )
         if member is None:
@@ -223,7 +223,7 @@
             else:
                 self._departed.pop(name, None)
             if self._is_origin(member):
-                self._move_origin()
+                self._update_origin()
             may_be_home = not (member.draining or self._is_origin(member))
             if not may_be_home:
                 leaving.add(member)
@@ -235,7 +235,7 @@
                 self._present.discard(member)
         self._set_home_candidates(entering, leaving)
 
-    def _move_origin(self) -> None:
+    def _update_origin(self) -> None:
         """Set the origin: the present one, the last by name of several, or None."""
         origins = [
             name
@@ -245,8 +245,8 @@
         self.origin = self.members[max(origins)] if origins else None
 
     def _is_home_candidate(self, member: Member) -> bool:
-        index = bisect_left(self.placed, member.info.name, key=_name_of)
-        return index < len(self.placed) and self.placed[index] is member
+        index = bisect_left(self.home_candidates, member.info.name, key=_name_of)
+        return index < len(self.home_candidates) and self.home_candidates[index] is member
 
     def _set_home_candidates(self, entering: list[Member], leaving: set[Member]) -> None:
         """Replace the sorted list of members that may be home to ranges."""
@@ -254,9 +254,9 @@
         if not (entering or leaving):
             return
         candidates = (
-            [member for member in self.placed if member not in leaving]
+            [member for member in self.home_candidates if member not in leaving]
             if leaving
-            else self.placed.copy()
+            else self.home_candidates.copy()
         )
         if len(entering) <= MAX_SINGLE_INSERTS:
             for member in entering:
@@ -264,7 +264,7 @@
         else:
             candidates += entering
             candidates.sort(key=_name_of)
-        self.placed = candidates
+        self.home_candidates = candidates
 
     def _forget_departed(self, now: float, in_service_before: int) -> None:
         """Forget members that drained, left DEPARTED_HOLD_MS ago, or exceed the number in service.
@@ -273,7 +273,9 @@
         number of ranges.
         """
         self._max_departed = max(
-            self._max_departed if len(self._departed) > 1 else 0, in_service_before, self.in_service
+            self._max_departed if len(self._departed) > 1 else 0,
+            in_service_before,
+            self.in_service_count,
         )
         forgotten = [
             name
@@ -296,26 +298,29 @@
     # -- homes of ranges -----------------------------------------------------------------
 
     @property
-    def ranges(self) -> int:
+    def range_count(self) -> int:
         """The number of ranges of the placement in force."""
-        return self.placement.ranges if self.placement is not None else MIN_RANGES
+        return self.placement.range_count if self.placement is not None else MIN_RANGES
 
     @property
     def ready(self) -> bool:
         """Whether any range has a home."""
         if self.placement is not None and self.placement.owners:
             return True
-        return self.large and bool(self.placed)
+        return self.large and bool(self.home_candidates)
 
     @property
     def large(self) -> bool:
         """Whether placements are built in slices."""
         return (
-            max(len(self.placed), len(self.placement.members) if self.placement is not None else 0)
+            max(
+                len(self.home_candidates),
+                len(self.placement.members) if self.placement is not None else 0,
+            )
             > MAX_UNSLICED_SERVERS
         )
 
-    def rebuild_at(self, now: float) -> float:
+    def next_build_due(self, now: float) -> float:
         """When the next placement is due after a change: at once if there is none, else limited.
 
         Without the limit, each of the hundreds of changes of a release at a large fleet would cost
@@ -325,7 +330,8 @@
             return now
         return max(
             now,
-            self.rebuilt_ms + REBUILD_INTERVAL_MS * max(1.0, len(self.placed) / REBUILD_SERVERS),
+            self.build_started_ms
+            + REBUILD_INTERVAL_MS * max(1.0, len(self.home_candidates) / REBUILD_SERVERS),
         )
 
     def build_placement(self, now: float) -> Generator[None, None, Optional[Placement[Member]]]:
@@ -333,15 +339,19 @@
 
         Returns None if the placement in force is already that of the list.
         """
-        self.placement_stale, self.rebuilt_ms = False, now
-        members = self.placed
+        self.placement_stale, self.build_started_ms = False, now
+        members = self.home_candidates
         weights = [self.weight_of(member) for member in members]
         current = self.placement
         if current is not None and members == current.members and weights == current.weights:
             return None
-        return (yield from build(current, members, weights, ranges_for(len(members), self.ranges)))
+        return (
+            yield from build(
+                current, members, weights, range_count_for(len(members), self.range_count)
+            )
+        )
 
-    def neighbours(self, range_number: int) -> tuple[Member, ...]:
+    def preference_list(self, range_number: int) -> tuple[Member, ...]:
         """The home of a range and the next servers in the order that all nodes share.
 
         Until the first placement of a large fleet is built, servers in the order of their names are
@@ -349,17 +359,19 @@
         meanwhile. The cost: what is fetched until then is cached away from its later home.
         """
         if self.placement is not None and self.placement.owners:
-            return self.placement.neighbours(range_number)
-        first = range_number * len(self.placed) // self.ranges
-        return tuple(islice(self._candidates_from_index(first), MAX_NEIGHBOURS))
+            return self.placement.preference_list(range_number)
+        first = range_number * len(self.home_candidates) // self.range_count
+        return tuple(islice(self._candidates_from_index(first), MAX_PREFERRED_SERVERS))
 
     def candidates_from(self, range_number: int) -> Iterator[Member]:
         """All servers that may be home to ranges, beginning with a different one for each range."""
-        return self._candidates_from_index(range_number % len(self.placed) if self.placed else 0)
+        return self._candidates_from_index(
+            range_number % len(self.home_candidates) if self.home_candidates else 0
+        )
 
     def _candidates_from_index(self, first: int) -> Iterator[Member]:
         """All servers that may be home to ranges, beginning at an index and wrapping around."""
-        candidates = self.placed
+        candidates = self.home_candidates
         return chain(islice(candidates, first, None), islice(candidates, first))
 
     def accepted_share(self, member: Member, now: float) -> float:
@@ -367,7 +379,9 @@
 
         The token bucket of a cold server reduces it further.
         """
-        share = self.speeds.relative_capacity(member.info.kind, member.pace, self.weight_of(member))
+        share = self.speeds.relative_capacity(
+            member.info.kind, member.load_totals, self.weight_of(member)
+        )
         if member.load_penalty:
             decay = exp((member.load_penalty_ms - now) / PENALTY_DECAY_MS)
             share /= 1.0 + member.load_penalty * decay / (
@@ -384,30 +398,32 @@
         start = self.settings.cold_start_capacity
         return start + (1.0 - start) * max(0.0, now - member.cold_since_ms) / self.settings.cold_ms
 
-    def count_warm_weight(self, now: float) -> float:
+    def update_warm_weight(self, now: float) -> float:
         """The weight of all warm servers in use, counted anew if that is due."""
-        if now >= self.warm_count_due_ms:
-            self.warm_count_due_ms = now + WARM_COUNT_INTERVAL_MS * max(
-                1.0, len(self.placed) / REBUILD_SERVERS
+        if now >= self.warm_weight_due_ms:
+            self.warm_weight_due_ms = now + WARM_WEIGHT_INTERVAL_MS * max(
+                1.0, len(self.home_candidates) / REBUILD_SERVERS
             )
-            weight = warm = 0.0
-            for member in self.placed:
+            total_weight = warm_weight = 0.0
+            for member in self.home_candidates:
                 if member.present:
                     member_weight = self.weight_of(member)
-                    weight += member_weight
+                    total_weight += member_weight
                     if member.ejected_until <= now and not self.is_cold(member, now):
-                        warm += member_weight
-            self.weight, self.warm_weight = weight, warm
+                        warm_weight += member_weight
+            self.total_weight, self.warm_weight = total_weight, warm_weight
         return self.warm_weight
 
     def weight_of(self, member: Member) -> float:
         """The listed weight of a server, at least 0.05; 1 where the site's weights are not used."""
         return max(0.05, member.info.weight) if self.settings.use_weights else 1.0
 
-    def record_load(self, member: Member, load: list[float], now: float) -> None:
+    def record_load_report(self, member: Member, load: list[float], now: float) -> None:
         """Update speeds by a load report; a cold server's report says nothing of its kind."""
         if not self.is_cold(member, now):
-            self.speeds.record_load(member.info.kind, member.pace, self.weight_of(member), load)
+            self.speeds.record_load_report(
+                member.info.kind, member.load_totals, self.weight_of(member), load
+            )
 
     def usable(self, member: Member, now: float) -> bool:
         """Whether a server may get attempts at all."""
@@ -426,7 +442,9 @@
             member.present and not self.usable(member, now) for member in self.members.values()
         )
 
-    def penalize(self, member: Member, now: float, penalty: float, slow: bool = False) -> None:
+    def update_load_penalty(
+        self, member: Member, now: float, penalty: float, slow: bool = False
+    ) -> None:
         """Record a slow or missing answer (a good one if the penalty is 0).
 
         A penalized server gets fewer of its keys for a while; else it would stay overloaded.
@@ -453,9 +471,9 @@
         was turned away has not run and cost little, so a retry elsewhere needs no retry budget.
         When all servers are overloaded, none has capacity.
         """
-        if not (self.ready and self.placed):
+        if not (self.ready and self.home_candidates):
             return None
-        for member in chain(self.neighbours(range_number), self.candidates_from(range_number)):
+        for member in chain(self.preference_list(range_number), self.candidates_from(range_number)):
             if (
                 member.rejects_little
                 and self.usable(member, now)
@@ -465,7 +483,7 @@
                 return member
         return None
 
-    def evaluate(self, member: Member, outcome: AttemptOutcome, now: float) -> None:
+    def record_outcome(self, member: Member, outcome: AttemptOutcome, now: float) -> None:
         """Update the reachability and capacity of a server and its zone by an outcome."""
         if self.health.record_outcome(member, outcome, now):
             # The server answers again without a notification from the list: treat it as cold. It
@@ -477,12 +495,14 @@
 
     def update_suspicion(self, member: Member, outcome: AttemptOutcome, now: float) -> float:
         """Update outlier detection by an outcome; return the likelihood that its server is bad."""
-        return self.health.update_suspicion(member, outcome, self.placed, self.in_service, now)
+        return self.health.update_suspicion(
+            member, outcome, self.home_candidates, self.in_service_count, now
+        )
 
-    def note_unresponsive(self, member: Member, sent_ms: float, aim_ms: float, now: float) -> bool:
+    def record_unanswered(self, member: Member, sent_ms: float, aim_ms: float, now: float) -> bool:
         """Record an attempt without an answer; return whether to eject its server for that."""
         return self.health.record_unanswered(
-            member, sent_ms, aim_ms, self.placed, self.in_service, now
+            member, sent_ms, aim_ms, self.home_candidates, self.in_service_count, now
         )
 
 
--- a/forkweir/gate.py
+++ b/forkweir/gate.py
@@ -58,8 +58,8 @@
         self.hit_share = 1.0  # of recent outcomes
         self.slow_hit_share = 0.0  # of recent hits
 
-    def evaluate(
-        self, member: Member, outcome: AttemptOutcome, fault_likelihood: float, now: float
+    def record_outcome(
+        self, member: Member, outcome: AttemptOutcome, fault_probability: float, now: float
     ) -> None:
         """Update the gate by an outcome: hits and misses separate slow servers from a slow origin.
 
@@ -90,10 +90,10 @@
                 # at a server that is already penalized, which says nothing new of the others unless
                 # many hits are slow (then the whole fleet may be penalized), and except in a zone
                 # where nothing answers, since a cut link is no overload.
-                (outcome.overloaded and outcome.tries > 1)
+                (outcome.rejected_for_overload and outcome.attempt_count > 1)
                 or (
                     outcome.timed_out
-                    and fault_likelihood <= 0.5
+                    and fault_probability <= 0.5
                     and (
                         self.slow_hit_share > HIGH_SLOW_HIT_SHARE
                         or member.load_penalty
@@ -110,7 +110,7 @@
             # of their value, so servers full of reads would refuse orders.
             min_share = (
                 MIN_ADMITTED_SHARE
-                if self.slow_hit_share > NORMAL_SLOW_HIT_SHARE or outcome.overloaded
+                if self.slow_hit_share > NORMAL_SLOW_HIT_SHARE or outcome.rejected_for_overload
                 else MIN_ADMITTED_SHARE_FAST_HITS
             )
             self.admitted_share = min(
@@ -119,13 +119,13 @@
         # What all servers do alike says nothing against one of them. Penalizing it would scatter
         # keys over servers that are no better, which turns hits into misses.
         slow_hit = hit and elapsed_ms > SLOW_HIT_SHARE * aim + 2.0 * outcome.work_ms and aim > 0.0
-        if outcome.served or outcome.timed_out or outcome.overloaded:
+        if outcome.served or outcome.timed_out or outcome.rejected_for_overload:
             self.failure_share += (
                 OUTCOME_LEARNING_RATE
-                * (1.0 - fault_likelihood)
+                * (1.0 - fault_probability)
                 * ((not outcome.served) - self.failure_share)
             )
-        if outcome.served or outcome.timed_out or outcome.overloaded or outcome.error:
+        if outcome.served or outcome.timed_out or outcome.rejected_for_overload or outcome.error:
             self.hit_share += OUTCOME_LEARNING_RATE * (hit - self.hit_share)
         if hit:
             self.slow_hit_share += OUTCOME_LEARNING_RATE * (slow_hit - self.slow_hit_share)
@@ -137,22 +137,22 @@
             # hits as well; counted in full, errors of half the fleet would pass for an overloaded
             # origin, which stops retries and closes the gate while the other half has capacity.
             # The cost: where every answer is an error, detection takes a few more of them.
-            miss_likelihood = (
+            miss_weight = (
                 1.0
                 if outcome.reported_miss
                 else max(outcome.miss_probability, LOW_HIT_SHARE - self.hit_share)
             )
             self.origin_slowness += (
                 ORIGIN_LEARNING_RATE
-                * (1.0 - fault_likelihood)
-                * miss_likelihood
+                * (1.0 - fault_probability)
+                * miss_weight
                 * (slowness - self.origin_slowness)
             )
             # An origin that is down behind empty caches can't recover while most keys are misses,
             # so the collapse would outlast its cause.
             if self.origin_slowness > ORIGIN_DOWN_LEVEL and self.hit_share < LOW_HIT_SHARE:
                 self.admitted_share = min(self.admitted_share, MIN_ADMITTED_SHARE)
-        elif outcome.timed_out or outcome.overloaded or outcome.error:
+        elif outcome.timed_out or outcome.rejected_for_overload or outcome.error:
             # While the origin is slow keys stay where they are. Scattered keys would turn hits into
             # misses and keep the origin down.
             if self.origin_slowness < ORIGIN_SLOW_LEVEL:
@@ -168,16 +168,16 @@
                     else 1.0
                 )
                 if penalty > 0.0:  # penalize() takes 0 for a good answer
-                    self.fleet.penalize(member, now, penalty, outcome.timed_out)
+                    self.fleet.update_load_penalty(member, now, penalty, outcome.timed_out)
         elif hit and aim:
             if outcome.work_ms:
                 self.fleet.speeds.record_hit(member.info.kind, outcome.work_ms, elapsed_ms)
             if slow_hit:
-                self.fleet.penalize(
+                self.fleet.update_load_penalty(
                     member, now, 0.5 * max(0.05, 1.0 - 5.0 * self.slow_hit_share), True
                 )
             else:
-                self.fleet.penalize(member, now, 0.0)
+                self.fleet.update_load_penalty(member, now, 0.0)
 
     def admits(self, position: float, relative_value: float) -> bool:
         """Whether the gate admits a key. relative_value: value of its class over the least value.
--- a/forkweir/known/health.py
+++ b/forkweir/known/health.py
@@ -217,8 +217,10 @@
             server.eject(now)
         if outcome.response_received:
             server.unanswered, server.last_answer_ms = 0, now
-        if outcome.rejected is not None:
-            server.rejection_rate += REJECTION_WEIGHT * (outcome.rejected - server.rejection_rate)
+        if outcome.rejection_sample is not None:
+            server.rejection_rate += REJECTION_WEIGHT * (
+                outcome.rejection_sample - server.rejection_rate
+            )
         return may_have_restarted
 
     def record_unanswered(
@@ -227,7 +229,7 @@
         sent_ms: float,
         aim_ms: float,
         servers: Sequence[Health],
-        in_service: int,
+        in_service_count: int,
         now: float,
     ) -> bool:
         """Record a request that has long been unanswered; return whether to eject the server.
@@ -250,7 +252,7 @@
             return False
         return (
             sum(1 for other in servers if other.present and other.ejected_until > now)
-            < MAX_UNRESPONSIVE_SHARE * in_service
+            < MAX_UNRESPONSIVE_SHARE * in_service_count
         )
 
     def update_suspicion(
@@ -258,7 +260,7 @@
         server: Health,
         outcome: AttemptOutcome,
         servers: Sequence[Health],
-        in_service: int,
+        in_service_count: int,
         now: float,
     ) -> float:
         """Update a server's suspicion by an outcome; return the probability that it is bad.
@@ -271,7 +273,7 @@
         common = adverse and self.detector.is_common_cause(
             category,
             sum(other.present and other.suspicion.suspect for other in servers)
-            / max(1, in_service),
+            / max(1, in_service_count),
         )
         bad = self.detector.update(server.suspicion, category, adverse, now, common)
         if common:
@@ -296,7 +298,7 @@
         log_odds: float,
         recovered: bool,
         servers: Sequence[Health],
-        in_service: int,
+        in_service_count: int,
         now: float,
     ) -> None:
         """Apply what other nodes report of a server (`forkweir/tier/signals`).
@@ -313,7 +315,7 @@
         if server.suspicion.suspect and log_odds and not server.suspicion.detections:
             if sum(
                 other.present and other.suspicion.suspect for other in servers
-            ) <= MAX_PEER_SUSPECT_SHARE * max(1, in_service):
+            ) <= MAX_PEER_SUSPECT_SHARE * max(1, in_service_count):
                 server.ejected_until = max(
                     server.ejected_until, now + self.detector.next_trial_wait(server.suspicion)
                 )
--- a/forkweir/known/outcomes.py
+++ b/forkweir/known/outcomes.py
@@ -54,26 +54,27 @@
         "miss_probability",
         "cold",
         "trial",
-        "tries",
+        "attempt_count",
         "reported_hit",
         "reported_miss",
         "brief",
     )
 
     status = ""
-    served = overloaded = error = timed_out = False
+    served = rejected_for_overload = error = timed_out = False
     fault = False  # the connection failed, or the response could not be read
     alive = False  # the server itself answered, with any status
     response_received = False  # any bytes came back
     may_have_run = True  # the server may have executed the request (rule on duplicates)
     fetch_ended = False  # its fetch, if any, is over as far as anyone waited for it
     may_be_brief = False  # it ended because its time ran out
-    rejected: Optional[bool] = None  # True: rejected for overload; False: served; None: neither
+    # True: rejected for overload; False: served; None: neither
+    rejection_sample: Optional[bool] = None
     zone_answers: Optional[bool] = None  # whether the server's zone answers; None if unknown
 
     def __init__(
         self,
-        note: int,
+        cache_result: int,
         elapsed_ms: float,
         spec: Optional[ClassSpec],
         work_ms: float = 0.0,
@@ -82,7 +83,7 @@
         miss_probability: float = 0.0,
         cold: bool = False,
         trial: bool = False,
-        tries: int = 0,
+        attempt_count: int = 0,
     ) -> None:
         """Classify an attempt.
 
@@ -99,9 +100,9 @@
         self.miss_probability = miss_probability
         self.cold = cold
         self.trial = trial
-        self.tries = tries
-        self.reported_hit = note == 1
-        self.reported_miss = note >= 2
+        self.attempt_count = attempt_count
+        self.reported_hit = cache_result == 1
+        self.reported_miss = cache_result >= 2
         # An attempt with less time than most answers take says nothing about the server. Otherwise
         # the time-outs of clients that retry with little time left would look like overload, and
         # more requests would be refused and retried.
@@ -147,9 +148,13 @@
         return self.served and self.elapsed_ms <= self.aim_ms
 
     @property
-    def overload(self) -> bool:
+    def exceeded_capacity(self) -> bool:
         """Whether the attempt was too much for its server: rejected, or not served in time."""
-        return self.overloaded or self.timed_out or (self.served and self.elapsed_ms > self.aim_ms)
+        return (
+            self.rejected_for_overload
+            or self.timed_out
+            or (self.served and self.elapsed_ms > self.aim_ms)
+        )
 
     @property
     def reveals_cost(self) -> bool:
@@ -196,7 +201,7 @@
     """The server served the request."""
 
     __slots__ = ()
-    status, served, alive, response_received, fetch_ended, rejected, zone_answers = (
+    status, served, alive, response_received, fetch_ended, rejection_sample, zone_answers = (
         "success",
         True,
         True,
@@ -211,7 +216,15 @@
     """The server rejected the request for overload without executing it."""
 
     __slots__ = ()
-    status, overloaded, alive, response_received, may_have_run, rejected, zone_answers = (
+    (
+        status,
+        rejected_for_overload,
+        alive,
+        response_received,
+        may_have_run,
+        rejection_sample,
+        zone_answers,
+    ) = (
         "overloaded",
         True,
         True,
--- a/forkweir/known/speeds.py
+++ b/forkweir/known/speeds.py
@@ -49,7 +49,9 @@
         rate = (own.rate + KIND_EVIDENCE_S * known[0] / known[1]) / (own.busy + KIND_EVIDENCE_S)
         return min(1.0, rate / weight / self.best_capacity)
 
-    def record_load(self, kind: str, own: LoadTotals, weight: float, load: list[float]) -> None:
+    def record_load_report(
+        self, kind: str, own: LoadTotals, weight: float, load: list[float]
+    ) -> None:
         """Update the estimates by a load report: requests a second for each busy core."""
         if (
             self.rate_column < 0
--- a/forkweir/known/unconfirmed.py
+++ b/forkweir/known/unconfirmed.py
@@ -56,14 +56,14 @@
         return tuple(self._held)
 
     def apply(
-        self, entries: Iterable[UnconfirmedEntry], in_service: int, now: float
+        self, entries: Iterable[UnconfirmedEntry], in_service_count: int, now: float
     ) -> tuple[list[str], list[str]]:
         """Apply entries; return the servers to hold back and the servers that are cold.
 
         in_service: number of servers that are listed as in service and not held back.
         """
         held_back, cold = [], []
-        total = in_service + len(self._held)
+        total = in_service_count + len(self._held)
         for entry in entries:
             if not entry.same_address:
                 continue
@@ -76,11 +76,11 @@
                 if not unreadable:
                     self._held[entry.name] = float("inf")
                 continue
-            if in_service <= 1 or (
+            if in_service_count <= 1 or (
                 unreadable and len(self._held) + 1 > max(1.0, MAX_UNREADABLE_SHARE * total)
             ):
                 continue
-            in_service -= 1
+            in_service_count -= 1
             self._held[entry.name] = now + UNREADABLE_TIMEOUT_MS if unreadable else float("inf")
             held_back.append(entry.name)
         return held_back, cold
--- a/forkweir/limits/client_wait.py
+++ b/forkweir/limits/client_wait.py
@@ -28,7 +28,7 @@
         self._first: dict[str, float] = {}
 
     def waited_ms(
-        self, class_name: str, budget_ms: float, is_retry: bool, deadline_ms: float
+        self, class_name: str, client_wait_ms: float, is_retry: bool, deadline_ms: float
     ) -> float:
         """Return how long a client waited before it sent this request, in ms; 0 where unknown.
 
@@ -36,10 +36,12 @@
         """
         first = self._first.get(class_name)
         if is_retry:
-            same_as_first = first is not None and abs(budget_ms - first) <= SAME_TOLERANCE * first
-            return 0.0 if same_as_first else max(0.0, deadline_ms - budget_ms)
-        if first is None or budget_ms >= first:
-            self._first[class_name] = budget_ms
+            same_as_first = (
+                first is not None and abs(client_wait_ms - first) <= SAME_TOLERANCE * first
+            )
+            return 0.0 if same_as_first else max(0.0, deadline_ms - client_wait_ms)
+        if first is None or client_wait_ms >= first:
+            self._first[class_name] = client_wait_ms
         else:
-            self._first[class_name] = first + DECREASE_WEIGHT * (budget_ms - first)
+            self._first[class_name] = first + DECREASE_WEIGHT * (client_wait_ms - first)
         return 0.0
--- a/forkweir/limits/fetch_budget.py
+++ b/forkweir/limits/fetch_budget.py
@@ -104,9 +104,9 @@
         entry = self._last_server.get(position)
         return entry is not None and entry[0] == server and entry[1] > started_ms
 
-    def expected(self, known: bool, write: bool) -> float:
+    def expected(self, served_last: bool, write: bool) -> float:
         """Return the expected fetches of a request, 0 to 1. known: what `remembers` returned."""
-        return 1.0 if write else self.known_miss_rate if known else self.unknown_miss_rate
+        return 1.0 if write else self.known_miss_rate if served_last else self.unknown_miss_rate
 
     def may_send(self, cost: float, value: float) -> bool:
         """Return whether a request of this expected cost may be sent."""
@@ -157,9 +157,9 @@
             if len(self._last_server) > MAX_KEYS:
                 del self._last_server[next(iter(self._last_server))]
 
-    def record_read(self, known: bool, missed: bool) -> None:
+    def record_read(self, served_last: bool, missed: bool) -> None:
         """Record whether a read missed. known: its server was remembered for the key."""
-        if known:
+        if served_last:
             self.known_miss_rate += MISS_RATE_WEIGHT * (missed - self.known_miss_rate)
         else:
             self.unknown_miss_rate += MISS_RATE_WEIGHT * (missed - self.unknown_miss_rate)
--- a/forkweir/line.py
+++ b/forkweir/line.py
@@ -34,20 +34,20 @@
     return (digest(key) >> 11) / 9007199254740992.0
 
 
-def equal_cuts(window: Sequence[float], ranges: int) -> list[float]:
+def equal_cuts(window: Sequence[float], range_count: int) -> list[float]:
     """Cut a sorted window at equal counts; each cut is the midpoint of two adjacent points."""
     size = len(window)
-    if size >= ranges and not size % ranges:
+    if size >= range_count and not size % range_count:
         # The same result as below in a tenth of the time; cutting is a fifth of a request's cost.
-        step = size // ranges
+        step = size // range_count
         return [
             (a + b) / 2.0
             for a, b in zip(window[step - 1 : size - 1 : step], window[step::step], strict=True)
         ]
     last = size - 1
     cuts = []
-    for i in range(1, ranges):
-        index = size * i // ranges
+    for i in range(1, range_count):
+        index = size * i // range_count
         cuts.append((window[max(0, index - 1)] + window[min(index, last)]) / 2.0)
     return cuts
 
@@ -61,7 +61,7 @@
     """The window of recent positions, the cuts made from it, and counts of hot keys."""
 
     __slots__ = (
-        "ranges",
+        "range_count",
         "window",
         "initial_points",
         "arrivals",
@@ -74,12 +74,12 @@
         "shared",
     )
 
-    def __init__(self, ranges: int, initial_points: Optional[array[float]] = None) -> None:
+    def __init__(self, range_count: int, initial_points: Optional[array[float]] = None) -> None:
         """initial_points: the evenly spaced window, if it has been built already (see `build`)."""
-        self.ranges = ranges
+        self.range_count = range_count
         # All nodes start with the same evenly spaced window. Otherwise a node that restarted or
         # gets few requests would cut its line by a handful of requests.
-        size = ranges * WINDOW_PER_RANGE
+        size = range_count * WINDOW_PER_RANGE
         self.initial_points = (
             _evenly_spaced(0, size, size) if initial_points is None else initial_points
         )
@@ -88,7 +88,7 @@
         # Positions of requests in order of arrival; a ring buffer once the window is full of them.
         self.arrivals = array("d")
         self.oldest_index = 0
-        self.cuts = equal_cuts(self.window, ranges)
+        self.cuts = equal_cuts(self.window, range_count)
         self.arrivals_since_update = 0
         self.key_counts: dict[str, int] = {}
         self.recent_keys: list[str] = []
@@ -96,14 +96,14 @@
         self.shared: Optional[SharedLine] = None
 
     @staticmethod
-    def build(ranges: int) -> Generator[None, None, Line]:
+    def build(range_count: int) -> Generator[None, None, Line]:
         """Build a new line; yields between slices of SLICE_POINTS points of its window."""
-        size = ranges * WINDOW_PER_RANGE
+        size = range_count * WINDOW_PER_RANGE
         initial_points = array("d")
         for first in range(0, size, SLICE_POINTS):
             initial_points += _evenly_spaced(first, min(size, first + SLICE_POINTS), size)
             yield
-        return Line(ranges, initial_points)
+        return Line(range_count, initial_points)
 
     def use_shared(self, shared: Optional[SharedLine]) -> None:
         """Take the cuts from the nodes' common line, or from this node's own window if None."""
@@ -152,7 +152,9 @@
     def update(self) -> None:
         """BOUNDARY = alpha x CUR_BOUND + (1 - alpha) x BOUNDARY (Algorithm 1)."""
         old_weight = 1.0 - ALPHA
-        new_cuts = equal_cuts(self.window, self.ranges) if self.shared is None else self.shared.cuts
+        new_cuts = (
+            equal_cuts(self.window, self.range_count) if self.shared is None else self.shared.cuts
+        )
         self.cuts = [
             ALPHA * new + old_weight * old for new, old in zip(new_cuts, self.cuts, strict=True)
         ]
@@ -161,7 +163,7 @@
         """Return the number of the range that holds a position."""
         return bisect_right(self.cuts, position)
 
-    def servers_for_key(self, key: str, servers: int, position: float = -1.0) -> int:
+    def server_count_for_key(self, key: str, servers: int, position: float = -1.0) -> int:
         """How many servers a key's share of recent requests needs (1 for an ordinary key)."""
         if self.shared is not None and position >= 0.0:
             share = self.shared.share(position)
--- a/forkweir/placement.py
+++ b/forkweir/placement.py
@@ -24,7 +24,7 @@
 
 POINTS_PER_SERVER = 24
 CAPACITY_FACTOR = 1.12  # a server is home to at most this multiple of its exact share of ranges
-MAX_NEIGHBOURS = 8  # servers considered for a range, home included
+MAX_PREFERRED_SERVERS = 8  # servers considered for a range, home included
 # The same for every fleet of up to 256 servers, so that nodes with different lists agree.
 MIN_RANGES = 2_048
 RANGES_PER_SERVER = 8  # least ratio of ranges to servers
@@ -48,12 +48,12 @@
 Member = TypeVar("Member", bound=PlacedServer)
 
 
-def ranges_for(servers: int, minimum: int = MIN_RANGES) -> int:
+def range_count_for(servers: int, minimum: int = MIN_RANGES) -> int:
     """How many ranges this many servers need: `minimum` times a power of 2, so keys move rarely."""
-    ranges = minimum
-    while ranges < servers * RANGES_PER_SERVER:
-        ranges *= 2
-    return ranges
+    range_count = minimum
+    while range_count < servers * RANGES_PER_SERVER:
+        range_count *= 2
+    return range_count
 
 
 class HashRing(Generic[Member]):
@@ -163,38 +163,38 @@
 class Placement(Generic[Member]):
     """Homes of all ranges, for the servers and weights listed when the build began."""
 
-    __slots__ = ("members", "weights", "ranges", "ring", "owners", "_neighbours")
+    __slots__ = ("members", "weights", "range_count", "ring", "owners", "_preference_lists")
 
     def __init__(
         self,
         members: Sequence[Member],
         weights: Sequence[float],
-        ranges: int,
+        range_count: int,
         ring: HashRing[Member],
         owners: list[Member],
     ) -> None:
         self.members = members
         self.weights = weights
-        self.ranges = ranges
+        self.range_count = range_count
         self.ring = ring
         self.owners = owners
-        self._neighbours: dict[int, tuple[Member, ...]] = {}
+        self._preference_lists: dict[int, tuple[Member, ...]] = {}
 
-    def neighbours(self, range_number: int) -> tuple[Member, ...]:
+    def preference_list(self, range_number: int) -> tuple[Member, ...]:
         """The home of a range and the next servers on the ring, MAX_NEIGHBOURS in all at most."""
-        cached = self._neighbours.get(range_number)
+        cached = self._preference_lists.get(range_number)
         if cached is None:
-            cached = self._neighbours[range_number] = self._find_neighbours(range_number)
+            cached = self._preference_lists[range_number] = self._find_preference_list(range_number)
         return cached
 
-    def _find_neighbours(self, range_number: int) -> tuple[Member, ...]:
+    def _find_preference_list(self, range_number: int) -> tuple[Member, ...]:
         found = [self.owners[range_number]]
         start = self.ring.index_for(range_number)
         for step in range(len(self.ring.points)):
             member = self.ring.member(start + step)
             if member not in found:
                 found.append(member)
-                if len(found) >= MAX_NEIGHBOURS:
+                if len(found) >= MAX_PREFERRED_SERVERS:
                     break
         return tuple(found)
 
@@ -203,7 +203,7 @@
     previous: Optional[Placement[Member]],
     members: Sequence[Member],
     weights: Sequence[float],
-    ranges: int,
+    range_count: int,
 ) -> Generator[None, None, Placement[Member]]:
     """Build the placement of these servers from the previous one, which stays unchanged.
 
@@ -222,15 +222,15 @@
         ring = ring.copy()
         yield
         yield from ring.change(leaving, entering)
-    share = ranges * CAPACITY_FACTOR / sum(weights, 1e-9)
+    share = range_count * CAPACITY_FACTOR / sum(weights, 1e-9)
     capacity = {
         member: int(weight * share) + 1 for member, weight in zip(members, weights, strict=True)
     }
     owners: list[Member] = []
-    for first in range(0, ranges if members else 0, SLICE_RANGES):
+    for first in range(0, range_count if members else 0, SLICE_RANGES):
         owners += ring.owners_of(range(first, first + SLICE_RANGES), capacity)
         yield
-    return Placement(members, weights, ranges, ring, owners)
+    return Placement(members, weights, range_count, ring, owners)
 
 
 def _points_of(member: PlacedServer) -> tuple[float, ...]:
--- a/forkweir/request.py
+++ b/forkweir/request.py
@@ -23,7 +23,7 @@
         "position",
         "aim_at",
         "deadline",
-        "tries",
+        "attempt_count",
         "outstanding",
         "first_run_server",
         "first_run_ms",
@@ -59,7 +59,7 @@
         self.position = position
         self.aim_at = aim_at
         self.deadline = deadline
-        self.tries = 0
+        self.attempt_count = 0
         self.outstanding: set[int] = set()
         # The server of the first attempt that may have run, and when that attempt was sent.
         self.first_run_server: Optional[Member] = None
--- a/forkweir/tier/balancer_adapter.py
+++ b/forkweir/tier/balancer_adapter.py
@@ -30,7 +30,9 @@
         if signals is None:
             return
         boxes = {
-            limit_id(f"{m.info.name}/{m.listed_start_ms:.0f}"): m for m in fleet.placed if m.present
+            limit_id(f"{m.info.name}/{m.listed_start_ms:.0f}"): m
+            for m in fleet.home_candidates
+            if m.present
         }
         bad = {box: m.suspicion.log_odds for box, m in boxes.items() if m.suspicion.log_odds > 0.0}
         signals.update_own(bad, {box: m.suspicion.log_odds for box, m in boxes.items()}, now)
@@ -42,21 +44,21 @@
                     member,
                     box_evidence.odds,
                     box_evidence.recovered,
-                    fleet.placed,
-                    fleet.in_service,
+                    fleet.home_candidates,
+                    fleet.in_service_count,
                     now,
                 )
             elif member.suspicion.peer_log_odds:
                 fleet.health.apply_peer_report(
-                    member, 0.0, False, fleet.placed, fleet.in_service, now
+                    member, 0.0, False, fleet.home_candidates, fleet.in_service_count, now
                 )
 
     def _update_demand(self, now: float) -> None:
         balancer, demand = self.balancer, self.tier.demand
         if demand.allocates_work:
             demand.own_work = (
-                balancer.slow_start.reference(balancer.fleet.weight)
-                if balancer.fleet.weight
+                balancer.slow_start.reference(balancer.fleet.total_weight)
+                if balancer.fleet.total_weight
                 else 0.0
             )
         if demand.allocates_fetches:
--- a/forkweir/tier/demand.py
+++ b/forkweir/tier/demand.py
@@ -116,12 +116,12 @@
         """The names of the servers with a limit, by the limit's id."""
         return {str(limit): server_name for limit, server_name in self._server_names.items()}
 
-    def record_arrival(self, position: float, ranges: int, now: float) -> Optional[LineTable]:
+    def record_arrival(self, position: float, range_count: int, now: float) -> Optional[LineTable]:
         """Record a request at `position`; return the shared line, if there is one."""
         if self.shared_line is None:
             return None
         self.shared_line.sketch.add(position)
-        return self.shared_line.table(ranges, now)
+        return self.shared_line.table(range_count, now)
 
     # -- limits, for the decision module -------------------------------------------------
 
--- a/forkweir/tier/shared_line.py
+++ b/forkweir/tier/shared_line.py
@@ -142,9 +142,9 @@
         )
 
 
-def compute_cuts(entries: Iterable[tuple[int, float]], ranges: int) -> list[float]:
+def compute_cuts(entries: Iterable[tuple[int, float]], range_count: int) -> list[float]:
     """Cuts at equal counts of an even window in which heavy buckets replaced adjacent points."""
-    size = ranges * WINDOW_PER_RANGE
+    size = range_count * WINDOW_PER_RANGE
     free = list(range(size))  # points of the even window not yet replaced
     points: list[float] = []
     for bucket, fraction in entries:
@@ -156,7 +156,7 @@
         first = min(max(0, at - wanted // 2), len(free) - wanted)
         del free[first : first + wanted]
         points += [position] * wanted
-    return equal_cuts(sorted(points + [(n + 0.5) / size for n in free]), ranges)
+    return equal_cuts(sorted(points + [(n + 0.5) / size for n in free]), range_count)
 
 
 class SharedLineState:
@@ -171,7 +171,7 @@
         "_received_ms",
         "_filled",
         "_table",
-        "_ranges",
+        "_range_count",
     )
 
     def __init__(self) -> None:
@@ -183,7 +183,7 @@
         self._filled = 0.0
         self._received_ms = -1e12
         self._table: Optional[LineTable] = None
-        self._ranges = 0
+        self._range_count = 0
 
     def on_page(
         self,
@@ -225,7 +225,7 @@
             else (self._complete_name, self._entries)
         )
 
-    def table(self, ranges: int, now: float) -> Optional[LineTable]:
+    def table(self, range_count: int, now: float) -> Optional[LineTable]:
         """The current table cut into so many ranges; None if there is none or it is stale.
 
         The same object until it changes.
@@ -233,9 +233,9 @@
         current = self.current_entries(now)
         if current is None:
             return None
-        if self._table is None or self._ranges != ranges:
-            self._ranges = ranges
+        if self._table is None or self._range_count != range_count:
+            self._range_count = range_count
             self._table = LineTable(
-                current[0], self._filled, dict(current[1]), compute_cuts(current[1], ranges)
+                current[0], self._filled, dict(current[1]), compute_cuts(current[1], range_count)
             )
         return self._table
--- a/testbed/nights/defects.py
+++ b/testbed/nights/defects.py
@@ -81,9 +81,9 @@
     take = Fleet.apply_list
 
     def without_drains(
-        self: Any, now: float, entries: Any, full: bool, complete: bool = True
+        self: Any, now: float, entries: Any, full: bool, last_of_series: bool = True
     ) -> None:
-        take(self, now, [entry for entry in entries if entry.state == "in"], False, complete)
+        take(self, now, [entry for entry in entries if entry.state == "in"], False, last_of_series)
 
     return [
         (Fleet, "apply_list", without_drains),
@@ -296,10 +296,10 @@
 def pushes_a_cold_server_over() -> list[Patch]:
     def pick(self: Any, request: Any, now: float) -> Any:
         fleet = self.fleet
-        if not self._prepare(now):
+        if not self._ensure_placement(now):
             return None
-        cold = [m for m in fleet.placed if m.present and fleet.is_cold(m, now)]
-        return cold[0] if cold else fleet.neighbours(self.line.range_of(request.position))[0]
+        cold = [m for m in fleet.home_candidates if m.present and fleet.is_cold(m, now)]
+        return cold[0] if cold else fleet.preference_list(self.line.range_of(request.position))[0]
 
     return [(Balancer, "_select_server", pick)]
 
@@ -309,11 +309,11 @@
     has_capacity, send = Balancer._has_capacity, Balancer._send
 
     def has_room(self: Any, member: Any, request: Any, now: float) -> bool:
-        return request.tries > 0 or has_capacity(self, member, request, now)
+        return request.attempt_count > 0 or has_capacity(self, member, request, now)
 
     def sends(self: Any, request: Any, member: Any, now: float) -> Any:
         bucket = member.token_bucket
-        if request.tries:
+        if request.attempt_count:
             member.token_bucket = None
         try:
             return send(self, request, member, now)
@@ -331,7 +331,7 @@
         bucket = member.token_bucket
         if bucket is not None and now - bucket.at > 150.0:
             # 2,000 ms is the window of the rule on cold servers.
-            bucket.level += self.slow_start.reference(self.fleet.weight) * 2_000.0
+            bucket.level += self.slow_start.reference(self.fleet.total_weight) * 2_000.0
         return has_capacity(self, member, request, now)
 
     def has(
--- a/testbed/systems/clients.py
+++ b/testbed/systems/clients.py
@@ -319,7 +319,7 @@
         key: str,
         token: str,
         body: bytes,
-        budget_ms: float,
+        client_wait_ms: float,
         retry: bool,
     ) -> tuple[int, float]:
         """Send one attempt. Return its status and how long to wait before a retry, in ms.
@@ -342,7 +342,9 @@
                 )
             except OSError:
                 return -3, 0.0
-            status, wait_ms = await self._exchange(connection, request, budget_ms, retry, leaves)
+            status, wait_ms = await self._exchange(
+                connection, request, client_wait_ms, retry, leaves
+            )
             if status != -4:
                 return status, wait_ms
         return 0, 0.0
@@ -351,7 +353,7 @@
         self,
         connection: Connection,
         request: ClientRequest,
-        budget_ms: float,
+        client_wait_ms: float,
         retry: bool,
         leaves: bool,
     ) -> tuple[int, float]:
@@ -359,18 +361,18 @@
             "X-Txn": request.txn,
             "X-Lane": request.request_class.name,
             "X-Org": "stalls",
-            "X-Remaining-Ms": str(int(budget_ms)),
+            "X-Remaining-Ms": str(int(client_wait_ms)),
         }
         if retry:
             headers["X-Resent"] = "1"
         if request.idempotency_key:
             headers["Idempotency-Key"] = request.idempotency_key
         request.first_on_connection = connection.exchanges == 0
-        request.client_wait_ms = budget_ms
+        request.client_wait_ms = client_wait_ms
         totals, observer = self.totals, self._observer
         totals.asked += 1
         try:
-            async with asyncio.timeout(budget_ms / 1000.0):
+            async with asyncio.timeout(client_wait_ms / 1000.0):
                 await connection.send_request(
                     request.request_class.method, f"/api/{request.key}", headers, request.body
                 )
@@ -382,7 +384,9 @@
         observer.request_sent(request)
         try:
             async with asyncio.timeout(
-                self._leave_after_s() if leaves else (budget_ms + self.answer_grace_ms) / 1000.0
+                self._leave_after_s()
+                if leaves
+                else (client_wait_ms + self.answer_grace_ms) / 1000.0
             ):
                 answer = await connection.read_message()
         except TimeoutError:
--- a/tests/forkweir/test_client_wait.py
+++ b/tests/forkweir/test_client_wait.py
@@ -95,7 +95,7 @@
             balancer.on_outcome(now + took, n, 0, True, "success", str(action[2]), took, 1)
         else:
             balancer.on_outcome(now + given, n, 0, False, "timed_out", str(action[2]), given)
-            balancer.on_departure(now + given, n)
+            balancer.on_client_gone(now + given, n)
     return balancer
 
 
@@ -105,5 +105,5 @@
         assert balancer.gate.admitted_share == 1.0 and balancer.gate.failure_share < 0.01
         assert all(
             member.load_penalty == 0.0 and not member.suspicion.suspect
-            for member in balancer.fleet.placed
+            for member in balancer.fleet.home_candidates
         )
--- a/tests/forkweir/test_fetch_budget.py
+++ b/tests/forkweir/test_fetch_budget.py
@@ -123,7 +123,7 @@
         end, tries = ends[n % len(ends)], 0
         while actions and (action := actions[0])[0] == "attempt":
             if end == "leaves":
-                actions = balancer.on_departure(now, n)
+                actions = balancer.on_client_gone(now, n)
             else:
                 done = end == "success" or tries == 2
                 server = str(action[2])
@@ -143,7 +143,7 @@
     now, number = 0.0, 0
     out: list[tuple[float, int, str, str, float, int]] = []
 
-    def ask(key: str, status: str, took: float, note: int) -> bool:
+    def ask(key: str, status: str, took: float, cache_result: int) -> bool:
         nonlocal now, number
         now, number = now + 4.0, number + 1
         while out and out[0][0] <= now:
@@ -152,7 +152,7 @@
         action = balancer.on_request(now, number, "read", key, 2500.0)[0]
         if action[0] != "attempt":
             return False
-        out.append((now + took, number, str(action[2]), status, took, note))
+        out.append((now + took, number, str(action[2]), status, took, cache_result))
         out.sort()
         return True
 
--- a/tests/forkweir/test_gate.py
+++ b/tests/forkweir/test_gate.py
@@ -16,7 +16,7 @@
     fleet.apply_list(0.0, [Server("s0")], True)
     gate, member = Gate(fleet), fleet.members["s0"]
     gate.origin_slowness = origin_slowness
-    gate.evaluate(
+    gate.record_outcome(
         member,
         OUTCOME_TYPES["timed_out"](0, 800.0, READ, miss_probability=miss_probability),
         0.0,
--- a/tests/forkweir/test_health.py
+++ b/tests/forkweir/test_health.py
@@ -313,7 +313,7 @@
     "rejections count against their server": (
         AttemptOutcome,
         "adverse",
-        property(lambda self: True if self.overloaded else ADVERSE(self)),
+        property(lambda self: True if self.rejected_for_overload else ADVERSE(self)),
     ),
     "a trial that hangs ejects nobody": (AttemptOutcome, "hung", property(lambda self: False)),
 }
--- a/tests/forkweir/test_outcomes.py
+++ b/tests/forkweir/test_outcomes.py
@@ -33,8 +33,10 @@
 )
 
 
-def seen(status: str, elapsed_ms: float = 500.0, note: int = 0, **more: Any) -> AttemptOutcome:
-    return OUTCOME_TYPES[status](note, elapsed_ms, READ, **more)
+def seen(
+    status: str, elapsed_ms: float = 500.0, cache_result: int = 0, **more: Any
+) -> AttemptOutcome:
+    return OUTCOME_TYPES[status](cache_result, elapsed_ms, READ, **more)
 
 
 @pytest.mark.parametrize("status", STATUSES)
@@ -45,14 +47,14 @@
         status in ("success", "overloaded", "failure", "absent", "broken", "spoilt")
     )
     assert one.fault == (status in ("unreachable", "broken", "spoilt"))
-    assert one.rejected == {"success": False, "overloaded": True}.get(status)
+    assert one.rejection_sample == {"success": False, "overloaded": True}.get(status)
     assert one.adverse == {
         "success": False,
         "failure": True,
         "timed_out": True,
         "withdrawn": True,
     }.get(status)
-    assert one.overload == (status in ("overloaded", "timed_out"))
+    assert one.exceeded_capacity == (status in ("overloaded", "timed_out"))
     assert one.may_have_run == (status not in ("overloaded", "absent", "unreachable", "void"))
     assert one.fetch_ended == (status in ("success", "timed_out", "failure"))
     assert (one.zone_answers is None) == (status in ("withdrawn", "void", "broken"))
@@ -71,7 +73,7 @@
 
 def test_a_late_answer_is_adverse_and_a_sign_of_overload() -> None:
     late = seen("success", 801.0, 1)
-    assert late.adverse and late.overload and not late.in_time
+    assert late.adverse and late.exceeded_capacity and not late.in_time
     assert (
         late.reveals_cost
         and not seen("success", 801.0, 2).reveals_cost
@@ -81,8 +83,8 @@
 
 def test_what_a_read_says_about_its_key_and_a_write_about_the_origin() -> None:
     assert (
-        seen("success", note=1).missed(False) is False
-        and seen("success", note=2).missed(True) is True
+        seen("success", cache_result=1).missed(False) is False
+        and seen("success", cache_result=2).missed(True) is True
     )
     assert seen("timed_out").missed(False) is True and seen("timed_out").missed(True) is None
     assert seen("success", write=True).missed(False) is None and seen("success", write=True).fetched
@@ -112,7 +114,7 @@
 )
 def test_no_outcome_contradicts_itself(
     status: str,
-    note: int,
+    cache_result: int,
     elapsed_ms: float,
     write: bool,
     served_last: bool,
@@ -122,15 +124,15 @@
     one = seen(
         status,
         elapsed_ms,
-        note,
+        cache_result,
         write=write,
         served_last=served_last,
         miss_probability=miss_probability,
         cold=cold,
     )
-    request_over = OUTCOME_TYPES[status](note, elapsed_ms, None)
+    request_over = OUTCOME_TYPES[status](cache_result, elapsed_ms, None)
     assert one.alive <= one.response_received and not (one.alive and one.fault)
-    assert not (one.in_time and one.overload) and one.category in CATEGORIES
+    assert not (one.in_time and one.exceeded_capacity) and one.category in CATEGORIES
     assert one.adverse is not True or not one.in_time
     assert not (one.brief and (one.served or one.adverse))
     assert one.longer_than(1.0) is None or one.longer_than(1.0) == (
--- a/tests/forkweir/test_outlier_detection.py
+++ b/tests/forkweir/test_outlier_detection.py
@@ -151,10 +151,10 @@
     """
     action, attempt = balancer.on_request(now, n, "read", key, 2_500.0)[0], 0
     while action[0] == "attempt":
-        status, note, elapsed_ms = answer(str(action[2]))
+        status, cache_result, elapsed_ms = answer(str(action[2]))
         served = status == "success"
         after = balancer.on_outcome(
-            now + after_ms, n, attempt, served, status, str(action[2]), elapsed_ms, note
+            now + after_ms, n, attempt, served, status, str(action[2]), elapsed_ms, cache_result
         )
         if served:
             return True
@@ -195,7 +195,7 @@
 def test_a_failure_of_all_servers_ejects_none() -> None:
     balancer, _ = simulate({f"s{n}" for n in range(60)}, 0.9, 20_000.0)
     assert (
-        sum(member.suspicion.detections > 0 for member in balancer.fleet.placed)
+        sum(member.suspicion.detections > 0 for member in balancer.fleet.home_candidates)
         <= MAX_SUSPECT_SHARE * 60
     )
     assert balancer.fleet.health.detector.base_rate("unknown") > 0.45
@@ -211,8 +211,8 @@
 
     def answer(server: str) -> tuple[str, int, float]:
         bad = failing and int(server[1:]) < 27 and rng.random() < 0.8
-        note = 1 + (rng.random() < 0.3)
-        return ("failure", 0, 10.0) if bad else ("success", note, 100.0 * note)
+        cache_result = 1 + (rng.random() < 0.3)
+        return ("failure", 0, 10.0) if bad else ("success", cache_result, 100.0 * cache_result)
 
     for n in range(500):
         failing = n >= 200  # from 10 s on
--- a/tests/forkweir/test_placement.py
+++ b/tests/forkweir/test_placement.py
@@ -22,7 +22,7 @@
     HashRing,
     Placement,
     build,
-    ranges_for,
+    range_count_for,
 )
 
 DEADLINE_MS = 1_000.0
@@ -46,7 +46,7 @@
 def build_at_once(
     servers: list[Member], before: Placement[Member] | None = None
 ) -> Placement[Member]:
-    return run_build(build(before, servers, [1.0] * len(servers), ranges_for(len(servers))))[0]
+    return run_build(build(before, servers, [1.0] * len(servers), range_count_for(len(servers))))[0]
 
 
 class Node:
@@ -106,8 +106,8 @@
         for server in servers
         for n in range(POINTS_PER_SERVER)
     )
-    capacity = dict.fromkeys(servers, int(found.ranges * CAPACITY_FACTOR / count) + 1)
-    for number in range(found.ranges):
+    capacity = dict.fromkeys(servers, int(found.range_count * CAPACITY_FACTOR / count) + 1)
+    for number in range(found.range_count):
         after = digest(f"range/{number}")
         at = (
             next((n for n, (point, _) in enumerate(points) if point >= after), 0)
@@ -166,7 +166,7 @@
         """The placement, then total and most per slice of servers hashed and of ranges assigned."""
         nonlocal hashed, homes
         all_hashed = most_hashed = all_homes = most_homes = 0
-        steps = build(before, servers, [1.0] * len(servers), ranges_for(len(servers)))
+        steps = build(before, servers, [1.0] * len(servers), range_count_for(len(servers)))
         while True:
             hashed = homes = 0
             try:
@@ -178,11 +178,11 @@
 
     servers = make_members(count)
     first, *found = counts(servers, None)
-    assert found == [count, 16, first.ranges, 256]
+    assert found == [count, 16, first.range_count, 256]
     same, *found = counts(servers, first)
-    assert same.ring is first.ring and found == [0, 0, first.ranges, 256]  # no server changed
+    assert same.ring is first.ring and found == [0, 0, first.range_count, 256]  # no server changed
     _, *found = counts([*servers[1:], Member(Server("new"))], first)
-    assert found == [1, 1, first.ranges, 256]
+    assert found == [1, 1, first.range_count, 256]
 
 
 def test_a_large_fleet_serves_before_its_homes_are_found() -> None:
@@ -193,7 +193,7 @@
     found = node.balancer.fleet.placement
     assert (
         found is not None
-        and len(found.owners) == found.ranges == node.balancer.line.ranges == 16_384
+        and len(found.owners) == found.range_count == node.balancer.line.range_count == 16_384
     )
     assert node.slices > 2_000 // 64 and node.send_request()
 
@@ -215,7 +215,11 @@
         assert node.send_request()
         node.wait(25.0, most_slices=3)
     node.wait(5_000.0)
-    assert node.balancer.fleet.ranges == node.balancer.line.ranges == ranges_for(count + more)
+    assert (
+        node.balancer.fleet.range_count
+        == node.balancer.line.range_count
+        == range_count_for(count + more)
+    )
     assert node.balancer.fleet.placement is not None
     assert any(member.info.name.startswith("x") for member in node.balancer.fleet.placement.owners)
 
@@ -256,9 +260,9 @@
             listed |= dict.fromkeys(names, kind)
         found = node.balancer.fleet.placement
         if found is not None:
-            assert found.ranges == node.balancer.line.ranges and len(found.owners) in (
+            assert found.range_count == node.balancer.line.range_count and len(found.owners) in (
                 0,
-                found.ranges,
+                found.range_count,
             )
     assert len(node.balancer.fleet.members) <= 2 * 941 + 300
 
@@ -276,7 +280,7 @@
         )
         node.wait(70.0)
         assert node.send_request()
-    assert len(node.balancer.fleet.members) == 200 and node.balancer.fleet.ranges == 2_048
+    assert len(node.balancer.fleet.members) == 200 and node.balancer.fleet.range_count == 2_048
     node.wait(DEPARTED_HOLD_MS)
     node.apply_list("changes", [])
     assert len(node.balancer.fleet.members) == 100
--- a/tests/test_address_book.py
+++ b/tests/test_address_book.py
@@ -59,11 +59,13 @@
             name: (m.present, m.draining, m.info.zone, m.info.weight, m.listed_start_ms)
             for name, m in here
         }
-        placed = [member.info.name for member in self.balancer.fleet.placed if member.present]
+        placed = [
+            member.info.name for member in self.balancer.fleet.home_candidates if member.present
+        ]
         return {
             "listed": (listed,),
             "members": (kept,),
-            "placed": (placed, self.balancer.fleet.in_service),
+            "placed": (placed, self.balancer.fleet.in_service_count),
         }
 
 
@@ -181,7 +183,7 @@
         == 0
     )
     # One drains, and five are no longer listed.
-    assert tested.node.notified == 6 and tested.node.balancer.fleet.in_service == 994
+    assert tested.node.notified == 6 and tested.node.balancer.fleet.in_service_count == 994
 
 
 def test_a_pending_server_that_drains_meanwhile_is_added_as_draining(
@@ -203,7 +205,7 @@
     leaving = {
         name for name, server in tested.node.servers.items() if server.leaving_ms is not None
     }
-    assert leaving == {"s7", "s8"} and tested.node.balancer.fleet.in_service == 7
+    assert leaving == {"s7", "s8"} and tested.node.balancer.fleet.in_service_count == 7
 
 
 @pytest.mark.parametrize("count", [600, 3_000])
--- a/tests/test_line.py
+++ b/tests/test_line.py
@@ -44,12 +44,12 @@
     for n in range(512):
         key = "hot" if n % 4 == 0 else f"k{n}"
         line.record_arrival(position_of(key), key)
-    assert line.servers_for_key("hot", 8) == 2
-    assert line.servers_for_key("k1", 8) == 1
+    assert line.server_count_for_key("hot", 8) == 2
+    assert line.server_count_for_key("k1", 8) == 1
 
 
 def test_a_key_seen_three_times_is_not_hot() -> None:
     line = Line(64)
     for _ in range(3):
         line.record_arrival(position_of("a"), "a")
-    assert line.servers_for_key("a", 50) == 1
+    assert line.server_count_for_key("a", 50) == 1
--- a/tests/test_replay.py
+++ b/tests/test_replay.py
@@ -124,16 +124,23 @@
             finished = request not in open_requests
             if not finished and rng.random() < 0.01:
                 del open_requests[request]
-                apply_actions(list(balancer.on_departure(now, request)))
+                apply_actions(list(balancer.on_client_gone(now, request)))
                 finished = True
             if status == "success":
                 open_requests.pop(request, None)
                 finished = True
-            note = rng.choice((0, 1, 1, 1, 1, 2, 3)) if status == "success" else 0
+            cache_result = rng.choice((0, 1, 1, 1, 1, 2, 3)) if status == "success" else 0
             apply_actions(
                 list(
                     balancer.on_outcome(
-                        now, request, attempt, finished, str(status), str(server), took, note
+                        now,
+                        request,
+                        attempt,
+                        finished,
+                        str(status),
+                        str(server),
+                        took,
+                        cache_result,
                     )
                 )
             )
--- a/tests/testbed/test_hard_cases.py
+++ b/tests/testbed/test_hard_cases.py
@@ -132,7 +132,7 @@
 
     on_fully_sent = on_body_consumed
 
-    def on_response_started(self, attempt: Attempt, answer: Response, note: int) -> bool:
+    def on_response_started(self, attempt: Attempt, answer: Response, cache_result: int) -> bool:
         raise AssertionError("the answer is held whole")
 
 
--- a/tests/testbed/test_soak.py
+++ b/tests/testbed/test_soak.py
@@ -34,7 +34,11 @@
             table["n0"] = Intervals()
 
     def ask(
-        self, repeat: str = "safe", txn: str = "x1", first: bool = True, budget_ms: float = 2_000.0
+        self,
+        repeat: str = "safe",
+        txn: str = "x1",
+        first: bool = True,
+        client_wait_ms: float = 2_000.0,
     ) -> ClientRequest:
         ask = ClientRequest(
             txn,
@@ -45,7 +49,7 @@
             b"",
             sent_ms=self.now,
             first_on_connection=first,
-            client_wait_ms=budget_ms,
+            client_wait_ms=client_wait_ms,
         )
         self.oracle.request_sent(ask)
         return ask
@@ -123,7 +127,7 @@
 
 
 def too_long_a_deadline(harness: OracleHarness) -> None:
-    harness.ask(budget_ms=1_000.0)
+    harness.ask(client_wait_ms=1_000.0)
     harness.now += 500.0
     harness.oracle.arrived("s0", "x1", 656.0)
 
