--- a/corkshift/upstream.py
+++ b/corkshift/upstream.py
@@ -84,7 +84,7 @@
 
     status: a key of `forkweir.known.outcomes.OUTCOME_TYPES`. Of these, "void" means that the
     attempt ended without an outcome of the server (`NotSent`), "withdrawn" that the node cancelled
-    it, and "spoilt" that the response was malformed. note: a value of CACHE_RESULTS, or 0.
+    it, and "spoilt" that the response was malformed. cache_result: a value of CACHE_RESULTS, or 0.
     """
 
     status: str
--- a/forkweir/choice.py
+++ b/forkweir/choice.py
@@ -59,22 +59,23 @@
 # A request is hedged after this quantile of the durations of attempts, as shares of their aims, but
 # not before HEDGE_MIN nor after HEDGE_MAX.
 HEDGE_QUANTILE = 0.95
-# Earliest hedge of an attempt at a server that is not on trial, as a share of the request's aim.
+# Earliest hedge of an attempt that is no trial request, as a share of the request's aim.
 HEDGE_MIN = 0.5
-# Latest hedge, as a share of the aim. While `Balancer.hedge_share` lies beyond it, only attempts on
-# trial at suspect servers are hedged.
+# Latest hedge, as a share of the aim. While `Balancer.hedge_share` lies beyond it, only trial
+# requests at suspect servers are hedged.
 HEDGE_MAX = 0.7
 # Weight of one outcome in `Balancer.hedge_share`.
 HEDGE_LEARNING_RATE = 0.02
-# Share of the aim after which an attempt at a server on trial is hedged, earlier than HEDGE_MIN.
+# Share of the aim after which a trial request is hedged, earlier than HEDGE_MIN.
 TRIAL_HEDGE = 0.35
 # Shortest time between two checks of the hedge queue.
 HEDGE_CHECK_INTERVAL_MS = 5.0
-# Expected fetches, and whether the key was known, of an attempt that was never sent.
+# Miss probability, and whether the server was the last to serve the key, where an attempt has no
+# entry in `Request.expected_fetches`.
 NO_FETCH = (0.0, False)
 # Token of the timer that continues a placement build (`adapter.TIER_TIMER` is 4).
 REBUILD_TIMER = 5
-# Servers beyond a range's neighbours that are considered when all servers are cold.
+# Servers beyond a range's preference list that are considered when all servers are cold.
 MAX_COLD_CANDIDATES = 8
 
 
@@ -148,8 +149,9 @@
     def on_list(self, now: float, form: str, entries: Iterable[Server]) -> list[Action]:
         """Apply the server list, or a notification about it. form says which:
 
-        "saved" (the list stored before the start), "full", "changes", "part" (changes whose rest
-        follows at once), "hearsay" (unconfirmed entries of a list that was lost in part),
+        "saved" (the list stored before the start), "full", "changes", "part" (changes that further
+        calls complete), "hearsay" (entries that no complete line of discovery has confirmed: read
+        from a corrupt line, released after being held back, or changed by another source),
         "failed" (a poll failed), "lost" (a part of the list may be lost), "moved" (discovery has
         another address, which is already being polled).
         """
@@ -184,11 +186,7 @@
     # -- homes of ranges -----------------------------------------------------------------
 
     def _ensure_placement(self, now: float) -> bool:
-        """Return `Fleet.ready`; update a small fleet's placement first if that is due.
-
-        Ready means that some range has a home, or that a large fleet without a placement has
-        servers that may become homes: requests go to these by name until the first placement.
-        """
+        """Update a small fleet's placement if that is due; return `Fleet.ready`."""
         fleet = self.fleet
         if (
             fleet.placement_stale
@@ -237,7 +235,7 @@
         hedge queue, 5 (REBUILD_TIMER) to continue a placement build. 4 is `adapter.TIER_TIMER`.
         """
         if token == 1:
-            return [("follow", True)]
+            return [("follow", True)]  # always True
         if token == 3:
             return self._check_hedges(now)
         if token == REBUILD_TIMER:
@@ -254,7 +252,7 @@
         return []
 
     def _random_server(self) -> Member:
-        """Return a random server that is home to ranges, or any candidate while none is."""
+        """Return a random server that is home to ranges, or a random candidate while none is."""
         placement = self.fleet.placement
         if placement is None or not placement.owners:
             return self.fleet.home_candidates[
@@ -276,12 +274,16 @@
         write: bool = False,
         repeated: bool = False,
     ) -> list[Action]:
-        """Handle a new request: return its first attempt or a refusal."""
+        """Handle a new request: return its first attempt or a refusal.
+
+        client_wait_ms: how long the client still waits, as it states. work_ms: the client's hint at
+        the work that the request needs, 0 without one. repeated: the client sent it before.
+        """
         spec = self.classes.get(class_name, self.unknown_class)
         position = self.random.random() if key is None else position_of(key)
         deadline = now + client_wait_ms
-        # A client that retries has waited since its first try. Without this, full servers would
-        # work on requests that are late already.
+        # A client that retries has waited since its first try. If that time were not counted,
+        # overloaded servers would work on requests that are late already.
         waited = self.client_wait.waited_ms(spec.name, client_wait_ms, repeated, spec.deadline_ms)
         aim_at = (
             now - waited + spec.aim_ms + spec.aim_stretch * work_ms - 2.0 * self.settings.tick_ms
@@ -405,21 +407,24 @@
     def _hedge(self, request: Request, now: float) -> list[Action]:
         """Send a hedged request where retrying is allowed; the first answer counts.
 
+        May eject the server of the latest attempt for leaving it unanswered, also where no hedged
+        request is sent.
+
         Covers attempts whose answer will not come, or not in time: an unresponsive connection, an
         answer cut short, a server that hangs. A server that has answered other requests meanwhile
         gets the hedged request itself, as it holds or fetches the key; else the next server does.
 
         The retry budget bounds the added load. Where answers are slow in general (`hedge_share`
         over HEDGE_MAX) or the origin is slow, a second attempt would add to the cause, so none is
-        sent. An attempt on trial because its server is suspect is exempt from all of this: it is
-        hedged regardless, and at no cost to the retry budget.
+        sent. The trial request of a suspect server is exempt from all of this: it is hedged
+        regardless, and at no cost to the retry budget.
         """
         last = max(request.outstanding)
         member = request.servers[last]
         origin_healthy = self.gate.origin_slowness <= ORIGIN_SLOW_LEVEL
         on_trial = member.trial_request == request.id
-        # On trial because the server is suspect. A server with ejections is on trial for faults or
-        # for not responding.
+        # A server with ejections gets its trial request after faults or for not responding, any
+        # other because it is suspect.
         suspect_trial = on_trial and not member.ejections
         if not suspect_trial and (
             on_trial
@@ -469,7 +474,7 @@
         preference_list = fleet.preference_list(range_number)
         tried = request.servers
         start = 0
-        # The low bits of the position decide which keys a penalized server gives up.
+        # The bits of the position after the first 16 decide which keys a penalized server gives up.
         key_fraction = request.position * 65536.0 % 1.0
         if request.key is not None:
             server_count = self.line.server_count_for_key(
@@ -504,6 +509,7 @@
                     warm or (not step and self._has_capacity(member, request, now))
                 ):
                     return member
+            # Steps of the golden ratio modulo 1 spread the fractions evenly over the servers.
             key_fraction = (key_fraction + 0.618034) % 1.0
         first_rejecting: Optional[Member] = None
         for member in preference_list:
@@ -512,8 +518,8 @@
                     return member
                 first_rejecting = first_rejecting or member
         if first_rejecting is not None:
-            # All usable warm neighbours reject many requests, so a cold one with capacity takes
-            # this request. Otherwise the last warm server among many cold ones would get, and
+            # All usable warm servers of the list reject many requests, so a cold one with capacity
+            # takes this request. Otherwise the last warm server among many cold ones would get, and
             # reject, all requests for the keys of the cold ones that their token buckets do not
             # admit.
             return self._cold_with_capacity(preference_list, request, now) or first_rejecting
@@ -579,7 +585,10 @@
         return reference * fleet.weight_of(member) * fleet.cold_capacity(member, now)
 
     def _server_with_capacity(self, request: Request, now: float) -> Optional[Member]:
-        """Return a server with capacity for what another turned away, None while hits are slow."""
+        """Return a server with capacity for a request that another rejected.
+
+        None if there is none, and while hits are slow.
+        """
         if self.gate.slow_hit_share > NORMAL_SLOW_HIT_SHARE:
             return None
         self._ensure_placement(now)
@@ -623,8 +632,9 @@
     ) -> list[Action]:
         """Handle the end of an attempt: retry, refuse, fail, or close the request.
 
-        finished: the request is over. status: a key of `OUTCOME_TYPES`. note: 0 nothing,
-        1 hit, 2 or 3 missed (as the wire says). load: a load report, if one came.
+        finished: the request is over. status: a key of `OUTCOME_TYPES`.
+        cache_result: 0 unknown, 1 hit, 2 or 3 miss (as on the wire). load: a load report, if one
+        came.
         """
         member = self.fleet.members.get(server)
         request = self.held.get(request_id)
@@ -682,6 +692,7 @@
             same_server.consecutive_faults > 1 or request.servers.count(same_server) > 1
         ):
             same_server = None
+        # Below, no request is retried with a quarter of its aim left or less.
         if (
             outcome.rejected_for_overload
             and left_ms > 0.25 * request.spec.aim_ms
@@ -734,7 +745,7 @@
         request_id: int,
         now: float,
     ) -> AttemptOutcome:
-        """Combine an outcome with what is known of its attempt."""
+        """Classify an outcome by its status and by what is known of its attempt."""
         outcome_class = OUTCOME_TYPES.get(status, AttemptOutcome)
         trial = member is not None and member.trial_request == request_id
         if request is None:
@@ -757,7 +768,7 @@
     def _update_load_estimates(
         self, request: Request, member: Member, outcome: AttemptOutcome, now: float
     ) -> None:
-        """Update costs, slow start and the hedge delay from an outcome."""
+        """Update request costs, slow start and the hedge delay by an outcome."""
         if not outcome.cold:
             if outcome.reveals_cost:
                 self.costs.record_answer(request.spec, outcome.elapsed_ms)
@@ -869,16 +880,21 @@
         return ("fail", request.id)
 
     def on_started(self, now: float, request_id: int, attempt: int, server: str) -> list[Action]:
-        """Note that the answer has started to stream: the request has no deadline any more."""
+        """Record that the answer has started to stream: the request isn't hedged or retried now.
+
+        The client's deadline no longer applies. Only the simulator's wire reports this; the node
+        reports a success instead (`Node.on_response_started`).
+        """
         request = self.held.get(request_id)
         if request is not None:
             request.streaming = True
         return []
 
     def on_body_consumed(self, now: float, request_id: int) -> list[Action]:
-        """Note that a part of the request's body was sent on and dropped: it can't be retried.
+        """Record that a part of the request's body was sent on and dropped: no retry is possible.
 
-        Its time runs from the last byte of the body.
+        At the last byte of the body, the node restarts the client's deadline and the attempt's
+        time-out, and enforces both (`Node.on_fully_sent`); this module isn't notified.
         """
         request = self.held.get(request_id)
         if request is not None:
@@ -886,7 +902,10 @@
         return []
 
     def on_client_gone(self, now: float, request_id: int) -> list[Action]:
-        """Handle a client that left: cancel its attempts where that is allowed."""
+        """Close a request whose client has left; cancel its attempts where that is allowed.
+
+        The node also calls this where it ends a request by itself (`Node.end`).
+        """
         request = self.held.pop(request_id, None)
         if request is not None:
             self._release_fetches(request)
--- a/forkweir/fleet.py
+++ b/forkweir/fleet.py
@@ -1,12 +1,17 @@
 """The fleet: membership, warm-up and load penalties. See `placement` for homes of ranges and
 `known.health` for health.
 
-A change of the list takes time in proportion to the servers that it names, but for copies of the
-sorted list of servers. Only the placement visits all servers; it is built in slices beside the one
-in force.
+Keys are partitioned by their hashes into ranges. The home of a range is the server that gets, and
+so caches, the keys of the range.
 
-Bounds: one member for each listed server, and for DEPARTED_HOLD_MS one for each server that left
-the list without draining, at most as many as were in service.
+A change of the list takes time in proportion to the servers that it names, and a copy of the sorted
+list of home candidates where that changes. All servers are visited by a full list, by the sum of
+the warm weights, by a change of the origin, by some health decisions, by the counts of servers by
+state, and by the placement, which is built in slices beside the one in force.
+
+Bounds: one member for each listed server and one for each departed server, that is, one that left
+the list without draining. A departed server is removed by the first change of the list after
+DEPARTED_HOLD_MS. At most `_max_departed` of them are kept, a number that was in service before.
 """
 
 from __future__ import annotations
@@ -28,21 +33,24 @@
 
 # Least time between two placements of up to REBUILD_SERVERS servers; longer in proportion beyond.
 REBUILD_INTERVAL_MS = 1_000.0
-# A placement takes time in proportion to its servers: about 40 ms of a core at 3,200, in slices.
+# Fleets of up to this many servers have the shortest intervals between placements and between sums
+# of warm weights; beyond, intervals grow in proportion to the servers, as does the time that a
+# placement takes: about 40 ms of a core at 3,200 servers, in slices.
 REBUILD_SERVERS = 800
-# Placements of up to this many servers are built at once when a request needs them (about 10 ms
+# Placements of up to this many servers are built in one go when a request needs them (about 10 ms
 # for the first one, then 3 ms).
 MAX_UNSLICED_SERVERS = 256
 # How long a server that left the list without draining keeps its ranges.
 DEPARTED_HOLD_MS = 30_000.0
-# Share of its success score that a server loses by each further slow answer in a row, per unit of
-# penalty.
+# Share of its success score that a server loses by the second and each further slow outcome in a
+# row, per unit of that outcome's penalty.
 STREAK_DISCOUNT = 0.05
-# How much one good answer reduces the effect of the load penalty.
+# How much one fast hit reduces the effect of the load penalty.
 SUCCESS_RELIEF = 0.6
-# Least time between two counts of warm servers; longer in proportion beyond REBUILD_SERVERS.
+# Least time between two sums of warm weights; longer in proportion beyond REBUILD_SERVERS.
 WARM_WEIGHT_INTERVAL_MS = 1_000.0
-# A change of this share of a large fleet's servers causes a count at once.
+# A change of more than this share of a large fleet's servers makes the sum of the warm weights due
+# immediately.
 RECOMPUTE_SHARE = 0.1
 # Servers that are inserted one by one into the sorted list; for more, sorting is cheaper.
 MAX_SINGLE_INSERTS = 8
@@ -70,15 +78,23 @@
     def __init__(self, info: Server) -> None:
         super().__init__(info.state == "in", info.state == "draining")
         self.info = info
+        # When the server left the list; DEPARTED_HOLD_MS earlier if it had drained, so that it is
+        # removed immediately.
         self.removed_ms = 0.0
-        self.cold_since_ms = info.started_ms  # when the warm-up began; 0: long ago
-        self.listed_start_ms = info.started_ms  # start time in the latest list
-        self.start_notified_ms = 0.0  # when this node was notified of the start
+        # Four start times. `info.started_ms`: the listed one, but no later than the time of the
+        # first notification of it. `listed_start_ms`: the listed one, unchanged. `cold_since_ms`:
+        # when the warm-up began (0: long ago), which is `info.started_ms` or the end of a long
+        # ejection. `start_notified_ms`: when this node was notified of that start or presumed it.
+        self.cold_since_ms = info.started_ms
+        self.listed_start_ms = info.started_ms
+        self.start_notified_ms = 0.0
         self.load_totals = LoadTotals()
-        self.load_penalty = 0.0  # of slow and unanswered attempts, as of load_penalty_ms
+        # Of slow hits, time-outs, rejections and lost hedge races, as of load_penalty_ms.
+        self.load_penalty = 0.0
         self.load_penalty_ms = 0.0
-        self.slow_streak = 0  # slow answers in a row
-        self.success_score = 0.0  # good answers, decayed like the penalty
+        # Slow hits, time-outs and lost hedge races since the last fast hit.
+        self.slow_streak = 0
+        self.success_score = 0.0  # fast hits, decayed like the penalty
         self.token_bucket: Optional[TokenBucket] = None  # of slow start, while cold
 
     def update_entry(self, info: Server) -> None:
@@ -115,25 +131,29 @@
         self.members: dict[str, Member] = {}
         self.zones = Zones(settings.zone)
         self.speeds = Speeds(settings)
-        # Members that may be home to ranges, sorted by name; never changed in place.
+        # Members that may be home to ranges, whether or not the placement in force has them, sorted
+        # by name. Replaced rather than changed in place, since a placement and its build refer to
+        # the list that the build began with.
         self.home_candidates: list[Member] = []
-        # Homes of ranges, for the members of `placed` when the build began.
+        # Homes of ranges, for the home candidates when the build began.
         self.placement: Optional[Placement[Member]] = None
         self.placement_stale = False  # the list has changed since the last build began
         self.build_started_ms = 0.0  # when the last build began
         self.origin: Optional[Member] = None
-        self.total_weight = 0.0  # of all present members, as of the last count
-        self.warm_weight = 0.0  # of the present members that are warm and in use
+        self.total_weight = 0.0  # of the present home candidates, as of the last sum
+        self.warm_weight = 0.0  # of those that were also warm and not ejected
         self.warm_weight_due_ms = 0.0
-        self._present: set[Member] = set()  # of `placed`
-        # Members that left without draining, oldest first; they keep their ranges for
-        # DEPARTED_HOLD_MS.
+        self._present: set[Member] = set()  # home candidates in service
+        # Members that left the list, oldest first. Those that left without draining keep their
+        # ranges for DEPARTED_HOLD_MS; drained ones are removed by the same change of the list.
         self._departed: dict[str, Member] = {}
+        # Maximum number of them that is kept: the largest number of servers in service before or
+        # after the changes of the list since `_departed` last held at most one.
         self._max_departed = 0
 
     @property
     def in_service_count(self) -> int:
-        """How many servers that may be home to ranges are in service."""
+        """The number of home candidates that are in service."""
         return len(self._present)
 
     # -- the list ------------------------------------------------------------------------
@@ -143,7 +163,8 @@
     ) -> None:
         """Apply a full list or changes of it.
 
-        complete: False if more changes follow at once; homes are assigned after the last of them.
+        last_of_series: False if further calls complete the change; a placement becomes due only
+        after the last of them.
         """
         in_service_before = self.in_service_count
         touched: dict[str, Member] = {}
@@ -172,8 +193,9 @@
         member, listed_start_ms = self.members.get(info.name), info.started_ms
         if listed_start_ms > now:
             # The start lies in the future by this node's clock, which is behind. The server has
-            # started by the time of the notification; without this it would stay cold for as long
-            # as the clocks differ. The warm-up is then taken to begin later than it did: no harm.
+            # started by the time of the notification, which is taken instead. With the listed time
+            # it would stay cold longer by the difference of the clocks. The warm-up is taken to
+            # begin later than it did, which does no harm.
             start_unchanged = member is not None and member.listed_start_ms == listed_start_ms
             # At least 1, as 0 stands for a start long ago.
             info = replace(
@@ -214,7 +236,7 @@
         return self.settings.cache_aside and member.info.kind == self.settings.origin_kind
 
     def _update_home_candidates(self, touched: dict[str, Member]) -> None:
-        """Update the members that may be home to ranges by the members that the list changed."""
+        """Update the home candidates by the members that the list changed."""
         entering: list[Member] = []
         leaving: set[Member] = set()
         for name, member in touched.items():
@@ -236,7 +258,7 @@
         self._set_home_candidates(entering, leaving)
 
     def _update_origin(self) -> None:
-        """Set the origin: the present one, the last by name of several, or None."""
+        """Set the origin: the server listed as such, the last by name of several, or None."""
         origins = [
             name
             for name, member in self.members.items()
@@ -249,7 +271,7 @@
         return index < len(self.home_candidates) and self.home_candidates[index] is member
 
     def _set_home_candidates(self, entering: list[Member], leaving: set[Member]) -> None:
-        """Replace the sorted list of members that may be home to ranges."""
+        """Replace the sorted list of home candidates."""
         leaving = {member for member in leaving if self._is_home_candidate(member)}
         if not (entering or leaving):
             return
@@ -267,10 +289,10 @@
         self.home_candidates = candidates
 
     def _forget_departed(self, now: float, in_service_before: int) -> None:
-        """Forget members that drained, left DEPARTED_HOLD_MS ago, or exceed the number in service.
+        """Remove departed members that had drained, left DEPARTED_HOLD_MS ago, or are too many.
 
-        Without the last rule, servers that are replaced over and over would all count towards the
-        number of ranges.
+        The oldest beyond `_max_departed` are too many: otherwise, servers that are replaced over
+        and over would all count towards the number of ranges.
         """
         self._max_departed = max(
             self._max_departed if len(self._departed) > 1 else 0,
@@ -304,14 +326,21 @@
 
     @property
     def ready(self) -> bool:
-        """Whether any range has a home."""
+        """Whether requests can be sent: some range has a home, or servers are selected by name.
+
+        The latter is so at a large fleet until its first placement (see `preference_list`).
+        """
         if self.placement is not None and self.placement.owners:
             return True
         return self.large and bool(self.home_candidates)
 
     @property
     def large(self) -> bool:
-        """Whether placements are built in slices."""
+        """Whether placements are built in slices.
+
+        So it is where the home candidates, or the servers of the placement in force, are more than
+        MAX_UNSLICED_SERVERS.
+        """
         return (
             max(
                 len(self.home_candidates),
@@ -321,10 +350,11 @@
         )
 
     def next_build_due(self, now: float) -> float:
-        """When the next placement is due after a change: at once if there is none, else limited.
+        """When the next placement is due after a change of the list.
 
-        Without the limit, each of the hundreds of changes of a release at a large fleet would cost
-        every node a new placement. Servers that left meanwhile get no requests in any case.
+        Immediately if there is none, else at a limited rate. Otherwise each of the hundreds of list
+        changes while new software is rolled out to a large fleet would cost every node a new
+        placement. Servers that left meanwhile get no requests in any case.
         """
         if self.placement is None or not self.placement.owners:
             return now
@@ -364,18 +394,18 @@
         return tuple(islice(self._candidates_from_index(first), MAX_PREFERRED_SERVERS))
 
     def candidates_from(self, range_number: int) -> Iterator[Member]:
-        """All servers that may be home to ranges, beginning with a different one for each range."""
+        """All home candidates, beginning at the range's number modulo how many there are."""
         return self._candidates_from_index(
             range_number % len(self.home_candidates) if self.home_candidates else 0
         )
 
     def _candidates_from_index(self, first: int) -> Iterator[Member]:
-        """All servers that may be home to ranges, beginning at an index and wrapping around."""
+        """All home candidates, beginning at an index and wrapping around."""
         candidates = self.home_candidates
         return chain(islice(candidates, first, None), islice(candidates, first))
 
     def accepted_share(self, member: Member, now: float) -> float:
-        """The share of its keys that a server takes now; neighbours get the rest.
+        """The share of its keys that a server takes now; the preference list's others get the rest.
 
         The token bucket of a cold server reduces it further.
         """
@@ -394,12 +424,15 @@
         return member.cold_since_ms > 0.0 and now - member.cold_since_ms < self.settings.cold_ms
 
     def cold_capacity(self, member: Member, now: float) -> float:
-        """The least share of its capacity that a cold server has, growing linearly over cold_ms."""
+        """The share of its full capacity that a cold server is assumed to have.
+
+        Grows linearly from `Settings.cold_start_capacity` to 1 over `Settings.cold_ms`.
+        """
         start = self.settings.cold_start_capacity
         return start + (1.0 - start) * max(0.0, now - member.cold_since_ms) / self.settings.cold_ms
 
     def update_warm_weight(self, now: float) -> float:
-        """The weight of all warm servers in use, counted anew if that is due."""
+        """Return the total weight of the warm servers in use, summed anew if that is due."""
         if now >= self.warm_weight_due_ms:
             self.warm_weight_due_ms = now + WARM_WEIGHT_INTERVAL_MS * max(
                 1.0, len(self.home_candidates) / REBUILD_SERVERS
@@ -419,7 +452,10 @@
         return max(0.05, member.info.weight) if self.settings.use_weights else 1.0
 
     def record_load_report(self, member: Member, load: list[float], now: float) -> None:
-        """Update speeds by a load report; a cold server's report says nothing of its kind."""
+        """Update speeds by a load report, unless the server is cold.
+
+        The report of a cold server doesn't show the speed of its server type (`Server.kind`).
+        """
         if not self.is_cold(member, now):
             self.speeds.record_load_report(
                 member.info.kind, member.load_totals, self.weight_of(member), load
@@ -445,17 +481,18 @@
     def update_load_penalty(
         self, member: Member, now: float, penalty: float, slow: bool = False
     ) -> None:
-        """Record a slow or missing answer (a good one if the penalty is 0).
+        """Update the load penalty by a bad outcome, or by a fast hit if `penalty` is 0.
 
-        A penalized server gets fewer of its keys for a while; else it would stay overloaded.
+        slow: the outcome was a slow or missing answer rather than a rejection. A penalized server
+        gets fewer of its keys for a while; else it would stay overloaded.
         """
         decay = exp((member.load_penalty_ms - now) / PENALTY_DECAY_MS)
         member.load_penalty = penalty + member.load_penalty * decay
         member.success_score = member.success_score * decay + (penalty == 0.0)
-        # Slow answers in a row outweigh the good ones before them. Otherwise a server that turned
-        # slow would be spared by its past successes for as long as penalties take to decay. A
-        # single slow answer among good ones takes nothing away, nor does a request turned away,
-        # which is quick. The cost: a long pause costs a server some keys for a while.
+        # Slow answers in a row outweigh the fast hits before them. Otherwise a server that has
+        # become slow would be spared by its past successes for as long as penalties take to decay.
+        # A single slow answer among fast hits takes nothing away, nor does a rejection, which is
+        # quick. The cost: a long pause costs a server some keys for a while.
         member.slow_streak = member.slow_streak + slow if penalty else 0
         if slow and member.slow_streak > 1:
             member.success_score *= 1.0 - STREAK_DISCOUNT * penalty
@@ -464,12 +501,12 @@
     def nearest_with_capacity(
         self, range_number: int, tried: list[Member], now: float
     ) -> Optional[Member]:
-        """The server nearest to a range that has capacity, None if there is none.
+        """The first server with capacity, by preference for a range; None if there is none.
 
-        Otherwise a part of the fleet that turns away what the rest could serve (servers cut off
-        from the origin, or otherwise faulty) would be taken for an overload of all. An attempt that
-        was turned away has not run and cost little, so a retry elsewhere needs no retry budget.
-        When all servers are overloaded, none has capacity.
+        Used to retry a request that a server has rejected. Without the retry, rejections by a part
+        of the fleet (servers cut off from the origin, or otherwise faulty) of what the rest could
+        serve would be taken for an overload of all. A rejected attempt has not run and cost little,
+        so its retry needs no retry budget. When all servers are overloaded, none has capacity.
         """
         if not (self.ready and self.home_candidates):
             return None
@@ -486,21 +523,22 @@
     def record_outcome(self, member: Member, outcome: AttemptOutcome, now: float) -> None:
         """Update the reachability and capacity of a server and its zone by an outcome."""
         if self.health.record_outcome(member, outcome, now):
-            # The server answers again without a notification from the list: treat it as cold. It
-            # may have restarted before the list says so, and would get its full range at once.
+            # The server answers again after a long ejection, without a start in the list. Treat it
+            # as cold, since it may have restarted before the list says so; taken for warm, it would
+            # get all of its keys immediately.
             member.cold_since_ms = member.start_notified_ms = now
             member.token_bucket = None
             outcome.cold = True
         self.zones.record_zone_answer(member.info.zone, outcome, now)
 
     def update_suspicion(self, member: Member, outcome: AttemptOutcome, now: float) -> float:
-        """Update outlier detection by an outcome; return the likelihood that its server is bad."""
+        """Update outlier detection by an outcome; return the probability that its server is bad."""
         return self.health.update_suspicion(
             member, outcome, self.home_candidates, self.in_service_count, now
         )
 
     def record_unanswered(self, member: Member, sent_ms: float, aim_ms: float, now: float) -> bool:
-        """Record an attempt without an answer; return whether to eject its server for that."""
+        """Record one attempt that has long been unanswered; return whether to eject its server."""
         return self.health.record_unanswered(
             member, sent_ms, aim_ms, self.home_candidates, self.in_service_count, now
         )
--- a/forkweir/gate.py
+++ b/forkweir/gate.py
@@ -63,7 +63,7 @@
     ) -> None:
         """Update the gate by an outcome: hits and misses separate slow servers from a slow origin.
 
-        fault_likelihood: likelihood that the server is faulty, 0 to 1.
+        fault_probability: probability that the server is faulty, 0 to 1.
         """
         if outcome.brief:
             return
@@ -85,7 +85,7 @@
             now >= self.closed_ms
             and self.failure_share > NORMAL_FAILURE_SHARE
             and (
-                # The gate closes when two servers turned the same request away, but not by one
+                # The gate closes when two servers have rejected the same request, but not by one
                 # error or one full queue, which is quick and cheap. It closes by a time-out, except
                 # at a server that is already penalized, which says nothing new of the others unless
                 # many hits are slow (then the whole fleet may be penalized), and except in a zone
@@ -106,8 +106,8 @@
         ):
             self.closed_ms = now + CLOSE_INTERVAL_MS
             # Fast hits show that only misses suffer, as with a slow origin: keep admitting what a
-            # full cache can serve. Full queues are different: servers turn requests away regardless
-            # of their value, so servers full of reads would refuse orders.
+            # full cache can serve. Full queues are different: servers reject requests regardless of
+            # their value, so servers full of reads would reject orders.
             min_share = (
                 MIN_ADMITTED_SHARE
                 if self.slow_hit_share > NORMAL_SLOW_HIT_SHARE or outcome.rejected_for_overload
@@ -167,7 +167,7 @@
                     if outcome.timed_out
                     else 1.0
                 )
-                if penalty > 0.0:  # penalize() takes 0 for a good answer
+                if penalty > 0.0:  # 0 stands for a fast hit there
                     self.fleet.update_load_penalty(member, now, penalty, outcome.timed_out)
         elif hit and aim:
             if outcome.work_ms:
--- a/forkweir/known/outcomes.py
+++ b/forkweir/known/outcomes.py
@@ -1,6 +1,6 @@
 """Classification of attempt outcomes. Pure: no I/O, no clock.
 
-An attempt ends with a status (a word of the wire) after some time, with or without a note on
+An attempt ends with a status (a word of the wire) after some time, with or without a report of
 whether the cache was hit. What that says about the server, the origin, the key and the load
 depends on the attempt: on its aim, on how likely it was to miss, and on whether the server was
 cold or on trial. All of that is decided in this module; the gate, outlier detection, budgets and
@@ -68,7 +68,8 @@
     may_have_run = True  # the server may have executed the request (rule on duplicates)
     fetch_ended = False  # its fetch, if any, is over as far as anyone waited for it
     may_be_brief = False  # it ended because its time ran out
-    # True: rejected for overload; False: served; None: neither
+    # What counts towards the server's rejection rate: True if rejected for overload, False if
+    # served, None (not counted) otherwise.
     rejection_sample: Optional[bool] = None
     zone_answers: Optional[bool] = None  # whether the server's zone answers; None if unknown
 
@@ -87,9 +88,9 @@
     ) -> None:
         """Classify an attempt.
 
-        note: 0 for none, 1 for a hit, 2 or 3 for a miss (as on the wire). spec: the class of the
-        request, None where the request is over. served_last: whether the server was the last to
-        serve the key. miss_probability: expected before the attempt, 0 to 1.
+        cache_result: 0 for unknown, 1 for a hit, 2 or 3 for a miss (as on the wire). spec: the
+        class of the request, None where the request is over. served_last: whether the server was
+        the last to serve the key. miss_probability: expected before the attempt, 0 to 1.
         """
         self.elapsed_ms = elapsed_ms
         self.request_open = spec is not None
--- a/forkweir/known/unconfirmed.py
+++ b/forkweir/known/unconfirmed.py
@@ -60,7 +60,7 @@
     ) -> tuple[list[str], list[str]]:
         """Apply entries; return the servers to hold back and the servers that are cold.
 
-        in_service: number of servers that are listed as in service and not held back.
+        in_service_count: number of servers that are listed as in service and not held back.
         """
         held_back, cold = [], []
         total = in_service_count + len(self._held)
--- a/forkweir/limits/client_wait.py
+++ b/forkweir/limits/client_wait.py
@@ -32,7 +32,8 @@
     ) -> float:
         """Return how long a client waited before it sent this request, in ms; 0 where unknown.
 
-        class_name: the class of the request. budget_ms: how long the client says that it will wait.
+        class_name: the class of the request. client_wait_ms: how long the client states that it
+        will wait.
         """
         first = self._first.get(class_name)
         if is_retry:
--- a/forkweir/limits/fetch_budget.py
+++ b/forkweir/limits/fetch_budget.py
@@ -105,7 +105,10 @@
         return entry is not None and entry[0] == server and entry[1] > started_ms
 
     def expected(self, served_last: bool, write: bool) -> float:
-        """Return the expected fetches of a request, 0 to 1. known: what `remembers` returned."""
+        """Return the expected fetches of a request, 0 to 1: its miss probability, 1 for a write.
+
+        served_last: what `remembers` returned.
+        """
         return 1.0 if write else self.known_miss_rate if served_last else self.unknown_miss_rate
 
     def may_send(self, cost: float, value: float) -> bool:
@@ -158,7 +161,7 @@
                 del self._last_server[next(iter(self._last_server))]
 
     def record_read(self, served_last: bool, missed: bool) -> None:
-        """Record whether a read missed. known: its server was remembered for the key."""
+        """Record whether a read missed. served_last: its server was remembered for the key."""
         if served_last:
             self.known_miss_rate += MISS_RATE_WEIGHT * (missed - self.known_miss_rate)
         else:
--- a/forkweir/limits/limit_shares.py
+++ b/forkweir/limits/limit_shares.py
@@ -42,6 +42,6 @@
     def record_arrival(self, position: float, range_count: int, now: float) -> Optional[SharedLine]:
         """Record a request for a position; return the common line of all nodes, if there is one.
 
-        The line has so many ranges. The same object is returned until it changes.
+        range_count: of that line. The same object is returned until it changes.
         """
         ...
--- a/forkweir/placement.py
+++ b/forkweir/placement.py
@@ -181,7 +181,7 @@
         self._preference_lists: dict[int, tuple[Member, ...]] = {}
 
     def preference_list(self, range_number: int) -> tuple[Member, ...]:
-        """The home of a range and the next servers on the ring, MAX_NEIGHBOURS in all at most."""
+        """The home of a range and the next servers on the ring, at most MAX_PREFERRED_SERVERS."""
         cached = self._preference_lists.get(range_number)
         if cached is None:
             cached = self._preference_lists[range_number] = self._find_preference_list(range_number)
--- a/forkweir/request.py
+++ b/forkweir/request.py
@@ -51,7 +51,8 @@
         self.id = request_id
         self.work_ms = work  # from the client's hint; 0 without one
         self.cost_ms = work  # expected work at a server
-        # By attempt: the expected number of origin fetches, and whether the server knew the key.
+        # By attempt that is out: its miss probability (1 for a write), which is its expected number
+        # of fetches from the origin, and whether its server was the last to serve the key.
         self.expected_fetches: dict[int, tuple[float, bool]] = {}
         self.write = write
         self.spec = spec
--- a/forkweir/settings.py
+++ b/forkweir/settings.py
@@ -15,7 +15,8 @@
 # Token (what the timer is for, see `Balancer.on_timer`), time in ms at which it is due.
 Timer = tuple[Literal["timer"], int, float]
 Probe = tuple[Literal["probe"], str]  # server
-Follow = tuple[Literal["follow"], bool]  # poll discovery for changes of the server list
+# Poll discovery for changes of the server list; the second element is always True.
+Follow = tuple[Literal["follow"], bool]
 # Recipient (a node of the tier), datagram in hex; used only on the simulator's wire.
 Publish = tuple[Literal["publish"], int, str]
 Action = Attempt | Refuse | Fail | Cancel | Timer | Probe | Follow | Publish
--- a/forkweir/tier/shared_line.py
+++ b/forkweir/tier/shared_line.py
@@ -226,7 +226,7 @@
         )
 
     def table(self, range_count: int, now: float) -> Optional[LineTable]:
-        """The current table cut into so many ranges; None if there is none or it is stale.
+        """The current table cut into range_count ranges; None if there is none or it is stale.
 
         The same object until it changes.
         """
--- a/tests/forkweir/test_outlier_detection.py
+++ b/tests/forkweir/test_outlier_detection.py
@@ -147,7 +147,7 @@
 ) -> bool:
     """Send a request; each attempt ends `after_ms` later as its server's `answer` says.
 
-    answer gives the status, note and elapsed time. Returns whether the request was served.
+    answer gives the status, cache result and elapsed time. Returns whether the request was served.
     """
     action, attempt = balancer.on_request(now, n, "read", key, 2_500.0)[0], 0
     while action[0] == "attempt":
