--- a/forkweir/known/health.py
+++ b/forkweir/known/health.py
@@ -104,7 +104,7 @@
         self.unanswered = 0  # requests in a row that have been out for long
         self.unanswered_since_ms = 0.0  # when the first of these was sent
         self.last_answer_ms = 0.0
-        self.trial_request = -1  # id of the trial request in flight, -1 for none
+        self.trial_request = -1  # id of the latest trial request; -1 after an answer or an ejection
         self.ejected_until = 0.0
         self.ejected_since = 0.0
         self.suspicion = Suspicion()
@@ -127,7 +127,7 @@
 
     @property
     def on_probation(self) -> bool:
-        """Whether the server gets one trial request at a time, until it answers one."""
+        """Whether the server gets one trial request at a time: silent, doubted, due or on_trial."""
         return bool(self.ejections or self.suspicion.detections)
 
     @property
