--- a/forkweir/request.py
+++ b/forkweir/request.py
@@ -23,7 +23,7 @@
         "position",
         "aim_at",
         "deadline",
-        "tries",
+        "attempt_count",
         "outstanding",
         "first_run_server",
         "first_run_ms",
@@ -51,7 +51,8 @@
         self.id = request_id
         self.work_ms = work  # from the client's hint; 0 without one
         self.cost_ms = work  # expected work at a server
-        # By attempt: the expected number of origin fetches, and whether the server knew the key.
+        # By attempt that is out: its miss probability (1 for a write), which is its expected number
+        # of fetches from the origin, and whether its server was the last to serve the key.
         self.expected_fetches: dict[int, tuple[float, bool]] = {}
         self.write = write
         self.spec = spec
@@ -59,7 +60,7 @@
         self.position = position
         self.aim_at = aim_at
         self.deadline = deadline
-        self.tries = 0
+        self.attempt_count = 0
         self.outstanding: set[int] = set()
         # The server of the first attempt that may have run, and when that attempt was sent.
         self.first_run_server: Optional[Member] = None
