--- a/testbed/nights/rules.py
+++ b/testbed/nights/rules.py
@@ -55,7 +55,7 @@
 # Added to each time limit that is checked at sockets.
 TIME_LIMIT_SLACK_US = 50_000
 # Work that a cold box may get, as a multiple of its capacity in the window.
-FALL_MULTIPLE = 4.0
+OVERLOAD_MULTIPLE = 4.0
 COLD_BUDGET_WINDOW_US = 2_000_000
 # Factor on the cold budget for random variation.
 COLD_BUDGET_SLACK = 1.3
@@ -95,7 +95,7 @@
 
 
 @dataclass(slots=True)
-class SentAttempt:
+class ObservedAttempt:
     """One attempt as seen on the wire."""
 
     at_us: int
@@ -111,11 +111,11 @@
     requested_us: int = -1
     answer: Optional[Message] = None
     answered_us: int = -1
-    left_us: int = -1
+    client_left_us: int = -1
     # Attempts whose head has left a node.
-    sent: list[SentAttempt] = field(default_factory=list)
+    sent: list[ObservedAttempt] = field(default_factory=list)
     # Attempts whose last byte has reached a box.
-    received: list[SentAttempt] = field(default_factory=list)
+    received: list[ObservedAttempt] = field(default_factory=list)
     # Node that sent the latest attempt.
     sender: Optional[ProcessProtocol] = None
     # Bodies of the answers that boxes made.
@@ -178,7 +178,7 @@
             self.failures.append(Failure(self._now(), rule, detail, self.steps()))
             self._trace(f"BROKEN {rule}: {detail}")
 
-    def record(self, txn: str) -> RequestRecord:
+    def request_record(self, txn: str) -> RequestRecord:
         """Return the record of a request, created at its first use."""
         record = self.records.get(txn)
         if record is None:
@@ -188,12 +188,12 @@
     # -- clients -------------------------------------------------------------------------
 
     def request_sent(self, ask: ClientRequest) -> None:
-        record = self.record(ask.txn)
+        record = self.request_record(ask.txn)
         record.ask, record.requested_us = ask, self._now()
         self._trace(f"client asks {ask.txn} {ask.request_class.name} {ask.key} of {ask.node}")
 
     def answer_received(self, ask: ClientRequest, answer: Message) -> None:
-        record = self.record(ask.txn)
+        record = self.request_record(ask.txn)
         self._trace(f"client gets {ask.txn} {answer.status} {len(answer.body)}")
         if record.answer is not None:
             self.report("one final answer", f"{ask.txn} is answered twice")
@@ -204,7 +204,7 @@
                 "one final answer",
                 f"{ask.txn} got a body that no box made for it: {answer.body[:40]!r}",
             )
-        may_have_run = [begun for begun in record.received if not begun.turned_away]
+        may_have_run = [attempt for attempt in record.received if not attempt.turned_away]
         if (
             answer.status in (429, 503)
             and ask.request_class.idempotency == "unsafe"
@@ -216,7 +216,7 @@
             )
 
     def client_left(self, ask: ClientRequest) -> None:
-        self.record(ask.txn).left_us = self._now()
+        self.request_record(ask.txn).client_left_us = self._now()
         self._call_after_us(CLEANUP_US, self._check_nothing_running, ask, self._now())
         self._trace(f"client leaves {ask.txn}")
 
@@ -239,7 +239,7 @@
                 )
 
     def no_answer(self, ask: ClientRequest, how: str) -> bool:
-        record = self.record(ask.txn)
+        record = self.request_record(ask.txn)
         self._trace(f"client has no answer {ask.txn} {how}")
         if self.is_excused(ask):
             return False
@@ -276,10 +276,10 @@
     # -- boxes ---------------------------------------------------------------------------
 
     def request_received(self, box: CacheBox, txn: str, method: str, work_ms: float) -> None:
-        record, now = self.record(txn), self._now()
+        record, now = self.request_record(txn), self._now()
         self._trace(f"{box.name} receives {txn}")
-        earlier = [begun for begun in record.received if not begun.turned_away]
-        record.received.append(SentAttempt(now, box.name))
+        earlier = [attempt for attempt in record.received if not attempt.turned_away]
+        record.received.append(ObservedAttempt(now, box.name))
         kind = record.ask.request_class if record.ask is not None else None
         if earlier and kind is not None and kind.idempotency == "unsafe":
             self.report(
@@ -300,11 +300,11 @@
         return majority_box_share(self.reads)
 
     def request_turned_away(self, box: CacheBox, txn: str) -> None:
-        self.record(txn).received[-1].turned_away = True
+        self.request_record(txn).received[-1].turned_away = True
         self._trace(f"{box.name} turns away {txn}")
 
     def answer_made(self, box: CacheBox, txn: str, body: bytes) -> None:
-        self.record(txn).bodies.append(body)
+        self.request_record(txn).bodies.append(body)
         self._trace(f"{box.name} answers {txn}")
 
     def origin_fetched(self, box: str, key: str) -> None:
@@ -323,15 +323,17 @@
         if capacity >= 1.0:
             return
         sent = self._recent_work.setdefault(box.name, deque())
-        ahead = sender is not None and sender.wall_clock_offset_ms >= box.spec.cold_ms
-        notified = sender is not None and (sender, box.address[0]) in self._started and not ahead
+        clock_ahead = sender is not None and sender.wall_clock_offset_ms >= box.spec.cold_ms
+        notified = (
+            sender is not None and (sender, box.address[0]) in self._started and not clock_ahead
+        )
         sent.append((now, work_ms, notified))
         while sent[0][0] < now - COLD_BUDGET_WINDOW_US:
             sent.popleft()
         total = sum(work for _, work, _ in sent)
-        by_notified = sum(work for _, work, knew in sent if knew)
+        by_notified = sum(work for _, work, was_notified in sent if was_notified)
         budget = (
-            FALL_MULTIPLE
+            OVERLOAD_MULTIPLE
             * capacity
             * box.full_speed
             * COLD_BUDGET_WINDOW_US
@@ -343,11 +345,13 @@
 
     # -- discovery -----------------------------------------------------------------------
 
-    def on_node_start(self, process: ProcessProtocol, known: list[dict[str, object]]) -> None:
+    def on_node_start(
+        self, process: ProcessProtocol, saved_entries: list[dict[str, object]]
+    ) -> None:
         """Record that a node starts with the list as it last was."""
         self.nodes[process.host] = process
         self._listed[process] = {
-            str(entry["hostPort"]) for entry in known if entry["lifecycle"] == "in_service"
+            str(entry["hostPort"]) for entry in saved_entries if entry["lifecycle"] == "in_service"
         }
         self._ever_listed[process] = set(self._listed[process])
 
@@ -435,32 +439,33 @@
 
     # -- the tier ------------------------------------------------------------------------
 
-    def on_tier_join(self, process: ProcessProtocol, carrier: UdpTransport) -> None:
+    def on_tier_join(self, process: ProcessProtocol, transport: UdpTransport) -> None:
         """Check rule 9 whenever a node takes a lease, the only moment at which a sum can grow."""
-        holdings, on_take = (
-            carrier.tier.allocator.held_leases,
-            carrier.tier.allocator.held_leases.on_lease,
+        held_leases, original_on_lease = (
+            transport.tier.allocator.held_leases,
+            transport.tier.allocator.held_leases.on_lease,
         )
 
-        def took(bound: int, lease: Lease, now: float) -> None:
-            on_take(bound, lease, now)
+        def record_lease(limit: int, lease: Lease, now: float) -> None:
+            original_on_lease(limit, lease, now)
             self.leases += 1
-            self._check_shares(bound)
+            self._check_shares(limit)
 
-        holdings.on_lease = took
+        held_leases.on_lease = record_lease
 
-    def _check_shares(self, bound: int) -> None:
+    def _check_shares(self, limit: int) -> None:
         """Check that the shares of a limit that running nodes hold sum to at most the whole."""
-        held = {}
+        held_shares = {}
         for process, service in self.services.items():
             if process.alive and service.tier is not None:
-                lease = service.tier.tier.allocator.held_leases.lease(bound, process.now_ms())
+                lease = service.tier.tier.allocator.held_leases.lease(limit, process.now_ms())
                 if lease is not None:
-                    held[process.name] = lease.shares
-        self.max_held[bound] = max(self.max_held.get(bound, 0), sum(held.values()))
-        if sum(held.values()) > TOTAL_SHARES:
+                    held_shares[process.name] = lease.shares
+        self.max_held[limit] = max(self.max_held.get(limit, 0), sum(held_shares.values()))
+        if sum(held_shares.values()) > TOTAL_SHARES:
             self.report(
-                "shares add up", f"of limit {bound} {held} are held, of {TOTAL_SHARES} in all"
+                "shares add up",
+                f"of limit {limit} {held_shares} are held, of {TOTAL_SHARES} in all",
             )
 
     # -- bytes on the wire ---------------------------------------------------------------
@@ -498,14 +503,14 @@
         """Check an attempt whose head leaves a node; announced_us: the remaining time in it."""
         now, process = self._now(), sock.process
         assert process is not None
-        record = self.record(txn)
+        record = self.request_record(txn)
         box = self.boxes[sock.remote[0]]
-        record.sent.append(SentAttempt(now, box))
+        record.sent.append(ObservedAttempt(now, box))
         record.sender = process
         self._trace(f"{process.name} sends {txn} to {box} #{len(record.sent)}")
         for ended_us, what in (
             (record.answered_us, "its final answer"),
-            (record.left_us, "its client had left"),
+            (record.client_left_us, "its client had left"),
         ):
             if 0 <= ended_us < now - IN_TRANSIT_US and not process.was_paused_or_starved(
                 ended_us, now
@@ -513,21 +518,21 @@
                 self.report(
                     "nothing after the end", f"{process.name} sends {txn} to {box} after {what}"
                 )
-        if 0 <= record.left_us <= now - LEAVE_NOTICE_US:
-            late_ms = (now - record.left_us) / 1000
+        if 0 <= record.client_left_us <= now - LEAVE_NOTICE_US:
+            late_ms = (now - record.client_left_us) / 1000
             self.report(
                 "left while it waited",
                 f"{process.name} sends {txn} to {box} {late_ms:.0f} ms after its client left",
             )
         if record.ask is not None and record.ask.client_wait_ms and record.requested_us >= 0:
-            left_us = record.requested_us + int(1000 * record.ask.client_wait_ms) - now
-            if announced_us > max(1_000, left_us) + DEADLINE_SLACK_US and not process.was_paused(
-                record.requested_us, now
-            ):
+            remaining_us = record.requested_us + int(1000 * record.ask.client_wait_ms) - now
+            if announced_us > max(
+                1_000, remaining_us
+            ) + DEADLINE_SLACK_US and not process.was_paused(record.requested_us, now):
                 self.report(
                     "deadline told",
                     f"{process.name} tells {box} {announced_us // 1000} ms for {txn}, "
-                    f"but {left_us // 1000} ms remain",
+                    f"but {remaining_us // 1000} ms remain",
                 )
         address = f"{sock.remote[0]}:{sock.remote[1]}"
         since = self._excluded_since.get((process, address))
--- a/testbed/nights/simulation.py
+++ b/testbed/nights/simulation.py
@@ -384,7 +384,7 @@
 
         That holds where its node was killed or stalled, or the network broke its connection.
         """
-        record = self.rules.record(ask.txn)
+        record = self.rules.request_record(ask.txn)
         since, now = record.requested_us - 2_000, self.loop.now_us
         died = self._killed_us.get(ask.node, -1)
         if died >= since:
--- a/testbed/tier/books.py
+++ b/testbed/tier/books.py
@@ -12,7 +12,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from testbed.nights.rules import COLD_BUDGET_SLACK, COLD_BUDGET_WINDOW_US, FALL_MULTIPLE
+from testbed.nights.rules import COLD_BUDGET_SLACK, COLD_BUDGET_WINDOW_US, OVERLOAD_MULTIPLE
 
 BUDGET_WINDOW_MS = COLD_BUDGET_WINDOW_US / 1000.0
 
@@ -115,7 +115,7 @@
                 total -= self.received[oldest][1]
                 oldest += 1
             budget = (
-                FALL_MULTIPLE
+                OVERLOAD_MULTIPLE
                 * self.capacity(at_ms)
                 * self.full_speed
                 * BUDGET_WINDOW_MS
