--- a/testbed/check/leases.py
+++ b/testbed/check/leases.py
@@ -43,19 +43,19 @@
     """A datagram in flight.
 
     kind: "call" (with grants of a leader), "reply" (with a vote) or "back" (sender steps down).
-    token: that of the process that it is for; 0 for any process of the node.
+    to_token: that of the process that it is for; 0 for any process of the node.
     number: that of the call or reply; in "back" the last call up to which no vote counts.
-    echo: the number of the message that this one answers, 0 for none.
+    answered_number: the number of the message that this one answers, 0 for none.
     payload: of a call, the lease duration in ms and the shares granted of each limit, in order;
     of a reply, 1 with the vote and 0 without.
     """
 
     kind: str
     sender: tuple[int, int]
-    to: int
-    token: int
+    to_slot: int
+    to_token: int
     number: int
-    echo: int
+    answered_number: int
     payload: tuple[int, ...]
 
 
@@ -67,7 +67,7 @@
     allocators: list[Allocator]
     # For each node, by other node: the token and number of the last reply received from it.
     last_replies: list[dict[int, tuple[int, int]]]
-    node_keys: list[int]  # a hash of each node's state
+    node_fingerprints: list[int]  # a hash of each node's state
     in_flight: tuple[Datagram, ...]
     calls_left: int
     duplicates_left: int
@@ -155,13 +155,13 @@
     return new
 
 
-def _node_key(allocator: Allocator, last_replies: dict[int, tuple[int, int]]) -> int:
+def _node_fingerprint(allocator: Allocator, last_replies: dict[int, tuple[int, int]]) -> int:
     """A hash of all that determines how a node behaves from here on."""
-    held = tuple(
+    leases = tuple(
         (limit, lease.shares, lease.until_ms, lease.leader, lease.number)
         for limit, lease in sorted(allocator.held_leases.leases.items())
     )
-    outstanding = tuple(
+    outstanding_grants = tuple(
         (limit, tuple(sorted((process, tuple(grants)) for process, grants in by_process.items())))
         for limit, by_process in sorted(allocator.ledger._grants.items())
     )
@@ -171,13 +171,22 @@
         allocator.held_leases._replies_sent_ms.items(),
     )
     vote_given = allocator.voter.voted_for, allocator.voter.until_ms, allocator.voter.call_number
-    messages = (
+    exchanged = (
         tuple(sorted(votes)),
         tuple(calls_sent),
         tuple(replies_sent),
         tuple(sorted(last_replies.items())),
     )
-    return hash((allocator.process, allocator.call_number, vote_given, messages, held, outstanding))
+    return hash(
+        (
+            allocator.process,
+            allocator.call_number,
+            vote_given,
+            exchanged,
+            leases,
+            outstanding_grants,
+        )
+    )
 
 
 class ScopeChecker:
@@ -187,39 +196,39 @@
         self.scope = scope
         self.states = self.states_with_leases = 0
 
-    def clock(self, node: int, state: State) -> float:
+    def clock(self, slot: int, state: State) -> float:
         """The time of a node's own clock in ms."""
-        return state.elapsed * UNIT_MS * self.scope.clock_rates[node]
+        return state.elapsed * UNIT_MS * self.scope.clock_rates[slot]
 
     def run(self) -> Outcome:
         """Search until all states are visited, max_states is reached or the invariant fails."""
         allocators = [
-            Allocator((n, 1), NODE_COUNT, VOTE_UNITS * UNIT_MS, -VOTE_UNITS * UNIT_MS)
-            for n in range(NODE_COUNT)
+            Allocator((slot, 1), NODE_COUNT, VOTE_UNITS * UNIT_MS, -VOTE_UNITS * UNIT_MS)
+            for slot in range(NODE_COUNT)
         ]
-        keys = [_node_key(allocator, {}) for allocator in allocators]
+        fingerprints = [_node_fingerprint(allocator, {}) for allocator in allocators]
         initial = State(
             0,
             allocators,
             [{} for _ in range(NODE_COUNT)],
-            keys,
+            fingerprints,
             (),
             self.scope.calls,
             self.scope.duplicates,
             self.scope.restarts,
             None,
         )
-        seen = {self._state_key(initial)}
+        seen = {self._state_fingerprint(initial)}
         queue = deque([initial])
         while queue:
             state = queue.popleft()
             self.states += 1
-            held = [
-                sum(self._held_shares(state, n, limit) for n in range(NODE_COUNT))
+            held_shares = [
+                sum(self._held_shares(state, slot, limit) for slot in range(NODE_COUNT))
                 for limit in range(self.scope.limits)
             ]
-            self.states_with_leases += any(held)
-            if max(held) > TOTAL_SHARES:
+            self.states_with_leases += any(held_shares)
+            if max(held_shares) > TOTAL_SHARES:
                 assert state.trace is not None
                 return Outcome(
                     self.states, tuple(state.trace.steps()), False, self.states_with_leases
@@ -227,17 +236,17 @@
             if self.states >= self.scope.max_states:
                 return Outcome(self.states, (), False, self.states_with_leases)
             for successor in self._successors(state):
-                key = self._state_key(successor)
-                if key not in seen:
-                    seen.add(key)
+                fingerprint = self._state_fingerprint(successor)
+                if fingerprint not in seen:
+                    seen.add(fingerprint)
                     queue.append(successor)
         return Outcome(self.states, (), True, self.states_with_leases)
 
-    def _state_key(self, state: State) -> int:
+    def _state_fingerprint(self, state: State) -> int:
         return hash(
             (
                 state.elapsed,
-                *state.node_keys,
+                *state.node_fingerprints,
                 state.in_flight,
                 state.calls_left,
                 state.duplicates_left,
@@ -245,9 +254,9 @@
             )
         )
 
-    def _held_shares(self, state: State, node: int, limit: int) -> int:
+    def _held_shares(self, state: State, slot: int, limit: int) -> int:
         """The shares that a node holds by a lease that is valid on its own clock."""
-        lease = state.allocators[node].held_leases.lease(limit, self.clock(node, state))
+        lease = state.allocators[slot].held_leases.lease(limit, self.clock(slot, state))
         return lease.shares if lease is not None else 0
 
     def _successors(self, state: State) -> Iterator[State]:
@@ -257,59 +266,61 @@
             successor.elapsed += 1
             yield successor
         if state.calls_left:
-            for node in self.scope.callers:
-                successor = self._copy_state(state, f"n{node} calls", node)
+            for slot in self.scope.callers:
+                successor = self._copy_state(state, f"n{slot} calls", slot)
                 successor.calls_left -= 1
-                if self._start_call(successor, node):
-                    yield self._update_node_key(successor, node)
-        for n, datagram in enumerate(state.in_flight):
-            if n and datagram in state.in_flight[:n]:
+                if self._start_call(successor, slot):
+                    yield self._update_node_fingerprint(successor, slot)
+        for index, datagram in enumerate(state.in_flight):
+            if index and datagram in state.in_flight[:index]:
                 continue
-            remaining = state.in_flight[:n] + state.in_flight[n + 1 :]
+            remaining = state.in_flight[:index] + state.in_flight[index + 1 :]
             successor = self._copy_state(
                 state,
-                f"{datagram.kind} {datagram.number} of {datagram.sender} arrives at n{datagram.to}",
-                datagram.to,
+                f"{datagram.kind} {datagram.number} of {datagram.sender} "
+                f"arrives at n{datagram.to_slot}",
+                datagram.to_slot,
             )
             successor.in_flight = remaining
             self._deliver(successor, datagram)
-            yield self._update_node_key(successor, datagram.to)
+            yield self._update_node_fingerprint(successor, datagram.to_slot)
             if state.duplicates_left:
-                duplicate = self._copy_state(
+                after_duplicate = self._copy_state(
                     state,
-                    f"a duplicate of {datagram.kind} {datagram.number} arrives at n{datagram.to}",
-                    datagram.to,
+                    f"a duplicate of {datagram.kind} {datagram.number} "
+                    f"arrives at n{datagram.to_slot}",
+                    datagram.to_slot,
                 )
-                duplicate.duplicates_left -= 1
-                self._deliver(duplicate, datagram)
-                yield self._update_node_key(duplicate, datagram.to)
+                after_duplicate.duplicates_left -= 1
+                self._deliver(after_duplicate, datagram)
+                yield self._update_node_fingerprint(after_duplicate, datagram.to_slot)
         if state.restarts_left:
-            for node in range(NODE_COUNT):
-                successor = self._copy_state(state, f"n{node} is killed and restarts", node)
+            for slot in range(NODE_COUNT):
+                successor = self._copy_state(state, f"n{slot} is killed and restarts", slot)
                 successor.restarts_left -= 1
-                successor.allocators[node] = Allocator(
-                    (node, 2), NODE_COUNT, VOTE_UNITS * UNIT_MS, self.clock(node, state)
+                successor.allocators[slot] = Allocator(
+                    (slot, 2), NODE_COUNT, VOTE_UNITS * UNIT_MS, self.clock(slot, state)
                 )
-                successor.last_replies[node] = {}
-                yield self._update_node_key(successor, node)
+                successor.last_replies[slot] = {}
+                yield self._update_node_fingerprint(successor, slot)
 
-    def _copy_state(self, state: State, step: str, node: int = -1) -> State:
+    def _copy_state(self, state: State, step: str, slot: int = -1) -> State:
         """A copy of a state, with its trace one step longer, in which one node may be changed.
 
         Only that node is copied: the others are shared with the original state.
         """
         allocators, last_replies = list(state.allocators), list(state.last_replies)
-        if node >= 0:
-            allocators[node], last_replies[node] = (
-                _copy_allocator(allocators[node]),
-                dict(last_replies[node]),
+        if slot >= 0:
+            allocators[slot], last_replies[slot] = (
+                _copy_allocator(allocators[slot]),
+                dict(last_replies[slot]),
             )
         trace = Trace(step, state.trace)
         return State(
             state.elapsed,
             allocators,
             last_replies,
-            list(state.node_keys),
+            list(state.node_fingerprints),
             state.in_flight,
             state.calls_left,
             state.duplicates_left,
@@ -317,9 +328,11 @@
             trace,
         )
 
-    def _update_node_key(self, state: State, node: int) -> State:
+    def _update_node_fingerprint(self, state: State, slot: int) -> State:
         """Hash a changed node again; return the state."""
-        state.node_keys[node] = _node_key(state.allocators[node], state.last_replies[node])
+        state.node_fingerprints[slot] = _node_fingerprint(
+            state.allocators[slot], state.last_replies[slot]
+        )
         return state
 
     def _send(self, state: State, datagram: Datagram) -> None:
@@ -330,21 +343,21 @@
             else state.in_flight
         )
 
-    def _start_call(self, state: State, node: int) -> bool:
+    def _start_call(self, state: State, slot: int) -> bool:
         """Call the other nodes, with grants if the node is the leader.
 
         Returns whether the node has its own vote, which a call needs.
         """
-        allocator, now = state.allocators[node], self.clock(node, state)
+        allocator, now = state.allocators[slot], self.clock(slot, state)
         if not allocator.start_call(now):
             return False
         lease_ms = allocator.lease_ms(LEASE_UNITS * UNIT_MS, now)
-        last_replies = state.last_replies[node]
+        last_replies = state.last_replies[slot]
         granted: dict[int, list[int]] = {}
         if lease_ms:
-            number = allocator.held_leases.next_reply_number(now)
+            reply_number = allocator.held_leases.next_reply_number(now)
             demand: dict[tuple[int, int], float] = {
-                (other, token): TOTAL_SHARES for other, (token, _) in last_replies.items()
+                (other_slot, token): TOTAL_SHARES for other_slot, (token, _) in last_replies.items()
             }
             demand[allocator.process] = TOTAL_SHARES
             for limit in range(self.scope.limits):
@@ -355,26 +368,26 @@
                             allocator.process,
                             allocator.process[1],
                             allocator.call_number,
-                            number,
+                            reply_number,
                             lease_ms,
                             1.0,
                             limit,
                             shares,
                             now,
                         )
-        for other in range(NODE_COUNT):
-            if other != node:
-                token, echo = last_replies.get(other, (0, 0))
-                payload = (lease_ms, *granted.get(other, ())) if token else (0,)
+        for other_slot in range(NODE_COUNT):
+            if other_slot != slot:
+                token, answered_number = last_replies.get(other_slot, (0, 0))
+                payload = (lease_ms, *granted.get(other_slot, ())) if token else (0,)
                 self._send(
                     state,
                     Datagram(
                         "call",
                         allocator.process,
-                        other,
+                        other_slot,
                         token,
                         allocator.call_number,
-                        echo,
+                        answered_number,
                         payload,
                     ),
                 )
@@ -382,35 +395,36 @@
 
     def _deliver(self, state: State, datagram: Datagram) -> None:
         """Process a datagram at the node that it is for."""
-        node = datagram.to
-        allocator, now = state.allocators[node], self.clock(node, state)
+        slot = datagram.to_slot
+        allocator, now = state.allocators[slot], self.clock(slot, state)
         if datagram.kind == "call":
             lease_ms, *shares_by_limit = datagram.payload
             for limit, shares in enumerate(shares_by_limit):
                 allocator.on_grant(
                     datagram.sender,
-                    datagram.token,
+                    datagram.to_token,
                     datagram.number,
-                    datagram.echo,
+                    datagram.answered_number,
                     lease_ms,
                     1.0,
                     limit,
                     shares,
                     now,
                 )
-            vote, void_number = allocator.on_call(datagram.sender, datagram.number, now)
-            for other in range(NODE_COUNT):
-                if void_number and other != node:
+            vote, step_down_number = allocator.on_call(datagram.sender, datagram.number, now)
+            for other_slot in range(NODE_COUNT):
+                if step_down_number and other_slot != slot:
                     self._send(
-                        state, Datagram("back", allocator.process, other, 0, void_number, 0, ())
+                        state,
+                        Datagram("back", allocator.process, other_slot, 0, step_down_number, 0, ()),
                     )
-            number = allocator.held_leases.next_reply_number(now)
+            reply_number = allocator.held_leases.next_reply_number(now)
             reply = Datagram(
                 "reply",
                 allocator.process,
                 datagram.sender[0],
                 datagram.sender[1],
-                number,
+                reply_number,
                 datagram.number,
                 (int(vote),),
             )
@@ -419,14 +433,14 @@
         if datagram.kind == "back":
             allocator.voter.release(datagram.sender, datagram.number, now)
             return
-        sender, token = datagram.sender
-        if datagram.token != allocator.process[1]:
+        sender_slot, sender_token = datagram.sender
+        if datagram.to_token != allocator.process[1]:
             return
         if datagram.payload[0]:
-            allocator.on_vote(sender, datagram.token, datagram.echo)
-        last_reply = state.last_replies[node].get(sender)
-        if last_reply is None or last_reply[0] != token or last_reply[1] < datagram.number:
-            state.last_replies[node][sender] = token, datagram.number
+            allocator.on_vote(sender_slot, datagram.to_token, datagram.answered_number)
+        last_reply = state.last_replies[slot].get(sender_slot)
+        if last_reply is None or last_reply[0] != sender_token or last_reply[1] < datagram.number:
+            state.last_replies[slot][sender_slot] = sender_token, datagram.number
 
 
 def check_scope(scope: Scope) -> Outcome:
