--- a/testbed/nights/rules.py
+++ b/testbed/nights/rules.py
@@ -1,34 +1,45 @@
 """The rules of a scenario, checked against what the testbed observes after every step.
 
-1. Each request that a running node has accepted gets exactly one final answer, made for it, before
-   its deadline.
-2. Unsafe work that may have run is neither repeated nor refused. A keyed request is repeated only
-   within its window.
-3. No attempt is sent for a request after its final answer, or after its client has left. A node
-   that stalled meanwhile, or had no descriptor to accept with, may learn of either late; but
-   nothing is started LEAVE_NOTICE_US or longer after the client left, as the node's kernel knows by
-   then. A server gets at most the time that the client has left and DEADLINE_SLACK_US.
-4. No attempt goes to a server later than the drain grace after the node was notified that the
-   server drains or was removed. A list entry counts as received when it was written whole, from
-   brace to brace, also in a line that is cut or corrupt elsewhere; but such a line may not take a
-   node's last server.
-5. No cold server is overloaded: the work sent to it stays within the budget of its present
-   capacity.
-6. The node's own accounts agree with its sockets after every step, and all are empty at the end.
+Each rule has the name that its failures print.
+
+1. "one final answer": each request that a running node has accepted gets exactly one final answer,
+   made for it, before its deadline.
+2. "no effect twice": unsafe work that may have run is neither repeated nor refused. A keyed request
+   is repeated only within its window.
+3. "nothing after the end": no attempt is sent for a request after its final answer, or after its
+   client has left. A node that stalled meanwhile, or was starved (could accept no connection, for
+   example without a free file descriptor), may learn of either late. CLEANUP_US after the end
+   nothing of the request is left in its node.
+   "left while it waited": no attempt, even of such a node, is sent LEAVE_NOTICE_US or longer after
+   the client left, as the node's kernel knows by then.
+   "deadline told": the remaining time that is announced to a server is at most the time that the
+   client still waits and DEADLINE_SLACK_US.
+4. "drains kept": no attempt goes to a server later than the drain grace after the node was notified
+   that the server drains or was removed. A list entry counts as received when it was written
+   whole, from brace to brace, also in a line that is cut or corrupt elsewhere; but such a line may
+   not take a node's last server.
+5. "no cold server pushed over": no cold server is overloaded. The work sent to it stays within the
+   budget of its present capacity.
+6. "books": the node's own accounts agree with its sockets after every step, and all are empty at
+   the end.
 
 Where nodes use further sources, also:
 
-7. A node's server set is never empty while any source named a box that the list did not report as
-   draining or removed.
-8. No address is dialed that no source ever named.
+7. "never empty": a node's server set is never empty while any source named a box that the list did
+   not report as draining or removed.
+8. "only who is named": no address is dialed that no source ever named.
 
 Where nodes form a tier, also:
 
-9. The shares of a tier-wide limit that its nodes hold, stalled ones included, sum to at most the
-   whole.
+9. "shares add up": the shares of a tier-wide limit that its nodes hold, stalled ones included, sum
+   to at most the total.
 
-The witness sees only what a stand-in, a client or the network's wire shows; the accounts are read
-in the node itself.
+Not numbered: "bad clients" (a malformed or incomplete request gets an error or a close, and is
+never served), "no exception" (no unexpected exception reaches the event loop or ends a node) and
+"no standstill" (the event loop neither deadlocks nor livelocks; see `simulation`).
+
+The observer, `Rules`, sees what emulated systems, clients and the network show. The accounts,
+server sets and leases are read in the nodes themselves.
 """
 
 from __future__ import annotations
@@ -50,11 +61,13 @@
 from testbed.systems.http import Message
 
 DRAIN_GRACE_US = 250_000
-# A node has repeated a lost DNS query and received the answer by then.
+# The longest time in which a node retries a lost DNS query and receives the answer.
 DNS_RETRY_US = 1_500_000
-# Added to each time limit that is checked at sockets.
+# Added to the drain grace, checked at the sockets of nodes, and to the window of keyed requests,
+# checked at the boxes.
 TIME_LIMIT_SLACK_US = 50_000
-# Work that a cold box may get, as a multiple of its capacity in the window.
+# A cold server is overloaded by more work than this multiple of its present capacity (within
+# COLD_BUDGET_WINDOW_US, and with COLD_BUDGET_SLACK). `testbed/tier/books.py` uses it too.
 OVERLOAD_MULTIPLE = 4.0
 COLD_BUDGET_WINDOW_US = 2_000_000
 # Factor on the cold budget for random variation.
@@ -66,7 +79,8 @@
 DEADLINE_SLACK_US = 150_000
 # This long after a request's end none of its attempts is running any more.
 CLEANUP_US = 60_000
-# From then on no attempt is started for a client that has left, whatever its node could know when.
+# This long after a client left, no attempt is started for it, even by a node that stalled or was
+# starved meanwhile.
 LEAVE_NOTICE_US = 100_000
 # Covers attempts in transit while the end of their request is notified; on a slow link they queue.
 IN_TRANSIT_US = 20_000
@@ -75,8 +89,8 @@
 # Timers of an idle node: two sweeps, the check of what is running, the event loop lag, and up to
 # two scheduled calls.
 IDLE_TIMERS = 6
-# Timers of each call to discovery or of the watch that it became: its time limit and that of the
-# call beside it, or a pause and an idle limit.
+# Timers of each watch of discovery. While its call is unanswered: the timeout of the answer and the
+# timer that starts a parallel call. Once it is answered: a pause and an idle limit.
 DISCOVERY_CALL_TIMERS = 2
 
 
@@ -96,7 +110,10 @@
 
 @dataclass(slots=True)
 class ObservedAttempt:
-    """One attempt as seen on the wire."""
+    """One attempt, observed when its head leaves a node or its last byte reaches a box.
+
+    turned_away: the box has answered that the request never ran (only of attempts at a box).
+    """
 
     at_us: int
     box: str
@@ -138,7 +155,8 @@
         self.services: dict[ProcessProtocol, Service] = {}
         # Names of the boxes by host, for the trace.
         self.boxes: dict[str, str] = {}
-        # Whether a request may stay unanswered, due to the network or a killed node.
+        # Whether a request may stay unanswered: its node was killed, stalled or starved, or the
+        # network broke its connection.
         self.is_excused: Callable[[ClientRequest], bool] = lambda ask: False
         self.steps: Callable[[], int] = lambda: 0
         self._now = now_us
@@ -148,7 +166,8 @@
         self._excluded_since: dict[tuple[ProcessProtocol, str], int] = {}
         # By node: addresses that its list reported as in service.
         self._listed: dict[ProcessProtocol, set[str]] = {}
-        # Node and host of each server that the node was notified started lately.
+        # Pairs of a node and a server's host: the server's latest in-service entry that was sent to
+        # the node, but for entries of corrupt lines, had a start time (startedAtMs).
         self._started: set[tuple[ProcessProtocol, str]] = set()
         # By node: addresses that its list ever reported as in service.
         self._ever_listed: dict[ProcessProtocol, set[str]] = {}
@@ -168,7 +187,7 @@
         self.reads: dict[str, Counter[str]] = defaultdict(Counter)
         # Number of leases that nodes took.
         self.leases = 0
-        # Most shares of each limit that all nodes held at once.
+        # By limit: the most shares that all nodes held at once.
         self.max_held: dict[int, int] = {}
 
     def report(self, rule: str, detail: str) -> None:
@@ -221,7 +240,11 @@
         self._trace(f"client leaves {ask.txn}")
 
     def _check_nothing_running(self, ask: ClientRequest, ended_us: int) -> None:
-        """Check that nothing of an ended request is left in its node."""
+        """Check that nothing of an ended request is left in its node.
+
+        Not checked: a node that is paused or has ended, or was paused or starved since the request
+        ended, and so may learn of the end late.
+        """
         for process, service in self.services.items():
             if (
                 process.name != ask.node
@@ -289,6 +312,7 @@
         if earlier and kind is not None and kind.idempotency == "keyed":
             if now - earlier[0].at_us > 1000 * kind.window_ms + TIME_LIMIT_SLACK_US:
                 self.report("no effect twice", f"{txn} is sent to {box.name} after the window")
+        # Bad clients send a request of this id behind one with two lengths (`BAD_REQUESTS`).
         if method == "PUT" and record.ask is None and txn == "hidden":
             self.report("no effect twice", "a smuggled request was forwarded")
         if method == "GET" and record.ask is not None:
@@ -296,7 +320,10 @@
         self._check_cold_budget(box, work_ms, now, record.sender)
 
     def primary_box_share(self) -> float:
-        """Return the fraction of reads that went to the box with most reads of their key."""
+        """Return the fraction of reads that went to the box with most reads of their key.
+
+        Keys that were read once are left out.
+        """
         return majority_box_share(self.reads)
 
     def request_turned_away(self, box: CacheBox, txn: str) -> None:
@@ -315,9 +342,10 @@
     ) -> None:
         """Check the work sent to a cold box against its budget.
 
-        The rule holds only where nodes that knew of the start sent most of the work. A node that
-        was not notified (discovery was unresponsive or wrong) cannot know, nor can one whose wall
-        clock is ahead by more than a start takes, as it has no other clock to compare with.
+        The rule holds only where nodes that knew of the start sent at least two thirds of the work.
+        A node that was not notified (discovery was unresponsive or wrong) cannot know, nor can one
+        whose wall clock is ahead by as long as a box stays cold, as it has no other clock to
+        compare with.
         """
         capacity = box.speed_share()
         if capacity >= 1.0:
@@ -348,7 +376,7 @@
     def on_node_start(
         self, process: ProcessProtocol, saved_entries: list[dict[str, object]]
     ) -> None:
-        """Record that a node starts with the list as it last was."""
+        """Record that a node starts, with the list that it last saved."""
         self.nodes[process.host] = process
         self._listed[process] = {
             str(entry["hostPort"]) for entry in saved_entries if entry["lifecycle"] == "in_service"
@@ -408,7 +436,10 @@
                 answered.setdefault(address, self._now())
 
     def check_never_empty(self) -> None:
-        """Check rule 7 for every node that uses further sources and knows its servers."""
+        """Check rule 7 for every node that uses further sources and knows its servers.
+
+        Nodes that are paused are not checked.
+        """
         for process, service in self.services.items():
             if service.sources is None or not process.running or not service.node.servers_known:
                 continue
@@ -454,7 +485,7 @@
         held_leases.on_lease = record_lease
 
     def _check_shares(self, limit: int) -> None:
-        """Check that the shares of a limit that running nodes hold sum to at most the whole."""
+        """Check that the shares of a limit held by live nodes, paused too, stay within the total."""
         held_shares = {}
         for process, service in self.services.items():
             if process.alive and service.tier is not None:
@@ -488,6 +519,7 @@
             self._request_heads[sock] = head
             return
         self._request_heads.pop(sock, None)
+        # 9 and 18 are the lengths of the texts that are searched for.
         at = head.find(b"\r\nX-Txn: ")
         txn = head[at + 9 : head.index(b"\r\n", at + 9)].decode("latin-1")
         deadline_at = head.find(b"\r\nX-Remaining-Ms: ")
@@ -500,7 +532,10 @@
         )
 
     def _on_attempt_sent(self, sock: VirtualSocket, txn: str, announced_us: int) -> None:
-        """Check an attempt whose head leaves a node; announced_us: the remaining time in it."""
+        """Check an attempt whose head leaves a node.
+
+        announced_us: the remaining time that the head announces.
+        """
         now, process = self._now(), sock.process
         assert process is not None
         record = self.request_record(txn)
@@ -554,6 +589,7 @@
         process = sock.process
         if process is None or process not in self.services:
             return
+        # 127.4 is discovery and 127.6 the DNS resolvers; their addresses are configured.
         if what == "dial" and not sock.remote[0].startswith(("127.4.", "127.6.")):
             address = f"{sock.remote[0]}:{sock.remote[1]}"
             if address not in self._dns_named and address not in self._ever_listed[process]:
@@ -568,7 +604,7 @@
             self._accepted[process] -= 1
 
     def after_step(self, process: ProcessProtocol) -> None:
-        """Check a node's connection counts against its sockets."""
+        """Check the connection counts of a node, paused or not, against its sockets."""
         service = self.services.get(process)
         if service is None or not process.alive:
             return
@@ -579,6 +615,7 @@
                 f"{process.name} counts {service.pool.open} connections to servers "
                 f"and has {dialed}",
             )
+        # The node may count more: a connection whose socket is closed counts until it is removed.
         if accepted > len(service.frontend._connections):
             self.report(
                 "books", f"{process.name} has {accepted} client connections and counts fewer"
@@ -587,7 +624,8 @@
     def check_idle_timers(self, timers: dict[ProcessProtocol, int]) -> None:
         """Check shortly after the last answer that no timer of a request is left.
 
-        timers is the number of timers by process.
+        timers: the number of timers by process. Nodes that are paused or have ended are not
+        checked.
         """
         for process in self.services:
             discovery = self.services[process].discovery
@@ -603,7 +641,10 @@
                 self.report("books", f"{process.name} though idle holds {timers[process]} timers")
 
     def check_idle(self, timers: dict[ProcessProtocol, int]) -> None:
-        """Check that a node without requests has released everything."""
+        """Check that running nodes, which have no requests, have released everything.
+
+        Nodes that are paused or have ended are not checked.
+        """
         self.check_idle_timers(timers)
         for process, service in self.services.items():
             if process.state != "running":
@@ -614,11 +655,14 @@
                 "requests": len(node._requests),
                 "tries": len(node._tries),
                 "attempts": len(node._attempts) + len(node._running),
+                # The module is the node's balancer (`forkweir`).
                 "requests of the module": len(node._balancer.held),
                 "bytes of bodies": service.frontend.budget.used,
                 "client connections": len(service.frontend._connections),
-                # A watch that lost a line is read on until another has received one, whose call
-                # may be due only after the end (seed 10101004).
+                # Expected are the program's own task and that of its watch of discovery. A retiring
+                # watch, which lost a line, stays open until its replacement has received a complete
+                # line. The replacement may be called only after the end of the scenario (seed
+                # 10101004).
                 "tasks over the expected number": max(
                     0,
                     len(process.pending_tasks())
