--- a/testbed/check/leases.py
+++ b/testbed/check/leases.py
@@ -5,22 +5,24 @@
 than TOTAL_SHARES. Each step from a state is one of these:
 
 - a unit of time passes;
-- a node calls the others;
+- a node calls the others: a call is a heartbeat, a request for votes and, where its sender is the
+  leader, grants of shares;
 - a datagram in flight arrives, in any order and however late. A datagram that stays in flight to
   the end stands for a lost one, so losses and partitions are covered;
 - a datagram arrives, and its duplicate stays in flight;
 - a node's process is killed and restarts.
 
-Each node demands the whole of each limit. The clocks run at different rates: one is slow and one
+Each node demands all shares of each limit. The clocks run at different rates: one is slow and one
 fast by MAX_CLOCK_DRIFT.
 
-A `Scope` limits the time that passes and the calls, duplicates and restarts. Votes last VOTE_UNITS
-and leases LEASE_UNITS units of time, and at most MAX_IN_FLIGHT datagrams are in flight at once: one
-that does not fit is lost.
+A `Scope` bounds the time that passes and the calls, duplicates and restarts. Votes last VOTE_UNITS
+and leases LEASE_UNITS units of time, and at most MAX_IN_FLIGHT datagrams are in flight at once: of
+one more, the first by sort order is lost (see `Datagram`).
 
 Not covered: more than three nodes, more than one restart, longer schedules of calls, and progress
 (whether shares are granted in the end). A scope larger than its max_states is covered only as far
-as a breadth-first search gets with that many states.
+as a breadth-first search gets with that many states. States are recognized by a 64-bit hash, so a
+state that collides with one visited earlier is skipped, with all states behind it.
 """
 
 from __future__ import annotations
@@ -42,12 +44,18 @@
 class Datagram(NamedTuple):
     """A datagram in flight.
 
-    kind: "call" (with grants of a leader), "reply" (with a vote) or "back" (sender steps down).
-    to_token: that of the process that it is for; 0 for any process of the node.
+    kind: "call" (with grants of a leader), "reply" (with or without a vote) or "back" (the sender
+    steps down: its candidacy has ended).
+    sender: the ProcessId of the sender: its slot and token.
+    to_slot: the slot of the node that it is for.
+    to_token: the token of the process that it is for; 0 for any process of the node.
     number: that of the call or reply; in "back" the last call up to which no vote counts.
     answered_number: the number of the message that this one answers, 0 for none.
     payload: of a call, the lease duration in ms and the shares granted of each limit, in order;
     of a reply, 1 with the vote and 0 without.
+
+    The order of the fields decides which datagram is lost where too many are in flight (see
+    `ScopeChecker._send`).
     """
 
     kind: str
@@ -61,13 +69,13 @@
 
 @dataclass(slots=True)
 class State:
-    """A state of the three nodes and their network, and what of the scope is left."""
+    """A state of the three nodes and their network, and what the scope still allows."""
 
     elapsed: int  # units of time since the start
-    allocators: list[Allocator]
-    # For each node, by other node: the token and number of the last reply received from it.
+    allocators: list[Allocator]  # by slot
+    # By slot, and by slot of another node: the token and number of the last reply received from it.
     last_replies: list[dict[int, tuple[int, int]]]
-    node_fingerprints: list[int]  # a hash of each node's state
+    node_fingerprints: list[int]  # by slot (see `_node_fingerprint`)
     in_flight: tuple[Datagram, ...]
     calls_left: int
     duplicates_left: int
@@ -99,6 +107,7 @@
     counterexample: the fewest steps that violate the invariant; empty if no visited state does.
     exhausted: whether all states of the scope were visited.
     states_with_leases: the number of visited states in which any node holds a valid lease.
+    Shows that the check is not vacuous: the invariant can't fail where no lease is held.
     """
 
     states: int
@@ -109,9 +118,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Scope:
-    """The limits of a search.
+    """The bounds of a search.
 
-    callers: the nodes that make calls.
+    limits: the number of tier-wide limits.
+    callers: the slots of the nodes that make calls.
     clock_rates: the rate of each node's clock, relative to real time.
     max_states: the number of visited states at which the search ends unexhausted.
     """
@@ -156,7 +166,11 @@
 
 
 def _node_fingerprint(allocator: Allocator, last_replies: dict[int, tuple[int, int]]) -> int:
-    """A hash of all that determines how a node behaves from here on."""
+    """A hash of all that determines how a node behaves from here on.
+
+    Left out: the `size` of leases, which is the same in all, and `_reply_number`, which is also the
+    last number in `_replies_sent_ms`.
+    """
     leases = tuple(
         (limit, lease.shares, lease.until_ms, lease.leader, lease.number)
         for limit, lease in sorted(allocator.held_leases.leases.items())
@@ -202,6 +216,8 @@
 
     def run(self) -> Outcome:
         """Search until all states are visited, max_states is reached or the invariant fails."""
+        # A process that starts gives no vote for vote_ms. These started that long ago, so that they
+        # vote from the beginning.
         allocators = [
             Allocator((slot, 1), NODE_COUNT, VOTE_UNITS * UNIT_MS, -VOTE_UNITS * UNIT_MS)
             for slot in range(NODE_COUNT)
@@ -336,7 +352,10 @@
         return state
 
     def _send(self, state: State, datagram: Datagram) -> None:
-        """Put a datagram in flight; of more than MAX_IN_FLIGHT the first by sort order is lost."""
+        """Put a datagram in flight, unless an equal one is.
+
+        Of more than MAX_IN_FLIGHT the first by sort order is lost.
+        """
         state.in_flight = (
             tuple(sorted((*state.in_flight, datagram)))[-MAX_IN_FLIGHT:]
             if datagram not in state.in_flight
@@ -355,6 +374,7 @@
         last_replies = state.last_replies[slot]
         granted: dict[int, list[int]] = {}
         if lease_ms:
+            # The leader grants shares to itself as if it had just replied to its own call.
             reply_number = allocator.held_leases.next_reply_number(now)
             demand: dict[tuple[int, int], float] = {
                 (other_slot, token): TOTAL_SHARES for other_slot, (token, _) in last_replies.items()
@@ -370,7 +390,7 @@
                             allocator.call_number,
                             reply_number,
                             lease_ms,
-                            1.0,
+                            1.0,  # size
                             limit,
                             shares,
                             now,
@@ -406,7 +426,7 @@
                     datagram.number,
                     datagram.answered_number,
                     lease_ms,
-                    1.0,
+                    1.0,  # size
                     limit,
                     shares,
                     now,
