--- a/testbed/nights/rules.py
+++ b/testbed/nights/rules.py
@@ -485,7 +485,7 @@
         held_leases.on_lease = record_lease
 
     def _check_shares(self, limit: int) -> None:
-        """Check that the shares of a limit held by live nodes, paused too, stay within the total."""
+        """Check that the shares of a limit held by live nodes, or paused ones, fit the total."""
         held_shares = {}
         for process, service in self.services.items():
             if process.alive and service.tier is not None:
