--- a/corkshift/node.py
+++ b/corkshift/node.py
@@ -182,7 +182,7 @@
             request.response.cancel()
         if self._requests.pop(request.id, None) is not None:
             self._close(request)
-            self._decide(None, lambda: self._balancer.on_client_gone(now_ms(), request.id))
+            self._decide(None, lambda: self._balancer.on_departure(now_ms(), request.id))
         elif self._streams.pop(request.id, None) is not None:
             self._close(request)
 
@@ -198,7 +198,7 @@
     def end(self, request: ClientRequest, response: Response) -> None:
         """Answer a request without a decision of the balancer: it failed, or its time is over."""
         self._respond(request, response)
-        self._decide(None, lambda: self._balancer.on_client_gone(now_ms(), request.id))
+        self._decide(None, lambda: self._balancer.on_departure(now_ms(), request.id))
 
     def _set_backstop(self, request: ClientRequest, client_wait_ms: float) -> None:
         """Schedule the timer that fails a request left without a response by any fault."""
@@ -252,7 +252,7 @@
         if request is not None:
             self._respond(request, Response(500))
             with suppress(Exception):
-                self._balancer.on_client_gone(now_ms(), request.id)
+                self._balancer.on_departure(now_ms(), request.id)
 
     def _perform(self, action: Action) -> None:
         if action[0] == "attempt":
--- a/forkweir/adapter.py
+++ b/forkweir/adapter.py
@@ -172,7 +172,7 @@
                 2
             ] == TIER_TIMER else balancer.on_timer(now, message[2])
         if name == "CLIENT_GONE":
-            return instance, balancer.on_client_gone(now, message[2])
+            return instance, balancer.on_departure(now, message[2])
         if name == "UNDER_WAY":
             return instance, balancer.on_started(now, message[2], message[5], message[4])
         if name == "PEER":
--- a/forkweir/choice.py
+++ b/forkweir/choice.py
@@ -901,7 +901,7 @@
             request.body_consumed = True
         return []
 
-    def on_client_gone(self, now: float, request_id: int) -> list[Action]:
+    def on_departure(self, now: float, request_id: int) -> list[Action]:
         """Close a request whose client has left; cancel its attempts where that is allowed.
 
         The node also calls this where it ends a request by itself (`Node.end`).
--- a/tests/forkweir/test_client_wait.py
+++ b/tests/forkweir/test_client_wait.py
@@ -95,7 +95,7 @@
             balancer.on_outcome(now + took, n, 0, True, "success", str(action[2]), took, 1)
         else:
             balancer.on_outcome(now + given, n, 0, False, "timed_out", str(action[2]), given)
-            balancer.on_client_gone(now + given, n)
+            balancer.on_departure(now + given, n)
     return balancer
 
 
--- a/tests/forkweir/test_fetch_budget.py
+++ b/tests/forkweir/test_fetch_budget.py
@@ -123,7 +123,7 @@
         end, tries = ends[n % len(ends)], 0
         while actions and (action := actions[0])[0] == "attempt":
             if end == "leaves":
-                actions = balancer.on_client_gone(now, n)
+                actions = balancer.on_departure(now, n)
             else:
                 done = end == "success" or tries == 2
                 server = str(action[2])
--- a/tests/forkweir/test_slow_start.py
+++ b/tests/forkweir/test_slow_start.py
@@ -382,7 +382,7 @@
                 if action[0] == "attempt"
             ]
             went.append(sent[2])
-            balancer.on_client_gone(now, n)
+            balancer.on_departure(now, n)
         return went
 
     assert 0 < homes(0.0).count("cold") < homes(0.5).count("cold")
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -98,7 +98,7 @@
         if action[0] == "attempt":
             balancer.on_outcome(now, n, 0, False, "timed_out", str(action[2]), 300.0)
             # Otherwise the origin's expected load would include its retries forever.
-            balancer.on_client_gone(now, n)
+            balancer.on_departure(now, n)
     assert balancer.gate.admitted_share <= 0.6
     for n in range(100, 400):
         now = 50_000.0 + 20.0 * n
@@ -394,7 +394,7 @@
             assert ask(balancer, 1030.0, 2, "k") == server
         else:
             balancer.fetches.unknown_miss_rate = 0.9
-            balancer.on_client_gone(1010.0, 1)
+            balancer.on_departure(1010.0, 1)
             assert ask(balancer, 1030.0, 2, "k") == server
         balancer.on_outcome(1330.0, 2, 0, False, "timed_out", server, 300.0)
         return balancer.fleet.members[server].load_penalty
--- a/tests/test_replay.py
+++ b/tests/test_replay.py
@@ -124,7 +124,7 @@
             finished = request not in open_requests
             if not finished and rng.random() < 0.01:
                 del open_requests[request]
-                apply_actions(list(balancer.on_client_gone(now, request)))
+                apply_actions(list(balancer.on_departure(now, request)))
                 finished = True
             if status == "success":
                 open_requests.pop(request, None)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -222,5 +222,5 @@
     balancer = Balancer(Settings(classes=CLASSES), 1)
     balancer.on_list(0.0, "full", [Server("a")])
     assert balancer.on_outcome(1.0, 9, 0, True, "success", "a", 1.0) == []
-    assert balancer.on_client_gone(1.0, 9) == []
+    assert balancer.on_departure(1.0, 9) == []
     assert balancer.on_timer(1.0, 99) == []
