--- a/benchmarks/tier.py
+++ b/benchmarks/tier.py
@@ -86,7 +86,7 @@
 def check_scenarios(quick: bool, jobs: int) -> tuple[dict[str, Any], bool]:
     """Check the invariant in random scenarios; find the first seed that each defect breaks."""
     protocol_count = 400 if quick else 5_000
-    whole_count = 16 if quick else 400
+    node_scenario_count = 16 if quick else 400
     with ProcessPoolExecutor(jobs) as pool:
         began = time.monotonic()
         protocol_failed = [
@@ -98,14 +98,16 @@
         ]
         protocol_s = time.monotonic() - began
         began = time.monotonic()
-        whole_failed = [
+        node_scenarios_failed = [
             summary.seed
             for _, summary in _map_seeds(
-                pool, run_whole_node_seed, range(TIER_FIRST_SEED, TIER_FIRST_SEED + whole_count)
+                pool,
+                run_whole_node_seed,
+                range(TIER_FIRST_SEED, TIER_FIRST_SEED + node_scenario_count),
             )
             if summary.failures
         ]
-        whole_s = time.monotonic() - began
+        node_scenarios_s = time.monotonic() - began
         names = [
             name for name in DEFECTS if not quick or name in ("never-given-back", "votes-for-two")
         ]
@@ -115,7 +117,8 @@
         f"failed: {protocol_failed or 'none'}"
     )
     print(
-        f"nights of whole nodes: {whole_count} in {whole_s:.0f} s, failed: {whole_failed or 'none'}"
+        f"nights of whole nodes: {node_scenario_count} in {node_scenarios_s:.0f} s, "
+        f"failed: {node_scenarios_failed or 'none'}"
     )
     for name, seed in first_seeds.items():
         print(
@@ -124,11 +127,11 @@
     results = {
         "protocol": protocol_count,
         "protocol_failed": protocol_failed,
-        "whole": whole_count,
-        "whole_failed": whole_failed,
+        "whole": node_scenario_count,
+        "whole_failed": node_scenarios_failed,
         "defects": first_seeds,
     }
-    return results, not protocol_failed and not whole_failed and sum(
+    return results, not protocol_failed and not node_scenarios_failed and sum(
         seed > 0 for seed in first_seeds.values()
     ) >= (2 if quick else 7)
 
@@ -288,20 +291,21 @@
         rows = dict(zip(cases, pool.map(_run_calm_scenario, cases), strict=True))
     for kind in kinds:
         kind_rows = [rows[kind, seed] for seed in seeds]
-        at_usual_box, fetches, in_time = (
+        usual_box_share, fetches, in_time = (
             statistics.fmean(row[name] for row in kind_rows)
             for name in ("usual", "fetches", "in_time")
         )
         print(
-            f"tier {kind:<7} {at_usual_box:.4f} of reads at their key's usual box, "
+            f"tier {kind:<7} {usual_box_share:.4f} of reads at their key's usual box, "
             f"{fetches:.0f} fetches, {in_time:.4f} in time"
         )
-        results[kind] = {"usual": at_usual_box, "fetches": fetches, "in_time": in_time}
-    away = {kind: 1.0 - results[kind]["usual"] for kind in kinds}
+        results[kind] = {"usual": usual_box_share, "fetches": fetches, "in_time": in_time}
+    elsewhere = {kind: 1.0 - results[kind]["usual"] for kind in kinds}
     print(
-        f"reads elsewhere: {away['on'] / away['off']:.2f} of those without (aim {ELSEWHERE_AIM:g})"
+        f"reads elsewhere: {elsewhere['on'] / elsewhere['off']:.2f} of those without "
+        f"(aim {ELSEWHERE_AIM:g})"
     )
-    return results, away["on"] <= ELSEWHERE_AIM * away["off"] and not any(
+    return results, elsewhere["on"] <= ELSEWHERE_AIM * elsewhere["off"] and not any(
         row["failures"] for row in rows.values()
     )
 
--- a/testbed/nights/show.py
+++ b/testbed/nights/show.py
@@ -11,11 +11,11 @@
 
     An empty name yields all events.
     """
-    word = re.compile(rf"(?<![\w.]){re.escape(about)}(?![\w.])") if about else None
+    name_pattern = re.compile(rf"(?<![\w.]){re.escape(about)}(?![\w.])") if about else None
     last = None
     for line in lines:
         stamp, _, what = line.rstrip("\n").partition(" ")
-        if not stamp.isdigit() or (word is not None and not word.search(what)):
+        if not stamp.isdigit() or (name_pattern is not None and not name_pattern.search(what)):
             continue
         at = int(stamp)
         gap = "" if last is None else f"+{(at - last) / 1000:.3f}"
--- a/testbed/nights/simulation.py
+++ b/testbed/nights/simulation.py
@@ -208,7 +208,7 @@
         self.nodes: dict[str, Process] = {}
         self.boxes: dict[int, CacheBox] = {}
         self.box_processes: dict[int, Process] = {}
-        self.registries: list[DiscoveryServer] = []
+        self.discovery_servers: list[DiscoveryServer] = []
         self.entries: dict[str, dict[str, object]] = {}
         self._last_box_id = table.boxes
         self._box_names = {n: f"s{n}" for n in range(table.boxes)}
@@ -433,9 +433,11 @@
             self.start_box(n, f"s{n}", False)
             self.entries[f"s{n}"] = DiscoveryServer.entry(f"s{n}", (self._box_host(n), BOX_PORT))
         for n in range(2):
-            registry = _HostRegistry((f"127.4.0.{n + 1}", 8500), self.rules, self.entries)
-            self.registries.append(registry)
-            self._start_server(f"discovery{n}", registry)
+            discovery_server = _HostDiscoveryServer(
+                (f"127.4.0.{n + 1}", 8500), self.rules, self.entries
+            )
+            self.discovery_servers.append(discovery_server)
+            self._start_server(f"discovery{n}", discovery_server)
         if table.sources == "dns":
             self._update_dns()
             for server in self.resolvers:
@@ -595,8 +597,8 @@
     def _change_lifecycle(self, entry: dict[str, object], lifecycle: str) -> None:
         """Change the lifecycle of a list entry."""
         # The registries share the entries; each one notifies its own watches.
-        for registry in self.registries:
-            registry.update(entry, lifecycle)
+        for discovery_server in self.discovery_servers:
+            discovery_server.update(entry, lifecycle)
 
     def _restart_box(self, n: int, name: str, report_start: bool = True) -> None:
         """Start a box cold; without report_start discovery lists it as started long ago."""
@@ -733,7 +735,7 @@
         config["discovery"] = f"127.4.0.{2 - old}:8500"
         process.files["config.json"] = json.dumps(config).encode()
         process.signal(signal.SIGHUP)
-        self.loop.after_us(1_500_000, self.registries[old].drop_watches)
+        self.loop.after_us(1_500_000, self.discovery_servers[old].drop_watches)
 
     def _do_node_descriptors(self, fault: Fault) -> None:
         """Leave a node no free descriptors."""
@@ -854,9 +856,9 @@
 
     def _set_discovery_state(self, fault: Fault, state: str) -> None:
         """Set a flag of both registries until the fault is over."""
-        for registry in self.registries:
-            setattr(registry, state, True)
-            self._after_fault(fault, setattr, registry, state, False)
+        for discovery_server in self.discovery_servers:
+            setattr(discovery_server, state, True)
+            self._after_fault(fault, setattr, discovery_server, state, False)
 
     def _do_discovery_silent(self, fault: Fault) -> None:
         """Make both registries unresponsive."""
@@ -864,9 +866,9 @@
 
     def _do_discovery_late(self, fault: Fault) -> None:
         """Delay the answers of both registries by the duration, for 2 s."""
-        for registry in self.registries:
-            registry.late_s = fault.for_ms / 1000.0
-            self.loop.after_us(2_000_000, setattr, registry, "late_s", 0.0)
+        for discovery_server in self.discovery_servers:
+            discovery_server.late_s = fault.for_ms / 1000.0
+            self.loop.after_us(2_000_000, setattr, discovery_server, "late_s", 0.0)
 
     def _do_discovery_wrong(self, fault: Fault) -> None:
         """Send a malformed line on all watches."""
@@ -881,8 +883,8 @@
             b"{" * 400 + b"\n",
             b'{"generation":9',
         )
-        for registry in self.registries:
-            registry.publish_raw(bad[int(fault.value) % len(bad)])
+        for discovery_server in self.discovery_servers:
+            discovery_server.publish_raw(bad[int(fault.value) % len(bad)])
 
     def _do_discovery_spoil(self, fault: Fault) -> None:
         """Corrupt the next line of each registry; target and value give the way, noise and byte."""
@@ -890,8 +892,8 @@
             CORRUPTION_KINDS[fault.target % len(CORRUPTION_KINDS)],
             NOISE_SAMPLES[fault.target // len(CORRUPTION_KINDS) % len(NOISE_SAMPLES)],
         )
-        for registry in self.registries:
-            registry.corruptions.append(LineCorruption(how, int(fault.value), noise))
+        for discovery_server in self.discovery_servers:
+            discovery_server.corruptions.append(LineCorruption(how, int(fault.value), noise))
 
     def _do_discovery_refuse(self, fault: Fault) -> None:
         """Make both registries answer calls with 503; watches go on."""
@@ -903,15 +905,15 @@
 
     def _do_discovery_drop(self, fault: Fault) -> None:
         """Close all watches."""
-        for registry in self.registries:
-            registry.drop_watches()
+        for discovery_server in self.discovery_servers:
+            discovery_server.drop_watches()
 
     def _do_discovery_down(self, fault: Fault) -> None:
         """Close all watches and stop both registries."""
-        for registry in self.registries:
-            registry.down = True
-            registry.drop_watches()
-            self._after_fault(fault, setattr, registry, "down", False)
+        for discovery_server in self.discovery_servers:
+            discovery_server.down = True
+            discovery_server.drop_watches()
+            self._after_fault(fault, setattr, discovery_server, "down", False)
 
     def _do_book_slow(self, fault: Fault) -> None:
         """Slow the order book down by the factor `value`."""
@@ -1019,7 +1021,7 @@
             )
 
 
-class _HostRegistry(DiscoveryServer):
+class _HostDiscoveryServer(DiscoveryServer):
     """Registry that identifies the node behind a watch by its host."""
 
     def node_name(self, connection: Connection) -> str:
--- a/testbed/soak/discovery.py
+++ b/testbed/soak/discovery.py
@@ -122,10 +122,10 @@
         servers = self._servers
         sent = servers.latest_version
         if after is None or after > sent:
-            await self._write_list(connection, sent, list(servers.entries.values()), whole=True)
+            await self._write_list(connection, sent, list(servers.entries.values()), full=True)
         else:
             await self._write_list(
-                connection, sent, _latest_entries(servers.versions[after:]), whole=False
+                connection, sent, _latest_entries(servers.versions[after:]), full=False
             )
         while True:
             try:
@@ -138,14 +138,13 @@
                 continue
             changes = _latest_entries(servers.versions[sent:])
             sent = servers.latest_version
-            await self._write_list(connection, sent, changes, whole=False)
+            await self._write_list(connection, sent, changes, full=False)
 
     async def _write_list(
-        self, connection: Connection, number: int, entries: list[Entry], whole: bool
+        self, connection: Connection, number: int, entries: list[Entry], full: bool
     ) -> None:
         line = (
-            json.dumps({"generation": number, "reset": whole, "instances": entries}).encode()
-            + b"\n"
+            json.dumps({"generation": number, "reset": full, "instances": entries}).encode() + b"\n"
         )
         if self.cuts and len(line) > 200:
             self.cuts -= 1
--- a/testbed/soak/large_fleet.py
+++ b/testbed/soak/large_fleet.py
@@ -79,7 +79,7 @@
     RESET = "reset"
     CUT = "cut"  # the next line breaks off in the middle
     SILENT = "silent"  # the watch stays open but sends nothing any more
-    WHOLE_LIST = "whole-list"  # a reset; the next call gets the whole list
+    FULL_LIST = "whole-list"  # a reset; the next call gets the whole list
 
 
 @dataclass(frozen=True, slots=True)
@@ -406,7 +406,7 @@
             elif fault is WatchFault.CUT:
                 self._endpoint.cuts = 1
             else:
-                if fault is WatchFault.WHOLE_LIST:
+                if fault is WatchFault.FULL_LIST:
                     self._endpoint.send_full_list = True
                 self._endpoint.reset()
 
--- a/testbed/soak/plan.py
+++ b/testbed/soak/plan.py
@@ -137,14 +137,14 @@
     """
     at_s = rng.uniform(FAULT_FREE_START_S, max(FAULT_FREE_START_S + 0.5, seconds - 10.0))
     down_s = rng.uniform(2.0, 4.0)
-    back_s = at_s + down_s
+    restored_s = at_s + down_s
     reloads = [
-        Event(back_s + 0.2 * n, Fault.NODE_RELOADS, n, value=float(rng.randint(1, 4)))
+        Event(restored_s + 0.2 * n, Fault.NODE_RELOADS, n, value=float(rng.randint(1, 4)))
         for n in range(3)
     ]
     return [
         Event(at_s, Fault.DISCOVERY_DOWN, duration_s=down_s),
         *reloads,
-        Event(back_s + 0.3, Fault.DISCOVERY_REFUSES, value=2.0),
-        Event(back_s + rng.uniform(0.3, 1.5), Fault.SERVERS_DRAIN, rng.randrange(1_000)),
+        Event(restored_s + 0.3, Fault.DISCOVERY_REFUSES, value=2.0),
+        Event(restored_s + rng.uniform(0.3, 1.5), Fault.SERVERS_DRAIN, rng.randrange(1_000)),
     ]
--- a/testbed/soak/servers.py
+++ b/testbed/soak/servers.py
@@ -38,12 +38,12 @@
         name: str,
         origin: Address,
         spec: BoxSpec,
-        witness: ServerObserver,
+        observer: ServerObserver,
         arrivals: ArrivalObserver,
         cold: bool,
         seed: int,
     ) -> None:
-        super().__init__(name, ("127.0.0.1", 0), origin, spec, witness, cold)
+        super().__init__(name, ("127.0.0.1", 0), origin, spec, observer, cold)
         self.unframed_share = 0.0
         self.broken_share = 0.0
         self._arrival_observer = arrivals
--- a/testbed/systems/dns.py
+++ b/testbed/systems/dns.py
@@ -203,11 +203,11 @@
                 if not stream
                 else [self._response(query, stream)]
             )
-        good = self._response(query, stream)
+        response = self._response(query, stream)
         if how == "forged id":
             return [
                 ((query.id + 1) % 65_536).to_bytes(2, "big") + self._forged_response(query)[2:],
-                good,
+                response,
             ]
         if how == "another question":
             other = dns.message.make_query("elsewhere.example.org.", "A", id=query.id)
@@ -217,7 +217,7 @@
                 question.name.to_text().swapcase(), question.rdtype, id=query.id
             )
             return [dns.message.make_response(lower).to_wire()]
-        return [good]
+        return [response]
 
     def _forged_response(self, query: dns.message.Message) -> bytes:
         """Return a response with a false target or address."""
--- a/testbed/systems/emulators.py
+++ b/testbed/systems/emulators.py
@@ -255,26 +255,26 @@
     async def _send_corrupt(self, how: str, connection: Connection, body: bytes) -> None:
         """Write a corrupt answer, or a good one with extra data. The connection stays open."""
         stream: Stream = connection.stream
-        good = b"HTTP/1.1 200 OK\r\nX-Found: hit\r\nContent-Length: %d\r\n\r\n%s" % (
+        valid_answer = b"HTTP/1.1 200 OK\r\nX-Found: hit\r\nContent-Length: %d\r\n\r\n%s" % (
             len(body),
             body,
         )
         if how == "noise":
             await stream.write(bytes(range(128, 256)) + b"\r\n\r\n")
         elif how == "head":
-            await stream.write(good[:30])
+            await stream.write(valid_answer[:30])
         elif how == "short":
-            await stream.write(good[:-3])
+            await stream.write(valid_answer[:-3])
         elif how == "long":
             await stream.write(
                 b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n" + b"x" * 20_000
             )
         elif how == "twice":
-            await stream.write(good + good)
+            await stream.write(valid_answer + valid_answer)
         elif how == "behind":
-            await stream.write(good + b"\x00noise")
+            await stream.write(valid_answer + b"\x00noise")
         else:
-            await stream.write(b"HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n" + good)
+            await stream.write(b"HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n" + valid_answer)
         await asyncio.get_running_loop().create_future()
 
 
