--- a/tests/forkweir/test_client_wait.py
+++ b/tests/forkweir/test_client_wait.py
@@ -55,13 +55,13 @@
 @given(st.lists(st.tuples(st.floats(0, 5_000), st.booleans()), max_size=50))
 @settings(max_examples=60, deadline=None)
 def test_a_wait_is_never_negative_nor_longer_than_the_longest_stated_time(
-    said: list[tuple[float, bool]],
+    stated: list[tuple[float, bool]],
 ) -> None:
-    waits, most = ClientWaits(), 2_500.0
-    for budget, repeated in said:
+    waits, longest_ms = ClientWaits(), 2_500.0
+    for budget, repeated in stated:
         waited = waits.waited_ms("read", budget, repeated, 2_500.0)
-        assert 0.0 <= waited <= most and (repeated or waited == 0.0)
-        most = max(most, budget)
+        assert 0.0 <= waited <= longest_ms and (repeated or waited == 0.0)
+        longest_ms = max(longest_ms, budget)
 
 
 def test_a_retry_budget_limits_retries_to_a_share_and_a_maximum() -> None:
@@ -90,9 +90,11 @@
             continue
         given = action[3]
         assert isinstance(given, float)
-        took = 120.0 + 160.0 * rng.random()
-        if took < given:
-            balancer.on_outcome(now + took, n, 0, True, "success", str(action[2]), took, 1)
+        elapsed_ms = 120.0 + 160.0 * rng.random()
+        if elapsed_ms < given:
+            balancer.on_outcome(
+                now + elapsed_ms, n, 0, True, "success", str(action[2]), elapsed_ms, 1
+            )
         else:
             balancer.on_outcome(now + given, n, 0, False, "timed_out", str(action[2]), given)
             balancer.on_departure(now + given, n)
--- a/tests/forkweir/test_fetch_budget.py
+++ b/tests/forkweir/test_fetch_budget.py
@@ -24,11 +24,11 @@
 )
 
 
-def limiting_budget(out: float = 20.0) -> FetchBudget:
+def limiting_budget(in_flight: float = 20.0) -> FetchBudget:
     """Return a budget with so many fetches in flight, all of which have been slow."""
     budget = FetchBudget(8.0)
     for _ in range(2_000):
-        budget.in_flight = out
+        budget.in_flight = in_flight
         budget.record_start(0.0)
     for n in range(60):
         budget.record_fetch(None, 10.0 * n)
@@ -141,19 +141,21 @@
     balancer = Balancer(Settings(classes=(READ, ORDER), max_attempts=3, backoff_max_ms=600.0), 1)
     balancer.on_list(0.0, "full", [Server(f"s{n}") for n in range(6)])
     now, number = 0.0, 0
-    out: list[tuple[float, int, str, str, float, int]] = []
+    in_flight: list[tuple[float, int, str, str, float, int]] = []
 
-    def ask(key: str, status: str, took: float, cache_result: int) -> bool:
+    def ask(key: str, status: str, elapsed_ms: float, cache_result: int) -> bool:
         nonlocal now, number
         now, number = now + 4.0, number + 1
-        while out and out[0][0] <= now:
-            due, earlier, server, how, elapsed, earlier_note = out.pop(0)
+        while in_flight and in_flight[0][0] <= now:
+            due, earlier, server, how, elapsed, earlier_note = in_flight.pop(0)
             balancer.on_outcome(due, earlier, 0, True, how, server, elapsed, earlier_note)
         action = balancer.on_request(now, number, "read", key, 2500.0)[0]
         if action[0] != "attempt":
             return False
-        out.append((now + took, number, str(action[2]), status, took, cache_result))
-        out.sort()
+        in_flight.append(
+            (now + elapsed_ms, number, str(action[2]), status, elapsed_ms, cache_result)
+        )
+        in_flight.sort()
         return True
 
     for n in range(1_500):  # a hundred keys are warm
--- a/tests/forkweir/test_health.py
+++ b/tests/forkweir/test_health.py
@@ -51,13 +51,13 @@
 class RandomWalk:
     """Random steps on some servers, each checked against the state table."""
 
-    def __init__(self, seed: int, many: int) -> None:
+    def __init__(self, seed: int, server_count: int) -> None:
         self.rng = random.Random(seed)
-        self.servers = [Health(True, False) for _ in range(many)]
+        self.servers = [Health(True, False) for _ in range(server_count)]
         self.table = HealthTable(seed)
         self.now = 1_000.0
         self.ids = 0
-        self.listed = ["in"] * many  # the latest list
+        self.listed = ["in"] * server_count  # the latest list
 
     @property
     def live(self) -> int:
@@ -76,8 +76,8 @@
         self.hold()
 
     def list(self, n: int, server: Health) -> None:
-        said = self.rng.choice(LISTS)
-        if said == "restarted":
+        list_state = self.rng.choice(LISTS)
+        if list_state == "restarted":
             server.record_restart()
             assert (
                 not server.on_probation
@@ -86,8 +86,8 @@
             )
             assert server.suspicion.log_odds == Suspicion().log_odds
             return
-        self.listed[n] = said
-        server.present, server.draining = said == "in", said == "draining"
+        self.listed[n] = list_state
+        server.present, server.draining = list_state == "in", list_state == "draining"
 
     def send(self, n: int, server: Health) -> None:
         if not server.may_get_requests(self.now):
@@ -121,20 +121,22 @@
         status, elapsed_ms = self.rng.choice(OUTCOMES), self.rng.choice((10.0, 100.0, 500.0, 900.0))
         trial = server.trial_request >= 0 and self.rng.random() < 0.7
         outcome = OUTCOME_TYPES[status](0, elapsed_ms, READ, trial=trial)
-        ejections, faults, log_odds, out_until = (
+        ejections, faults, log_odds, ejected_until = (
             server.ejections,
             server.consecutive_faults,
             server.suspicion.log_odds,
             server.ejected_until,
         )
-        away_ms = self.now - server.ejected_since
-        back = self.table.record_outcome(server, outcome, self.now)
+        ejected_ms = self.now - server.ejected_since
+        presumed_restart = self.table.record_outcome(server, outcome, self.now)
         if outcome.alive:
             assert (server.ejections, server.consecutive_faults, server.trial_request) == (0, 0, -1)
             assert not ejections or server.ejected_until == 0.0
-            assert back == bool(ejections and out_until and away_ms > PRESUMED_RESTART_MS)
+            assert presumed_restart == bool(
+                ejections and ejected_until and ejected_ms > PRESUMED_RESTART_MS
+            )
         elif status in MAX_CONSECUTIVE_FAULTS:
-            assert server.consecutive_faults == faults + 1 and not back
+            assert server.consecutive_faults == faults + 1 and not presumed_restart
             assert server.ejections == ejections + (faults + 1 >= MAX_CONSECUTIVE_FAULTS[status])
         elif status == "timed_out" and trial and ejections and elapsed_ms > AIM_MS:
             assert server.ejections == ejections + 1
@@ -180,16 +182,16 @@
         assert suspect <= MAX_INDEPENDENT_SHARE * len(self.servers) + 2
 
 
-def walk(seed: int, many: int = 8, steps: int = 300) -> None:
-    walker = RandomWalk(seed, many)
+def walk(seed: int, server_count: int = 8, steps: int = 300) -> None:
+    walker = RandomWalk(seed, server_count)
     for _ in range(steps):
         walker.step()
 
 
 @settings(max_examples=60, deadline=None)
 @given(st.integers(0, 2**32), st.integers(1, 24))
-def test_every_sequence_follows_the_state_table(seed: int, many: int) -> None:
-    walk(seed, many)
+def test_every_sequence_follows_the_state_table(seed: int, server_count: int) -> None:
+    walk(seed, server_count)
 
 
 def test_servers_that_all_become_suspect_at_once_are_used_again() -> None:
@@ -238,14 +240,14 @@
 
 
 def answer_keeps_trial(self: Health, now: float) -> bool:
-    back = (
+    presumed_restart = (
         bool(self.ejections and self.ejected_until)
         and now - self.ejected_since > PRESUMED_RESTART_MS
     )
     self.consecutive_faults = 0
     if self.ejections:
         self.ejections, self.ejected_until = 0, 0.0
-    return back
+    return presumed_restart
 
 
 def restart_keeps_suspicion(self: Health) -> None:
--- a/tests/forkweir/test_placement.py
+++ b/tests/forkweir/test_placement.py
@@ -78,13 +78,13 @@
             )
         return target
 
-    def wait(self, ms: float, most_slices: int = 10_000) -> None:
+    def wait(self, ms: float, max_slices: int = 10_000) -> None:
         """Advance the clock and run the slices that are due meanwhile."""
         end = self.now + ms
-        while self._due and self._due[0] <= end and most_slices:
+        while self._due and self._due[0] <= end and max_slices:
             self.now = max(self.now, self._due.pop(0))
             self.slices += 1
-            most_slices -= 1
+            max_slices -= 1
             self._handle(self.balancer.on_timer(self.now, REBUILD_TIMER))
         self.now = end
 
@@ -165,15 +165,15 @@
     ) -> tuple[Placement[Member], int, int, int, int]:
         """The placement, then total and most per slice of servers hashed and of ranges assigned."""
         nonlocal hashed, homes
-        all_hashed = most_hashed = all_homes = most_homes = 0
+        all_hashed = max_hashed = all_homes = max_homes = 0
         steps = build(before, servers, [1.0] * len(servers), range_count_for(len(servers)))
         while True:
             hashed = homes = 0
             try:
                 next(steps)
             except StopIteration as end:
-                return end.value, all_hashed, most_hashed, all_homes, most_homes
-            most_hashed, most_homes = max(most_hashed, hashed), max(most_homes, homes)
+                return end.value, all_hashed, max_hashed, all_homes, max_homes
+            max_hashed, max_homes = max(max_hashed, hashed), max(max_homes, homes)
             all_hashed, all_homes = all_hashed + hashed, all_homes + homes
 
     servers = make_members(count)
@@ -213,7 +213,7 @@
     node.apply_list("changes", [Server(f"x{n}") for n in range(more)])
     for _ in range(200):
         assert node.send_request()
-        node.wait(25.0, most_slices=3)
+        node.wait(25.0, max_slices=3)
     node.wait(5_000.0)
     assert (
         node.balancer.fleet.range_count
@@ -250,7 +250,7 @@
                 assert not target or listed.get(target) == "in"
                 assert target or "in" not in listed.values() or not node.balancer.fleet.ready
         elif kind == "wait":
-            node.wait(float(first), most_slices=count)
+            node.wait(float(first), max_slices=count)
         elif kind == "full":
             listed = {f"s{n}": "in" for n in range(first, first + count)}
             node.apply_list("full", [Server(name) for name in listed])
--- a/tests/forkweir/test_slow_start.py
+++ b/tests/forkweir/test_slow_start.py
@@ -124,7 +124,7 @@
         return worst
 
 
-def restart_whole_fleet(servers: int, strict: bool) -> tuple[float, float]:
+def restart_all_servers(servers: int, strict: bool) -> tuple[float, float]:
     """Restart all servers at once; return the highest load and each one's work per ms in 5 s."""
     sim = Simulation(4, servers, strict)
     sim.run(0.0, 4_000.0, 0.9 * servers)
@@ -138,7 +138,7 @@
 def test_a_completely_cold_fleet_gets_what_it_can_serve_and_no_server_fails(
     servers: int,
 ) -> None:
-    worst, got = restart_whole_fleet(servers, strict=False)
+    worst, got = restart_all_servers(servers, strict=False)
     assert worst < 0.5
     # The capacity is 0.12 to 0.30 of a warm server's, and these servers accept any load.
     assert 0.08 < got < 0.25 * MAX_BOOST
@@ -146,7 +146,7 @@
 
 @pytest.mark.parametrize("servers", [3, 6, 17])
 def test_rejections_by_cold_servers_limit_the_boost(servers: int) -> None:
-    worst, got = restart_whole_fleet(servers, strict=True)
+    worst, got = restart_all_servers(servers, strict=True)
     assert worst < 0.5
     assert 0.1 < got < 0.32  # the capacity is 0.12 to 0.30 of a warm server's
 
@@ -171,14 +171,14 @@
     return sim.worst(), cold / warm
 
 
-@pytest.mark.parametrize(("nodes", "least"), [(10, 0.6), (40, 0.4), (160, 0.2)])
+@pytest.mark.parametrize(("nodes", "min_share"), [(10, 0.6), (40, 0.4), (160, 0.2)])
 def test_many_nodes_use_36_cold_servers_of_60_without_overloading_one(
-    nodes: int, least: float
+    nodes: int, min_share: float
 ) -> None:
     worst, part = replaced(nodes, strict=True)
     assert worst < 0.5
     # With a bucket of one request and the keys reduced by the ramp as well, 40 nodes gave 0.07.
-    assert part > least
+    assert part > min_share
 
 
 def test_the_boost_is_pooled_over_cold_servers_and_reduced_by_overload() -> None:
@@ -373,7 +373,7 @@
             1e6,
             30_000.0,
         )
-        went = []
+        targets = []
         for n in range(160):
             now = 12_001.0 + 62.5 * n
             (sent,) = [
@@ -381,8 +381,8 @@
                 for action in balancer.on_request(now, n, "read", f"k{n}", 2_500.0, 12.0)
                 if action[0] == "attempt"
             ]
-            went.append(sent[2])
+            targets.append(sent[2])
             balancer.on_departure(now, n)
-        return went
+        return targets
 
     assert 0 < homes(0.0).count("cold") < homes(0.5).count("cold")
--- a/tests/forkweir/test_unconfirmed.py
+++ b/tests/forkweir/test_unconfirmed.py
@@ -28,23 +28,23 @@
 
 @given(st.integers(1, 12), steps)
 def test_whatever_is_received_some_server_stays_in_service(
-    many: int, plan: list[tuple[str, list[UnconfirmedEntry]]]
+    server_count: int, plan: list[tuple[str, list[UnconfirmedEntry]]]
 ) -> None:
-    unconfirmed, serving, now = UnconfirmedEntries(), set(NAMES[:many]), 0.0
+    unconfirmed, serving, now = UnconfirmedEntries(), set(NAMES[:server_count]), 0.0
     for what, received in plan:
         now += 1_000.0
         held = set(unconfirmed.held_back)
         if what == "apply":
-            known = [entry for entry in received if entry.name in NAMES[:many]]
-            back, cold = unconfirmed.apply(known, len(serving - held), now)
-            assert set(back) == set(unconfirmed.held_back) - held and len(back) == len(set(back))
+            known = [entry for entry in received if entry.name in NAMES[:server_count]]
+            added, cold = unconfirmed.apply(known, len(serving - held), now)
+            assert set(added) == set(unconfirmed.held_back) - held and len(added) == len(set(added))
             suspects = {entry.name for entry in known if entry.state == "unreadable"} - {
                 entry.name for entry in known if entry.state in ("draining", "gone")
             }
-            assert len(set(back) & suspects) <= max(1.0, MAX_UNREADABLE_SHARE * many)
+            assert len(set(added) & suspects) <= max(1.0, MAX_UNREADABLE_SHARE * server_count)
             assert all(
                 any(w.name == name and w.same_address and w.state not in ("in",) for w in known)
-                for name in back
+                for name in added
             )
             assert all(
                 any(w.name == name and w.same_address and w.started_later for w in known)
@@ -58,7 +58,7 @@
             free = unconfirmed.confirm(named, what == "list")
             assert not set(unconfirmed.held_back) & set(named)
             assert set(free) == (held - set(named) if what == "list" else set())
-        assert len(set(unconfirmed.held_back)) < many or not unconfirmed.held_back
+        assert len(set(unconfirmed.held_back)) < server_count or not unconfirmed.held_back
         assert serving - set(unconfirmed.held_back)
 
 
--- a/tests/testbed/test_fleet.py
+++ b/tests/testbed/test_fleet.py
@@ -44,10 +44,10 @@
     assert figures.in_time >= IN_TIME[name] * figures.asked, figures
     # Repeated attempts are bounded by the clients' requests, over the fleet as at one node.
     # A restarted node has a full retry budget again.
-    lives = NODES * (2 if name in ("herd", "together") else 1)
+    process_count = NODES * (2 if name in ("herd", "together") else 1)
     assert (
         traffic.repeated_attempts
-        <= (RETRY_SHARE + QUICK_ERROR_SHARE) * traffic.requests + 2.0 * MAX_SAVED * lives
+        <= (RETRY_SHARE + QUICK_ERROR_SHARE) * traffic.requests + 2.0 * MAX_SAVED * process_count
     )
     # Nodes do not call discovery in step: at most one call per node and second, and one more for
     # a node that was killed.
--- a/tests/testbed/test_hard_cases.py
+++ b/tests/testbed/test_hard_cases.py
@@ -28,7 +28,7 @@
         return runner.run(main())
 
 
-def good(script: Script, seed: int = 1) -> Result:
+def run_without_failures(script: Script, seed: int = 1) -> Result:
     """Play a script and require that no rule is broken."""
     result = run(seed, script, keep_trace=True)
     assert result.failures == []
@@ -231,7 +231,7 @@
             Fault(at_ms=100, kind=kind, target=n, for_ms=for_ms, value=byte)
             for n in range(1 if kind == "trip_client" else 2)
         ]
-        result = good(Script(world=SMALL, fault=faults), byte)
+        result = run_without_failures(Script(world=SMALL, fault=faults), byte)
         hurt += logged(result, "hurt") or logged(result, "dies")
     assert hurt > 10
 
@@ -260,7 +260,7 @@
     faults = [
         Fault(at_ms=at, kind="box_quick_restart", target=n) for n, at in enumerate((300, 301, 302))
     ]
-    result = good(Script(world=world, fault=faults))
+    result = run_without_failures(Script(world=world, fault=faults))
     broken = [line.split()[3] for line in result.lines if " receives " in line]
     twice = {txn for txn in broken if broken.count(txn) > 1}
     # Some requests lost with the old process were retried, where their class allows it.
@@ -273,7 +273,7 @@
     world = World(seconds=0.5, nodes=1, boxes=2, requests_per_s=150.0)
     faults = [Fault(at_ms=100, kind="node_pause", for_ms=50), Fault(at_ms=at_ms, kind="node_term")]
     for seed in range(1, 6):
-        result = good(Script(world=world, fault=faults), seed)
+        result = run_without_failures(Script(world=world, fault=faults), seed)
         assert logged(result, "n0 ends NoneType")
         assert result.figures.by_status[200] > 10
 
@@ -286,13 +286,13 @@
         Fault(at_ms=300, kind="box_drain", target=1),
     ]
     world = World(seconds=2.0, nodes=1, boxes=3, jitter_us=0)
-    result = good(Script(world=world, fault=faults))
+    result = run_without_failures(Script(world=world, fault=faults))
     assert logged(result, "reload: discovery is at 127.4.0.2:8500")
     assert logged(result, "n0 is notified that s1 is terminating")  # by the new registry
 
 
 def test_no_descriptors_left() -> None:
-    result = good(
+    result = run_without_failures(
         Script(world=SMALL, fault=[Fault(at_ms=100, kind="node_descriptors", for_ms=200)])
     )
     assert logged(result, "n0 logs WARNING cannot accept") and result.figures.served > 10
--- a/tests/testbed/test_oracle.py
+++ b/tests/testbed/test_oracle.py
@@ -40,9 +40,9 @@
 
 def test_no_scenario_serves_more_than_its_bound_and_a_calm_one_serves_nearly_that() -> None:
     calm = run(3, Script(world=World(seconds=2.0)))
-    most = sum(max_served(calm.demands, calm.supply).values())
-    assert most == pytest.approx(calm.figures.first_attempts)
-    assert calm.figures.served_first_attempts > 0.93 * most  # some clients leave
+    bound = sum(max_served(calm.demands, calm.supply).values())
+    assert bound == pytest.approx(calm.figures.first_attempts)
+    assert calm.figures.served_first_attempts > 0.93 * bound  # some clients leave
     cold = [Fault(at_ms=300.0, kind="box_quick_restart", target=n) for n in range(2)]
     hard = run(
         1,
@@ -50,9 +50,9 @@
             world=World(seconds=4.0, nodes=1, boxes=2, cores=1, requests_per_s=150.0), fault=cold
         ),
     )
-    most = sum(max_served(hard.demands, hard.supply).values())
+    bound = sum(max_served(hard.demands, hard.supply).values())
     assert (
-        0.3 * most < hard.figures.served_first_attempts < most < 0.6 * hard.figures.first_attempts
+        0.3 * bound < hard.figures.served_first_attempts < bound < 0.6 * hard.figures.first_attempts
     )
 
 
--- a/tests/tier/test_shared_line.py
+++ b/tests/tier/test_shared_line.py
@@ -56,9 +56,11 @@
 
 def test_packed_fractions_are_close_and_malformed_ones_harmless() -> None:
     shares = [(0, 1.0), (65_535, 0.031), (7, 2.0**-15)]
-    back = unpack(pack(shares))
-    assert [bucket for bucket, _ in back] == [0, 65_535, 7]
-    assert [share for _, share in back] == pytest.approx([share for _, share in shares], rel=0.023)
+    unpacked = unpack(pack(shares))
+    assert [bucket for bucket, _ in unpacked] == [0, 65_535, 7]
+    assert [share for _, share in unpacked] == pytest.approx(
+        [share for _, share in shares], rel=0.023
+    )
     assert unpack(b"\x01\x02") == [] and len(unpack(bytes(10))) == 3
 
 
@@ -136,10 +138,10 @@
             sends = [(n, to, data) for n, tier in enumerate(tiers) for to, data in tier.tick(now)]
             while sends:
                 sends = [
-                    (to, back, more)
+                    (to, recipient, reply)
                     for n, to, data in sends
                     if isolated not in (n, to)
-                    for back, more in tiers[to].receive(n, data, now)
+                    for recipient, reply in tiers[to].receive(n, data, now)
                 ]
 
 
--- a/tests/tier/test_signals.py
+++ b/tests/tier/test_signals.py
@@ -37,9 +37,9 @@
 
 def test_reports_round_trip_and_malformed_ones_are_harmless() -> None:
     reports = [(0xFFFFFFFF, 2.5), (7, -5.0), (9, 0.05)]
-    back = unpack(pack(reports))
-    assert [box for box, _ in back] == [box for box, _ in reports]
-    assert [odds for _, odds in back] == pytest.approx([odds for _, odds in reports])
+    unpacked = unpack(pack(reports))
+    assert [box for box, _ in unpacked] == [box for box, _ in reports]
+    assert [odds for _, odds in unpacked] == pytest.approx([odds for _, odds in reports])
     assert unpack(b"\x00" * 9)[0][0] == 0 and len(unpack(b"\x00" * 9)) == 1
     assert len(pack([(n, 1.0) for n in range(MAX_REPORTED_BOXES)])) <= 198
 
@@ -83,8 +83,8 @@
     assert signals.to_report() == [(5, -1.0)]
     signals.update_own({}, {5: -1.0}, 100.0 + RECOVERY_REPORT_MS + 1.0)
     assert signals.to_report() == []
-    many = {n: 1.0 for n in range(100)}
-    signals.update_own(many, many, 9_000.0)
+    hundred_boxes = {n: 1.0 for n in range(100)}
+    signals.update_own(hundred_boxes, hundred_boxes, 9_000.0)
     assert len(signals.to_report()) == MAX_REPORTED_BOXES
 
 
@@ -125,12 +125,12 @@
     for slot in (1, 2, 3, 4):
         tier.signals.on_report(slot, slot, 1, everything, 600.0)
     tier.update_signals(610.0)
-    kept_out = [
+    excluded = [
         name
         for name, member in balancer.fleet.members.items()
         if not balancer.fleet.usable(member, 610.0)
     ]
-    assert "s0" in kept_out and len(kept_out) <= 1 + 4, kept_out
+    assert "s0" in excluded and len(excluded) <= 1 + 4, excluded
     for slot in (1, 2, 3, 4):
         tier.signals.on_report(slot, slot, 2, [(limit_id("s0/0"), -5.0)], 620.0)
     tier.update_signals(630.0)
@@ -147,9 +147,9 @@
         sends = [(tier.slot, to, data) for _, tier in nodes for to, data in tier.tick(now)]
         while sends:
             sends = [
-                (to, back, more)
+                (to, recipient, reply)
                 for source, to, data in sends
-                for back, more in nodes[to][1].receive(source, data, now)
+                for recipient, reply in nodes[to][1].receive(source, data, now)
             ]
     assert all(balancer.fleet.members["s3"].suspicion.suspect for balancer, _ in nodes)
     assert [
--- a/tests/tier/test_wire.py
+++ b/tests/tier/test_wire.py
@@ -14,14 +14,14 @@
 
 TOP = 0xFFFFFFFF
 HEAD = (wire.FORMAT_VERSION, TOP, wire.MAX_NODES - 1, TOP, TOP)
-NEWS = tuple((wire.MAX_NODES - 1, TOP, 3) for _ in range(wire.MAX_UPDATES))
+UPDATES = tuple((wire.MAX_NODES - 1, TOP, 3) for _ in range(wire.MAX_UPDATES))
 DEMAND = tuple((TOP, wire.MAX_SCALED) for _ in range(wire.MAX_ENTRIES))
 GRANTS = tuple((TOP, 0xFFFF) for _ in range(wire.MAX_ENTRIES))
 SCALE = (wire.MAX_SCALED, wire.MAX_SCALED)
 LARGEST: list[wire.Message] = [
-    wire.Ping(*HEAD, TOP, True, NEWS),
-    wire.Ack(*HEAD, TOP, NEWS),
-    wire.Relay(*HEAD, TOP, wire.MAX_NODES - 1, NEWS),
+    wire.Ping(*HEAD, TOP, True, UPDATES),
+    wire.Ack(*HEAD, TOP, UPDATES),
+    wire.Relay(*HEAD, TOP, wire.MAX_NODES - 1, UPDATES),
     wire.Call(*HEAD, TOP, TOP, True, TOP, 0xFFFF, SCALE, True, GRANTS),
     wire.Reply(*HEAD, TOP, TOP, TOP, True, True, SCALE, DEMAND),
     wire.Leave(*HEAD),
