--- a/tests/forkweir/test_client_wait.py
+++ b/tests/forkweir/test_client_wait.py
@@ -38,7 +38,7 @@
     assert waits.waited_ms("read", 2_600.0, True, 2_500.0) == 0.0
 
 
-def test_a_few_clients_in_a_hurry_change_nothing_and_a_change_of_all_is_learned() -> None:
+def test_a_few_clients_with_short_waits_change_nothing_and_a_change_of_all_is_learned() -> None:
     waits, rng, wrong = ClientWaits(), random.Random(1), 0
     for _ in range(500):
         if rng.random() < 0.1:
--- a/tests/forkweir/test_outcomes.py
+++ b/tests/forkweir/test_outcomes.py
@@ -62,7 +62,7 @@
 
 
 @pytest.mark.parametrize("status", ["timed_out", "withdrawn"])
-def test_a_brief_attempt_says_nothing_about_its_server(status: str) -> None:
+def test_a_brief_attempt_is_no_evidence_about_its_server(status: str) -> None:
     brief, long = (
         seen(status, 0.99 * MIN_AIM_FRACTION * READ.aim_ms, miss_probability=1.0),
         seen(status, MIN_AIM_FRACTION * READ.aim_ms, miss_probability=1.0),
@@ -81,7 +81,7 @@
     )
 
 
-def test_what_a_read_says_about_its_key_and_a_write_about_the_origin() -> None:
+def test_a_read_shows_whether_its_key_was_cached_and_a_write_the_state_of_the_origin() -> None:
     assert (
         seen("success", cache_result=1).missed(False) is False
         and seen("success", cache_result=2).missed(True) is True
--- a/tests/forkweir/test_outlier_detection.py
+++ b/tests/forkweir/test_outlier_detection.py
@@ -125,7 +125,9 @@
     )
 )
 @settings(max_examples=60, deadline=None)
-def test_all_stays_within_bounds(attempts: list[tuple[str, bool, float]]) -> None:
+def test_log_odds_and_base_rates_stay_within_bounds(
+    attempts: list[tuple[str, bool, float]],
+) -> None:
     detector, suspicion, now = OutlierDetector(1), Suspicion(), 0.0
     for category, adverse, later in attempts:
         now += later
--- a/tests/forkweir/test_retry_after.py
+++ b/tests/forkweir/test_retry_after.py
@@ -101,7 +101,7 @@
     assert {refuse[3] for refuse in refusals(balancer, 1_010.0, 50, "order")} == {"origin-down"}
 
 
-def test_a_request_without_attempts_left_is_refused_for_its_tries() -> None:
+def test_a_request_without_attempts_left_is_refused_with_the_cause_tries() -> None:
     balancer = make([Server("a"), Server("b")])
     now, actions = 1_010.0, balancer.on_request(1_010.0, 1, "once", "k", 2000.0, 12.0, "", True)
     for attempt in range(2):
--- a/tests/forkweir/test_start_times.py
+++ b/tests/forkweir/test_start_times.py
@@ -22,7 +22,7 @@
     assert again.started_ms == fresh.started_ms  # reading the start again doesn't change it
 
 
-def test_a_clock_that_agrees_with_announced_starts_is_trusted() -> None:
+def test_a_clock_that_agrees_with_announced_start_times_is_trusted() -> None:
     starts = StartTimes()
     starts.localize(Server("s1", started_ms=NOW - HOUR), False, NOW)
     # The clock isn't known to agree yet.
@@ -52,7 +52,7 @@
         max_size=20,
     )
 )
-def test_no_start_is_ahead_of_the_clock_and_none_changes(
+def test_no_start_time_is_ahead_of_the_clock_and_none_changes(
     steps: list[tuple[str, float, bool]],
 ) -> None:
     starts, now = StartTimes(), NOW
@@ -67,7 +67,7 @@
         seen[name, stated], last[name] = got, stated
 
 
-def test_starts_are_bounded() -> None:
+def test_start_times_are_bounded() -> None:
     starts = StartTimes()
     for n in range(MAX_SERVERS + 5):
         starts.localize(Server(f"s{n}", started_ms=1.0), True, NOW)
--- a/tests/testbed/test_fleet.py
+++ b/tests/testbed/test_fleet.py
@@ -37,7 +37,7 @@
 
 
 @pytest.mark.parametrize("name", SCENARIOS)
-def test_a_fleet_bears_what_fails_at_once(name: str) -> None:
+def test_a_fleet_withstands_simultaneous_faults(name: str) -> None:
     result, traffic = play(name)
     figures = result.figures
     assert result.failures == []
--- a/tests/testbed/test_oracle.py
+++ b/tests/testbed/test_oracle.py
@@ -22,13 +22,13 @@
     return [Demand(0.0, class_name, 10.0, 199.0, class_value, write) for _ in range(count)]
 
 
-def test_what_fits_is_all_served_and_what_does_not_is_cut_to_the_capacity() -> None:
+def test_demand_is_served_up_to_the_capacity() -> None:
     assert max_served(reads(15), steady(1.0, 5)) == pytest.approx({"read": 15.0})
     assert max_served(reads(100), steady(1.0, 5)) == pytest.approx({"read": 20.0})
     assert max_served([], steady(1.0, 5)) == {}
 
 
-def test_what_is_worth_more_comes_first_and_writes_need_places_of_the_order_book() -> None:
+def test_higher_values_are_served_first_and_writes_need_places_of_the_order_book() -> None:
     served = max_served(reads(50) + reads(50, 8.0, "order", True), steady(1.0, 5, 0.05))
     assert served == pytest.approx({"order": 10.0, "read": 10.0})
 
@@ -56,7 +56,7 @@
     )
 
 
-def test_value_for_work_prefers_no_cheap_requests_and_knows_the_order_book() -> None:
+def test_value_per_cost_prefers_no_cheap_requests_and_respects_the_order_book() -> None:
     heavy = [Demand(0.0, "read", 40.0, 199.0, 3.0, False) for _ in range(10)]
     # 200 ms of work fit, whichever requests they are.
     best = max_value(heavy + reads(40), steady(1.0, 5))
--- a/tests/testbed/test_simulation.py
+++ b/tests/testbed/test_simulation.py
@@ -124,7 +124,7 @@
         assert out.split() == here, errors
 
 
-def test_the_same_seed_is_the_same_text_with_other_work_beside_it() -> None:
+def test_the_same_seed_gives_the_same_trace_beside_other_processes() -> None:
     alone = run(7, keep_trace=True).lines
     assert len(alone) > 100
     busy = [summary.digest for summary in explore([7] * (2 * JOBS), JOBS)]
@@ -231,7 +231,9 @@
         (["explore", "--seeds", "4-1"], 2),
     ],
 )
-def test_the_command_line_ends_with_what_came_of_it(arguments: list[str], code: int) -> None:
+def test_the_command_line_exits_with_the_code_of_its_result(
+    arguments: list[str], code: int
+) -> None:
     done = subprocess.run(
         [sys.executable, "-m", "corkshift", "sim", *arguments],
         cwd=ROOT,
--- a/tests/testbed/test_soak.py
+++ b/tests/testbed/test_soak.py
@@ -173,7 +173,7 @@
     assert harness.rules == [rule]
 
 
-def test_the_oracle_passes_what_is_allowed(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_oracle_accepts_permitted_events(monkeypatch: pytest.MonkeyPatch) -> None:
     harness = OracleHarness(monkeypatch)
     harness.announce_departure("s0")
     harness.notify_node("s0")
--- a/tests/tier/test_leases.py
+++ b/tests/tier/test_leases.py
@@ -140,7 +140,7 @@
     assert allocator.on_grant((0, 9), 44, 5, number, 2_000.0, 1.0, 7, 600, 1_100.0)
 
 
-def test_every_interleaving_of_a_small_scope_keeps_to_the_total() -> None:
+def test_every_interleaving_of_a_small_scope_stays_within_the_total() -> None:
     outcome = check_scope(Scope(time_units=2, calls=2, callers=(0, 1)))
     assert outcome.exhausted and not outcome.counterexample
     assert outcome.states_with_leases > 500 and outcome.states > 10_000, outcome
@@ -154,7 +154,7 @@
         ("spent-twice", Scope(time_units=0, calls=4, callers=(0,))),
     ],
 )
-def test_a_planted_defect_is_found_by_the_fewest_steps(defect: str, scope: Scope) -> None:
+def test_a_planted_defect_is_found_in_the_fewest_steps(defect: str, scope: Scope) -> None:
     with planted(defect):
         outcome = check_scope(scope)
     assert 2 <= len(outcome.counterexample) <= 14, outcome
--- a/tests/tier/test_processes.py
+++ b/tests/tier/test_processes.py
@@ -359,7 +359,7 @@
     assert adapter.event(now, ["PEER", 0, 1, "00"]) == (0, []) and sorted(adapter.tiers) == [0, 2]
 
 
-def test_shares_held_at_once_and_work_of_a_cold_box_are_summed() -> None:
+def test_shares_held_at_once_and_request_costs_of_a_cold_box_are_summed() -> None:
     first = lease_intervals(
         0, 5, [(7, 100, 0.0, 50.0), (7, 40, 30.0, 90.0), (8, 9, 0.0, 5.0)], float("inf")
     )
--- a/tests/tier/test_shared_line.py
+++ b/tests/tier/test_shared_line.py
@@ -145,7 +145,7 @@
                 ]
 
 
-def test_connected_nodes_cut_alike_and_an_isolated_one_by_its_own_window() -> None:
+def test_connected_nodes_compute_the_same_cuts_and_an_isolated_one_uses_its_own_window() -> None:
     balancers, tiers = nodes(5)
     play(balancers, tiers, 30_000.0, isolated=4)
     cuts = [balancer.line.cuts for balancer in balancers]
