--- a/testbed/nights/simulation.py
+++ b/testbed/nights/simulation.py
@@ -596,7 +596,7 @@
 
     def _change_lifecycle(self, entry: dict[str, object], lifecycle: str) -> None:
         """Change the lifecycle of a list entry."""
-        # The registries share the entries; each one notifies its own watches.
+        # The discovery servers share the entries; each one notifies its own watches.
         for discovery_server in self.discovery_servers:
             discovery_server.update(entry, lifecycle)
 
@@ -728,7 +728,10 @@
             self._restart_node(n)
 
     def _do_node_hup(self, fault: Fault) -> None:
-        """Reconfigure a node to the other registry; the old one closes its watches after 1.5 s."""
+        """Reconfigure a node to the other discovery server.
+
+        The old one closes its watches after 1.5 s.
+        """
         process = self.nodes[f"n{fault.target}"]
         config = json.loads(process.files["config.json"])
         old = 0 if config["discovery"].startswith("127.4.0.1:") else 1
@@ -855,17 +858,17 @@
         self._arm_trip(self._node_host(fault.target), "127.5.0.1", fault, act)
 
     def _set_discovery_state(self, fault: Fault, state: str) -> None:
-        """Set a flag of both registries until the fault is over."""
+        """Set a flag of both discovery servers until the fault is over."""
         for discovery_server in self.discovery_servers:
             setattr(discovery_server, state, True)
             self._after_fault(fault, setattr, discovery_server, state, False)
 
     def _do_discovery_silent(self, fault: Fault) -> None:
-        """Make both registries unresponsive."""
+        """Make both discovery servers unresponsive."""
         self._set_discovery_state(fault, "silent")
 
     def _do_discovery_late(self, fault: Fault) -> None:
-        """Delay the answers of both registries by the duration, for 2 s."""
+        """Delay the answers of both discovery servers by the duration, for 2 s."""
         for discovery_server in self.discovery_servers:
             discovery_server.late_s = fault.for_ms / 1000.0
             self.loop.after_us(2_000_000, setattr, discovery_server, "late_s", 0.0)
@@ -887,7 +890,10 @@
             discovery_server.publish_raw(bad[int(fault.value) % len(bad)])
 
     def _do_discovery_spoil(self, fault: Fault) -> None:
-        """Corrupt the next line of each registry; target and value give the way, noise and byte."""
+        """Corrupt the next line of each discovery server.
+
+        Target and value give the mode, the noise and the byte.
+        """
         how, noise = (
             CORRUPTION_KINDS[fault.target % len(CORRUPTION_KINDS)],
             NOISE_SAMPLES[fault.target // len(CORRUPTION_KINDS) % len(NOISE_SAMPLES)],
@@ -896,11 +902,11 @@
             discovery_server.corruptions.append(LineCorruption(how, int(fault.value), noise))
 
     def _do_discovery_refuse(self, fault: Fault) -> None:
-        """Make both registries answer calls with 503; watches go on."""
+        """Make both discovery servers answer calls with 503; watches go on."""
         self._set_discovery_state(fault, "refusing")
 
     def _do_discovery_mute(self, fault: Fault) -> None:
-        """Make both registries accept calls without answering them."""
+        """Make both discovery servers accept calls without answering them."""
         self._set_discovery_state(fault, "mute")
 
     def _do_discovery_drop(self, fault: Fault) -> None:
@@ -909,7 +915,7 @@
             discovery_server.drop_watches()
 
     def _do_discovery_down(self, fault: Fault) -> None:
-        """Close all watches and stop both registries."""
+        """Close all watches and stop both discovery servers."""
         for discovery_server in self.discovery_servers:
             discovery_server.down = True
             discovery_server.drop_watches()
@@ -1022,7 +1028,7 @@
 
 
 class _HostDiscoveryServer(DiscoveryServer):
-    """Registry that identifies the node behind a watch by its host."""
+    """Discovery server that identifies the node behind a watch by its host."""
 
     def node_name(self, connection: Connection) -> str:
         """Return the host of the node behind a connection."""
--- a/tests/testbed/test_hard_cases.py
+++ b/tests/testbed/test_hard_cases.py
@@ -29,7 +29,7 @@
 
 
 def run_without_failures(script: Script, seed: int = 1) -> Result:
-    """Play a script and require that no rule is broken."""
+    """Run a script and require that no rule is broken."""
     result = run(seed, script, keep_trace=True)
     assert result.failures == []
     return result
@@ -288,7 +288,7 @@
     world = World(seconds=2.0, nodes=1, boxes=3, jitter_us=0)
     result = run_without_failures(Script(world=world, fault=faults))
     assert logged(result, "reload: discovery is at 127.4.0.2:8500")
-    assert logged(result, "n0 is notified that s1 is terminating")  # by the new registry
+    assert logged(result, "n0 is notified that s1 is terminating")  # by the new discovery server
 
 
 def test_no_descriptors_left() -> None:
--- a/tests/testbed/test_simulation.py
+++ b/tests/testbed/test_simulation.py
@@ -26,7 +26,7 @@
 SAME = range(1, 21)
 # Basic scenarios.
 BASIC = range(1, 201)
-# Number of seeds of each other kind that are played.
+# Number of seeds of each other kind that are run.
 HARD_PLAYED = 40
 # Many clients leave while their requests wait.
 LEAVING = range(40_000_001, 40_000_201)
