--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -13,7 +13,7 @@
 import pytest
 
 KNOWN_RED = Path(__file__).parent.parent / "KNOWN-RED.txt"
-MOST_KNOWN_RED = 3  # entries
+MAX_KNOWN_RED = 3  # entries
 INTERMITTENT_PREFIX = "sometimes: "
 
 
@@ -43,8 +43,8 @@
             f"{cause.removeprefix(INTERMITTENT_PREFIX)} ({issue})",
             cause.startswith(INTERMITTENT_PREFIX),
         )
-    if len(known) > MOST_KNOWN_RED:
-        raise ValueError(f"KNOWN-RED.txt lists {len(known)} tests; {MOST_KNOWN_RED} at most")
+    if len(known) > MAX_KNOWN_RED:
+        raise ValueError(f"KNOWN-RED.txt lists {len(known)} tests; {MAX_KNOWN_RED} at most")
     return known
 
 
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -25,7 +25,7 @@
 
 __all__ = [
     "CacheBox",
-    "Registry",
+    "ScriptedDiscovery",
     "Rig",
     "entry",
     "default_answer",
@@ -126,7 +126,7 @@
         writer.transport.abort()
 
 
-class Registry(emulators.DiscoveryServer):
+class ScriptedDiscovery(emulators.DiscoveryServer):
     """Emulated discovery that lists the given boxes; tests change its list."""
 
     def __init__(self, boxes: dict[str, CacheBox]) -> None:
@@ -162,7 +162,7 @@
     def __init__(
         self,
         boxes: dict[str, CacheBox],
-        registry: Registry,
+        discovery_server: ScriptedDiscovery,
         sockets: int,
         options: dict[str, Any],
         clients: int,
@@ -172,7 +172,7 @@
         config = Config(
             name="n0",
             listen=("127.0.0.1", 0),
-            discovery=("127.0.0.1", registry.port),
+            discovery=("127.0.0.1", discovery_server.port),
             seed=1,
             sockets=sockets,
             memory_mb=64,
@@ -184,7 +184,7 @@
             drain_grace_ms=250.0,
         )
         self.boxes = boxes
-        self.registry = registry
+        self.discovery_server = discovery_server
         self.metrics = Metrics(spec.name for spec in config.settings.classes)
         self.loop_lag = LoopLagMonitor()  # reports no lag until a test starts it
         self.pool = Pool(
@@ -259,10 +259,16 @@
     """
     for box in boxes.values():
         box.listen()
-    registry = Registry(boxes)
-    registry.start()
+    discovery_server = ScriptedDiscovery(boxes)
+    discovery_server.start()
     made = Rig(
-        boxes, registry, sockets, options, clients or sockets // 2, shutdown_schedule, dial_s
+        boxes,
+        discovery_server,
+        sockets,
+        options,
+        clients or sockets // 2,
+        shutdown_schedule,
+        dial_s,
     )
     made.discovery.start({})
     made.discovery.follow()
@@ -271,7 +277,7 @@
     try:
         yield made
     finally:
-        await registry.stop()
+        await discovery_server.stop()
         for box in boxes.values():
             box.close()
 
--- a/tests/sources/test_members.py
+++ b/tests/sources/test_members.py
@@ -48,7 +48,7 @@
         box = CacheBox()
         async with running(
             tmp_path / "config.json", box, {"GRADESHIFT_OPERATOR": str(operator)}
-        ) as (process, registry):
+        ) as (process, discovery_server):
             zone.set_boxes({"s0": ("127.0.0.1", box.address[1]), "spare": ("127.0.0.1", 2)})
             process.process.send_signal(signal.SIGHUP)  # the file is unchanged
             await until(lambda: any("reload: discovery" in line for line in process.log))
--- a/tests/test_address_book.py
+++ b/tests/test_address_book.py
@@ -230,7 +230,7 @@
                     seen.append(len(made.node.servers))
 
             made.node.on_list = recording_on_list  # type: ignore[method-assign, assignment]
-            for connection in made.registry.watches:
+            for connection in made.discovery_server.watches:
                 data = full + drain
                 await connection.stream.write(b"%x\r\n%b\r\n" % (len(data), data))
             await until(lambda: len(made.node.servers) == count + 2)
--- a/tests/test_customers.py
+++ b/tests/test_customers.py
@@ -17,7 +17,7 @@
 from loopback import (
     OPTIONS,
     CacheBox,
-    Registry,
+    ScriptedDiscovery,
     entry,
     options_of,
     request,
@@ -297,13 +297,13 @@
     run_async(lambda: test(True, 2))
 
 
-def push_service(registry: Registry, known: list[dict[str, object]]) -> Service:
+def push_service(discovery_server: ScriptedDiscovery, known: list[dict[str, object]]) -> Service:
     options = {**OPTIONS, "discovery": "automatic"}
     return Service(
         config_of(
             {
                 "listen": f"127.0.0.1:{free_port()}",
-                "discovery": f"127.0.0.1:{registry.port}",
+                "discovery": f"127.0.0.1:{discovery_server.port}",
                 "seed": "1",
                 "known": {"generation": 1, "reset": True, "instances": known},
                 "settings": options,
@@ -323,17 +323,17 @@
         boxes = {"s0": CacheBox(), "s1": CacheBox()}
         for box in boxes.values():
             box.listen()
-        registry = Registry(boxes)
-        registry.start()
+        discovery_server = ScriptedDiscovery(boxes)
+        discovery_server.start()
         known = [entry(name, box.port) for name, box in boxes.items()]
         # The list that the node starts with does not have this change.
-        registry.entries["s0"] = entry("s0", boxes["s0"].port, "terminating")
-        registry.silent = True
-        service = push_service(registry, known)
+        discovery_server.entries["s0"] = entry("s0", boxes["s0"].port, "terminating")
+        discovery_server.silent = True
+        service = push_service(discovery_server, known)
         running = asyncio.create_task(service.run())
-        await until(lambda: bool(registry.asked))
+        await until(lambda: bool(discovery_server.asked))
         assert not service.frontend.started
-        registry.silent = False
+        discovery_server.silent = False
         await until(lambda: service.frontend.started)
         for n in range(8):
             answer = await send_to(
@@ -342,8 +342,8 @@
             assert status(answer) == 200
         assert boxes["s0"].heads == [] and len(boxes["s1"].heads) == 8
         # A later change.
-        registry.update(entry("s0", boxes["s0"].port))
-        registry.update(entry("s1", boxes["s1"].port), "terminating")
+        discovery_server.update(entry("s0", boxes["s0"].port))
+        discovery_server.update(entry("s1", boxes["s1"].port), "terminating")
         await until(lambda: service.node.servers["s1"].leaving_ms is not None)
         assert (
             status(await send_to(service.frontend.address, request("b", "Connection: close\r\n")))
@@ -351,12 +351,12 @@
         )
         assert len(boxes["s0"].heads) == 1
         # A watch that ends is opened again at once: the agent may have changes to send.
-        calls = len(registry.asked)
-        registry.drop_watches()
-        await until(lambda: len(registry.asked) > calls)
+        calls = len(discovery_server.asked)
+        discovery_server.drop_watches()
+        await until(lambda: len(discovery_server.asked) > calls)
         service.stop()
         await running
-        await registry.stop()
+        await discovery_server.stop()
         for box in boxes.values():
             box.close()
 
@@ -376,18 +376,18 @@
     monkeypatch.setattr("corkshift.service.FIRST_LIST_TIMEOUT_S", 30.0)
 
     async def test() -> None:
-        registry = Registry({})
-        registry.start()
-        registry.silent = True
-        service = push_service(registry, [])
+        discovery_server = ScriptedDiscovery({})
+        discovery_server.start()
+        discovery_server.silent = True
+        service = push_service(discovery_server, [])
         running = asyncio.create_task(service.run())
-        await until(lambda: bool(registry.asked))
+        await until(lambda: bool(discovery_server.asked))
         service.reload()  # a SIGHUP before the node is ready makes no difference
         service.stop()
         await running
         assert not service.frontend.started
-        registry.silent = False
-        await registry.stop()
+        discovery_server.silent = False
+        await discovery_server.stop()
 
     run_async(test)
 
@@ -400,20 +400,20 @@
     async def test() -> None:
         box = CacheBox()
         box.listen()
-        registry = Registry({"s0": box})
-        registry.start()
-        registry.silent = True
-        service = push_service(registry, [entry("s0", box.port)])
+        discovery_server = ScriptedDiscovery({"s0": box})
+        discovery_server.start()
+        discovery_server.silent = True
+        service = push_service(discovery_server, [entry("s0", box.port)])
         running = asyncio.create_task(service.run())
         await until(lambda: service.frontend.started)
         assert (
             status(await send_to(service.frontend.address, request("a", "Connection: close\r\n")))
             == 200
         )
-        registry.silent = False
+        discovery_server.silent = False
         service.stop()
         await running
-        await registry.stop()
+        await discovery_server.stop()
         box.close()
 
     run_async(test)
@@ -457,9 +457,9 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def test() -> None:
-        old, new = Registry({}), Registry({})
-        for registry in (old, new):
-            registry.start()
+        old, new = ScriptedDiscovery({}), ScriptedDiscovery({})
+        for discovery_server in (old, new):
+            discovery_server.start()
         path = tmp_path / "config.json"
         text = {"listen": f"127.0.0.1:{free_port()}", "seed": "1", "settings": OPTIONS}
         monkeypatch.setenv("PROXY_CONFIG", str(path))
@@ -472,7 +472,7 @@
         assert old.asked == []
         service.stop()
         await running
-        for registry in (old, new):
-            await registry.stop()
+        for discovery_server in (old, new):
+            await discovery_server.stop()
 
     run_async(test)
--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -15,7 +15,7 @@
 from pathlib import Path
 
 import pytest
-from loopback import CacheBox, Registry, run_async, until
+from loopback import CacheBox, ScriptedDiscovery, run_async, until
 from test_process import ROOT, Process, free_port
 
 DEPLOY = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
@@ -80,9 +80,9 @@
         (tmp_path / "tmp").mkdir()
         box = CacheBox()
         box.listen()
-        registry = Registry({"s0": box})
-        registry.start()
-        process = Process(tmp_path / "config.json", registry, free_port())
+        discovery_server = ScriptedDiscovery({"s0": box})
+        discovery_server.start()
+        process = Process(tmp_path / "config.json", discovery_server, free_port())
         process.write()
         environ = {**os.environ, "PROXY_CONFIG": str(process.path), "TMPDIR": str(tmp_path / "tmp")}
         process.process = await asyncio.create_subprocess_exec(
@@ -108,7 +108,7 @@
             process.process.kill()
             await process.process.wait()
             await process.reading
-            await registry.stop()
+            await discovery_server.stop()
             box.close()
 
     run_async(test)
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -21,7 +21,7 @@
         async with rig({"s0": old}) as made:
             assert status(await made.ask("before")) == 200
             new.listen()
-            made.registry.publish([entry("s0", new.port)])
+            made.discovery_server.publish([entry("s0", new.port)])
             await until(lambda: made.node.servers["s0"].address[1] == new.port)
             assert status(await made.ask("after")) == 200
             assert len(old.heads) == 1 and len(new.heads) == 1
@@ -36,12 +36,14 @@
     async def test() -> None:
         box = CacheBox()
         async with rig({"s0": box}) as made:
-            made.registry.publish([entry("s1", box.port)])
+            made.discovery_server.publish([entry("s1", box.port)])
             await until(lambda: "s1" in made.node.servers)
             assert list(made.node.servers) == ["s1"]
             members = made.node._balancer.fleet.members
             assert members["s1"].present and not members["s0"].present
-            made.registry.publish([entry("s1", box.port), entry("s2", box.port, "terminating")])
+            made.discovery_server.publish(
+                [entry("s1", box.port), entry("s2", box.port, "terminating")]
+            )
             await until(lambda: "s2" in made.node.servers)
             assert "s1" in made.node.servers  # a draining server replaces none at its address
             assert status(await made.ask("a")) == 200
@@ -69,10 +71,10 @@
             text = (
                 json.dumps({"generation": 2, "reset": False, "instances": entries}).encode() + b"\n"
             )
-            made.registry.publish_raw(text)
+            made.discovery_server.publish_raw(text)
             await until(lambda: "s1" in made.node.servers)
             assert sorted(made.node.servers) == ["s0", "s1"]
-            assert len(made.registry.asked) == 1
+            assert len(made.discovery_server.asked) == 1
             info = made.node._balancer.fleet.members["s1"].info
             assert info.weight <= 1000.0 and info.started_ms < 9e15
 
@@ -166,7 +168,7 @@
     # or row by row.
     async def test() -> None:
         async with rig({"s0": CacheBox()}) as made:
-            calls = len(made.registry.asked)
+            calls = len(made.discovery_server.asked)
             for n, together in enumerate((True, True, False)):
                 one = json.dumps(entry(f"x{n}", 1000 + n))
                 text = (
@@ -180,16 +182,18 @@
                     text = text.replace("[{", "[\n  {")
                 rows = [text] if together else text.splitlines(keepends=True)
                 for row in rows:
-                    made.registry.publish_raw(row.encode())
+                    made.discovery_server.publish_raw(row.encode())
                     await asyncio.sleep(0)
                 await until(lambda: f"x{n}" in made.node.servers)  # noqa: B023
-            assert len(made.registry.asked) == calls  # nothing was lost, and no new call was made
+            assert (
+                len(made.discovery_server.asked) == calls
+            )  # nothing was lost, and no new call was made
             last = {
                 "generation": 9,
                 "reset": False,
                 "instances": [entry("x1", 1001, "terminating")],
             }
-            made.registry.publish_raw(json.dumps(last, indent=1).encode() + b"\n")
+            made.discovery_server.publish_raw(json.dumps(last, indent=1).encode() + b"\n")
             await until(lambda: made.node.servers["x1"].leaving_ms is not None)
 
     run_async(test)
--- a/tests/test_list_freshness.py
+++ b/tests/test_list_freshness.py
@@ -14,7 +14,7 @@
 from typing import Any
 
 import pytest
-from loopback import OPTIONS, CacheBox, Registry, entry, run_async
+from loopback import OPTIONS, CacheBox, ScriptedDiscovery, entry, run_async
 from test_process import Process, running
 
 from corkshift.seam import now_ms
@@ -26,7 +26,7 @@
 REFUSALS = 2  # calls that are refused before the reload
 
 
-class CountingRegistry(Registry):
+class CountingDiscovery(ScriptedDiscovery):
     """Discovery that records the times of calls, refuses the first and answers after a delay."""
 
     def __init__(self, boxes: dict[str, CacheBox], refusals: int = 0, delay_s: float = 0.0) -> None:
@@ -62,8 +62,8 @@
     async def test() -> None:
         leaving, staying = CacheBox(), CacheBox()
         staying.listen()
-        async with running(tmp_path / "config.json", leaving) as (process, registry):
-            registry.update(entry("s1", staying.port))
+        async with running(tmp_path / "config.json", leaving) as (process, discovery_server):
+            discovery_server.update(entry("s1", staying.port))
             await process.wait_served("both")
             process.config["settings"] = (
                 SLOW_POLLING  # for the next process; the running one keeps its settings
@@ -73,9 +73,9 @@
             process.config["known"] = {
                 "generation": 1,
                 "reset": True,
-                "instances": list(registry.entries.values()),
+                "instances": list(discovery_server.entries.values()),
             }
-            refusing = CountingRegistry({}, refusals=1_000)
+            refusing = CountingDiscovery({}, refusals=1_000)
             refusing.start()
             process.config["discovery"] = f"127.0.0.1:{refusing.port}"
             process.write()
@@ -84,7 +84,7 @@
             while len(refusing.calls_ms) < REFUSALS:
                 await asyncio.sleep(0.01)
             await asyncio.sleep(0.1)
-            moved = CountingRegistry({"s0": leaving, "s1": staying}, refusals=1)
+            moved = CountingDiscovery({"s0": leaving, "s1": staying}, refusals=1)
             moved.start()
             process.config["discovery"] = f"127.0.0.1:{moved.port}"
             process.write()
@@ -110,20 +110,22 @@
     # fell silent.
     async def test() -> None:
         leaving, staying = CacheBox(), CacheBox()
-        async with running(tmp_path / "config.json", leaving) as (process, registry):
+        async with running(tmp_path / "config.json", leaving) as (process, discovery_server):
             staying.listen()
-            registry.update(entry("s1", staying.port))
-            for connection in list(registry.watches):
-                registry._muted.add(connection)  # stays open, but nothing more is written to it
+            discovery_server.update(entry("s1", staying.port))
+            for connection in list(discovery_server.watches):
+                discovery_server._muted.add(
+                    connection
+                )  # stays open, but nothing more is written to it
             silent_ms = now_ms()
-            serve = registry.serve
+            serve = discovery_server.serve
 
             async def late(connection: Connection, request: Message) -> None:
                 await asyncio.sleep(delay_s)
                 await serve(connection, request)
 
-            registry.serve = late  # type: ignore[method-assign]
-            registry.update(entry("s0", leaving.port, "terminating"), "terminating")
+            discovery_server.serve = late  # type: ignore[method-assign]
+            discovery_server.update(entry("s0", leaving.port, "terminating"), "terminating")
             end_ms = silent_ms + NOTIFIED_MS + GRACE_MS + 700.0
             latest_ms = await send_until(process, leaving, lambda: now_ms() > end_ms)
             assert latest_ms <= silent_ms + NOTIFIED_MS + GRACE_MS
@@ -135,14 +137,14 @@
     # Lasted 17 ms in the incident: the new address sent an older list than the old one had sent.
     async def test() -> None:
         leaving, staying = CacheBox(), CacheBox()
-        async with running(tmp_path / "config.json", leaving) as (process, registry):
+        async with running(tmp_path / "config.json", leaving) as (process, discovery_server):
             staying.listen()
-            registry.update(entry("s1", staying.port))
+            discovery_server.update(entry("s1", staying.port))
             await process.wait_served("both")
-            behind: Any = CountingRegistry({"s0": leaving, "s1": staying})
+            behind: Any = CountingDiscovery({"s0": leaving, "s1": staying})
             behind.start()
-            registry.generation = 40
-            registry.update(entry("s0", leaving.port, "terminating"), "terminating")
+            discovery_server.generation = 40
+            discovery_server.update(entry("s0", leaving.port, "terminating"), "terminating")
             await asyncio.sleep(0.3)
             process.config["discovery"] = f"127.0.0.1:{behind.port}"
             process.write()
--- a/tests/test_loop_lag.py
+++ b/tests/test_loop_lag.py
@@ -119,7 +119,7 @@
         ).encode()
         + b"\n"
     )
-    for connection in made.registry.watches:
+    for connection in made.discovery_server.watches:
         assert connection.stream.write_now(b"%x\r\n%b\r\n" % (len(line), line)) > len(line)
 
 
--- a/tests/test_lost_lines.py
+++ b/tests/test_lost_lines.py
@@ -8,7 +8,7 @@
 import json
 
 import pytest
-from loopback import CacheBox, Registry, Rig, entry, rig, run_async, status, until
+from loopback import CacheBox, Rig, ScriptedDiscovery, entry, rig, run_async, status, until
 
 from corkshift import address_book, discovery, watch
 from corkshift.seam import now_ms
@@ -45,15 +45,15 @@
         # Enough sockets for all requests at once, however slow the machine.
         async with rig(boxes(), 512) as made:
             use_slow_polling(made)
-            made.registry.refusing = not answers
+            made.discovery_server.refusing = not answers
             fresh = CacheBox()
             fresh.listen()
             # The line is corrupt after its first entry.
             first, second = (draining_entry(made, "s1"), entry("s9", fresh.port))
-            made.registry.corruptions.append(LineCorruption(how, 260, NOISE_SAMPLES[4]))
-            made.registry.update(first, "terminating")
-            made.registry.corruptions.append(LineCorruption(how, 260, NOISE_SAMPLES[4]))
-            made.registry.publish([draining_entry(made, "s3"), second])
+            made.discovery_server.corruptions.append(LineCorruption(how, 260, NOISE_SAMPLES[4]))
+            made.discovery_server.update(first, "terminating")
+            made.discovery_server.corruptions.append(LineCorruption(how, 260, NOISE_SAMPLES[4]))
+            made.discovery_server.publish([draining_entry(made, "s3"), second])
             await until(lambda: "s1" not in serving(made))
             if answers:
                 await until(lambda: serving(made) == {*NAMES, "s9"} - {"s1", "s3"})
@@ -77,24 +77,26 @@
     async def test() -> None:
         async with rig(boxes()) as made:
             use_slow_polling(made)
-            made.registry.mute = True
-            asked, at = len(made.registry.asked), now_ms()
-            made.registry.publish_raw(b"no list\n")
-            await until(lambda: len(made.registry.asked) > asked)
+            made.discovery_server.mute = True
+            asked, at = len(made.discovery_server.asked), now_ms()
+            made.discovery_server.publish_raw(b"no list\n")
+            await until(lambda: len(made.discovery_server.asked) > asked)
             assert now_ms() - at < WAIT_MS
-            made.registry.update(draining_entry(made, "s2"), "terminating")
+            made.discovery_server.update(draining_entry(made, "s2"), "terminating")
             await until(lambda: "s2" not in serving(made))
             assert len(
-                made.registry.watches
+                made.discovery_server.watches
             ) == 1 and made.discovery.address_book._unconfirmed.held_back == ("s2",)
-            made.registry.mute = False
+            made.discovery_server.mute = False
             # Back in service: only a valid line may say so.
-            made.registry.update(entry("s2", made.boxes["s2"].port))
+            made.discovery_server.update(entry("s2", made.boxes["s2"].port))
             await asyncio.sleep(0.05)
             assert "s2" not in serving(made)
-            made.discovery.move(("127.0.0.1", made.registry.port))
+            made.discovery.move(("127.0.0.1", made.discovery_server.port))
             await until(lambda: "s2" in serving(made))
-            await until(lambda: len(made.registry.watches) == 1 and not made.discovery._retiring)
+            await until(
+                lambda: len(made.discovery_server.watches) == 1 and not made.discovery._retiring
+            )
 
     run_async(test)
 
@@ -108,9 +110,9 @@
     async def test() -> None:
         async with rig(boxes()) as made:
             use_slow_polling(made)
-            made.registry.refusing = True
-            made.registry.corruptions.append(LineCorruption("cut", 120))
-            made.registry.update(draining_entry(made, "s4"), "terminating")
+            made.discovery_server.refusing = True
+            made.discovery_server.corruptions.append(LineCorruption("cut", 120))
+            made.discovery_server.update(draining_entry(made, "s4"), "terminating")
             await until(lambda: serving(made) == {"s0", "s1", "s2", "s3"})
             await until(lambda: serving(made) == set(NAMES))
 
@@ -120,13 +122,15 @@
 def test_the_last_server_is_not_removed_by_an_unreadable_line() -> None:
     async def test() -> None:
         async with rig(boxes()) as made:
-            made.registry.refusing = True
-            made.registry.corruptions.append(LineCorruption("before", 0))
-            made.registry.publish([draining_entry(made, name) for name in NAMES])
+            made.discovery_server.refusing = True
+            made.discovery_server.corruptions.append(LineCorruption("before", 0))
+            made.discovery_server.publish([draining_entry(made, name) for name in NAMES])
             await until(lambda: len(serving(made)) == 1)
             assert status(await made.ask("a")) == 200
-            made.registry.refusing = False
-            made.discovery.move(("127.0.0.1", made.registry.port))  # whose list has no drain
+            made.discovery_server.refusing = False
+            made.discovery.move(
+                ("127.0.0.1", made.discovery_server.port)
+            )  # whose list has no drain
             await until(lambda: serving(made) == set(NAMES))
 
     run_async(test)
@@ -135,14 +139,14 @@
 def test_removals_by_the_old_address_are_applied_until_the_new_one_answers() -> None:
     async def test() -> None:
         async with rig(boxes()) as made:
-            new = Registry(made.boxes)
+            new = ScriptedDiscovery(made.boxes)
             new.mute = True
             new.start()
             made.discovery.move(("127.0.0.1", new.port))
             await until(lambda: len(new.asked) == 1)
-            made.registry.publish([draining_entry(made, "s0"), entry("s9", 9)])
+            made.discovery_server.publish([draining_entry(made, "s0"), entry("s9", 9)])
             await until(lambda: "s0" not in serving(made))
-            assert "s9" not in made.node.servers and len(made.registry.watches) == 1
+            assert "s9" not in made.node.servers and len(made.discovery_server.watches) == 1
             await new.stop()
 
     run_async(test)
@@ -153,16 +157,16 @@
         async with rig(boxes()) as made:
             use_slow_polling(made)
             await asyncio.sleep(0.31)  # a node would have made its first call by now
-            asked, begin = len(made.registry.asked), asyncio.get_running_loop().time()
+            asked, begin = len(made.discovery_server.asked), asyncio.get_running_loop().time()
 
             async def corrupt() -> None:
                 while True:
-                    made.registry.publish_raw(b"{\n")
+                    made.discovery_server.publish_raw(b"{\n")
                     await asyncio.sleep(0.002)
 
             corrupting = asyncio.create_task(corrupt())
             # The third call waits the ordinary pause.
-            await until(lambda: len(made.registry.asked) > asked + 2)
+            await until(lambda: len(made.discovery_server.asked) > asked + 2)
             assert asyncio.get_running_loop().time() - begin > WAIT_MS / 1000.0
             corrupting.cancel()
             await until(lambda: len(made.discovery._retiring) <= discovery.MAX_RETIRING)
@@ -222,7 +226,7 @@
     async def test() -> None:
         async with rig(boxes()) as made:
             entries = ", ".join(json.dumps(draining_entry(made, name)) for name in NAMES)
-            made.registry.publish_raw(
+            made.discovery_server.publish_raw(
                 b'{"generation": 999999, "reset": false, "instances": ['
                 + entries.encode()
                 + b"] nonsense}\n"
@@ -244,12 +248,12 @@
 
     async def test() -> None:
         async with rig(boxes()) as made:
-            made.registry.generation = 50
-            made.registry.update(draining_entry(made, "s1"), "terminating")
-            removed_entry = made.registry.entries["s2"]
-            made.registry.update(removed_entry, "terminated")
+            made.discovery_server.generation = 50
+            made.discovery_server.update(draining_entry(made, "s1"), "terminating")
+            removed_entry = made.discovery_server.entries["s2"]
+            made.discovery_server.update(removed_entry, "terminated")
             await until(lambda: serving(made) == set(NAMES) - {"s1", "s2"})
-            behind = Registry(made.boxes)
+            behind = ScriptedDiscovery(made.boxes)
             behind.start()
             at = now_ms()
             made.discovery.move(("127.0.0.1", behind.port))
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -14,7 +14,16 @@
 from typing import Any
 
 import pytest
-from loopback import OPTIONS, CacheBox, Registry, default_answer, request, run_async, status, until
+from loopback import (
+    OPTIONS,
+    CacheBox,
+    ScriptedDiscovery,
+    default_answer,
+    request,
+    run_async,
+    status,
+    until,
+)
 
 ROOT = Path(__file__).parent.parent
 STOPS = 40
@@ -45,7 +54,9 @@
 class Process:
     """A node process, started by `python -m corkshift`."""
 
-    def __init__(self, path: Path, registry: Registry | None, port: int = 0) -> None:
+    def __init__(
+        self, path: Path, discovery_server: ScriptedDiscovery | None, port: int = 0
+    ) -> None:
         self.path = path
         self.port = port or free_port()
         self.extra_environ: dict[str, str] = {}  # further environment variables
@@ -53,7 +64,7 @@
         self.config: dict[str, Any] = {
             "name": "n0",
             "listen": f"127.0.0.1:{self.port}",
-            "discovery": f"127.0.0.1:{registry.port if registry else 1}",
+            "discovery": f"127.0.0.1:{discovery_server.port if discovery_server else 1}",
             "seed": "1",
             "limits": {"cores": 1.0, "memory_mb": 64, "sockets": 128},
             "known": {"generation": 0, "reset": True, "instances": []},
@@ -115,17 +126,17 @@
     extra_environ: dict[str, str] | None = None,
     descriptors: tuple[int, ...] = (),
     port: int = 0,
-) -> AsyncIterator[tuple[Process, Registry]]:
+) -> AsyncIterator[tuple[Process, ScriptedDiscovery]]:
     box.listen()
-    registry = Registry({"s0": box})
-    registry.start()
-    process = Process(path, registry, port)
+    discovery_server = ScriptedDiscovery({"s0": box})
+    discovery_server.start()
+    process = Process(path, discovery_server, port)
     process.extra_environ, process.descriptors = extra_environ or {}, descriptors
     process.write()
     await process.start()
     try:
         await process.wait_served("start")
-        yield process, registry
+        yield process, discovery_server
     finally:
         if process.process.returncode is None:
             process.process.kill()
@@ -160,18 +171,18 @@
             CacheBox(lambda head: held.append(head) if b"/slow" in head else default_answer(head)),
             CacheBox(),
         )
-        async with running(tmp_path / "config.json", box) as (process, registry):
+        async with running(tmp_path / "config.json", box) as (process, discovery_server):
             slow = asyncio.create_task(process.ask("slow", "/slow"))
             await until(lambda: len(held) == 1)
             fresh.listen()
-            moved = Registry({"s1": fresh})
+            moved = ScriptedDiscovery({"s1": fresh})
             moved.start()
             process.config["discovery"] = f"127.0.0.1:{moved.port}"
             process.write()
             process.process.send_signal(signal.SIGHUP)
             await until(lambda: len(moved.asked) == 1)
             assert "after=" not in moved.asked[0]
-            await registry.stop()
+            await discovery_server.stop()
             before, n = len(fresh.heads), 0
             while len(fresh.heads) == before:
                 n += 1
@@ -188,14 +199,14 @@
 ) -> None:
     # Guards against a mistake in the file that takes a node out of service.
     async def test() -> None:
-        async with running(tmp_path / "config.json", CacheBox()) as (process, registry):
+        async with running(tmp_path / "config.json", CacheBox()) as (process, discovery_server):
             before = len(process.log)
             process.path.unlink() if text is None else process.path.write_text(text)
             process.process.send_signal(signal.SIGHUP)
             await until(lambda: len(process.log) > before)
             assert status(await process.ask("after")) == 200
             assert len(process.log) == before + 1 and "stays in force" in process.log[-1]
-            assert len(registry.asked) == 1
+            assert len(discovery_server.asked) == 1
 
     run_async(test)
 
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -15,7 +15,16 @@
 from pathlib import Path
 
 import pytest
-from loopback import CacheBox, Registry, default_answer, entry, request, run_async, status, until
+from loopback import (
+    CacheBox,
+    ScriptedDiscovery,
+    default_answer,
+    entry,
+    request,
+    run_async,
+    status,
+    until,
+)
 from test_process import Process, free_port, running
 
 from corkshift.seam import now_ms
@@ -43,13 +52,13 @@
 @asynccontextmanager
 async def shimmed(
     tmp_path: Path, library: Path, box: CacheBox
-) -> AsyncIterator[tuple[Process, Registry, Shim]]:
+) -> AsyncIterator[tuple[Process, ScriptedDiscovery, Shim]]:
     """A node process with the shim, one cache server and an operators' address."""
     shim = Shim(library, tmp_path / "control")
     more = {**shim.environment, "PROXY_ADMIN_ADDR": f"127.0.0.1:{free_port()}"}
     try:
-        async with running(tmp_path / "config.json", box, more) as (process, registry):
-            yield process, registry, shim
+        async with running(tmp_path / "config.json", box, more) as (process, discovery_server):
+            yield process, discovery_server, shim
     finally:
         shim.close()
 
@@ -201,11 +210,11 @@
 def test_reads_and_writes_of_single_bytes_change_nothing(tmp_path: Path, library: Path) -> None:
     async def test() -> None:
         box = CacheBox()
-        async with shimmed(tmp_path, library, box) as (process, registry, shim):
+        async with shimmed(tmp_path, library, box) as (process, discovery_server, shim):
             shim.move_single_bytes(True)
             fresh = CacheBox()
             fresh.listen()
-            registry.update(entry("s1", fresh.port))
+            discovery_server.update(entry("s1", fresh.port))
             assert await ask_all(process, "a") == [200] * 12
             body = b"v" * 3_000
             put = (
@@ -251,7 +260,7 @@
     # step has its full deadline and no more.
     async def test() -> None:
         box = CacheBox(lambda head: None if b"/never" in head else default_answer(head))
-        async with shimmed(tmp_path, library, box) as (process, registry, shim):
+        async with shimmed(tmp_path, library, box) as (process, discovery_server, shim):
             data = request("never", "Connection: close\r\n", "/api/never").replace(
                 b"X-Remaining-Ms: 20000", b"X-Remaining-Ms: 900"
             )
@@ -262,8 +271,8 @@
             assert await ask_all(process, "a") == [200] * 12
             other = CacheBox()
             other.listen()
-            registry.update(entry("s1", other.port))
-            registry.update(entry("s0", box.port, "terminating"), "terminating")
+            discovery_server.update(entry("s1", other.port))
+            discovery_server.update(entry("s0", box.port, "terminating"), "terminating")
             await asyncio.sleep(0.3)
             before = len(box.heads)
             assert await ask_all(process, "b") == [200] * 12
@@ -286,13 +295,13 @@
         if before_start:
             shim.step_wall_clock(step_ms)
         more = {**shim.environment, "PROXY_ADMIN_ADDR": f"127.0.0.1:{free_port()}"}
-        async with running(tmp_path / "config.json", box, more) as (process, registry):
+        async with running(tmp_path / "config.json", box, more) as (process, discovery_server):
             shim.step_wall_clock(step_ms)
             counts = await figures(process)
             assert (counts["svc.pool.in_service"], counts["svc.pool.cold"]) == (1, 0)
             fresh = CacheBox()
             fresh.listen()
-            registry.update({**entry("s1", fresh.port), "startedAtMs": now_ms() - 100.0})
+            discovery_server.update({**entry("s1", fresh.port), "startedAtMs": now_ms() - 100.0})
             await until_figures(process, lambda now: now["svc.pool_size"] == 2)
             counts = await figures(process)
             assert (counts["svc.pool.in_service"], counts["svc.pool.cold"]) == (1, 1)
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -88,10 +88,10 @@
             old_more = {**more, "PROXY_ADMIN_ADDR": f"127.0.0.1:{admin_ports[0]}"}
             async with running(
                 tmp_path / "config.json", box, old_more, (listening.fileno(),), port
-            ) as (old, registry):
+            ) as (old, discovery_server):
                 load = Load(port)
                 clients = [asyncio.create_task(load.client(f"c{n}")) for n in range(24)]
-                new = Successor(tmp_path / "config.json", registry)
+                new = Successor(tmp_path / "config.json", discovery_server)
                 new.extra_environ, new.descriptors = (
                     {**more, "PROXY_ADMIN_ADDR": f"127.0.0.1:{admin_ports[1]}"},
                     (listening.fileno(),),
