--- a/tests/admin/test_admin.py
+++ b/tests/admin/test_admin.py
@@ -192,7 +192,7 @@
     run_async(test)
 
 
-def test_idle_connections_do_not_keep_operators_out() -> None:
+def test_idle_connections_do_not_lock_operators_out() -> None:
     # A few idle connections could use up the connection limit of the operators' address.
     async def test() -> None:
         async with admin_fixture({"s1": CacheBox()}) as fixture:
--- a/tests/cli/test_check.py
+++ b/tests/cli/test_check.py
@@ -99,7 +99,7 @@
     assert paths(tmp_path / "a.toml", text) == wanted
 
 
-def test_a_fault_says_what_is_allowed() -> None:
+def test_a_fault_states_what_is_allowed() -> None:
     with pytest.raises(
         BadOperatorFile, match=r"op.toml: demo.boxs: unknown key; allowed here: boxes, "
     ):
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -93,7 +93,7 @@
 
 
 @pytest.mark.parametrize("name", EXTRA_BYTES)
-def test_extra_bytes_around_a_good_response_affect_neither_it_nor_the_next_one(name: str) -> None:
+def test_extra_bytes_around_a_valid_response_affect_neither_it_nor_the_next_one(name: str) -> None:
     async def test() -> None:
         # Surplus bytes must not be taken for the response to the next request on the connection.
         box = CacheBox(
@@ -157,7 +157,7 @@
     run_async(test)
 
 
-def test_occasional_connection_resets_do_not_eject_a_good_server() -> None:
+def test_occasional_connection_resets_do_not_eject_a_healthy_server() -> None:
     # Resets by the network or another proxy must not eject a live server, which would then count as
     # cold.
     async def test() -> None:
--- a/tests/test_bulk.py
+++ b/tests/test_bulk.py
@@ -122,7 +122,7 @@
     run_async(test)
 
 
-def test_a_large_answer_that_breaks_off_is_seen_to_be_cut_and_is_not_repeated() -> None:
+def test_an_interrupted_large_response_arrives_truncated_and_is_not_retried() -> None:
     async def test() -> None:
         box = TwoPartServer(sized(BODY)[:300_000], b"")
         async with rig({"s0": box, "s1": TwoPartServer(sized(BODY)[:300_000], b"")}) as made:
@@ -151,7 +151,7 @@
     run_async(test)
 
 
-def test_a_client_that_reads_slowly_holds_its_server_back_and_no_memory() -> None:
+def test_a_client_that_reads_slowly_applies_backpressure_to_its_server() -> None:
     # Backpressure: a response must not pile up in memory between a fast server and a slow client.
     async def test() -> None:
         data = sized(bytes(8 << 20))
@@ -176,7 +176,7 @@
     run_async(test)
 
 
-def test_a_client_that_leaves_half_way_ends_the_work_for_it() -> None:
+def test_an_attempt_ends_when_its_client_disconnects_during_the_response() -> None:
     async def test() -> None:
         data = sized(bytes(8 << 20))
         box = TwoPartServer(data, b"")
@@ -192,7 +192,7 @@
     run_async(test)
 
 
-def test_an_answer_without_end_is_cut_at_the_longest_that_any_may_be() -> None:
+def test_an_endless_response_is_cut_off_at_the_maximum_body_size() -> None:
     async def test() -> None:
         chunk = b"10000\r\n" + bytes(65_536) + b"\r\n"
         box = TwoPartServer(
@@ -269,7 +269,7 @@
     run_async(test)
 
 
-def test_a_server_that_fails_after_a_large_body_may_have_run_it_and_it_is_not_sent_twice() -> None:
+def test_a_large_body_is_not_sent_twice_where_its_server_failed_after_reading_it() -> None:
     async def test() -> None:
         def bad(head: bytes) -> bytes:
             return b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"
@@ -322,7 +322,7 @@
     run_async(test)
 
 
-def test_a_client_that_takes_its_time_within_bounds_is_served() -> None:
+def test_a_slow_client_within_the_limits_is_served() -> None:
     # Two seconds for the head, then a body as slow as permitted: a slow client within the limits
     # must not be cut off.
     async def test() -> None:
@@ -364,7 +364,7 @@
         ),
     ],
 )
-def test_a_large_body_that_is_none_gets_its_error_and_never_runs(
+def test_an_invalid_large_body_gets_an_error_and_is_not_executed(
     more: str, body: bytes, expected: int
 ) -> None:
     async def test() -> None:
@@ -377,7 +377,7 @@
     run_async(test)
 
 
-def test_the_id_of_a_large_body_under_way_is_not_served_to_another() -> None:
+def test_the_id_of_a_large_request_in_progress_is_rejected() -> None:
     async def test() -> None:
         async with rig({"s0": CacheBox()}) as made:
             reader, writer = await asyncio.open_connection("127.0.0.1", made.port)
@@ -395,7 +395,7 @@
     run_async(test)
 
 
-def test_a_target_in_absolute_form_is_sent_on_by_its_path() -> None:
+def test_a_target_in_absolute_form_is_forwarded_as_its_path() -> None:
     async def test() -> None:
         async with rig({"s0": CacheBox()}) as made:
             answer = await made.ask("a", path="http://service.internal/api/k?x=1")
@@ -428,7 +428,7 @@
 
 
 @pytest.mark.parametrize("seed", range(40))
-def test_a_relay_gives_what_was_put_in_order_whoever_waits(seed: int) -> None:
+def test_a_body_pipe_returns_data_in_order_whichever_side_waits(seed: int) -> None:
     # Each side pauses at points drawn from the seed: no wake-up may be lost between two waits.
     async def test() -> None:
         rng = random.Random(seed)
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -57,7 +57,7 @@
 
 
 @pytest.mark.parametrize("name", BAD)
-def test_a_bad_request_gets_an_error_and_goes_no_further(name: str) -> None:
+def test_a_bad_request_gets_an_error_and_is_not_forwarded(name: str) -> None:
     async def test() -> None:
         box = CacheBox()
         async with rig({"s0": box}) as made:
@@ -120,7 +120,7 @@
     run_async(test)
 
 
-def test_a_body_of_the_longest_length_goes_through_unchanged() -> None:
+def test_a_body_of_the_maximum_length_is_forwarded_unchanged() -> None:
     async def test() -> None:
         box = CacheBox()
         body = bytes(range(256)) * 256
--- a/tests/test_customers.py
+++ b/tests/test_customers.py
@@ -122,7 +122,7 @@
 
 
 @pytest.mark.parametrize("path", SITES, ids=lambda path: path.stem)
-def test_a_site_is_in_force_as_it_is_stated(path: Path) -> None:
+def test_the_settings_of_a_site_take_effect_as_stated(path: Path) -> None:
     site = tomllib.loads(path.read_text())
     options = node_settings(site)
     config = configured(options, limits={"cores": 1.0, "memory_mb": 90, "sockets": 300})
@@ -200,7 +200,7 @@
 
 
 @pytest.mark.parametrize("path", SITES, ids=lambda path: path.stem)
-def test_a_site_is_far_from_accra(path: Path) -> None:
+def test_the_values_of_a_site_differ_from_those_of_accra(path: Path) -> None:
     # A value that both deployments share would prove nothing.
     site = tomllib.loads(path.read_text())
     assert not set(ACCRA) & {
@@ -226,7 +226,7 @@
     )
 
 
-def test_no_name_of_a_deployment_stands_in_the_program_or_its_deploy_file() -> None:
+def test_the_program_and_its_deploy_file_contain_no_name_of_a_deployment() -> None:
     names = [*ACCRA]
     for path in SITES:
         site = tomllib.loads(path.read_text())
@@ -252,7 +252,7 @@
     assert found == []
 
 
-def test_what_is_stated_as_nothing_is_nothing() -> None:
+def test_a_value_of_zero_is_not_taken_for_an_absent_one() -> None:
     # A value of 0 must not be taken for an absent one.
     options = {
         **OPTIONS,
@@ -279,7 +279,7 @@
         assert name == "timer" and float(due) >= 20.0
 
 
-def test_a_second_copy_is_sent_only_where_the_site_allows_it() -> None:
+def test_a_hedge_is_sent_only_where_the_site_allows_it() -> None:
     async def test(allowed: bool, copies: int) -> None:
         options = options_of(allowed={"parallelTries": allowed})
         async with rig(
@@ -313,7 +313,7 @@
     )
 
 
-def test_where_lists_are_pushed_they_are_followed_from_the_first_moment(
+def test_pushed_lists_are_applied_before_the_node_serves(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     # A node must not go on with the list that it started with and miss a drain.
@@ -363,7 +363,7 @@
     run_async(test)
 
 
-def test_an_agent_is_called_again_at_once_but_not_without_end() -> None:
+def test_a_failed_call_to_an_agent_is_repeated_at_once_and_then_after_a_delay() -> None:
     balancer = Balancer(settings_of({**OPTIONS, "discovery": "automatic"}), 1)
     assert balancer.on_list(1_000.0, "failed", []) == [("timer", 1, 1_000.0)]
     assert balancer.on_list(1_001.0, "failed", []) == [("timer", 1, 1_041.0)]
@@ -392,7 +392,7 @@
     run_async(test)
 
 
-def test_an_agent_that_is_silent_does_not_keep_a_node_from_serving(
+def test_an_unresponsive_agent_does_not_prevent_a_node_from_serving(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr("corkshift.service.FIRST_LIST_TIMEOUT_S", 0.05)
@@ -419,7 +419,7 @@
     run_async(test)
 
 
-def test_what_outlives_a_planned_restart_is_answered_before_its_end() -> None:
+def test_requests_open_at_a_planned_shutdown_are_answered_before_exit() -> None:
     # With deadlines of 20 s, SIGKILL comes long before: connections must not close without a
     # response.
     async def test() -> None:
@@ -434,7 +434,7 @@
     run_async(test)
 
 
-def test_an_open_requests_id_is_not_served_however_long_it_is_open() -> None:
+def test_the_id_of_an_open_request_is_rejected_however_long_it_is_open() -> None:
     async def test() -> None:
         async with rig({"s0": CacheBox(lambda head: None)}) as made:
             asking = asyncio.create_task(made.send(request("a")))
@@ -446,7 +446,7 @@
     run_async(test)
 
 
-def test_settings_load_without_any_of_the_optional_parts() -> None:
+def test_settings_load_without_any_of_the_optional_fields() -> None:
     assert (
         settings_of({}).parallel_attempts
         and settings_of({"services": [{"name": "x"}]}).classes[0].repeat == "unsafe"
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -55,7 +55,7 @@
     assert [ask(balancer, 9001.0, 20_000 + n, f"k{n}") for n in range(400)] == before
 
 
-def test_a_cold_server_takes_only_a_part_of_its_keys_and_none_of_others() -> None:
+def test_a_cold_server_gets_only_some_of_its_keys_and_none_of_others() -> None:
     servers = [Server(f"s{i}") for i in range(10)]
     warm = homes(make(servers, cold_start_capacity=0.2, cold_ms=10_000.0))
     servers[3] = Server("s3", started_ms=1.0)
@@ -66,7 +66,7 @@
     assert all(b == "s3" for a, b in zip(cold, warm, strict=True) if a == "s3")
 
 
-def test_a_cut_zone_is_left_alone_but_for_trials() -> None:
+def test_a_zone_that_is_cut_off_gets_only_probes() -> None:
     balancer = make([Server(f"s{i}", zone="ab"[i % 2]) for i in range(10)])
     far = {f"s{i}" for i in range(1, 10, 2)}
     lost = 0
@@ -80,7 +80,7 @@
     assert any(ask(balancer, 5000.0, 5000 + n, f"k{n}") in far for n in range(40))
 
 
-def test_strain_moves_some_keys_of_a_server_that_times_out() -> None:
+def test_the_load_penalty_moves_some_keys_of_a_server_that_times_out() -> None:
     balancer = make([Server(f"s{i}") for i in range(10)])
     before = homes(balancer)
     for _ in range(2):
@@ -90,7 +90,7 @@
     assert after.count("s3") < 0.6 * before.count("s3")
 
 
-def test_the_gate_shuts_by_time_outs_and_opens_again() -> None:
+def test_the_gate_closes_on_timeouts_and_opens_again() -> None:
     balancer = make([Server(f"s{i}", zone="a") for i in range(30)])
     for n in range(60):
         now = 1000.0 + 300.0 * n
@@ -108,7 +108,7 @@
     assert balancer.gate.admitted_share == 1.0
 
 
-def test_a_write_goes_to_a_quicker_kind_and_a_read_stays_home() -> None:
+def test_a_write_goes_to_a_faster_kind_and_a_read_to_its_home_server() -> None:
     balancer = make([Server(f"s{i}", kind="fq"[i % 2]) for i in range(10)])
     before = homes(balancer)
     for n, home in enumerate(before):
@@ -128,7 +128,7 @@
     assert [ask(balancer, 101.0, 60_000 + n, f"k{n}") for n in range(400)] == before
 
 
-def test_a_repeat_past_its_aim_goes_first_at_a_shut_gate_and_is_served_at_an_open_one() -> None:
+def test_a_late_repeat_is_served_by_an_open_gate_and_refused_first_by_a_closed_one() -> None:
     balancer = make([Server(f"s{i}") for i in range(10)])
     # 400 ms of the deadline of 1000 ms are left: 600 ms have passed, more than the aim of 300 ms.
     late = balancer.on_request(0.0, 1, "read", "k", 400.0, repeated=True)[0]
@@ -145,7 +145,7 @@
     assert first.count("attempt") > 40
 
 
-def test_strain_is_slight_where_all_servers_do_as_badly() -> None:
+def test_the_load_penalty_is_small_where_all_servers_time_out_alike() -> None:
     def moved(others_fail: bool) -> int:
         balancer = make([Server(f"s{i}") for i in range(10)])
         before = homes(balancer)
@@ -169,7 +169,7 @@
     assert moved(others_fail=True) < moved(others_fail=False)
 
 
-def test_time_outs_behind_a_cut_link_do_not_shut_the_gate() -> None:
+def test_timeouts_behind_a_cut_link_do_not_close_the_gate() -> None:
     balancer = make([Server(f"s{i}", zone="ab"[i % 2]) for i in range(30)])
     balancer.gate.failure_share = 0.5  # a high failure rate, so that a timeout may shut the gate
     shut = []
@@ -183,7 +183,7 @@
     assert len(shut) > 10 and shut[0] < 1.0 and shut[-1] == shut[MAX_UNANSWERED - 2]
 
 
-def test_a_few_time_outs_among_good_answers_do_not_shut_the_gate() -> None:
+def test_a_few_timeouts_among_successes_do_not_close_the_gate() -> None:
     balancer = make([Server(f"s{i}", zone="a") for i in range(30)])
     for n in range(600):
         now = 1000.0 + 300.0 * n
@@ -203,7 +203,7 @@
     assert balancer.gate.admitted_share == 1.0
 
 
-def test_a_busy_node_opens_its_gate_no_faster_than_a_quiet_one_while_much_goes_wrong() -> None:
+def test_a_busy_node_opens_its_gate_no_faster_than_a_quiet_one_at_a_high_failure_rate() -> None:
     def opened(requests: int) -> float:
         balancer = make([Server(f"s{i}", zone="a") for i in range(30)])
         for n in range(requests):
@@ -219,7 +219,7 @@
     assert opened(100) < opened(1000) + 0.1
 
 
-def test_writes_wait_while_the_origin_fails_and_go_on_when_misses_are_served_again() -> None:
+def test_writes_are_limited_while_the_origin_fails_until_misses_are_served_again() -> None:
     balancer = make([Server(f"s{i}") for i in range(10)])
     balancer.gate.hit_share = 50.0  # full caches: the gate has its own test
 
@@ -244,7 +244,7 @@
     assert written(3000) == 200
 
 
-def test_a_zone_that_is_silent_while_the_own_answers_is_left_but_for_trials() -> None:
+def test_an_unresponsive_zone_gets_only_probes_while_the_own_zone_responds() -> None:
     def far(own_answers: bool) -> int:
         balancer = make([Server(f"s{i}", zone="ab"[i % 2]) for i in range(10)])
         sent = 0
@@ -261,7 +261,7 @@
     assert far(False) > 40  # if no server responds at all, the zone is not cut off
 
 
-def test_the_gate_keeps_a_floor_while_hits_are_quick() -> None:
+def test_the_gate_has_a_higher_minimum_while_hits_are_fast() -> None:
     def shut(slow: float) -> float:
         balancer = make([Server(f"s{i}", zone="a") for i in range(10)])
         balancer.gate.failure_share, balancer.gate.slow_hit_share = 0.5, slow
@@ -281,7 +281,7 @@
     assert 0.09 < shut(0.5) < 0.11
 
 
-def test_time_outs_at_avoided_servers_shut_the_gate_only_while_hits_are_slow() -> None:
+def test_timeouts_at_avoided_servers_close_the_gate_only_while_hits_are_slow() -> None:
     def gate(slow: float) -> float:
         balancer = make([Server(f"s{i}", zone="a") for i in range(10)])
         balancer.gate.failure_share, balancer.gate.slow_hit_share = 0.5, slow
@@ -307,7 +307,7 @@
     assert gate(900.0) == 0.5
 
 
-def test_a_release_deals_homes_once_a_second_and_a_draining_server_gets_nothing_meanwhile() -> None:
+def test_placement_changes_once_a_second_and_a_draining_server_gets_no_requests_meanwhile() -> None:
     balancer = make([Server(f"s{i}") for i in range(10)])
     homes(balancer, now=5000.0)
     balancer.on_list(6000.0, "changes", [Server("s9", state="draining")])
@@ -325,7 +325,7 @@
     assert later == fresh
 
 
-def test_a_down_origin_behind_empty_caches_shuts_the_gate_and_gets_no_repeats() -> None:
+def test_a_failed_origin_behind_empty_caches_closes_the_gate_and_gets_no_retries() -> None:
     def play(hits: float) -> tuple[float, str]:
         balancer = make([Server(f"s{i}") for i in range(10)])
         balancer.gate.hit_share, last = hits, ""
@@ -344,7 +344,7 @@
     assert healthy.on_outcome(1020.0, 1, 0, False, "failure", server, 20.0)[0][0] == "attempt"
 
 
-def test_the_errors_of_one_server_shut_no_gate_for_the_others() -> None:
+def test_errors_of_one_server_do_not_close_the_gate_for_the_others() -> None:
     balancer = make([Server(f"s{i}") for i in range(10)])
     balancer.gate.hit_share = 0.2  # a low hit rate, so that the origin matters
     for n in range(600):
@@ -358,7 +358,7 @@
     assert balancer.gate.admitted_share == 1.0
 
 
-def test_what_a_part_of_the_fleet_turns_away_goes_to_the_rest() -> None:
+def test_requests_rejected_by_some_servers_go_to_the_others() -> None:
     balancer = make([Server(f"s{i}") for i in range(12)])
     served = 0
     for n in range(3000):
@@ -383,7 +383,7 @@
     assert served > 2800
 
 
-def test_a_time_out_of_a_likely_miss_strains_no_server_and_one_of_a_likely_hit_does() -> None:
+def test_a_timeout_raises_the_load_penalty_for_a_likely_hit_but_not_for_a_likely_miss() -> None:
     def strain(known: bool) -> float:
         balancer = make([Server(f"s{i}", zone="a") for i in range(10)])
         # Misses are served slowly; for quick ones see tests/forkweir/test_gate.py.
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -168,7 +168,7 @@
 
 @settings(max_examples=60, deadline=None, derandomize=True)
 @given(st.integers(0, 2**32))
-def test_random_legal_sequences_keep_the_rules(seed: int) -> None:
+def test_random_valid_event_sequences_break_no_rule(seed: int) -> None:
     World(seed).run(150)
 
 
@@ -176,14 +176,14 @@
     return lambda *_: value
 
 
-def test_checker_sees_a_repeat_that_is_not_allowed(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_checker_detects_a_repeat_that_is_not_allowed(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(Balancer, "_may_retry", always(True))
     with pytest.raises(BrokenRule):
         for seed in range(40):
             World(seed).run(150)
 
 
-def test_checker_sees_a_refusal_that_is_not_allowed(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_checker_detects_a_refusal_that_is_not_allowed(monkeypatch: pytest.MonkeyPatch) -> None:
     def refuse(self: Balancer, request: object, now: float) -> Action:
         request_id = cast(int, getattr(request, "id"))  # noqa: B009
         del self.held[request_id]
@@ -195,14 +195,14 @@
             World(seed).run(150)
 
 
-def test_checker_sees_a_lost_request(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_checker_detects_a_lost_request(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(Balancer, "_give_up", lambda self, request, now: ("log", "dropped"))
     with pytest.raises(BrokenRule, match="lost"):
         for seed in range(40):
             World(seed).run(150)
 
 
-def test_checker_sees_a_drain_ignored() -> None:
+def test_the_checker_detects_an_ignored_drain() -> None:
     world = World(3)
     for name in world.state:
         world.state[name] = "draining"  # the balancer is not notified, so it goes on sending
@@ -210,7 +210,7 @@
         world.run(60)
 
 
-def test_all_drained_list_gets_a_refusal() -> None:
+def test_requests_are_refused_where_every_listed_server_drains() -> None:
     balancer = Balancer(Settings(classes=CLASSES), 1)
     balancer.on_list(0.0, "full", [Server("a", state="draining")])
     assert balancer.on_request(1.0, 5, "read", "k", 100.0)[0][:2] == ("refuse", 5)
@@ -218,7 +218,7 @@
     assert empty.on_request(1.0, 5, "read", None, 100.0)[0][:2] == ("refuse", 5)
 
 
-def test_events_of_requests_no_longer_held_are_passed_over() -> None:
+def test_events_of_unknown_requests_are_ignored() -> None:
     balancer = Balancer(Settings(classes=CLASSES), 1)
     balancer.on_list(0.0, "full", [Server("a")])
     assert balancer.on_outcome(1.0, 9, 0, True, "success", "a", 1.0) == []
