--- a/tests/cli/test_check.py
+++ b/tests/cli/test_check.py
@@ -81,7 +81,7 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "wanted"),
+    ("text", "expected"),
     [
         ("format = 1\n", []),
         ("format = 1\n[demo]\nboxes = 4\n", []),
@@ -95,8 +95,8 @@
         ("format = ", [""]),
     ],
 )
-def test_faults_of_an_operators_file(tmp_path: Path, text: str, wanted: list[str]) -> None:
-    assert paths(tmp_path / "a.toml", text) == wanted
+def test_faults_of_an_operators_file(tmp_path: Path, text: str, expected: list[str]) -> None:
+    assert paths(tmp_path / "a.toml", text) == expected
 
 
 def test_a_fault_states_what_is_allowed() -> None:
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -35,10 +35,10 @@
     for line in text.splitlines():
         if not line.strip():
             continue
-        parts = [part.strip() for part in line.split(" | ")]
-        if len(parts) != 3 or not all(parts):
+        fields = [field.strip() for field in line.split(" | ")]
+        if len(fields) != 3 or not all(fields):
             raise ValueError(f"KNOWN-RED.txt: not `test | cause | issue`: {line!r}")
-        test, cause, issue = parts
+        test, cause, issue = fields
         known[test] = KnownFailure(
             f"{cause.removeprefix(INTERMITTENT_PREFIX)} ({issue})",
             cause.startswith(INTERMITTENT_PREFIX),
--- a/tests/test_address_book.py
+++ b/tests/test_address_book.py
@@ -55,7 +55,7 @@
         here = [
             (name, member) for name, member in members.items() if member.present or member.draining
         ]
-        kept = {
+        member_states = {
             name: (m.present, m.draining, m.info.zone, m.info.weight, m.listed_start_ms)
             for name, m in here
         }
@@ -64,7 +64,7 @@
         ]
         return {
             "listed": (listed,),
-            "members": (kept,),
+            "members": (member_states,),
             "placed": (placed, self.balancer.fleet.in_service_count),
         }
 
--- a/tests/test_bulk.py
+++ b/tests/test_bulk.py
@@ -36,7 +36,7 @@
         self.parts = first, second
         self.go = asyncio.Event()
         self.written = 0
-        self.left = asyncio.Event()
+        self.disconnected = asyncio.Event()
 
     async def serve(self, connection: Connection, request: Message) -> None:
         self.heads.append(request.target.encode())
@@ -45,7 +45,7 @@
             await self.go.wait()
             await self._write(connection, self.parts[1])
         except OSError:
-            self.left.set()
+            self.disconnected.set()
             raise
 
     async def _write(self, connection: Connection, data: bytes) -> None:
@@ -185,7 +185,7 @@
             writer.write(request("a"))
             await reader.readuntil(b"\r\n\r\n")
             writer.transport.abort()
-            await box.left.wait()
+            await box.disconnected.wait()
             await until_idle(made)
             assert made.pool.open == 0
 
@@ -329,8 +329,8 @@
         async with rig({"s0": CacheBox()}) as made:
             reader, writer = await asyncio.open_connection("127.0.0.1", made.port)
             data = put_head("a", f"Content-Length: {2 * MAX_BUFFERED_BODY_BYTES}\r\n")
-            for part in (data[:20], data[20:50], data[50:]):
-                writer.write(part)
+            for piece in (data[:20], data[20:50], data[50:]):
+                writer.write(piece)
                 await asyncio.sleep(0.7)
             for at in range(0, 2 * MAX_BUFFERED_BODY_BYTES, 16_384):
                 writer.write(BODY[at : at + 16_384])
@@ -432,11 +432,11 @@
     # Each side pauses at points drawn from the seed: no wake-up may be lost between two waits.
     async def test() -> None:
         rng = random.Random(seed)
-        relay, given, taken = BodyPipe(), [b"%d" % n for n in range(60)], []
+        relay, sent, received = BodyPipe(), [b"%d" % n for n in range(60)], []
         end = rng.choice(("end", "fail", "close"))
 
         async def write() -> bool:
-            for piece in given:
+            for piece in sent:
                 for _ in range(rng.randrange(3)):
                     await asyncio.sleep(0)
                 if not await relay.put(piece):
@@ -446,21 +446,21 @@
 
         async def read() -> bool:
             while (piece := await relay.get()) is not None:
-                taken.append(piece)
+                received.append(piece)
                 for _ in range(rng.randrange(3)):
                     await asyncio.sleep(0)
-                if end == "close" and len(taken) == 30:
+                if end == "close" and len(received) == 30:
                     relay.close()
                     return True
             return True
 
         wrote, got = await asyncio.gather(write(), read(), return_exceptions=True)
         if end == "close":
-            assert wrote is False and taken == given[:30]
+            assert wrote is False and received == sent[:30]
         else:
             assert (
                 wrote is True
-                and taken == given
+                and received == sent
                 and (isinstance(got, BodyAborted) if end == "fail" else got is True)
             )
 
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -71,17 +71,18 @@
 
 
 @pytest.mark.parametrize(
-    "part", [b"", b"GET /api/k HT", request("a", "Content-Length: 10\r\n", method="PUT") + b"half"]
+    "partial_request",
+    [b"", b"GET /api/k HT", request("a", "Content-Length: 10\r\n", method="PUT") + b"half"],
 )
-def test_a_client_that_stops_sending_is_closed_within_three_seconds(part: bytes) -> None:
+def test_a_client_that_stops_sending_is_closed_within_three_seconds(partial_request: bytes) -> None:
     # Clients that send nothing, or only a part of a request, must not hold descriptors.
     async def test() -> None:
         async with rig({"s0": CacheBox()}) as made:
             loop = asyncio.get_running_loop()
-            begun = loop.time()
-            answer = await made.send(part)
-            assert loop.time() - begun < 3.0
-            assert status(answer) == (408 if part else 0)
+            start = loop.time()
+            answer = await made.send(partial_request)
+            assert loop.time() - start < 3.0
+            assert status(answer) == (408 if partial_request else 0)
 
     run_async(test)
 
@@ -92,14 +93,14 @@
         async with rig({"s0": CacheBox()}) as made:
             loop = asyncio.get_running_loop()
             reader, writer = await asyncio.open_connection("127.0.0.1", made.port)
-            begun = loop.time()
+            start = loop.time()
             answer = asyncio.create_task(reader.read())
             for byte in request("slow") * 100:
                 if answer.done():
                     break
                 writer.write(bytes([byte]))
                 await asyncio.sleep(0.05)
-            assert status(await answer) in (0, 408) and loop.time() - begun < 4.0
+            assert status(await answer) in (0, 408) and loop.time() - start < 4.0
             writer.transport.abort()
 
     run_async(test)
@@ -189,21 +190,21 @@
     async def test() -> None:
         async with rig({"s0": CacheBox()}) as made:
             loop = asyncio.get_running_loop()
-            begun = loop.time()
-            kept = [await asyncio.open_connection("127.0.0.1", made.port) for _ in range(24)]
-            for n, (reader, writer) in enumerate(kept):
+            start = loop.time()
+            connections = [await asyncio.open_connection("127.0.0.1", made.port) for _ in range(24)]
+            for n, (reader, writer) in enumerate(connections):
                 writer.write(request(f"a{n}"))
                 assert status(await reader.readuntil(b"for /api/k")) == 200
             share = int(32 * MAX_IDLE_SHARE)
-            assert share < len(kept)
-            for reader, _ in kept[:-share]:
+            assert share < len(connections)
+            for reader, _ in connections[:-share]:
                 assert await reader.read() == b""
-            assert loop.time() - begun < IDLE_TIMEOUT_MS / 1000.0 * 0.8
+            assert loop.time() - start < IDLE_TIMEOUT_MS / 1000.0 * 0.8
             # The connections used last are still usable.
-            for n, (reader, writer) in enumerate(kept[-share:]):
+            for n, (reader, writer) in enumerate(connections[-share:]):
                 writer.write(request(f"b{n}"))
                 assert status(await reader.readuntil(b"for /api/k")) == 200
-            for _, writer in kept:
+            for _, writer in connections:
                 writer.transport.abort()
 
     run_async(test)
--- a/tests/test_customers.py
+++ b/tests/test_customers.py
@@ -286,12 +286,12 @@
             {"s0": CacheBox(lambda head: None), "s1": CacheBox(lambda head: None)}, options=options
         ) as made:
             balancer = made.node._balancer
-            asking = asyncio.create_task(made.ask("a", class_name="brisk"))
+            response_task = asyncio.create_task(made.ask("a", class_name="brisk"))
             await until(lambda: sum(len(box.heads) for box in made.boxes.values()) == 1)
             balancer.hedge_share, balancer.hedge_queue[:] = 0.5, [(0.0, 1)]
             made.node._on_timer(3)  # the attempt has been running for long
             assert len(made.node._running) == copies
-            asking.cancel()
+            response_task.cancel()
 
     run_async(lambda: test(False, 1))
     run_async(lambda: test(True, 2))
@@ -426,10 +426,10 @@
         schedule = ShutdownSchedule(1_000.0)
         schedule.accept_ms, schedule.answer_ms, schedule.exit_ms = 20.0, 100.0, 25_000.0
         async with rig({"s0": CacheBox(lambda head: None)}, shutdown_schedule=schedule) as made:
-            asking = asyncio.create_task(made.send(request("a")))
+            response_task = asyncio.create_task(made.send(request("a")))
             await until(lambda: bool(made.boxes["s0"].heads))
             await made.frontend.shut_down()
-            assert status(await asking) == 504
+            assert status(await response_task) == 504
 
     run_async(test)
 
@@ -437,11 +437,11 @@
 def test_the_id_of_an_open_request_is_rejected_however_long_it_is_open() -> None:
     async def test() -> None:
         async with rig({"s0": CacheBox(lambda head: None)}) as made:
-            asking = asyncio.create_task(made.send(request("a")))
+            response_task = asyncio.create_task(made.send(request("a")))
             await until(lambda: bool(made.boxes["s0"].heads))
             made.node._recent_ids[b"a"] -= 60_000.0  # as if forgotten, by age or by number
             assert status(await made.ask("a")) == 409
-            asking.cancel()
+            response_task.cancel()
 
     run_async(test)
 
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -103,7 +103,7 @@
     monkeypatch.setattr(discovery, "PARALLEL_CALL_DELAY_S", 0.1)
     monkeypatch.setattr(discovery, "CALL_TIMEOUT_S", 0.1 * discovery.MAX_PENDING_CALLS)
     closed_early = 0
-    open_now = most_open = calls_made = 0
+    open_now = max_open = calls_made = 0
 
     class RecordingNode:
         def __init__(self) -> None:
@@ -114,11 +114,11 @@
             self.forms.append(form)
 
     async def answer(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        nonlocal closed_early, open_now, most_open, calls_made
+        nonlocal closed_early, open_now, max_open, calls_made
         await reader.readuntil(b"\r\n\r\n")
         calls_made += 1
         open_now += 1
-        most_open = max(most_open, open_now)
+        max_open = max(max_open, open_now)
         end = asyncio.create_task(reader.read())
         await asyncio.wait([end], timeout=answer_delay_s)  # while other nodes are answered
         if end.done():
@@ -156,7 +156,7 @@
             await until(lambda: calls_made >= calls)
             assert node.forms == [] and closed_early >= calls - discovery.MAX_PENDING_CALLS - 1
         # The server may see the end of the cancelled call a moment later.
-        assert most_open <= discovery.MAX_PENDING_CALLS + 1
+        assert max_open <= discovery.MAX_PENDING_CALLS + 1
         for task in client._calls.values():
             task.cancel()
 
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -172,15 +172,19 @@
 def test_timeouts_behind_a_cut_link_do_not_close_the_gate() -> None:
     balancer = make([Server(f"s{i}", zone="ab"[i % 2]) for i in range(30)])
     balancer.gate.failure_share = 0.5  # a high failure rate, so that a timeout may shut the gate
-    shut = []
+    admitted_shares = []
     for n in range(60):
         now = 1000.0 + 300.0 * n
         action = balancer.on_request(now, n, "read", f"k{n}", 1000.0)[0]
         if action[0] == "attempt" and int(str(action[2])[1:]) % 2:
             balancer.on_outcome(now, n, 0, False, "timed_out", str(action[2]), 300.0)
-            shut.append(balancer.gate.admitted_share)
+            admitted_shares.append(balancer.gate.admitted_share)
     # Only the first few timeouts count, until the zone is known to be unresponsive.
-    assert len(shut) > 10 and shut[0] < 1.0 and shut[-1] == shut[MAX_UNANSWERED - 2]
+    assert (
+        len(admitted_shares) > 10
+        and admitted_shares[0] < 1.0
+        and admitted_shares[-1] == admitted_shares[MAX_UNANSWERED - 2]
+    )
 
 
 def test_a_few_timeouts_among_successes_do_not_close_the_gate() -> None:
@@ -223,11 +227,11 @@
     balancer = make([Server(f"s{i}") for i in range(10)])
     balancer.gate.hit_share = 50.0  # full caches: the gate has its own test
 
-    def misses(first: int, status: str, took: float) -> None:
+    def misses(first: int, status: str, latency_ms: float) -> None:
         for n in range(first, first + 40):
             balancer.fetches.limiting = False  # the origin's budget has tests of its own
             server = ask(balancer, float(n), n, f"k{n}")
-            balancer.on_outcome(float(n), n, 0, True, status, server, took, 2)
+            balancer.on_outcome(float(n), n, 0, True, status, server, latency_ms, 2)
 
     def written(first: int) -> int:
         balancer.fetches.limiting = False
@@ -262,7 +266,7 @@
 
 
 def test_the_gate_has_a_higher_minimum_while_hits_are_fast() -> None:
-    def shut(slow: float) -> float:
+    def admitted_share(slow: float) -> float:
         balancer = make([Server(f"s{i}", zone="a") for i in range(10)])
         balancer.gate.failure_share, balancer.gate.slow_hit_share = 0.5, slow
         for n in range(2000):
@@ -277,8 +281,8 @@
         return balancer.gate.admitted_share
 
     # The floor of docs/cold-and-full.md: a floor of 0.4 refused requests that warm caches serve.
-    assert 0.59 < shut(0.0) < 0.61
-    assert 0.09 < shut(0.5) < 0.11
+    assert 0.59 < admitted_share(0.0) < 0.61
+    assert 0.09 < admitted_share(0.5) < 0.11
 
 
 def test_timeouts_at_avoided_servers_close_the_gate_only_while_hits_are_slow() -> None:
@@ -313,10 +317,10 @@
     balancer.on_list(6000.0, "changes", [Server("s9", state="draining")])
     before = homes(balancer, now=6000.0)
     assert "s9" not in before
-    dealt = balancer.fleet.placement
+    placement = balancer.fleet.placement
     balancer.on_list(6100.0, "changes", [Server("s3", state="draining"), Server("s10")])
     soon = homes(balancer, now=6200.0)
-    assert dealt is not None and balancer.fleet.placement is dealt
+    assert placement is not None and balancer.fleet.placement is placement
     assert "s3" not in soon and "s10" not in soon
     assert all(a == b for a, b in zip(soon, before, strict=True) if b != "s3")
     later = homes(balancer, now=7100.0)
@@ -326,7 +330,7 @@
 
 
 def test_a_failed_origin_behind_empty_caches_closes_the_gate_and_gets_no_retries() -> None:
-    def play(hits: float) -> tuple[float, str]:
+    def run_origin_failures(hits: float) -> tuple[float, str]:
         balancer = make([Server(f"s{i}") for i in range(10)])
         balancer.gate.hit_share, last = hits, ""
         for n in range(60):
@@ -337,8 +341,8 @@
                 )
         return balancer.gate.admitted_share, last
 
-    assert play(hits=0.2) == (0.1, "refuse")
-    assert play(hits=50.0) == (1.0, "refuse")
+    assert run_origin_failures(hits=0.2) == (0.1, "refuse")
+    assert run_origin_failures(hits=50.0) == (1.0, "refuse")
     healthy = make([Server(f"s{i}") for i in range(10)])
     server = ask(healthy, 1000.0, 1, "k")
     assert healthy.on_outcome(1020.0, 1, 0, False, "failure", server, 20.0)[0][0] == "attempt"
@@ -384,7 +388,7 @@
 
 
 def test_a_timeout_raises_the_load_penalty_for_a_likely_hit_but_not_for_a_likely_miss() -> None:
-    def strain(known: bool) -> float:
+    def load_penalty_after_timeout(known: bool) -> float:
         balancer = make([Server(f"s{i}", zone="a") for i in range(10)])
         # Misses are served slowly; for quick ones see tests/forkweir/test_gate.py.
         balancer.gate.origin_slowness = 0.95 * ORIGIN_SLOW_LEVEL
@@ -399,7 +403,7 @@
         balancer.on_outcome(1330.0, 2, 0, False, "timed_out", server, 300.0)
         return balancer.fleet.members[server].load_penalty
 
-    assert strain(True) > 10.0 * strain(False) > 0.0
+    assert load_penalty_after_timeout(True) > 10.0 * load_penalty_after_timeout(False) > 0.0
 
 
 def test_full_queues_close_the_gate_below_its_fast_hit_minimum_higher_values_last() -> None:
--- a/tests/test_listing.py
+++ b/tests/test_listing.py
@@ -85,16 +85,16 @@
         got += lines.receive(body[at:cut])
         unconfirmed += lines.unconfirmed_entries()
         at = cut
-    *complete, part = body.split(b"\n")
-    assert got == [text.strip() for text in complete] and lines.partial_line() == part
-    assert lines.unfinished == bool(part)
-    wanted = [
+    *complete, partial = body.split(b"\n")
+    assert got == [text.strip() for text in complete] and lines.partial_line() == partial
+    assert lines.unfinished == bool(partial)
+    expected = [
         found_entry
-        for found_entry in unconfirmed_entries(part)
+        for found_entry in unconfirmed_entries(partial)
         if found_entry.server.state != "unreadable"
     ]
     # Earlier ones are of lines that were completed later.
-    assert wanted == unconfirmed[len(unconfirmed) - len(wanted) :]
+    assert expected == unconfirmed[len(unconfirmed) - len(expected) :]
 
 
 @given(st.binary(max_size=400), st.integers(0, len(TEXT)), st.integers(0, len(TEXT)))
@@ -173,10 +173,10 @@
     lists: list[tuple[int, int | str, int]], cuts: list[int], end: str
 ) -> None:
     text = b""
-    wanted: list[dict[str, object] | None] = []
+    expected: list[dict[str, object] | None] = []
     for size, indent, empty_rows in lists:
         data = {
-            "generation": len(wanted),
+            "generation": len(expected),
             "reset": False,
             "instances": [entry(n) for n in range(size)],
             "note": '} ], {" \\',
@@ -186,12 +186,12 @@
         else:
             rows = json.dumps(data, indent=indent or None)
         text += (rows + "\n" + "\n" * empty_rows).replace("\n", end).encode()
-        wanted += [data, *[None] * empty_rows]
+        expected += [data, *[None] * empty_rows]
     lines, parser, at = [], LineParser(), 0
     for cut in [*cuts, len(text)]:
         lines += parser.receive(text[at : at + cut])
         at += cut
-    assert [json.loads(one) if one else None for one in lines] == wanted
+    assert [json.loads(one) if one else None for one in lines] == expected
     assert not parser.unfinished
 
 
--- a/tests/test_narrow_moments.py
+++ b/tests/test_narrow_moments.py
@@ -47,10 +47,10 @@
 
 async def send_partial_request(made: Rig) -> tuple[Any, bytes]:
     """A client whose request the node has read in part, and the rest of that request."""
-    whole_request = request("a")
-    sock = client(made, whole_request[:40])
+    complete_request = request("a")
+    sock = client(made, complete_request[:40])
     await until(lambda: any(connection.partial for connection in made.frontend._connections))
-    return sock, whole_request[40:]
+    return sock, complete_request[40:]
 
 
 def test_eviction_spares_a_partial_request_whose_rest_is_in_the_kernel() -> None:
--- a/tests/test_replay.py
+++ b/tests/test_replay.py
@@ -57,7 +57,7 @@
         seed,
     )
     digest, order = blake2b(digest_size=8), count()
-    due: list[tuple[float, int, str, tuple[object, ...]]] = []
+    pending_events: list[tuple[float, int, str, tuple[object, ...]]] = []
     servers = {
         f"s{n}": Server(f"s{n}", f"z{n % 4}", f"k{n % 2}", n % 3, "in", 0.5 + n % 3)
         for n in range(14)
@@ -73,30 +73,30 @@
                     attempt = open_requests[request]
                     open_requests[request] = attempt + 1
                     status = "success" if rng.random() < success_share else rng.choice(STATUSES)
-                    took = (
+                    latency_ms = (
                         within if status == "timed_out" else min(within, rng.expovariate(1 / 120.0))
                     )
                     heappush(
-                        due,
+                        pending_events,
                         (
-                            now + took,
+                            now + latency_ms,
                             next(order),
                             "outcome",
-                            (request, attempt, status, server, took),
+                            (request, attempt, status, server, latency_ms),
                         ),
                     )
                 case ("timer", int(token), float(at)):
-                    heappush(due, (max(now, at), next(order), "timer", (token,)))
+                    heappush(pending_events, (max(now, at), next(order), "timer", (token,)))
                 case ("refuse", int(request), _) | ("fail", int(request)):
                     del open_requests[request]
 
     apply_actions(list(balancer.on_list(now, "saved", servers.values())))
     for n in range(4_000):
-        heappush(due, (1_000.0 + 3.0 * n, next(order), "request", (n,)))
+        heappush(pending_events, (1_000.0 + 3.0 * n, next(order), "request", (n,)))
     for n in range(40):
-        heappush(due, (1_300.0 + 290.0 * n, next(order), "list", (n,)))
-    while due:
-        now, _, kind, args = heappop(due)
+        heappush(pending_events, (1_300.0 + 290.0 * n, next(order), "list", (n,)))
+    while pending_events:
+        now, _, kind, args = heappop(pending_events)
         if kind == "request":
             number = int(str(args[0]))
             spec = CLASSES[0] if rng.random() < 0.8 else rng.choice(CLASSES)
@@ -119,8 +119,12 @@
                 )
             )
         elif kind == "outcome":
-            request, attempt, status, server, took = args
-            assert isinstance(request, int) and isinstance(attempt, int) and isinstance(took, float)
+            request, attempt, status, server, latency_ms = args
+            assert (
+                isinstance(request, int)
+                and isinstance(attempt, int)
+                and isinstance(latency_ms, float)
+            )
             finished = request not in open_requests
             if not finished and rng.random() < 0.01:
                 del open_requests[request]
@@ -139,13 +143,13 @@
                         finished,
                         str(status),
                         str(server),
-                        took,
+                        latency_ms,
                         cache_result,
                     )
                 )
             )
         elif kind == "timer":
-            if len(due) > 1 or args[0] == 3:
+            if len(pending_events) > 1 or args[0] == 3:
                 apply_actions(list(balancer.on_timer(now, int(str(args[0])))))
         else:
             name = f"s{rng.randrange(16)}"
--- a/tests/test_rooms.py
+++ b/tests/test_rooms.py
@@ -59,10 +59,10 @@
             elif other in stack:
                 low[name] = min(low[name], index[other])
         if low[name] == index[name]:
-            part = stack[stack.index(name) :]
+            component = stack[stack.index(name) :]
             del stack[stack.index(name) :]
-            if len(part) > 1:
-                found.append(sorted(part))
+            if len(component) > 1:
+                found.append(sorted(component))
 
     for name in sorted(graph):
         if name not in index:
