--- a/tests/admin/test_admin.py
+++ b/tests/admin/test_admin.py
@@ -209,7 +209,7 @@
 
 def test_a_drain_closes_every_connection_within_two_seconds_and_resume_accepts_clients() -> None:
     # No client may stay connected to a node that is taken out for maintenance, and none may lose
-    # a request that it has begun.
+    # a request in progress.
     async def test() -> None:
         release = asyncio.Event()
 
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -75,7 +75,7 @@
     [b"", b"GET /api/k HT", request("a", "Content-Length: 10\r\n", method="PUT") + b"half"],
 )
 def test_a_client_that_stops_sending_is_closed_within_three_seconds(partial_request: bytes) -> None:
-    # Clients that send nothing, or only a part of a request, must not hold descriptors.
+    # Clients that send nothing, or an incomplete request, must not hold descriptors.
     async def test() -> None:
         async with rig({"s0": CacheBox()}) as made:
             loop = asyncio.get_running_loop()
@@ -151,7 +151,7 @@
 
 
 def test_sockets_and_state_are_released_after_churn() -> None:
-    # Nothing kept for each request, connection or id may leak.
+    # State of requests, connections and ids must not leak.
     async def test() -> None:
         slow = CacheBox(lambda head: None if b"/never" in head else default_answer(head))
         async with rig({"s0": slow, "s1": CacheBox()}) as made:
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -60,7 +60,7 @@
     warm = homes(make(servers, cold_start_capacity=0.2, cold_ms=10_000.0))
     servers[3] = Server("s3", started_ms=1.0)
     balancer = make(servers, cold_start_capacity=0.2, cold_ms=10_000.0)
-    # One request per ms: a cold server's allowance grows with time.
+    # One request per ms: a cold server's token bucket refills over time.
     cold = [ask(balancer, 2.0 + n, 10_000 + n, f"k{n}") for n in range(400)]
     assert 0 < cold.count("s3") < 0.5 * warm.count("s3")
     assert all(b == "s3" for a, b in zip(cold, warm, strict=True) if a == "s3")
@@ -171,7 +171,7 @@
 
 def test_timeouts_behind_a_cut_link_do_not_close_the_gate() -> None:
     balancer = make([Server(f"s{i}", zone="ab"[i % 2]) for i in range(30)])
-    balancer.gate.failure_share = 0.5  # a high failure rate, so that a timeout may shut the gate
+    balancer.gate.failure_share = 0.5  # a high failure rate, so that a timeout may close the gate
     admitted_shares = []
     for n in range(60):
         now = 1000.0 + 300.0 * n
@@ -280,7 +280,7 @@
                 )
         return balancer.gate.admitted_share
 
-    # The floor of docs/cold-and-full.md: a floor of 0.4 refused requests that warm caches serve.
+    # The minimum of docs/cold-and-full.md: one of 0.4 refused requests that warm caches serve.
     assert 0.59 < admitted_share(0.0) < 0.61
     assert 0.09 < admitted_share(0.5) < 0.11
 
@@ -390,7 +390,7 @@
 def test_a_timeout_raises_the_load_penalty_for_a_likely_hit_but_not_for_a_likely_miss() -> None:
     def load_penalty_after_timeout(known: bool) -> float:
         balancer = make([Server(f"s{i}", zone="a") for i in range(10)])
-        # Misses are served slowly; for quick ones see tests/forkweir/test_gate.py.
+        # Misses are served slowly; for fast ones see tests/forkweir/test_gate.py.
         balancer.gate.origin_slowness = 0.95 * ORIGIN_SLOW_LEVEL
         server = ask(balancer, 1000.0, 1, "k")
         if known:
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,4 @@
-"""The four rules, asserted on the balancer's actions for random legal sequences of events.
+"""The four rules, asserted on the balancer's actions for random valid sequences of events.
 
 The checker is tested too: deliberately wrong decisions must make it fail.
 """
