--- a/tests/admin/test_admin.py
+++ b/tests/admin/test_admin.py
@@ -100,19 +100,19 @@
 
         box, dead = CacheBox(slow), CacheBox()
         async with admin_fixture({"s1": box, "s2": dead}) as fixture:
-            asks = [
+            tasks = [
                 asyncio.create_task(fixture.rig.ask(f"t{n}", path=f"/api/k{n}", class_name="order"))
                 for n in range(8)
             ]
             await until(
                 lambda: (
-                    fixture.rig.node.open + sum(ask.done() for ask in asks) == 8
+                    fixture.rig.node.open + sum(task.done() for task in tasks) == 8
                     and len(box.heads) > 0
                 )
             )
             assert (await fixture.figures())["svc.active"] == fixture.rig.node.open > 0
             release.set()
-            await asyncio.gather(*asks)
+            await asyncio.gather(*tasks)
             dead.close()  # connections to it are refused from now on, so it will be avoided
             n = 0
             while (await fixture.figures())["svc.pool_ejected"] == 0:
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -132,7 +132,7 @@
     def __init__(self, boxes: dict[str, CacheBox]) -> None:
         super().__init__(("127.0.0.1", 0), emulators.ServerObserver())
         self.boxes = boxes
-        self.asked: list[str] = []  # the targets of requests
+        self.requested_targets: list[str] = []
 
     @property
     def port(self) -> int:
@@ -147,7 +147,7 @@
         await until(lambda: not self.watches)
 
     async def serve(self, connection: Connection, request: Message) -> None:
-        self.asked.append(request.target)
+        self.requested_targets.append(request.target)
         await super().serve(connection, request)
 
 
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -132,9 +132,9 @@
     async def test() -> None:
         box = CacheBox(lambda head: b"HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\nhalf")
         async with rig({"s0": box}) as made:
-            asked = asyncio.create_task(made.ask("a"))
+            response_task = asyncio.create_task(made.ask("a"))
             await until(lambda: len(box.heads) == 1)
-            asked.cancel()
+            response_task.cancel()
             await until(lambda: not made.node._attempts and not made.frontend._connections)
             assert made.pool.open == 0 and not made.node._balancer.held
 
--- a/tests/test_bulk.py
+++ b/tests/test_bulk.py
@@ -126,7 +126,7 @@
     async def test() -> None:
         box = TwoPartServer(sized(BODY)[:300_000], b"")
         async with rig({"s0": box, "s1": TwoPartServer(sized(BODY)[:300_000], b"")}) as made:
-            asked = asyncio.create_task(made.ask("a"))
+            response_task = asyncio.create_task(made.ask("a"))
             boxes = list(made.boxes.values())
             await until(
                 lambda: (
@@ -137,7 +137,7 @@
             )
             for each in boxes:
                 each.close()
-            answer = await asked
+            answer = await response_task
             assert len(answer.partition(b"\r\n\r\n")[2]) < len(BODY)
             await until_idle(made)
             assert sum(len(each.heads) for each in boxes) == 1 and made.metrics.responses[
@@ -418,11 +418,11 @@
         truncated = iter([ok_response(b"x" * 5_000)[:-10]])
         box = CacheBox(lambda head: next(truncated, None) or default_answer(head))
         async with rig({"s0": box}) as made:
-            asked = asyncio.create_task(made.ask("a"))
+            response_task = asyncio.create_task(made.ask("a"))
             await until(lambda: len(box.heads) == 1)
             for connection in list(box.connections):
                 connection.stream.close()
-            assert (await asked).endswith(b"for /api/k") and len(box.heads) == 2
+            assert (await response_task).endswith(b"for /api/k") and len(box.heads) == 2
 
     run_async(test)
 
@@ -454,14 +454,14 @@
                     return True
             return True
 
-        wrote, got = await asyncio.gather(write(), read(), return_exceptions=True)
+        write_result, read_result = await asyncio.gather(write(), read(), return_exceptions=True)
         if end == "close":
-            assert wrote is False and received == sent[:30]
+            assert write_result is False and received == sent[:30]
         else:
             assert (
-                wrote is True
+                write_result is True
                 and received == sent
-                and (isinstance(got, BodyAborted) if end == "fail" else got is True)
+                and (isinstance(read_result, BodyAborted) if end == "fail" else read_result is True)
             )
 
     run_async(test)
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -156,16 +156,16 @@
         slow = CacheBox(lambda head: None if b"/never" in head else default_answer(head))
         async with rig({"s0": slow, "s1": CacheBox()}) as made:
             for lap in range(10):
-                jobs = [
+                tasks = [
                     asyncio.create_task(made.ask(f"{lap}-{n}", path=f"/api/{n}")) for n in range(20)
                 ]
-                gone = [
+                cancelled_tasks = [
                     asyncio.create_task(made.ask(f"{lap}-{n}-gone", path="/api/never"))
                     for n in range(5)
                 ]
-                assert {status(answer) for answer in await asyncio.gather(*jobs)} == {200}
-                for job in gone:
-                    job.cancel()
+                assert {status(answer) for answer in await asyncio.gather(*tasks)} == {200}
+                for task in cancelled_tasks:
+                    task.cancel()
             node, frontend = made.node, made.frontend
             await until(lambda: not frontend._connections)
             await until(lambda: not node._running)
--- a/tests/test_customers.py
+++ b/tests/test_customers.py
@@ -331,7 +331,7 @@
         discovery_server.silent = True
         service = push_service(discovery_server, known)
         running = asyncio.create_task(service.run())
-        await until(lambda: bool(discovery_server.asked))
+        await until(lambda: bool(discovery_server.requested_targets))
         assert not service.frontend.started
         discovery_server.silent = False
         await until(lambda: service.frontend.started)
@@ -351,9 +351,9 @@
         )
         assert len(boxes["s0"].heads) == 1
         # A watch that ends is opened again at once: the agent may have changes to send.
-        calls = len(discovery_server.asked)
+        call_count = len(discovery_server.requested_targets)
         discovery_server.drop_watches()
-        await until(lambda: len(discovery_server.asked) > calls)
+        await until(lambda: len(discovery_server.requested_targets) > call_count)
         service.stop()
         await running
         await discovery_server.stop()
@@ -381,7 +381,7 @@
         discovery_server.silent = True
         service = push_service(discovery_server, [])
         running = asyncio.create_task(service.run())
-        await until(lambda: bool(discovery_server.asked))
+        await until(lambda: bool(discovery_server.requested_targets))
         service.reload()  # a SIGHUP before the node is ready makes no difference
         service.stop()
         await running
@@ -468,8 +468,8 @@
         # The SIGHUP for this change came before the node handled signals.
         path.write_bytes(orjson.dumps({**text, "discovery": f"127.0.0.1:{new.port}"}))
         running = asyncio.create_task(service.run())
-        await until(lambda: bool(new.asked))
-        assert old.asked == []
+        await until(lambda: bool(new.requested_targets))
+        assert old.requested_targets == []
         service.stop()
         await running
         for discovery_server in (old, new):
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -74,7 +74,7 @@
             made.discovery_server.publish_raw(text)
             await until(lambda: "s1" in made.node.servers)
             assert sorted(made.node.servers) == ["s0", "s1"]
-            assert len(made.discovery_server.asked) == 1
+            assert len(made.discovery_server.requested_targets) == 1
             info = made.node._balancer.fleet.members["s1"].info
             assert info.weight <= 1000.0 and info.started_ms < 9e15
 
@@ -168,7 +168,7 @@
     # or row by row.
     async def test() -> None:
         async with rig({"s0": CacheBox()}) as made:
-            calls = len(made.discovery_server.asked)
+            calls = len(made.discovery_server.requested_targets)
             for n, together in enumerate((True, True, False)):
                 one = json.dumps(entry(f"x{n}", 1000 + n))
                 text = (
@@ -186,7 +186,7 @@
                     await asyncio.sleep(0)
                 await until(lambda: f"x{n}" in made.node.servers)  # noqa: B023
             assert (
-                len(made.discovery_server.asked) == calls
+                len(made.discovery_server.requested_targets) == calls
             )  # nothing was lost, and no new call was made
             last = {
                 "generation": 9,
--- a/tests/test_loop_lag.py
+++ b/tests/test_loop_lag.py
@@ -93,7 +93,7 @@
     run_async(test)
 
 
-def sent(made: Rig, data: bytes) -> socket.socket:
+def open_client(made: Rig, data: bytes) -> socket.socket:
     """A plain client that has sent these bytes; the kernel accepts it without the loop."""
     sock = socket.create_connection(("127.0.0.1", made.port))
     sock.sendall(data)
@@ -101,7 +101,7 @@
     return sock
 
 
-async def answered(sock: socket.socket) -> int:
+async def read_status(sock: socket.socket) -> int:
     answer = await asyncio.get_running_loop().sock_recv(sock, 65_536)
     sock.close()
     return status(answer)
@@ -132,12 +132,13 @@
             made.loop_lag.start()
             assert status(await made.ask("first")) == 200
             await asyncio.sleep(0.15)
-            asked = [
-                sent(made, request(f"held{budget}", within_ms=budget)) for budget in (400, 5_000)
+            clients = [
+                open_client(made, request(f"held{budget}", within_ms=budget))
+                for budget in (400, 5_000)
             ]
             before = len(box.heads)
             stall(0.7)
-            assert await asyncio.gather(*map(answered, asked)) == [503, 200]
+            assert await asyncio.gather(*map(read_status, clients)) == [503, 200]
             assert (
                 made.metrics.refusals["late"] + made.metrics.refusals["behind"] == 1
                 and len(box.heads) == before + 1
@@ -164,11 +165,11 @@
             await asyncio.sleep(0.2)
             before = len(boxes["s0"].heads)
             assert before and boxes["s1"].heads
-            asked = [sent(made, request(f"held{n}", path=f"/api/{n}")) for n in range(20)]
+            clients = [open_client(made, request(f"held{n}", path=f"/api/{n}")) for n in range(20)]
             write_drain(made, "s0")
             written_ms = now_ms()
             stall(stall_s)
-            assert set(await asyncio.gather(*map(answered, asked))) == {200}
+            assert set(await asyncio.gather(*map(read_status, clients))) == {200}
             leaving_ms = made.node.servers["s0"].leaving_ms
             assert leaving_ms is not None and leaving_ms <= written_ms
             assert len(boxes["s0"].heads) == before
@@ -235,13 +236,13 @@
         async with rig({"s0": box}) as made:
             made.loop_lag.start()
             await asyncio.sleep(0.1)
-            asked = asyncio.create_task(made.ask("held"))
+            response_task = asyncio.create_task(made.ask("held"))
             while not made.node._running:
                 await asyncio.sleep(0.0)
             attempt = next(iter(made.node._running.values()))
             stall(0.6)
             assert attempt.elapsed_ms < 200.0
-            assert status(await asked) == 200
+            assert status(await response_task) == 200
             made.loop_lag.close()
 
     run_async(test)
--- a/tests/test_lost_lines.py
+++ b/tests/test_lost_lines.py
@@ -78,9 +78,9 @@
         async with rig(boxes()) as made:
             use_slow_polling(made)
             made.discovery_server.mute = True
-            asked, at = len(made.discovery_server.asked), now_ms()
+            call_count, at = len(made.discovery_server.requested_targets), now_ms()
             made.discovery_server.publish_raw(b"no list\n")
-            await until(lambda: len(made.discovery_server.asked) > asked)
+            await until(lambda: len(made.discovery_server.requested_targets) > call_count)
             assert now_ms() - at < WAIT_MS
             made.discovery_server.update(draining_entry(made, "s2"), "terminating")
             await until(lambda: "s2" not in serving(made))
@@ -143,7 +143,7 @@
             new.mute = True
             new.start()
             made.discovery.move(("127.0.0.1", new.port))
-            await until(lambda: len(new.asked) == 1)
+            await until(lambda: len(new.requested_targets) == 1)
             made.discovery_server.publish([draining_entry(made, "s0"), entry("s9", 9)])
             await until(lambda: "s0" not in serving(made))
             assert "s9" not in made.node.servers and len(made.discovery_server.watches) == 1
@@ -157,7 +157,10 @@
         async with rig(boxes()) as made:
             use_slow_polling(made)
             await asyncio.sleep(0.31)  # a node would have made its first call by now
-            asked, begin = len(made.discovery_server.asked), asyncio.get_running_loop().time()
+            call_count, begin = (
+                len(made.discovery_server.requested_targets),
+                asyncio.get_running_loop().time(),
+            )
 
             async def corrupt() -> None:
                 while True:
@@ -166,7 +169,7 @@
 
             corrupting = asyncio.create_task(corrupt())
             # The third call waits the ordinary pause.
-            await until(lambda: len(made.discovery_server.asked) > asked + 2)
+            await until(lambda: len(made.discovery_server.requested_targets) > call_count + 2)
             assert asyncio.get_running_loop().time() - begin > WAIT_MS / 1000.0
             corrupting.cancel()
             await until(lambda: len(made.discovery._retiring) <= discovery.MAX_RETIRING)
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -180,8 +180,8 @@
             process.config["discovery"] = f"127.0.0.1:{moved.port}"
             process.write()
             process.process.send_signal(signal.SIGHUP)
-            await until(lambda: len(moved.asked) == 1)
-            assert "after=" not in moved.asked[0]
+            await until(lambda: len(moved.requested_targets) == 1)
+            assert "after=" not in moved.requested_targets[0]
             await discovery_server.stop()
             before, n = len(fresh.heads), 0
             while len(fresh.heads) == before:
@@ -206,7 +206,7 @@
             await until(lambda: len(process.log) > before)
             assert status(await process.ask("after")) == 200
             assert len(process.log) == before + 1 and "stays in force" in process.log[-1]
-            assert len(discovery_server.asked) == 1
+            assert len(discovery_server.requested_targets) == 1
 
     run_async(test)
 
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -238,12 +238,14 @@
     async def test() -> None:
         box = CacheBox(lambda head: slow(head))
         async with shimmed(tmp_path, library, box) as (process, _, shim):
-            asked = [asyncio.create_task(process.ask(f"a{n}", path=f"/slow/{n}")) for n in range(8)]
+            response_tasks = [
+                asyncio.create_task(process.ask(f"a{n}", path=f"/slow/{n}")) for n in range(8)
+            ]
             await until(lambda: len(box.heads) >= 8)
             shim.fail(call, errno.ENOBUFS)
             process.process.send_signal(signal.SIGTERM)
             asyncio.get_running_loop().call_later(0.25, shim.restore, call)
-            assert [status(answer) for answer in await asyncio.gather(*asked)] == [200] * 8
+            assert [status(answer) for answer in await asyncio.gather(*response_tasks)] == [200] * 8
             assert await process.process.wait() == 0
 
     async def slow(head: bytes) -> bytes:
@@ -366,14 +368,17 @@
                 b"X-Remaining-Ms: 20000", b"X-Remaining-Ms: 300"
             )
             sent_ms = now_ms()
-            asked = [
+            response_tasks = [
                 asyncio.create_task(process.send(data)),
                 asyncio.create_task(process.send(late)),
             ]
             await until(lambda: shim.failure_count(SystemCall.ACCEPT) > 0)
             await asyncio.sleep(0.6)
             shim.restore(SystemCall.ACCEPT)
-            assert [status(answer) for answer in await asyncio.gather(*asked)] == [200, 503]
+            assert [status(answer) for answer in await asyncio.gather(*response_tasks)] == [
+                200,
+                503,
+            ]
             ((at_ms, sent_deadline_ms),) = (
                 arrived  # no attempt for the client whose deadline had passed
             )
