--- a/tests/test_customers.py
+++ b/tests/test_customers.py
@@ -17,7 +17,7 @@
 from loopback import (
     OPTIONS,
     CacheBox,
-    Registry,
+    ScriptedDiscovery,
     entry,
     options_of,
     request,
@@ -122,7 +122,7 @@
 
 
 @pytest.mark.parametrize("path", SITES, ids=lambda path: path.stem)
-def test_a_site_is_in_force_as_it_is_stated(path: Path) -> None:
+def test_the_settings_of_a_site_take_effect_as_stated(path: Path) -> None:
     site = tomllib.loads(path.read_text())
     options = node_settings(site)
     config = configured(options, limits={"cores": 1.0, "memory_mb": 90, "sockets": 300})
@@ -200,7 +200,7 @@
 
 
 @pytest.mark.parametrize("path", SITES, ids=lambda path: path.stem)
-def test_a_site_is_far_from_accra(path: Path) -> None:
+def test_the_values_of_a_site_differ_from_those_of_accra(path: Path) -> None:
     # A value that both deployments share would prove nothing.
     site = tomllib.loads(path.read_text())
     assert not set(ACCRA) & {
@@ -226,7 +226,7 @@
     )
 
 
-def test_no_name_of_a_deployment_stands_in_the_program_or_its_deploy_file() -> None:
+def test_the_program_and_its_deploy_file_contain_no_name_of_a_deployment() -> None:
     names = [*ACCRA]
     for path in SITES:
         site = tomllib.loads(path.read_text())
@@ -252,7 +252,7 @@
     assert found == []
 
 
-def test_what_is_stated_as_nothing_is_nothing() -> None:
+def test_a_value_of_zero_is_not_taken_for_an_absent_one() -> None:
     # A value of 0 must not be taken for an absent one.
     options = {
         **OPTIONS,
@@ -279,31 +279,31 @@
         assert name == "timer" and float(due) >= 20.0
 
 
-def test_a_second_copy_is_sent_only_where_the_site_allows_it() -> None:
+def test_a_hedge_is_sent_only_where_the_site_allows_it() -> None:
     async def test(allowed: bool, copies: int) -> None:
         options = options_of(allowed={"parallelTries": allowed})
         async with rig(
             {"s0": CacheBox(lambda head: None), "s1": CacheBox(lambda head: None)}, options=options
         ) as made:
             balancer = made.node._balancer
-            asking = asyncio.create_task(made.ask("a", class_name="brisk"))
+            response_task = asyncio.create_task(made.ask("a", class_name="brisk"))
             await until(lambda: sum(len(box.heads) for box in made.boxes.values()) == 1)
             balancer.hedge_share, balancer.hedge_queue[:] = 0.5, [(0.0, 1)]
             made.node._on_timer(3)  # the attempt has been running for long
             assert len(made.node._running) == copies
-            asking.cancel()
+            response_task.cancel()
 
     run_async(lambda: test(False, 1))
     run_async(lambda: test(True, 2))
 
 
-def push_service(registry: Registry, known: list[dict[str, object]]) -> Service:
+def push_service(discovery_server: ScriptedDiscovery, known: list[dict[str, object]]) -> Service:
     options = {**OPTIONS, "discovery": "automatic"}
     return Service(
         config_of(
             {
                 "listen": f"127.0.0.1:{free_port()}",
-                "discovery": f"127.0.0.1:{registry.port}",
+                "discovery": f"127.0.0.1:{discovery_server.port}",
                 "seed": "1",
                 "known": {"generation": 1, "reset": True, "instances": known},
                 "settings": options,
@@ -313,7 +313,7 @@
     )
 
 
-def test_where_lists_are_pushed_they_are_followed_from_the_first_moment(
+def test_pushed_lists_are_applied_before_the_node_serves(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     # A node must not go on with the list that it started with and miss a drain.
@@ -323,17 +323,17 @@
         boxes = {"s0": CacheBox(), "s1": CacheBox()}
         for box in boxes.values():
             box.listen()
-        registry = Registry(boxes)
-        registry.start()
+        discovery_server = ScriptedDiscovery(boxes)
+        discovery_server.start()
         known = [entry(name, box.port) for name, box in boxes.items()]
         # The list that the node starts with does not have this change.
-        registry.entries["s0"] = entry("s0", boxes["s0"].port, "terminating")
-        registry.silent = True
-        service = push_service(registry, known)
+        discovery_server.entries["s0"] = entry("s0", boxes["s0"].port, "terminating")
+        discovery_server.silent = True
+        service = push_service(discovery_server, known)
         running = asyncio.create_task(service.run())
-        await until(lambda: bool(registry.asked))
+        await until(lambda: bool(discovery_server.requested_targets))
         assert not service.frontend.started
-        registry.silent = False
+        discovery_server.silent = False
         await until(lambda: service.frontend.started)
         for n in range(8):
             answer = await send_to(
@@ -342,8 +342,8 @@
             assert status(answer) == 200
         assert boxes["s0"].heads == [] and len(boxes["s1"].heads) == 8
         # A later change.
-        registry.update(entry("s0", boxes["s0"].port))
-        registry.update(entry("s1", boxes["s1"].port), "terminating")
+        discovery_server.update(entry("s0", boxes["s0"].port))
+        discovery_server.update(entry("s1", boxes["s1"].port), "terminating")
         await until(lambda: service.node.servers["s1"].leaving_ms is not None)
         assert (
             status(await send_to(service.frontend.address, request("b", "Connection: close\r\n")))
@@ -351,19 +351,19 @@
         )
         assert len(boxes["s0"].heads) == 1
         # A watch that ends is opened again at once: the agent may have changes to send.
-        calls = len(registry.asked)
-        registry.drop_watches()
-        await until(lambda: len(registry.asked) > calls)
+        call_count = len(discovery_server.requested_targets)
+        discovery_server.drop_watches()
+        await until(lambda: len(discovery_server.requested_targets) > call_count)
         service.stop()
         await running
-        await registry.stop()
+        await discovery_server.stop()
         for box in boxes.values():
             box.close()
 
     run_async(test)
 
 
-def test_an_agent_is_called_again_at_once_but_not_without_end() -> None:
+def test_a_failed_call_to_an_agent_is_repeated_at_once_and_then_after_a_delay() -> None:
     balancer = Balancer(settings_of({**OPTIONS, "discovery": "automatic"}), 1)
     assert balancer.on_list(1_000.0, "failed", []) == [("timer", 1, 1_000.0)]
     assert balancer.on_list(1_001.0, "failed", []) == [("timer", 1, 1_041.0)]
@@ -376,23 +376,23 @@
     monkeypatch.setattr("corkshift.service.FIRST_LIST_TIMEOUT_S", 30.0)
 
     async def test() -> None:
-        registry = Registry({})
-        registry.start()
-        registry.silent = True
-        service = push_service(registry, [])
+        discovery_server = ScriptedDiscovery({})
+        discovery_server.start()
+        discovery_server.silent = True
+        service = push_service(discovery_server, [])
         running = asyncio.create_task(service.run())
-        await until(lambda: bool(registry.asked))
+        await until(lambda: bool(discovery_server.requested_targets))
         service.reload()  # a SIGHUP before the node is ready makes no difference
         service.stop()
         await running
         assert not service.frontend.started
-        registry.silent = False
-        await registry.stop()
+        discovery_server.silent = False
+        await discovery_server.stop()
 
     run_async(test)
 
 
-def test_an_agent_that_is_silent_does_not_keep_a_node_from_serving(
+def test_an_unresponsive_agent_does_not_prevent_a_node_from_serving(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr("corkshift.service.FIRST_LIST_TIMEOUT_S", 0.05)
@@ -400,53 +400,53 @@
     async def test() -> None:
         box = CacheBox()
         box.listen()
-        registry = Registry({"s0": box})
-        registry.start()
-        registry.silent = True
-        service = push_service(registry, [entry("s0", box.port)])
+        discovery_server = ScriptedDiscovery({"s0": box})
+        discovery_server.start()
+        discovery_server.silent = True
+        service = push_service(discovery_server, [entry("s0", box.port)])
         running = asyncio.create_task(service.run())
         await until(lambda: service.frontend.started)
         assert (
             status(await send_to(service.frontend.address, request("a", "Connection: close\r\n")))
             == 200
         )
-        registry.silent = False
+        discovery_server.silent = False
         service.stop()
         await running
-        await registry.stop()
+        await discovery_server.stop()
         box.close()
 
     run_async(test)
 
 
-def test_what_outlives_a_planned_restart_is_answered_before_its_end() -> None:
+def test_requests_open_at_a_planned_shutdown_are_answered_before_exit() -> None:
     # With deadlines of 20 s, SIGKILL comes long before: connections must not close without a
     # response.
     async def test() -> None:
         schedule = ShutdownSchedule(1_000.0)
         schedule.accept_ms, schedule.answer_ms, schedule.exit_ms = 20.0, 100.0, 25_000.0
         async with rig({"s0": CacheBox(lambda head: None)}, shutdown_schedule=schedule) as made:
-            asking = asyncio.create_task(made.send(request("a")))
+            response_task = asyncio.create_task(made.send(request("a")))
             await until(lambda: bool(made.boxes["s0"].heads))
             await made.frontend.shut_down()
-            assert status(await asking) == 504
+            assert status(await response_task) == 504
 
     run_async(test)
 
 
-def test_an_open_requests_id_is_not_served_however_long_it_is_open() -> None:
+def test_the_id_of_an_open_request_is_rejected_however_long_it_is_open() -> None:
     async def test() -> None:
         async with rig({"s0": CacheBox(lambda head: None)}) as made:
-            asking = asyncio.create_task(made.send(request("a")))
+            response_task = asyncio.create_task(made.send(request("a")))
             await until(lambda: bool(made.boxes["s0"].heads))
             made.node._recent_ids[b"a"] -= 60_000.0  # as if forgotten, by age or by number
             assert status(await made.ask("a")) == 409
-            asking.cancel()
+            response_task.cancel()
 
     run_async(test)
 
 
-def test_settings_load_without_any_of_the_optional_parts() -> None:
+def test_settings_load_without_any_of_the_optional_fields() -> None:
     assert (
         settings_of({}).parallel_attempts
         and settings_of({"services": [{"name": "x"}]}).classes[0].repeat == "unsafe"
@@ -457,9 +457,9 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def test() -> None:
-        old, new = Registry({}), Registry({})
-        for registry in (old, new):
-            registry.start()
+        old, new = ScriptedDiscovery({}), ScriptedDiscovery({})
+        for discovery_server in (old, new):
+            discovery_server.start()
         path = tmp_path / "config.json"
         text = {"listen": f"127.0.0.1:{free_port()}", "seed": "1", "settings": OPTIONS}
         monkeypatch.setenv("PROXY_CONFIG", str(path))
@@ -468,11 +468,11 @@
         # The SIGHUP for this change came before the node handled signals.
         path.write_bytes(orjson.dumps({**text, "discovery": f"127.0.0.1:{new.port}"}))
         running = asyncio.create_task(service.run())
-        await until(lambda: bool(new.asked))
-        assert old.asked == []
+        await until(lambda: bool(new.requested_targets))
+        assert old.requested_targets == []
         service.stop()
         await running
-        for registry in (old, new):
-            await registry.stop()
+        for discovery_server in (old, new):
+            await discovery_server.stop()
 
     run_async(test)
