--- a/benchmarks/simulation.py
+++ b/benchmarks/simulation.py
@@ -20,7 +20,7 @@
 from pathlib import Path
 
 from testbed.nights.defects import DEFECTS
-from testbed.nights.explore import explore, play, shrink, violated_rule
+from testbed.nights.explore import explore, run_seed, shrink, violated_rule
 from testbed.nights.script import HARD_FIRST_SEED, draw
 from testbed.nights.simulation import run
 
@@ -77,14 +77,16 @@
         if needs_hard_scenario
         else range(1, SEED_COUNT + 1)
     ):
-        summary = play(seed, name)
+        summary = run_seed(seed, name)
         if summary.failures:
             rule, script = violated_rule(summary.failures[0]), draw(seed)
             shrunk, _ = shrink(
                 seed,
                 script,
                 rule,
-                lambda candidate_seed, candidate: play(candidate_seed, name, candidate).failures,
+                lambda candidate_seed, candidate: (
+                    run_seed(candidate_seed, name, candidate).failures
+                ),
             )
             return (
                 name,
--- a/benchmarks/tier.py
+++ b/benchmarks/tier.py
@@ -32,7 +32,7 @@
 
 from forkweir.tier.leases import TOTAL_SHARES
 from testbed.check.leases import Scope, check_scope
-from testbed.nights.explore import play as run_whole_node_seed
+from testbed.nights.explore import run_seed as run_whole_node_seed
 from testbed.nights.script import TIER_FIRST_SEED, draw
 from testbed.nights.script import Script as ScenarioScript
 from testbed.nights.simulation import run as run_simulation
--- a/corkshift/cli/tier.py
+++ b/corkshift/cli/tier.py
@@ -121,19 +121,19 @@
     """Run a script. Exit code: 0 if every rule held, 1 if not, 2 for an invalid script."""
     from testbed.nights.script import InvalidScript, parse_script
     from testbed.tier.processes import UnsupportedFaults
-    from testbed.tier.processes import run as play
+    from testbed.tier.processes import run as run_processes
 
     try:
         script = parse_script(Path(path).read_bytes())
         if virtual:
-            from testbed.tier.virtual import run as play_virtual
+            from testbed.tier.virtual import run as run_virtual
 
-            report = play_virtual(script, seed)
+            report = run_virtual(script, seed)
         else:
             folder = Path(logs) if logs else None
             if folder is not None:
                 folder.mkdir(parents=True, exist_ok=True)
-            report = play(script, seed, folder)
+            report = run_processes(script, seed, folder)
     except (InvalidScript, UnsupportedFaults) as error:
         print(f"gradeshift tier run: {path}: {error}", file=sys.stderr)
         return 2
--- a/testbed/cli.py
+++ b/testbed/cli.py
@@ -192,17 +192,17 @@
 @_action
 def _shrink(seed: int, script: Optional[str], to: Optional[str], defect: str) -> int:
     """Reduce a script to the smallest that still fails, as TOML."""
-    from testbed.nights.explore import play, shrink, violated_rule
+    from testbed.nights.explore import run_seed, shrink, violated_rule
     from testbed.nights.script import draw
 
     scenario = _script(script) or draw(seed)
-    failures = play(seed, defect, scenario).failures
+    failures = run_seed(seed, defect, scenario).failures
     if not failures:
         print(f"seed {seed} breaks no rule", file=sys.stderr)
         return 1
     wanted = violated_rule(failures[0])
     smallest, runs = shrink(
-        seed, scenario, wanted, lambda seed, candidate: play(seed, defect, candidate).failures
+        seed, scenario, wanted, lambda seed, candidate: run_seed(seed, defect, candidate).failures
     )
     text = f"# seed {seed} breaks: {wanted}\n" + to_toml(smallest)
     if to:
--- a/testbed/nights/explore.py
+++ b/testbed/nights/explore.py
@@ -33,7 +33,7 @@
     first_failure_step: int
 
 
-def play(seed: int, defect: str = "", script: Optional[Script] = None) -> Summary:
+def run_seed(seed: int, defect: str = "", script: Optional[Script] = None) -> Summary:
     """Play one seed, with a planted defect in the node if one is named."""
     with patched(defect):
         result = run(seed, script)
@@ -61,10 +61,10 @@
     """Play seeds on several processes and yield their summaries in the order of the seeds."""
     if jobs <= 1:
         for seed in seeds:
-            yield play(seed, defect)
+            yield run_seed(seed, defect)
         return
     with ProcessPoolExecutor(jobs) as pool:
-        futures = [pool.submit(play, seed, defect) for seed in seeds]
+        futures = [pool.submit(run_seed, seed, defect) for seed in seeds]
         for future in futures:
             yield future.result()
 
@@ -75,7 +75,7 @@
 
 
 def shrink(
-    seed: int, script: Script, rule: str, play_script: Callable[[int, Script], tuple[str, ...]]
+    seed: int, script: Script, rule: str, run_script: Callable[[int, Script], tuple[str, ...]]
 ) -> tuple[Script, int]:
     """Reduce a script while it still breaks a rule; return it and the number of runs.
 
@@ -89,7 +89,7 @@
         if runs >= MAX_SHRINK_RUNS:
             return False
         runs += 1
-        return any(violated_rule(failure) == rule for failure in play_script(seed, candidate))
+        return any(violated_rule(failure) == rule for failure in run_script(seed, candidate))
 
     script = _remove_faults(script, still_fails)
     changed = True
--- a/testbed/nights/simulation.py
+++ b/testbed/nights/simulation.py
@@ -425,7 +425,7 @@
 
     # -- the scenario --------------------------------------------------------------------
 
-    async def play(self) -> None:
+    async def run_scenario(self) -> None:
         """Start all processes, run clients and faults, and check at the end that nodes are idle."""
         table = self.script.world
         self._start_server("book", self.book)
@@ -1053,7 +1053,7 @@
     root.addHandler(log)
     try:
         asyncio.set_event_loop(loop)
-        main = loop.create_task(world.play())
+        main = loop.create_task(world.run_scenario())
         loop.run_until_complete(main)
     except (Deadlock, Livelock) as error:
         world.rules.report("no standstill", str(error))
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -326,7 +326,7 @@
 
 
 def test_a_down_origin_behind_empty_caches_shuts_the_gate_and_gets_no_repeats() -> None:
-    def play(hits: float) -> tuple[float, str]:
+    def fail_requests(hits: float) -> tuple[float, str]:
         balancer = make([Server(f"s{i}") for i in range(10)])
         balancer.gate.hit_share, last = hits, ""
         for n in range(60):
@@ -337,8 +337,8 @@
                 )
         return balancer.gate.admitted_share, last
 
-    assert play(hits=0.2) == (0.1, "refuse")
-    assert play(hits=50.0) == (1.0, "refuse")
+    assert fail_requests(hits=0.2) == (0.1, "refuse")
+    assert fail_requests(hits=50.0) == (1.0, "refuse")
     healthy = make([Server(f"s{i}") for i in range(10)])
     server = ask(healthy, 1000.0, 1, "k")
     assert healthy.on_outcome(1020.0, 1, 0, False, "failure", server, 20.0)[0][0] == "attempt"
--- a/tests/testbed/test_fleet.py
+++ b/tests/testbed/test_fleet.py
@@ -29,7 +29,7 @@
 
 
 @cache
-def play(name: str) -> tuple[Result, Traffic]:
+def run_fleet_scenario(name: str) -> tuple[Result, Traffic]:
     result = run(
         SEED, scenario_script(name, SEED, requests_per_s=240.0, seconds=4.5), keep_trace=True
     )
@@ -38,7 +38,7 @@
 
 @pytest.mark.parametrize("name", SCENARIOS)
 def test_a_fleet_withstands_simultaneous_faults(name: str) -> None:
-    result, traffic = play(name)
+    result, traffic = run_fleet_scenario(name)
     figures = result.figures
     assert result.failures == []
     assert figures.in_time >= IN_TIME[name] * figures.asked, figures
@@ -56,7 +56,7 @@
 
 
 def test_the_list_is_kept_and_bad_lists_are_logged_at_a_bounded_rate() -> None:
-    result, _ = play("overbooked")
+    result, _ = run_fleet_scenario("overbooked")
     bad_lists = sum("BadList" in line for line in result.lines)
     assert NODES <= bad_lists <= 8 * NODES  # each watching node was sent eight bad lists
     assert result.figures.refused < 0.02 * result.figures.asked
--- a/tests/testbed/test_net.py
+++ b/tests/testbed/test_net.py
@@ -32,7 +32,7 @@
         self.near: Stream
         self.far: Stream
 
-    def play(self, test: Callable[[Pair], Coroutine[Any, Any, None]]) -> None:
+    def run_test(self, test: Callable[[Pair], Coroutine[Any, Any, None]]) -> None:
         async def main() -> None:
             self.b.start(self._accept)
             self.a.start(self._dial)
@@ -73,7 +73,7 @@
         await pair.near.write(b"x")
         assert await pair.far.read() == b"x" and now_us(pair) - before == 7_000
 
-    Pair().play(test)
+    Pair().run_test(test)
 
 
 def test_bandwidth_delays_by_size() -> None:
@@ -85,7 +85,7 @@
             size += len(await pair.far.read())
         assert 100_000 <= now_us(pair) - before < 101_000
 
-    Pair().play(test)
+    Pair().run_test(test)
 
 
 @pytest.mark.parametrize("seed", range(1, 6))
@@ -100,7 +100,7 @@
         await job
         assert bytes(got) == sent and now_us(pair) - before >= 200_000
 
-    Pair(seed).play(test)
+    Pair(seed).run_test(test)
 
 
 def test_a_link_cut_in_one_direction() -> None:
@@ -114,7 +114,7 @@
         pair.net.link(B, A).cut = False
         assert await asyncio.wait_for(pair.near.read(), 5.0) == b"back"  # retransmitted
 
-    Pair().play(test)
+    Pair().run_test(test)
 
 
 def test_a_host_that_is_down_sends_nothing_and_resets_when_it_is_up_again() -> None:
@@ -128,7 +128,7 @@
         with pytest.raises(ConnectionResetError):
             await asyncio.wait_for(pair.near.read(), 30.0)
 
-    Pair().play(test)
+    Pair().run_test(test)
 
 
 def send_over_faulty_link(loss: float = 0.0, double: float = 0.0, late: float = 0.0) -> list[int]:
--- a/tests/testbed/test_parity.py
+++ b/tests/testbed/test_parity.py
@@ -35,19 +35,19 @@
     return function
 
 
-def on_kernel(play: Scenario) -> Seen:
+def on_kernel(run_scenario: Scenario) -> Seen:
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-        return runner.run(asyncio.wait_for(play(), 20.0))
+        return runner.run(asyncio.wait_for(run_scenario(), 20.0))
 
 
-def on_virtual(play: Scenario, seed: int = 1) -> Seen:
+def on_virtual(run_scenario: Scenario, seed: int = 1) -> Seen:
     loop = VirtualLoop(seed)
     net = Network(loop, seed)
     process = Process("p", net, HOST)
     seen: list[Seen] = []
 
     async def program() -> None:
-        seen.append(await play())
+        seen.append(await run_scenario())
 
     async def main() -> None:
         process.start(program)
--- a/tests/testbed/test_simulation.py
+++ b/tests/testbed/test_simulation.py
@@ -14,7 +14,7 @@
 import pytest
 
 from testbed.nights.defects import DEFECTS
-from testbed.nights.explore import explore, play, shrink, violated_rule
+from testbed.nights.explore import explore, run_seed, shrink, violated_rule
 from testbed.nights.script import Fault, InvalidScript, Script, World, draw, parse_script, to_toml
 from testbed.nights.show import timeline
 from testbed.nights.simulation import run
@@ -151,17 +151,17 @@
 def test_every_planted_defect_is_found(name: str) -> None:
     seed, rule = FOUND[name]
     assert any(seed in seeds for seeds in (BASIC, HARD, CORRUPT_LIST, WITH_DNS, LEAVING))
-    summary = play(seed, name, SCRIPTS.get(name))
+    summary = run_seed(seed, name, SCRIPTS.get(name))
     assert rule in {violated_rule(failure) for failure in summary.failures}
     # Without the defect the scenario breaks no rule.
-    assert play(seed, script=SCRIPTS.get(name)).failures == ()
+    assert run_seed(seed, script=SCRIPTS.get(name)).failures == ()
 
 
 @pytest.mark.parametrize("path", REGRESSIONS, ids=lambda path: path.stem)
 def test_scenarios_that_once_failed_pass(path: Path) -> None:
     text = path.read_text()
     seed = int(text.split("seed ")[1].split(" ")[0])
-    assert play(seed, script=parse_script(text.encode())).failures == ()
+    assert run_seed(seed, script=parse_script(text.encode())).failures == ()
 
 
 def test_a_scenario_without_faults_serves_everybody() -> None:
@@ -182,12 +182,12 @@
         ],
     )
     name = "drops-what-is-held-at-a-drain"
-    wanted = violated_rule(play(5, name, script).failures[0])
+    wanted = violated_rule(run_seed(5, name, script).failures[0])
     small, runs = shrink(
-        5, script, wanted, lambda seed, candidate: play(seed, name, candidate).failures
+        5, script, wanted, lambda seed, candidate: run_seed(seed, name, candidate).failures
     )
     assert [fault.kind for fault in small.fault] == ["node_term"] and runs > 3
-    assert wanted in {violated_rule(failure) for failure in play(5, name, small).failures}
+    assert wanted in {violated_rule(failure) for failure in run_seed(5, name, small).failures}
 
 
 def test_a_script_is_read_back_as_it_was_written() -> None:
--- a/tests/tier/test_shared_line.py
+++ b/tests/tier/test_shared_line.py
@@ -120,7 +120,9 @@
     return balancers, tiers
 
 
-def play(balancers: list[Balancer], tiers: list[Tier], until_ms: float, isolated: int = -1) -> None:
+def simulate_requests(
+    balancers: list[Balancer], tiers: list[Tier], until_ms: float, isolated: int = -1
+) -> None:
     """Each node gets 40 random requests a second; datagrams arrive at once.
 
     isolated: a node that neither sends nor receives datagrams.
@@ -147,7 +149,7 @@
 
 def test_connected_nodes_compute_the_same_cuts_and_an_isolated_one_uses_its_own_window() -> None:
     balancers, tiers = nodes(5)
-    play(balancers, tiers, 30_000.0, isolated=4)
+    simulate_requests(balancers, tiers, 30_000.0, isolated=4)
     cuts = [balancer.line.cuts for balancer in balancers]
     homes = [[balancer.line.range_of(position_of(key)) for key in KEYS] for balancer in balancers]
     difference = [
