--- a/testbed/nights/explore.py
+++ b/testbed/nights/explore.py
@@ -34,7 +34,7 @@
 
 
 def run_seed(seed: int, defect: str = "", script: Optional[Script] = None) -> Summary:
-    """Play one seed, with a planted defect in the node if one is named."""
+    """Run one seed, with a planted defect in the node if one is named."""
     with patched(defect):
         result = run(seed, script)
     first = result.failures[0].step if result.failures else 0
@@ -58,7 +58,7 @@
 
 
 def explore(seeds: Iterable[int], jobs: int, defect: str = "") -> Iterator[Summary]:
-    """Play seeds on several processes and yield their summaries in the order of the seeds."""
+    """Run seeds on several processes and yield their summaries in the order of the seeds."""
     if jobs <= 1:
         for seed in seeds:
             yield run_seed(seed, defect)
@@ -80,7 +80,7 @@
     """Reduce a script while it still breaks a rule; return it and the number of runs.
 
     Delta debugging (Zeller and Hildebrandt 2002): first fewer faults, then a smaller and shorter
-    system, then milder faults. play_script plays a script and returns its failures.
+    system, then milder faults. run_script runs a script and returns its failures.
     """
     runs = 0
 
@@ -170,5 +170,5 @@
 
 
 def replay_command(seed: int, defect: str = "") -> str:
-    """Return the command line that plays the scenario of a seed again."""
+    """Return the command line that runs the scenario of a seed again."""
     return f"gradeshift sim run --seed {seed}" + (f" --defect {defect}" if defect else "")
--- a/testbed/nights/simulation.py
+++ b/testbed/nights/simulation.py
@@ -1038,7 +1038,7 @@
 
 
 def run(seed: int, script: Optional[Script] = None, keep_trace: bool = False) -> Result:
-    """Play one scenario; the same seed and script give the same trace, byte for byte.
+    """Run one scenario; the same seed and script give the same trace, byte for byte.
 
     script defaults to the one drawn from the seed. keep_trace keeps the lines of the trace.
     """
