--- a/testbed/nights/explore.py
+++ b/testbed/nights/explore.py
@@ -33,8 +33,8 @@
     first_failure_step: int
 
 
-def play(seed: int, defect: str = "", script: Optional[Script] = None) -> Summary:
-    """Play one seed, with a planted defect in the node if one is named."""
+def run_seed(seed: int, defect: str = "", script: Optional[Script] = None) -> Summary:
+    """Run one seed, with a planted defect in the node if one is named."""
     with patched(defect):
         result = run(seed, script)
     first = result.failures[0].step if result.failures else 0
@@ -58,13 +58,13 @@
 
 
 def explore(seeds: Iterable[int], jobs: int, defect: str = "") -> Iterator[Summary]:
-    """Play seeds on several processes and yield their summaries in the order of the seeds."""
+    """Run seeds on several processes and yield their summaries in the order of the seeds."""
     if jobs <= 1:
         for seed in seeds:
-            yield play(seed, defect)
+            yield run_seed(seed, defect)
         return
     with ProcessPoolExecutor(jobs) as pool:
-        futures = [pool.submit(play, seed, defect) for seed in seeds]
+        futures = [pool.submit(run_seed, seed, defect) for seed in seeds]
         for future in futures:
             yield future.result()
 
@@ -75,12 +75,12 @@
 
 
 def shrink(
-    seed: int, script: Script, rule: str, play_script: Callable[[int, Script], tuple[str, ...]]
+    seed: int, script: Script, rule: str, run_script: Callable[[int, Script], tuple[str, ...]]
 ) -> tuple[Script, int]:
     """Reduce a script while it still breaks a rule; return it and the number of runs.
 
     Delta debugging (Zeller and Hildebrandt 2002): first fewer faults, then a smaller and shorter
-    system, then milder faults. play_script plays a script and returns its failures.
+    system, then milder faults. run_script runs a script and returns its failures.
     """
     runs = 0
 
@@ -89,7 +89,7 @@
         if runs >= MAX_SHRINK_RUNS:
             return False
         runs += 1
-        return any(violated_rule(failure) == rule for failure in play_script(seed, candidate))
+        return any(violated_rule(failure) == rule for failure in run_script(seed, candidate))
 
     script = _remove_faults(script, still_fails)
     changed = True
@@ -170,5 +170,5 @@
 
 
 def replay_command(seed: int, defect: str = "") -> str:
-    """Return the command line that plays the scenario of a seed again."""
+    """Return the command line that runs the scenario of a seed again."""
     return f"gradeshift sim run --seed {seed}" + (f" --defect {defect}" if defect else "")
